--- /dev/null
+++ b/crates/brassport-state/tests/golden.rs
@@ -0,0 +1,483 @@
+//! The bytes of the store's file, of the log's file and of every kind of row, against committed fixtures: what an earlier
+//! version wrote is read to the same model, and the same model is written in the same bytes.
+//!
+//! The fixtures lie in `tests/golden/`. They are written only with `GOLDEN_WRITE=1`, and the test that writes one fails.
+
+use brassport_state::files::Directory;
+use brassport_state::known::{KnownList, KnownNode};
+use brassport_state::log::{Image, LogStore, Write};
+use brassport_state::model::{Action, Change, Lifecycle, NewNode, Node, Refusal, State};
+use brassport_state::store::{Batch, ChangeError, Done, Entry, Sent, Store, StoreError};
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::collections::BTreeMap;
+use std::fmt::Debug;
+use std::fmt::Write as _;
+use std::fs;
+use std::io::{Error, ErrorKind};
+use std::path::{Path, PathBuf};
+
+/// The committed bytes of a fixture; with `GOLDEN_WRITE=1` they become `made`, and the test fails.
+fn fixture(name: &str, made: &[u8]) -> Vec<u8> {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") {
+        fs::create_dir_all(path.parent().expect("it lies in a folder")).expect("the folder is made");
+        fs::write(&path, made).expect("the fixture is written");
+        panic!("wrote {}: look at it, commit it, and run without GOLDEN_WRITE", path.display());
+    }
+    fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+}
+
+/// Compares text with its fixture line by line, so that the first line that differs is named.
+fn same_text(name: &str, made: &str) -> String {
+    let committed = String::from_utf8(fixture(name, made.as_bytes())).expect("the fixture is text");
+    for (number, (made, committed)) in made.lines().zip(committed.lines()).enumerate() {
+        assert_eq!(made, committed, "{name}, line {}", number + 1);
+    }
+    assert_eq!(made, committed, "{name}");
+    committed
+}
+
+/// One value in its form in JSON.
+struct Case {
+    name: String,
+    text: String,
+    /// Reads a text, which has to give the value, and encodes what was read.
+    again: Box<dyn Fn(&str) -> String>,
+}
+
+fn json<T: Serialize + DeserializeOwned + PartialEq + Debug + 'static>(name: &str, value: T) -> Case {
+    let encode = |value: &T| serde_json::to_string(value).expect("plain data has a form in JSON");
+    let text = encode(&value);
+    let again = move |text: &str| {
+        let read: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{text}: {error}"));
+        assert_eq!(read, value);
+        encode(&read)
+    };
+    Case { name: name.into(), text, again: Box::new(again) }
+}
+
+/// Compares all cases with a fixture of lines `name: text`, then reads and encodes what the fixture holds.
+fn same_cases(name: &str, cases: &[Case]) {
+    let made: String = cases.iter().map(|case| format!("{}: {}\n", case.name, case.text)).collect();
+    let committed = same_text(name, &made);
+    for (line, case) in committed.lines().zip(cases) {
+        let text = line.strip_prefix(&format!("{}: ", case.name)).expect("the line has its name");
+        assert_eq!((case.again)(text), text, "{}", case.name);
+    }
+}
+
+/// A folder of its own for one test, gone at its end.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Folder {
+        let path = std::env::temp_dir().join(format!("brassport-state-golden-{}-{name}", std::process::id()));
+        fs::create_dir_all(&path).expect("a folder");
+        Folder(path)
+    }
+
+    fn directory(&self) -> Directory {
+        Directory::open(&self.0).expect("it is there")
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+const STORE: &str = "state.redb";
+const LOG: &str = "log.redb";
+
+fn new_node(name: &str, endpoint: &str, zone: &str, group: u16, size: f64) -> NewNode {
+    let endpoint = endpoint.parse().expect("an address");
+    NewNode { name: name.into(), endpoint, zone: zone.into(), group, size }
+}
+
+fn add(name: &str, endpoint: &str, zone: &str, group: u16, size: f64, warm: bool) -> Action {
+    let endpoint = endpoint.parse().expect("an address");
+    Action::AddNode { name: name.into(), endpoint, zone: zone.into(), group, size, warm }
+}
+
+fn action_name(action: &Action) -> &'static str {
+    match action {
+        Action::AddNode { .. } => "AddNode",
+        Action::DrainNode { .. } => "DrainNode",
+        Action::ResumeNode { .. } => "ResumeNode",
+        Action::RemoveNode { .. } => "RemoveNode",
+        Action::ImportNodes { .. } => "ImportNodes",
+        Action::SetPlan { .. } => "SetPlan",
+    }
+}
+
+fn lifecycle_name(lifecycle: Lifecycle) -> &'static str {
+    match lifecycle {
+        Lifecycle::Ready => "Ready",
+        Lifecycle::Draining => "Draining",
+    }
+}
+
+/// Every kind of action, in an order in which none is refused.
+fn actions() -> Vec<Action> {
+    let list = vec![
+        new_node("attic-1", "192.0.2.1:9001", "north", 3, 2.5),
+        new_node("attic-2", "[2001:db8::2]:9002", "", 0, 1.0),
+        new_node("attic-3", "192.0.2.3:9003", "south", 65_535, 0.1),
+    ];
+    vec![
+        add("attic-1", "192.0.2.1:9001", "north", 3, 2.5, false),
+        add("attic-2", "[2001:db8::2]:9002", "", 0, 1.0, true),
+        add("cellar-1", "192.0.2.9:9009", "", 1, 1_000_000.0, false),
+        Action::DrainNode { name: "attic-1".into() },
+        Action::DrainNode { name: "attic-2".into() },
+        Action::ResumeNode { name: "attic-2".into() },
+        Action::RemoveNode { name: "cellar-1".into() },
+        Action::ImportNodes { nodes: list },
+        Action::SetPlan { studio: 7, plan: Some("gold".into()) },
+        Action::SetPlan { studio: u64::MAX, plan: Some("silver:2".into()) },
+        Action::SetPlan { studio: 8, plan: Some("gone".into()) },
+        Action::SetPlan { studio: 8, plan: None },
+    ]
+}
+
+/// The changes, the fifth with a clock that was set back, the sixth with the revision that its author saw.
+fn changes() -> Vec<Change> {
+    let change = |(number, action): (usize, Action)| Change {
+        id: format!("change-{number}"),
+        who: if number % 2 == 0 { "asha".into() } else { "user:bo@site".into() },
+        at_ms: if number == 4 { 1_700_000_000_000 } else { 1_700_000_001_000 + number as u64 },
+        seen: (number == 5).then_some(5),
+        action,
+    };
+    actions().into_iter().enumerate().map(change).collect()
+}
+
+fn sent(number: u64) -> Sent {
+    Sent {
+        request: format!("request-{number}"),
+        class: "edit \"quoted\" \u{e9}".into(),
+        studio: u64::MAX - number,
+        node: "attic-1".into(),
+        at_ms: 1_700_000_002_000 + number,
+    }
+}
+
+fn known_list() -> KnownList {
+    let node = |endpoint: &str, draining| KnownNode {
+        endpoint: endpoint.parse().expect("an address"),
+        zone: if draining { "north".into() } else { String::new() },
+        group: if draining { u64::MAX } else { 0 },
+        size: if draining { 2.5 } else { 0.0 },
+        started_ms: if draining { 1_700_000_000_000.5 } else { 0.0 },
+        draining,
+        heard_ms: 1_700_000_003_000,
+    };
+    let list = [("dns:attic-1", node("192.0.2.1:9001", true)), ("spare", node("[2001:db8::7]:9007", false))];
+    list.into_iter().map(|(name, node)| (name.to_string(), node)).collect()
+}
+
+/// Writes a store with every kind of row: the first two requests are of an earlier life, the third is in hand.
+fn write_store(folder: &Folder) {
+    let files = folder.directory();
+    Store::create(&files, STORE).expect("a new store");
+    let mut store = Store::open(&files, STORE).expect("it opens");
+    for change in changes() {
+        store.apply(change).expect("it is made");
+    }
+    store.write(&Batch { sending: vec![sent(1), sent(2)], ..Batch::default() }).expect("it is written");
+    drop(store);
+    let mut store = Store::open(&files, STORE).expect("it opens again");
+    let batch = Batch { sending: vec![sent(3), sent(4)], known: Some(known_list()), ..Batch::default() };
+    store.write(&batch).expect("it is written");
+    store.write(&Batch { ended: vec!["request-4".into()], ..Batch::default() }).expect("it is written");
+}
+
+fn expected_state() -> State {
+    let node = |endpoint: &str, zone: &str, group, size, lifecycle, launched_ms, revision| Node {
+        endpoint: endpoint.parse().expect("an address"),
+        zone: zone.into(),
+        group,
+        size,
+        lifecycle,
+        launched_ms,
+        revision,
+    };
+    use Lifecycle::{Draining, Ready};
+    let nodes = [
+        ("attic-1", node("192.0.2.1:9001", "north", 3, 2.5, Draining, Some(1_700_000_001_000), 4)),
+        ("attic-2", node("[2001:db8::2]:9002", "", 0, 1.0, Ready, None, 6)),
+        ("attic-3", node("192.0.2.3:9003", "south", 65_535, 0.1, Ready, Some(1_700_000_001_007), 8)),
+    ];
+    State {
+        revision: 12,
+        nodes: nodes.into_iter().map(|(name, node)| (name.to_string(), node)).collect(),
+        plans: BTreeMap::from([(7, "gold".to_string()), (u64::MAX, "silver:2".to_string())]),
+    }
+}
+
+fn expected_history() -> Vec<Entry> {
+    let entry = |(number, change): (usize, Change)| Entry {
+        revision: number as u64 + 1,
+        clock_set_back: number == 4,
+        change,
+    };
+    changes().into_iter().enumerate().map(entry).rev().collect()
+}
+
+/// All rows of a store's file, as they lie in it.
+fn rows(file: &Path) -> String {
+    let database = Database::open(file).expect("the embedded store opens it");
+    let transaction = database.begin_read().expect("it is read");
+    let mut names: Vec<String> = transaction
+        .list_tables()
+        .expect("it lists its tables")
+        .map(|table| redb::TableHandle::name(&table).to_string())
+        .collect();
+    names.sort();
+    let mut text = format!("tables: {}\n", names.join(" "));
+    macro_rules! dump {
+        ($($name:literal: $key:ty => $value:ty, $show:expr;)*) => {$(
+            let definition = TableDefinition::<$key, $value>::new($name);
+            for row in transaction.open_table(definition).expect("the table").iter().expect("its rows") {
+                let (key, value) = row.expect("a row");
+                let value: String = $show(value.value());
+                writeln!(text, "{} {:?}: {value}", $name, key.value()).expect("text takes it");
+            }
+        )*};
+    }
+    let bytes = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("the row is text");
+    dump!(
+        "facts": &str => u64, |value: u64| value.to_string();
+        "history": u64 => &[u8], bytes;
+        "ids": &str => u64, |value: u64| value.to_string();
+        "in_hand": &str => &[u8], bytes;
+        "known": &str => &[u8], bytes;
+        "nodes": &str => &[u8], bytes;
+        "plans": u64 => &str, |value: &str| value.to_string();
+        "unfinished": u64 => &[u8], bytes;
+    );
+    text
+}
+
+fn expect_store(store: &Store) {
+    assert_eq!(store.state(), &expected_state());
+    assert_eq!(store.known(), &known_list());
+    assert_eq!(store.history(u64::MAX, 100).expect("its history"), expected_history());
+    let unfinished = store.unfinished().expect("its unfinished requests");
+    assert_eq!(unfinished, [(1, sent(1)), (2, sent(2)), (3, sent(3))]);
+    assert_eq!(store.unfinished_count(), 3);
+    assert_eq!(store.broken(), None);
+}
+
+#[test]
+fn a_committed_store_has_its_rows_and_opens_to_the_model_that_was_written() {
+    let made = Folder::new("store-made");
+    write_store(&made);
+    let committed = fixture(STORE, &fs::read(made.0.join(STORE)).expect("it was made"));
+    let folder = Folder::new("store-committed");
+    fs::write(folder.0.join(STORE), committed).expect("a copy");
+    assert_eq!(rows(&folder.0.join(STORE)), rows(&made.0.join(STORE)));
+    let files = folder.directory();
+    let mut store = Store::open(&files, STORE).expect("it opens");
+    expect_store(&store);
+    store.snapshot().expect("a snapshot").copy_to(&files, "copy.redb").expect("it is copied");
+    let repeated = store.apply(changes().remove(3)).expect("it was made before");
+    assert_eq!(repeated, Done { revision: 4, repeated: true });
+    drop(store);
+    expect_store(&Store::open(&files, "copy.redb").expect("the copy opens"));
+    assert_eq!(rows(&folder.0.join(STORE)), rows(&folder.0.join("copy.redb")));
+}
+
+#[test]
+fn a_store_that_is_written_afresh_has_the_committed_rows() {
+    let folder = Folder::new("rows");
+    write_store(&folder);
+    same_text("state.txt", &rows(&folder.0.join(STORE)));
+}
+
+#[test]
+fn each_kind_of_row_has_its_form() {
+    let mut cases = Vec::new();
+    for (number, action) in actions().into_iter().enumerate() {
+        cases.push(json(&format!("Action::{} {number}", action_name(&action)), action));
+    }
+    for (number, change) in changes().into_iter().enumerate() {
+        cases.push(json(&format!("Change {number}"), change));
+    }
+    for entry in expected_history() {
+        cases.push(json(&format!("Entry {}", entry.revision), entry));
+    }
+    for lifecycle in [Lifecycle::Ready, Lifecycle::Draining] {
+        cases.push(json(&format!("Lifecycle::{}", lifecycle_name(lifecycle)), lifecycle));
+    }
+    for (name, node) in expected_state().nodes {
+        cases.push(json(&format!("Node {name}"), node));
+    }
+    cases.push(json("NewNode", new_node("attic-1", "192.0.2.1:9001", "north", 3, 2.5)));
+    cases.push(json("Sent", sent(1)));
+    for (name, node) in known_list() {
+        cases.push(json(&format!("KnownNode {name}"), node));
+    }
+    cases.push(json("KnownList", known_list()));
+    for repeated in [false, true] {
+        cases.push(json(&format!("Done, repeated {repeated}"), Done { revision: 12, repeated }));
+    }
+    same_cases("rows.txt", &cases);
+}
+
+/// Rows of versions that did not have all of the fields. They are read, and written with all.
+#[test]
+fn rows_without_the_later_fields_are_read_as_before() {
+    fn read<T: Serialize + DeserializeOwned>(text: &str) -> String {
+        let value: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{text}: {error}"));
+        serde_json::to_string(&value).expect("plain data has a form in JSON")
+    }
+    let node = r#"{"endpoint":"192.0.2.1:1","size":1.5,"lifecycle":"ready","revision":2}"#;
+    let add = r#"{"action":"add_node","name":"a","endpoint":"192.0.2.1:1"}"#;
+    let new = r#"{"name":"a","endpoint":"192.0.2.1:1"}"#;
+    let change = r#"{"id":"i","who":"w","at_ms":3,"action":{"action":"drain_node","name":"a"}}"#;
+    let entry = r#"{"revision":9,"id":"i","who":"w","at_ms":3,"action":{"action":"set_plan","studio":1}}"#;
+    let known = r#"{"endpoint":"192.0.2.1:1","heard_ms":4}"#;
+    let lines = [
+        ("Node", node, read::<Node>(node)),
+        ("Action", add, read::<Action>(add)),
+        ("NewNode", new, read::<NewNode>(new)),
+        ("Change", change, read::<Change>(change)),
+        ("Entry", entry, read::<Entry>(entry)),
+        ("KnownNode", known, read::<KnownNode>(known)),
+    ];
+    let made: String = lines.iter().map(|(name, old, new)| format!("{name}: {old}\n  now {new}\n")).collect();
+    same_text("older.txt", &made);
+}
+
+#[test]
+fn refusals_and_faults_say_what_they_said() {
+    let name = || "attic-1".to_string();
+    let refusals = [
+        Refusal::Invalid("size of 'a': 0 is not above 0 and at most 1000000".into()),
+        Refusal::Exists(name()),
+        Refusal::NoSuchNode(name()),
+        Refusal::Conflict { name: name(), revision: 7 },
+        Refusal::IdUsed { id: "change-1".into(), revision: 2 },
+    ];
+    let mut made = String::new();
+    for refusal in refusals {
+        let variant = match &refusal {
+            Refusal::Invalid(_) => "Invalid",
+            Refusal::Exists(_) => "Exists",
+            Refusal::NoSuchNode(_) => "NoSuchNode",
+            Refusal::Conflict { .. } => "Conflict",
+            Refusal::IdUsed { .. } => "IdUsed",
+        };
+        writeln!(made, "Refusal::{variant}: {}: {refusal}", refusal.code()).expect("text takes it");
+        assert_eq!(ChangeError::Refused(refusal.clone()).to_string(), refusal.to_string());
+    }
+    let file = || "/state/state.redb".to_string();
+    let io =
+        |kind| StoreError::Io { doing: "write", file: file(), error: Error::new(kind, "the system says so") };
+    let faults = [
+        StoreError::Missing { file: file() },
+        StoreError::Exists { file: file() },
+        StoreError::Empty { file: file() },
+        StoreError::InUse { file: file() },
+        StoreError::Newer { file: file(), format: 2 },
+        StoreError::Corrupt { file: file(), detail: "it ends too early".into() },
+        io(ErrorKind::Other),
+        io(ErrorKind::StorageFull),
+        io(ErrorKind::QuotaExceeded),
+        io(ErrorKind::ReadOnlyFilesystem),
+        io(ErrorKind::PermissionDenied),
+        StoreError::Broken { file: file(), first: "cannot write".into() },
+    ];
+    for fault in faults {
+        let variant = match &fault {
+            StoreError::Missing { .. } => "Missing",
+            StoreError::Exists { .. } => "Exists",
+            StoreError::Empty { .. } => "Empty",
+            StoreError::InUse { .. } => "InUse",
+            StoreError::Newer { .. } => "Newer",
+            StoreError::Corrupt { .. } => "Corrupt",
+            StoreError::Io { .. } => "Io",
+            StoreError::Broken { .. } => "Broken",
+        };
+        writeln!(made, "StoreError::{variant}: {fault}").expect("text takes it");
+        let said = fault.to_string();
+        assert_eq!(ChangeError::Store(fault).to_string(), said);
+    }
+    same_text("messages.txt", &made);
+}
+
+/// Every part of a write: a snapshot, entries, entries in the place of others, votes, and a snapshot that compacts.
+fn writes() -> Vec<Write> {
+    let entry = |index: u64| (index, vec![index as u8, 0, 0xff, b'e']);
+    vec![
+        Write { snapshot: Some(b"snapshot one\0".to_vec()), ..Write::default() },
+        Write { entries: (2..8).map(entry).collect(), votes: Some(vec![1, 0, 255]), ..Write::default() },
+        Write { entries: vec![(6, b"another leader's".to_vec()), (7, Vec::new())], ..Write::default() },
+        Write { compact: Some((4, b"snapshot two".to_vec())), votes: Some(vec![2; 40]), ..Write::default() },
+    ]
+}
+
+fn expected_image() -> Image {
+    Image {
+        votes: Some(vec![2; 40]),
+        snapshot: Some(b"snapshot two".to_vec()),
+        entries: vec![
+            (4, vec![4, 0, 0xff, b'e']),
+            (5, vec![5, 0, 0xff, b'e']),
+            (6, b"another leader's".to_vec()),
+            (7, Vec::new()),
+        ],
+    }
+}
+
+fn write_log(folder: &Folder) {
+    let files = folder.directory();
+    LogStore::create(&files, LOG).expect("a new log");
+    let (mut log, image) = LogStore::open(&files, LOG).expect("it opens");
+    assert_eq!(image, Image::default());
+    for write in writes() {
+        log.write(&write).expect("it is written");
+    }
+}
+
+/// All rows of a log's file, their bytes in hexadecimal.
+fn log_rows(file: &Path) -> String {
+    let database = Database::open(file).expect("the embedded store opens it");
+    let transaction = database.begin_read().expect("it is read");
+    let hexadecimal = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
+    let mut text = String::new();
+    let facts = TableDefinition::<&str, &[u8]>::new("facts");
+    for row in transaction.open_table(facts).expect("the table").iter().expect("its rows") {
+        let (key, value) = row.expect("a row");
+        writeln!(text, "facts {}: {}", key.value(), hexadecimal(value.value())).expect("text takes it");
+    }
+    let entries = TableDefinition::<u64, &[u8]>::new("entries");
+    for row in transaction.open_table(entries).expect("the table").iter().expect("its rows") {
+        let (key, value) = row.expect("a row");
+        writeln!(text, "entries {}: {}", key.value(), hexadecimal(value.value())).expect("text takes it");
+    }
+    text
+}
+
+#[test]
+fn a_committed_log_has_its_rows_and_opens_to_what_was_written() {
+    let made = Folder::new("log-made");
+    write_log(&made);
+    let committed = fixture(LOG, &fs::read(made.0.join(LOG)).expect("it was made"));
+    let folder = Folder::new("log-committed");
+    fs::write(folder.0.join(LOG), committed).expect("a copy");
+    assert_eq!(log_rows(&folder.0.join(LOG)), log_rows(&made.0.join(LOG)));
+    let (_, image) = LogStore::open(&folder.directory(), LOG).expect("it opens");
+    assert_eq!(image, expected_image());
+}
+
+#[test]
+fn a_log_that_is_written_afresh_has_the_committed_rows() {
+    let folder = Folder::new("log-rows");
+    write_log(&folder);
+    same_text("log.txt", &log_rows(&folder.0.join(LOG)));
+}
