--- a/crates/brassport/tests/golden.rs
+++ b/crates/brassport/tests/golden.rs
@@ -2,6 +2,8 @@
 //! compared with a fixture in `tests/golden`; what can be decoded is decoded from the fixture and encoded again.
 //! `GOLDEN_WRITE=1` writes the fixtures anew, and fails.
 
+mod common;
+
 use brassport::clock::SystemClock;
 use brassport::config::{self, Config, First, Names};
 use brassport::discovery::{List, ListReader, Newest, Watch};
@@ -31,6 +33,8 @@
 use tokio::task::LocalSet;
 use turnstile::protocol::AttemptCounts;
 
+use common::{reserve, target, temporary, with_operators, Front};
+
 /// The fixture of this name, which the text must equal.
 fn golden(name: &str, text: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
@@ -405,12 +409,18 @@
     answer.split_inclusive('\n').map(hidden).collect()
 }
 
-/// The whole answer to some bytes, in one line.
+/// The whole answer to some bytes of one who then says no more, in one line.
 fn asked(at: SocketAddr, call: &[u8]) -> String {
+    answered(at, call, true)
+}
+
+fn answered(at: SocketAddr, call: &[u8], ends: bool) -> String {
     let mut stream = TcpStream::connect(at).expect("it listens");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
     stream.write_all(call).expect("written");
-    let _ = stream.shutdown(Shutdown::Write);
+    if ends {
+        let _ = stream.shutdown(Shutdown::Write);
+    }
     let mut answer = Vec::new();
     // One that turns a call away before it has come may end by a reset.
     let mut piece = [0; 4096];
@@ -443,7 +453,7 @@
 
 #[test]
 fn the_operators_answers() {
-    let free = brassport_processes::port::reserve();
+    let free = reserve();
     let out = Arc::new(AtomicBool::new(false));
     let operators = admin::listen(free, out.clone()).expect("it listens");
     let ready = operators.ready.clone();
@@ -832,3 +842,148 @@
         golden("discovery-calls.txt", &lines(&cases));
     });
 }
+
+// The program on its sockets.
+
+/// Takes one request after another, of any connection, answers each as the script says, and keeps its bytes.
+fn scripted(answers: &[&'static str]) -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    let (heard, told) = std::sync::mpsc::channel();
+    let answers = answers.to_vec();
+    std::thread::spawn(move || {
+        for answer in answers {
+            let (mut stream, _) = listener.accept().expect("a connection");
+            let mut request = Vec::new();
+            let mut byte = [0];
+            loop {
+                stream.read_exact(&mut byte).expect("more of the request");
+                request.push(byte[0]);
+                let Some(end) = request.windows(4).position(|part| part == b"\r\n\r\n") else { continue };
+                // Bodies here end with a stop.
+                if request.starts_with(b"GET ") || request[end + 4..].ends_with(b".") {
+                    break;
+                }
+            }
+            let _ = heard.send(request.escape_ascii().to_string());
+            stream.write_all(answer.as_bytes()).expect("written");
+        }
+    });
+    (address, told)
+}
+
+/// Hides how long the client still waits, which is in microseconds.
+fn without_wait(request: &str) -> String {
+    let (before, rest) =
+        request.split_once("x-deadline: ").expect("an attempt says how long its client waits");
+    let (wait, behind) = rest.split_once("u\\r\\n").expect("microseconds");
+    assert!(wait.bytes().all(|digit| digit.is_ascii_digit()), "{wait}");
+    format!("{before}x-deadline: ...u\\r\\n{behind}")
+}
+
+fn call(line: &str, more: &str, body: &str) -> String {
+    let class = line.split(['/', ' ', '?']).nth(2).unwrap_or_default();
+    format!(
+        "{line} HTTP/1.1\r\nHost: door\r\nConnection: close\r\nX-Request-Id: r-1\r\nX-Class: {class}\r\nPlan: starter\r\n\
+         Cookie: client=00000000b4d65521\r\nQuota-Info: units=1,spread=1,first=0\r\nX-Deadline: 4000m\r\n\
+         {more}\r\n{body}"
+    )
+}
+
+#[test]
+fn what_the_program_says_to_clients_and_nodes() {
+    const DONE: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\nUsage-Percent: 40\r\nX-One: 1\r\n\
+        Date: Sun, 06 Nov 1994 08:49:37 GMT\r\nContent-Length: 4\r\n\r\ndone";
+    const ENDLESS: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n\
+        4\r\ndone\r\n0\r\n\r\n";
+    const HEALTH: &[u8] = b"GET /healthz HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n";
+    const FAULT: &str = "HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 5\r\n\r\nfault";
+    let (node, heard) = scripted(&[DONE, DONE, ENDLESS, FAULT]);
+    let front = Front::before(&[node]);
+    let at = front.address;
+    let mut cases = Vec::new();
+    let length = "Content-Length: 6\r\n";
+    for (name, request) in [
+        ("served", call("GET /preview-fetch/7?a=b%20c", "X-Two: 2\r\nConnection: X-Hop\r\nX-Hop: 3\r\n", "")),
+        ("served with a body", call("POST /job-submit", length, "a job.")),
+        ("served without length", call("GET /preview-fetch", "", "")),
+        ("failed", call("POST /job-submit/8", length, "a job.")),
+    ] {
+        cases.push((name.to_string(), answered(at, request.as_bytes(), false)));
+        let request = heard.recv_timeout(Duration::from_secs(20)).expect("a request");
+        cases.push((format!("{name}, to the node"), without_wait(&request)));
+    }
+    cases.push(("healthy".into(), answered(at, HEALTH, false)));
+    let good = call("GET /preview-fetch", "", "");
+    for (right, wrong) in [
+        ("X-Request-Id: r-1", "X-Request-Id: r 1"),
+        ("X-Class: preview-fetch", "X-Class: job-submit"),
+        ("preview-fetch", "nothing"),
+        ("GET ", "DELETE "),
+        ("client=", "customer="),
+        ("Plan: starter", "Plan: none"),
+        ("X-Deadline: 4000m", "X-Deadline: 4000"),
+        ("units=1", "units=0"),
+        ("Plan: starter", "Plan: starter\r\nPlan: starter"),
+        ("Host: door", "Host: door\r\nTransfer-Encoding: chunked\r\nContent-Length: 5"),
+        ("Host: door", "Host: door\r\nContent-Length: 300000000"),
+        ("HTTP/1.1", "HTTP"),
+    ] {
+        assert!(good.contains(right), "{right}");
+        let name = format!("{} for {}", wrong.escape_debug(), right);
+        cases.push((name, answered(at, good.replace(right, wrong).as_bytes(), false)));
+    }
+    drop(front);
+    // No node takes anything.
+    let known = common::list(&[target("s-1", node, "draining")]);
+    let front = Front::start(&common::config(reserve(), known));
+    cases.push(("refused".into(), answered(front.address, good.as_bytes(), false)));
+    cases.push(("unhealthy".into(), answered(front.address, HEALTH, false)));
+    golden("front-door.txt", &lines(&cases));
+}
+
+/// Replaces what differs from run to run by nothing.
+fn settled(mut offer: Offer, front: &Front, file: &str) -> Offer {
+    assert!(offer.now_ms > 0.0 && offer.start_unix_ms > 1e12 && offer.descriptors > 0);
+    assert_eq!(offer.file, file);
+    (offer.now_ms, offer.start_unix_ms, offer.descriptors) = (0.0, 0.0, 0);
+    offer.file = format!("the file of {}", front.address.ip());
+    // Its bytes are pinned where they are made; the names of nodes in it are made here.
+    let learned: Value = serde_json::from_str(&offer.learned).expect("JSON");
+    let nodes: BTreeSet<_> = learned["fleet"]["servers"].as_object().expect("nodes").keys().collect();
+    offer.learned = format!("{nodes:?}");
+    offer
+}
+
+#[test]
+fn what_the_program_offers_to_its_successor() {
+    let known = common::list(&[
+        target("s-1", ([127, 0, 0, 1], 9).into(), "ready"),
+        target("s-2", ([127, 0, 0, 1], 9).into(), "draining"),
+    ]);
+    let (config, admin) = with_operators(common::config(reserve(), known));
+    let front = Front::start(&config);
+    assert_eq!(common::operate(admin, "PUT", "/-/backends/s-1/disable").0, 200);
+    let path = place(front.address, Some(temporary(&front.file))).expect("a place");
+    let file = std::fs::read_to_string(&front.file).expect("the file");
+    on_one_thread(async {
+        let mut stream = UnixStream::connect(&path).await.expect("it listens");
+        let asked = br#"{"Ask":{"version":1}}"#;
+        let mut frame = (asked.len() as u32).to_le_bytes().to_vec();
+        frame.push(0);
+        frame.extend_from_slice(asked);
+        stream.write_all(&frame).await.expect("written");
+        let offered = frame_from(&mut stream).await;
+        assert_eq!(offered[4], 1, "it comes with a socket");
+        let offer = match serde_json::from_slice(&offered[5..]).expect("a message") {
+            Message::Offer(offer) => *offer,
+            other => panic!("{other:?}"),
+        };
+        assert_eq!(write_json(&Message::Offer(Box::new(offer.clone()))).as_bytes(), &offered[5..]);
+        let offer = write_json(&settled(offer, &front, &file));
+        let took = b"\x06\0\0\0\0\"Took\"";
+        stream.write_all(took).await.expect("written");
+        let go = hex(&frame_from(&mut stream).await);
+        golden("handover-giver.txt", &lines(&[("offer".into(), offer), ("go".into(), go)]));
+    });
+}
