--- /dev/null
+++ b/crates/brassport-leases/tests/golden.rs
@@ -0,0 +1,156 @@
+//! The bytes of what is told of leases, against committed fixtures: a lease is the body of a change in the fleet's log and
+//! so a part of its snapshots; why nobody acts goes into an instance's report.
+//!
+//! The fixtures lie in `tests/golden/`. They are written only with `GOLDEN_WRITE=1`, and the test that writes one fails.
+
+use brassport_leases::{Action, Event, Lease, Outcome, Task, Terms, Why};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::fmt::Debug;
+use std::fs;
+use std::path::Path;
+
+/// The committed bytes of a fixture; with `GOLDEN_WRITE=1` they become `made`, and the test fails.
+fn fixture(name: &str, made: &[u8]) -> Vec<u8> {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") {
+        fs::create_dir_all(path.parent().expect("it lies in a folder")).expect("the folder is made");
+        fs::write(&path, made).expect("the fixture is written");
+        panic!("wrote {}: look at it, commit it, and run without GOLDEN_WRITE", path.display());
+    }
+    fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+}
+
+/// Compares text with its fixture line by line, so that the first line that differs is named.
+fn same_text(name: &str, made: &str) -> String {
+    let committed = String::from_utf8(fixture(name, made.as_bytes())).expect("the fixture is text");
+    for (number, (made, committed)) in made.lines().zip(committed.lines()).enumerate() {
+        assert_eq!(made, committed, "{name}, line {}", number + 1);
+    }
+    assert_eq!(made, committed, "{name}");
+    committed
+}
+
+/// One value in its form in JSON.
+struct Case {
+    name: String,
+    text: String,
+    /// Reads a text, which has to give the value, and encodes what was read.
+    again: Box<dyn Fn(&str) -> String>,
+}
+
+fn json<T: Serialize + DeserializeOwned + PartialEq + Debug + 'static>(name: &str, value: T) -> Case {
+    let encode = |value: &T| serde_json::to_string(value).expect("plain data has a form in JSON");
+    let text = encode(&value);
+    let again = move |text: &str| {
+        let read: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{text}: {error}"));
+        assert_eq!(read, value);
+        encode(&read)
+    };
+    Case { name: name.into(), text, again: Box::new(again) }
+}
+
+/// Compares all cases with a fixture of lines `name: text`, then reads and encodes what the fixture holds.
+fn same_cases(name: &str, cases: &[Case]) {
+    let made: String = cases.iter().map(|case| format!("{}: {}\n", case.name, case.text)).collect();
+    let committed = same_text(name, &made);
+    for (line, case) in committed.lines().zip(cases) {
+        let text = line.strip_prefix(&format!("{}: ", case.name)).expect("the line has its name");
+        assert_eq!((case.again)(text), text, "{}", case.name);
+    }
+}
+
+fn lease() -> Lease {
+    Lease {
+        holder: "i\"1\" \u{e9}".into(),
+        process: u64::MAX,
+        token: (1 << 32) + 1,
+        length: 3000,
+        held: true,
+        next: None,
+        begun_for: 1_700_000_000_000,
+    }
+}
+
+#[test]
+fn leases_terms_and_reasons_have_their_bytes() {
+    let mut cases = vec![
+        json("Terms, default", Terms::default()),
+        json("Terms", Terms { length: 1, renewal: 2, drift_permille: u64::MAX }),
+        json("Lease, held", lease()),
+        json("Lease, given up", Lease { held: false, next: Some("i2".into()), begun_for: 0, ..lease() }),
+    ];
+    for why in [Why::HeldBy("i2".into()), Why::Waits, Why::Asks, Why::NotWanted] {
+        let variant = match &why {
+            Why::HeldBy(_) => "HeldBy",
+            Why::Waits => "Waits",
+            Why::Asks => "Asks",
+            Why::NotWanted => "NotWanted",
+        };
+        cases.push(json(&format!("Why::{variant}"), why));
+    }
+    same_cases("leases.txt", &cases);
+}
+
+/// Every event that there is, and the leases that a task then wants published: the bodies that the fleet's log keeps.
+#[test]
+fn a_task_publishes_the_leases_that_it_published() {
+    let mut task = Task::new("i1", 9, Terms { length: 1000, renewal: 250, drift_permille: 100 }, 0);
+    let by_other = Lease { holder: "i2".into(), process: 4, token: 7, begun_for: 50, ..lease() };
+    let events = [
+        (0, Event::Wants(true)),
+        (100, Event::Seen { version: 3, lease: Lease { held: false, length: 1000, ..by_other.clone() } }),
+        (1100, Event::Tick),
+        (1150, Event::Answer(Outcome::Taken { version: 5 })),
+        (1400, Event::Tick),
+        (1450, Event::Answer(Outcome::Unknown)),
+        (1500, Event::Acting(true)),
+        (1550, Event::Answer(Outcome::Refused)),
+        (1600, Event::HandOver("i3".into())),
+        (1700, Event::Acting(false)),
+        (1750, Event::Answer(Outcome::Taken { version: 6 })),
+        (1800, Event::Recovered(2)),
+        (1900, Event::Seen { version: 8, lease: Lease { held: false, length: 1000, ..by_other } }),
+        (3100, Event::Tick),
+    ];
+    let mut made = String::new();
+    for (now, event) in events {
+        let name = match &event {
+            Event::Tick => "Tick",
+            Event::Wants(_) => "Wants",
+            Event::HandOver(_) => "HandOver",
+            Event::Acting(_) => "Acting",
+            Event::Seen { .. } => "Seen",
+            Event::Recovered(_) => "Recovered",
+            Event::Answer(Outcome::Taken { .. }) => "Answer Taken",
+            Event::Answer(Outcome::Refused) => "Answer Refused",
+            Event::Answer(Outcome::Unknown) => "Answer Unknown",
+        };
+        let actions = task.handle(now, event);
+        let permit = task
+            .permit(now)
+            .map_or("none".into(), |permit| format!("{} until {}", permit.token(), permit.until()));
+        made += &format!("{now} {name}: permit {permit}, {}\n", why(&task, now));
+        for action in actions {
+            let Action::Publish { seen, lease } = action;
+            made += &format!("  publishes behind {seen}: {}\n", json("", lease).text);
+        }
+    }
+    same_text("task.txt", &made);
+}
+
+fn why(task: &Task, now: u64) -> String {
+    json("", task.why(now)).text
+}
+
+/// A lease of a version that named nobody and counted no due times is read as before.
+#[test]
+fn a_lease_without_the_later_fields_is_read_as_before() {
+    let old = r#"{"holder":"i1","process":1,"token":2,"length":3,"held":true}"#;
+    let read: Lease = serde_json::from_str(old).expect("it is read");
+    assert_eq!(
+        read,
+        Lease { holder: "i1".into(), process: 1, token: 2, length: 3, next: None, begun_for: 0, held: true }
+    );
+    same_text("older.txt", &format!("Lease: {old}\n  now {}\n", json("", read).text));
+}
