--- a/crates/config-store/tests/golden.rs
+++ b/crates/config-store/tests/golden.rs
@@ -10,7 +10,7 @@
 use config_store::consensus::{
     Chosen, Entry, Message, OrderDigest, Record, Recovered, State, Term, VoterId, REMEMBERED_ORDERS,
 };
-use config_store::store::{Store, FILE};
+use config_store::store::{Fault as StoreFault, Store, FILE};
 use hex::hex;
 use rusqlite::types::Value as Cell;
 use serde::{de::DeserializeOwned, Serialize};
@@ -383,6 +383,55 @@
     }
 }
 
+/// The kind of a store's fault; one that is new does not compile here until it has a case below too.
+fn store_fault_name(fault: &StoreFault) -> &'static str {
+    match fault {
+        StoreFault::Format { .. } => "format",
+        StoreFault::Spoilt { .. } => "spoilt",
+        StoreFault::Folder { .. } => "folder",
+        StoreFault::Disk(_) => "disk",
+    }
+}
+
+#[test]
+fn stores_are_refused_in_the_same_words() {
+    let changed = |sql: &str| {
+        let folder = Folder::with(STORE);
+        let file = rusqlite::Connection::open(folder.0.join(FILE)).expect("the file opens");
+        file.execute(sql, []).expect("it is changed");
+        drop(file);
+        let fault = Store::open(&folder.0, 99).expect_err("it is refused");
+        (fault, folder.0.clone())
+    };
+    let torn = || {
+        let folder = Folder::new("torn");
+        let (mut store, _) = Store::open_within(&folder.0, DISK, 64 << 10).expect("a new store");
+        let large = Record::Chosen(Chosen { index: 1, entry: replace(0, &" ".repeat(1 << 20)) });
+        let full = store.keep(&large).expect_err("it is full");
+        (full, store.keep(&Record::Promised(TERM)).expect_err("it is torn"), folder.0.clone())
+    };
+    let (full, behind, torn) = torn();
+    let error = std::io::Error::new(std::io::ErrorKind::PermissionDenied, "not allowed");
+    let at = PathBuf::from("FOLDER");
+    let cases = [
+        ("other format", changed("UPDATE meta SET value = x'1863' WHERE key = 'format'")),
+        ("no number", changed("DELETE FROM meta WHERE key = 'disk'")),
+        ("a gap", changed("UPDATE log SET place = place + 100")),
+        ("a bad entry", changed("UPDATE log SET entry = x'60'")),
+        ("full", (full, torn.clone())),
+        ("behind a gap", (behind, torn)),
+        ("folder", (StoreFault::Folder { folder: at.clone(), error }, at)),
+    ];
+    let covered: BTreeSet<&str> = cases.iter().map(|(_, (fault, _))| store_fault_name(fault)).collect();
+    assert_eq!(covered.len(), 4, "a kind of fault has no case");
+    let told = |(name, (fault, folder)): (&str, (StoreFault, PathBuf))| {
+        let help = miette::Diagnostic::help(&fault).map(|help| help.to_string()).unwrap_or_default();
+        let text = fault.to_string().replace(&folder.display().to_string(), "FOLDER");
+        (name.to_owned(), format!("{text}\n{help}"))
+    };
+    fixture::check(PACKAGE, "store_faults", &cases.map(told));
+}
+
 #[test]
 fn a_document_is_kept_as_it_was_sent() {
     let first = Document::empty().replace(DOCUMENT.as_bytes()).expect("it is sound");
