--- a/crates/springusher/src/admission.rs
+++ b/crates/springusher/src/admission.rs
@@ -5,10 +5,10 @@
 //! gateways is taken from the meter, and the class of the lowest worth goes first.
 
 use crate::interface::*;
-use serde::{Deserialize, Serialize};
-use springusher_counts::{
+use brassport_policy_stats::{
     chance_of, let_in, Elsewhere, Fading, Flow, History, MeterClock, Returns, Shared, Usual,
 };
+use serde::{Deserialize, Serialize};
 
 /// Lowest chance of admission: at nought no answer would bring a reading, and the chance would stay there.
 pub const CHANCE_FLOOR: f64 = 0.01;
--- a/crates/springusher/src/ceilings.rs
+++ b/crates/springusher/src/ceilings.rs
@@ -5,11 +5,11 @@
 
 /// This gateway's share of one customer's ceiling. It fills from birth on: an earlier life may have spent it.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Ceiling(springusher_counts::Store);
+pub struct Ceiling(brassport_policy_stats::Store);
 
 impl Ceiling {
     pub fn new(born: Millis) -> Ceiling {
-        Ceiling(springusher_counts::Store::empty(born))
+        Ceiling(brassport_policy_stats::Store::empty(born))
     }
 
     /// Takes a first attempt's units from the share, or tells how long to wait. Guards against shares below
--- a/crates/springusher/src/choice.rs
+++ b/crates/springusher/src/choice.rs
@@ -4,9 +4,9 @@
 //! overlap: as many gateways share each server.
 
 use crate::interface::*;
+use brassport_policy_stats::{health, Agenda, Factor, InFlight, Members, Own, Ticket};
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
-use springusher_counts::{health, Agenda, Factor, InFlight, Members, Own, Ticket};
 use std::collections::VecDeque;
 
 /// Most warm servers that a few gateways all weigh, and how many are drawn of more unless an idle one comes
--- a/crates/springusher/src/control.rs
+++ b/crates/springusher/src/control.rs
@@ -6,9 +6,9 @@
 use crate::interface::*;
 use crate::life::{Open, PATIENCE};
 use crate::room::Room;
+use brassport_policy_stats::{take_out, Kinds, Known, Own, Rounds, Tally};
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
-use springusher_counts::{take_out, Kinds, Known, Own, Rounds, Tally};
 use std::collections::VecDeque;
 
 // All constants of the decisions are dimensionless; times and rates come from the settings.
--- a/crates/springusher/src/heritage.rs
+++ b/crates/springusher/src/heritage.rs
@@ -5,8 +5,8 @@
 use crate::control::{Customer, Gateway};
 use crate::interface::*;
 use crate::room::Room;
+use brassport_policy_stats::{Kinds, Known};
 use serde::{Deserialize, Serialize};
-use springusher_counts::{Kinds, Known};
 use std::borrow::Cow;
 use std::io::{self, Write};
 
--- a/crates/springusher/src/life.rs
+++ b/crates/springusher/src/life.rs
@@ -2,7 +2,7 @@
 
 use crate::control::Gateway;
 use crate::interface::*;
-use springusher_counts::Ticket;
+use brassport_policy_stats::Ticket;
 
 /// An attempt out for so many mean answer times may get a further one.
 pub const PATIENCE: f64 = 3.0;
