--- a/crates/brassport-appliance/src/board.rs
+++ b/crates/brassport-appliance/src/board.rs
@@ -2,8 +2,8 @@
 
 use crate::protocol::{Counts, Event, NodeRow, RequestRow, StudioRow};
 use brassport::hooks::Verdict;
+use brassport_policy::{AttemptEnd, CustomerId, Millis, Outcome, Request, RequestId, Settings};
 use brassport_state::model::{Lifecycle, Node, State};
-use springusher::{AttemptEnd, CustomerId, Millis, Outcome, Request, RequestId, Settings};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Studios that are remembered, and how many of them, of requests and of events are shown.
--- a/crates/brassport-appliance/src/control.rs
+++ b/crates/brassport-appliance/src/control.rs
@@ -284,7 +284,7 @@
 }
 
 pub fn plans(state: &State, site: Option<&Site>) -> Plans {
-    let row = |(at, (name, plan)): (usize, (&String, &springusher::Plan))| PlanRow {
+    let row = |(at, (name, plan)): (usize, (&String, &brassport_policy::Plan))| PlanRow {
         name: name.clone(),
         units_per_s: plan.rate,
         burst: plan.burst,
--- a/crates/brassport-appliance/src/site.rs
+++ b/crates/brassport-appliance/src/site.rs
@@ -3,8 +3,8 @@
 use crate::last_known;
 use crate::sources::{Known, Reread, Written};
 use brassport::config::{Assumed, Config, Names, Origin};
+use brassport_policy::{Class, Effect, Plan, Scope, Settings};
 use serde::Deserialize;
-use springusher::{Class, Effect, Plan, Scope, Settings};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/brassport-lab/src/backend/decisions.rs
+++ b/crates/brassport-lab/src/backend/decisions.rs
@@ -6,10 +6,12 @@
 
 use super::{number, whole, Backend, Outcome};
 use crate::study::Level;
+use brassport_policy::{
+    Action, AttemptEnd, Class, Effect, Event, Gateway, Lifecycle, ListKind, Plan, Request,
+};
+use brassport_policy::{ServerEntry, Settings};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use springusher::{Action, AttemptEnd, Class, Effect, Event, Gateway, Lifecycle, ListKind, Plan, Request};
-use springusher::{ServerEntry, Settings};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -203,7 +205,7 @@
             Due::Answer(request) => Event::AttemptEnd(AttemptEnd {
                 request,
                 attempt: 0,
-                outcome: springusher::Outcome::Ok,
+                outcome: brassport_policy::Outcome::Ok,
                 elapsed: ANSWER_MS,
                 finished: true,
                 used: Some(0.5),
--- a/crates/brassport-lab/src/backend/deployments.rs
+++ b/crates/brassport-lab/src/backend/deployments.rs
@@ -5,9 +5,9 @@
 use crate::emulator::site::{Kind, Model, Plans, Work};
 use crate::emulator::{play, Fault, Policy, Site};
 use crate::study::Level;
+use brassport_policy::{Effect, Plan, Scope};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use springusher::{Effect, Plan, Scope};
 
 /// Least of [`Deployments`]' margins; below it a class, a plan or a customer starves.
 const LEAST_MARGIN: f64 = 0.03;
--- a/crates/brassport-lab/src/emulator/baseline.rs
+++ b/crates/brassport-lab/src/emulator/baseline.rs
@@ -2,10 +2,10 @@
 //! actions out.
 
 use super::site::Policy;
-use springusher::{
+use brassport_policy::{
     Action, AttemptEnd, Effect, Event, Gateway, Lifecycle, ListKind, Millis, Request, RequestId,
 };
-use springusher::{ServerEntry, ServerId, Settings};
+use brassport_policy::{ServerEntry, ServerId, Settings};
 use std::cell::RefCell;
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/brassport-lab/src/emulator/figures.rs
+++ b/crates/brassport-lab/src/emulator/figures.rs
@@ -2,8 +2,8 @@
 
 use super::baseline::Bucket;
 use super::site::{Fault, Kind, Site};
+use brassport_policy::{Millis, Plan};
 use hdrhistogram::Histogram;
-use springusher::{Millis, Plan};
 
 /// Spacing of the points at which goodput is looked at behind a fault, and how many of them make a window.
 const POINT: Millis = 250.0;
--- a/crates/brassport-lab/src/emulator/nodes.rs
+++ b/crates/brassport-lab/src/emulator/nodes.rs
@@ -1,7 +1,7 @@
 //! Emulated nodes: workers behind a bounded queue, cold behind a start, dead or frozen for a while.
 
 use super::site::{Model, COLD_FOR, COLD_FROM};
-use springusher::Millis;
+use brassport_policy::Millis;
 use std::collections::VecDeque;
 
 /// An attempt: the request's number, and which of its attempts.
--- a/crates/brassport-lab/src/emulator/site.rs
+++ b/crates/brassport-lab/src/emulator/site.rs
@@ -1,7 +1,7 @@
 //! What an emulated site is made of.
 
+use brassport_policy::{Class, Effect, Millis, Plan, Settings};
 use serde::{Deserialize, Serialize};
-use springusher::{Class, Effect, Millis, Plan, Settings};
 use std::fmt;
 use std::str::FromStr;
 
--- a/crates/brassport-lab/src/emulator/world.rs
+++ b/crates/brassport-lab/src/emulator/world.rs
@@ -5,14 +5,14 @@
 use super::nodes::{Attempt, Node, Taken};
 use super::site::{Fault, Policy, Site, Work, CEILING, PERIOD};
 use brassport_membership::book::{Book, Entry, Moment, Report, Source, State, Update};
+use brassport_policy::{
+    Action, AttemptEnd, Effect, Event, Lifecycle, ListKind, Millis, Outcome, Request, ServerEntry,
+};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
 use rand_pcg::Pcg64Mcg;
 use slab::Slab;
-use springusher::{
-    Action, AttemptEnd, Effect, Event, Lifecycle, ListKind, Millis, Outcome, Request, ServerEntry,
-};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
--- a/crates/springusher/src/bin/springusher-benchlink.rs
+++ b/crates/brassport-policy/src/bin/brassport-policy-sim-adapter.rs
@@ -1,8 +1,8 @@
 //! The adapter: the decision module on the simulator's wire. One [`Gateway`] an instance; it translates,
 //! and decides nothing.
 
-use springusher::wire::{Batch, Reply, WireError, WireEvent};
-use springusher::{Action, Gateway};
+use brassport_policy::wire::{Batch, Reply, WireError, WireEvent};
+use brassport_policy::{Action, Gateway};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
 use std::panic::{self, AssertUnwindSafe};
@@ -12,7 +12,7 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("springusher-benchlink: {error}");
+            eprintln!("brassport-policy-sim-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/springusher/src/lib.rs
+++ b/crates/brassport-policy/src/lib.rs
@@ -12,8 +12,8 @@
 //!   meter alone.
 //!
 //! ```
-//! use springusher::{Action, Class, Effect, Event, Gateway, ListKind, Lifecycle, Plan, Request};
-//! use springusher::{ServerEntry, Settings};
+//! use brassport_policy::{Action, Class, Effect, Event, Gateway, ListKind, Lifecycle, Plan, Request};
+//! use brassport_policy::{ServerEntry, Settings};
 //!
 //! let settings = Settings {
 //!     classes: vec![Class { worth: 1.0, aim: 500.0, deadline: 2000.0, late_share: 0.0, effect: Effect::Free }],
--- a/crates/springusher/tests/admission.rs
+++ b/crates/brassport-policy/tests/admission.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use brassport_policy::*;
 use common::*;
-use springusher::*;
 
 /// Asks at `rate` a second for `seconds`, with the meter telling `used`, and returns how many went out.
 fn ask_for(host: &mut Host, rate: f64, seconds: f64, class: usize, used: f64) -> f64 {
--- a/crates/springusher/tests/choice.rs
+++ b/crates/brassport-policy/tests/choice.rs
@@ -1,9 +1,9 @@
 //! The choice of server at sizes where not every server is weighed, through the module's one entry.
 
-use springusher::{
+use brassport_policy::{
     Action, AttemptEnd, Class, Effect, Event, Gateway, Lifecycle, ListKind, Millis, Outcome, Plan,
 };
-use springusher::{Request, ServerEntry, ServerId, Settings};
+use brassport_policy::{Request, ServerEntry, ServerId, Settings};
 use std::collections::BTreeMap;
 
 const COLD_FOR: Millis = 10_000.0;
--- a/crates/springusher/tests/choice_model.rs
+++ b/crates/brassport-policy/tests/choice_model.rs
@@ -3,11 +3,11 @@
 //! The walk knows what the module knows, by the rules as they are meant: who is ready, warm, ejected or was tried, and
 //! how long each would make wait. `PROPTEST_CASES=10000` plays more histories than the usual run.
 
-use proptest::prelude::*;
-use springusher::{
+use brassport_policy::{
     Action, AttemptEnd, Class, Effect, Event, Gateway, Lifecycle, ListKind, Millis, Outcome, Plan, Request,
     Scope, ServerEntry, ServerId, Settings,
 };
+use proptest::prelude::*;
 use std::collections::BTreeMap;
 
 const AIM: Millis = 500.0;
--- a/crates/springusher/tests/client_gone.rs
+++ b/crates/brassport-policy/tests/client_gone.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use brassport_policy::*;
 use common::*;
-use springusher::*;
 use test_case::test_case;
 
 /// Classes of [`settings`]: free of effects, once, keyed.
--- a/crates/springusher/tests/common/mod.rs
+++ b/crates/brassport-policy/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A host for the tests: it drives the public interface and keeps what came out.
 #![allow(dead_code)]
 
-use springusher::*;
+use brassport_policy::*;
 
 pub struct Host {
     pub gateway: Gateway,
--- a/crates/springusher/tests/golden.rs
+++ b/crates/brassport-policy/tests/golden.rs
@@ -2,8 +2,8 @@
 //! compared with a fixture in `tests/golden`; what can be decoded is decoded from the fixture and encoded again.
 //! `GOLDEN_WRITE=1` writes the fixtures anew, and fails.
 
-use springusher::wire::{settings, Batch, Reply, WireEvent, EVENT};
-use springusher::*;
+use brassport_policy::wire::{settings, Batch, Reply, WireEvent, EVENT};
+use brassport_policy::*;
 use std::io::Write;
 use std::path::Path;
 use std::process::{Command, Stdio};
@@ -451,7 +451,7 @@
 
 /// Runs the adapter on some input; returns its exit code, its output and its error text.
 fn adapter(input: &[u8]) -> (Option<i32>, Vec<u8>, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_springusher-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_brassport-policy-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/springusher/tests/health.rs
+++ b/crates/brassport-policy/tests/health.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use brassport_policy::*;
 use common::*;
-use springusher::*;
 use std::collections::BTreeMap;
 
 /// Asks every 20 ms for a while, with some requests in hand at a time; `answer` tells for a server and
--- a/crates/springusher/tests/heritage.rs
+++ b/crates/brassport-policy/tests/heritage.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use brassport_policy::*;
 use proptest::prelude::*;
-use springusher::*;
 
 const MOST: usize = 1 << 20;
 
--- a/crates/springusher/tests/invariants.rs
+++ b/crates/brassport-policy/tests/invariants.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
+use brassport_policy::*;
 use common::{sends, server, settings, Host};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
-use springusher::*;
 use std::collections::BTreeMap;
 
 #[derive(Debug, Clone)]
--- a/crates/springusher/tests/memory.rs
+++ b/crates/brassport-policy/tests/memory.rs
@@ -1,7 +1,7 @@
 //! What the module keeps for each node, customer and open request, and that it gives it back. Alone in its process, as
 //! the count is the process's.
 
-use springusher::{
+use brassport_policy::{
     Action, AttemptEnd, Class, Effect, Event, Gateway, Lifecycle, ListKind, Millis, Outcome, Plan, Request,
     ServerEntry, Settings,
 };
--- a/crates/springusher/tests/overload.rs
+++ b/crates/brassport-policy/tests/overload.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use brassport_policy::*;
 use common::*;
-use springusher::*;
 
 /// Asks `count` times at once and returns how many went out and how many were refused.
 fn burst(host: &mut Host, count: usize, class: usize) -> (usize, usize) {
--- a/crates/springusher/tests/rules.rs
+++ b/crates/brassport-policy/tests/rules.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use brassport_policy::*;
 use common::*;
-use springusher::*;
 
 #[test]
 fn a_request_without_an_answer_is_failed_before_its_client_gives_up() {
--- a/crates/springusher/tests/settings.rs
+++ b/crates/brassport-policy/tests/settings.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use springusher::*;
+use brassport_policy::*;
 
 fn class(effect: Effect) -> Class {
     Class { worth: 1.0, aim: 1000.0, deadline: 4000.0, late_share: 0.0, effect }
--- a/crates/springusher/tests/uploads.rs
+++ b/crates/brassport-policy/tests/uploads.rs
@@ -1,6 +1,6 @@
 //! Requests whose bodies are still coming when they are sent on.
 
-use springusher::*;
+use brassport_policy::*;
 
 fn gateway(open: u32) -> Gateway {
     let class = Class { worth: 1.0, aim: 1000.0, deadline: 4000.0, late_share: 0.0, effect: Effect::Once };
--- a/crates/springusher/tests/wire.rs
+++ b/crates/brassport-policy/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The codec: each record, and input that breaks the layout.
 
-use springusher::wire::{settings, Batch, Reply, WireError, WireEvent, ACTION, EVENT};
-use springusher::*;
+use brassport_policy::wire::{settings, Batch, Reply, WireError, WireEvent, ACTION, EVENT};
+use brassport_policy::*;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -229,7 +229,7 @@
 
 /// Runs the adapter on some input; returns whether it succeeded, its output and its error text.
 fn adapter(input: &[u8]) -> (bool, Vec<u8>, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_springusher-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_brassport-policy-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/brassport/src/clients.rs
+++ b/crates/brassport/src/clients.rs
@@ -17,11 +17,11 @@
 use crate::run::metrics::{Ended, Life};
 use crate::run::terms::Terms;
 use crate::shutdown::{Phase, Shutdown};
+use brassport_policy::{Effect, Settings};
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
-use springusher::{Effect, Settings};
 use std::cell::RefCell;
 use std::future::Future;
 use std::os::fd::OwnedFd;
@@ -268,7 +268,7 @@
 /// A request that makes sense.
 struct Asked {
     id: String,
-    request: springusher::Request,
+    request: brassport_policy::Request,
     patience: Duration,
     uri: hyper::Uri,
 }
@@ -320,7 +320,7 @@
     };
     let (units, spread, first) = quota.ok_or("Quota-Info makes no sense")?;
     let target = head.uri.path_and_query().ok_or("the request has no path")?;
-    let request = springusher::Request {
+    let request = brassport_policy::Request {
         id: 0,
         customer,
         plan,
--- a/crates/brassport/src/config.rs
+++ b/crates/brassport/src/config.rs
@@ -2,8 +2,8 @@
 
 use crate::discovery::List;
 use brassport_membership::book::{Report, Source};
+use brassport_policy::{Class, Effect, Plan, Scope, Settings};
 use serde::{Deserialize, Serialize};
-use springusher::{Class, Effect, Plan, Scope, Settings};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
--- a/crates/brassport/src/lib.rs
+++ b/crates/brassport/src/lib.rs
@@ -1,5 +1,5 @@
 //! The front door that runs before a render fleet: HTTP/1.1 in, HTTP/1.1 out, with every decision left to the
-//! module of the crate `springusher`.
+//! module of the crate `brassport-policy`.
 //!
 //! It is a library so that the same code runs in two worlds. What it needs of a world stands behind two seams,
 //! [`clock::Clock`] and [`network::Network`]; [`front_door`] takes one of each. The program `brassport` chooses the
--- a/crates/brassport/src/local_meter.rs
+++ b/crates/brassport/src/local_meter.rs
@@ -1,7 +1,7 @@
 //! The meter of a site with one front door: what the platform's meter tells on the nodes' answers, this one tells
 //! from the door's own attempts, in the same terms and no sooner. No I/O.
 
-use springusher::{CustomerId, Millis, Settings};
+use brassport_policy::{CustomerId, Millis, Settings};
 use std::collections::BTreeMap;
 use turnstile::door::Meter;
 
--- a/crates/brassport/src/members.rs
+++ b/crates/brassport/src/members.rs
@@ -5,7 +5,7 @@
 use crate::door::Door;
 use crate::network::Network;
 use brassport_membership::book::{Book, Moment, Report, Source};
-use springusher::ListKind;
+use brassport_policy::ListKind;
 use std::cell::{Cell, Ref, RefCell};
 use std::rc::Rc;
 use std::time::Instant;
--- a/crates/brassport/src/program.rs
+++ b/crates/brassport/src/program.rs
@@ -23,7 +23,7 @@
 use crate::shutdown::{Phase, Shutdown};
 use crate::upstream::Upstream;
 use brassport_membership::book::{Book, Moment, Report, Source};
-use springusher::{ListKind, Settings};
+use brassport_policy::{ListKind, Settings};
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
 use std::pin::pin;
--- a/crates/brassport/src/run/terms.rs
+++ b/crates/brassport/src/run/terms.rs
@@ -4,8 +4,8 @@
 //! names keeps its settings, for the requests that are under way, and takes no further one.
 
 use crate::config::Names;
+use brassport_policy::Settings;
 use serde::{Deserialize, Serialize};
-use springusher::Settings;
 
 /// Most names of classes, or of plans, that are told apart in the life of a process. Guards the memory.
 const MOST_NAMES: usize = 1024;
@@ -109,8 +109,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use brassport_policy::{Class, Effect, Plan};
     use proptest::prelude::*;
-    use springusher::{Class, Effect, Plan};
 
     fn file(classes: &[(&str, f64)], plans: &[&str]) -> (Names, Settings) {
         let class = |worth| Class { worth, aim: 1.0, deadline: 2.0, late_share: 0.0, effect: Effect::Free };
--- a/crates/brassport/src/upstream.rs
+++ b/crates/brassport/src/upstream.rs
@@ -2,10 +2,10 @@
 
 use crate::mutants::mutant;
 use crate::protocol::{Judged, Protocol};
+use brassport_policy::Outcome;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
 use hyper::StatusCode;
-use springusher::Outcome;
 use std::time::Duration;
 
 /// Use beyond this is none that a customer can have: a burst is some seconds of its rate, and no front door
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -250,7 +250,7 @@
         }
         // Each service's door is one of those that a tenant's requests come through.
         let spread = self.shares.slots().max(1);
-        let request = springusher::Request {
+        let request = brassport_policy::Request {
             id: 0,
             customer: u64::from(tenant),
             plan,
--- a/crates/platform/src/hooks.rs
+++ b/crates/platform/src/hooks.rs
@@ -2,8 +2,8 @@
 
 use crate::metrics::RequestCounters;
 use crate::shares::{tenant, Shares, NOBODY};
+use brassport_policy::{AttemptEnd, Millis, Request, RequestId};
 use shunting::TenantId;
-use springusher::{AttemptEnd, Millis, Request, RequestId};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/crates/platform/src/metrics.rs
+++ b/crates/platform/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters of what becomes of requests and of their attempts, and their text for operators.
 
-use springusher::{Figures, Outcome};
+use brassport_policy::{Figures, Outcome};
 use std::cell::Cell;
 use std::fmt::Write;
 use turnstile::hooks::Verdict;
--- a/crates/platform/src/shares.rs
+++ b/crates/platform/src/shares.rs
@@ -1,8 +1,8 @@
 //! What a tenant may make at this door: counted before each attempt, in front of which the decision module has let the
 //! request pass.
 
+use brassport_policy::{CustomerId, Millis, Settings};
 use shunting::{Borrower, Limit, Loan, TenantId, Use, PERIOD};
-use springusher::{CustomerId, Millis, Settings};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -1,9 +1,9 @@
 //! What an attempt says to a backend, and what the answer's head says of it.
 
+use brassport_policy::Outcome;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_ENCODING};
 use hyper::http::response::Parts;
 use hyper::StatusCode;
-use springusher::Outcome;
 use std::cell::RefCell;
 use std::time::Duration;
 use turnstile::protocol::{Judged, Protocol};
--- a/crates/platform/tests/golden.rs
+++ b/crates/platform/tests/golden.rs
@@ -4,13 +4,13 @@
 #[path = "../../telegraph/tests/common/fixture.rs"]
 mod fixture;
 
+use brassport_policy::{Figures, Outcome};
 use config_store::consensus::{Entry, State, VoterId};
 use hyper::header::{HeaderMap, HeaderValue};
 use platform::metrics::{RequestCounters, ABANDONED_AFTER_MS};
 use platform::wire::{Wire, CUSTOMER, EXPECT_SERVER, TIME_LEFT, TRY_ID};
 use platform::{front, Options, Platform};
 use signalbox::backends::{Backend, Stage};
-use springusher::{Figures, Outcome};
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::rc::Rc;
--- a/crates/platform/tests/wire.rs
+++ b/crates/platform/tests/wire.rs
@@ -1,11 +1,11 @@
 //! What the head of a backend's answer says of an attempt: which answers are the client's, which prove that nothing ran, and
 //! which connection is of no use any more.
 
+use brassport_policy::Outcome;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
 use hyper::Response;
 use platform::wire::Wire;
-use springusher::Outcome;
 use std::time::Duration;
 use test_case::test_case;
 use turnstile::protocol::{Judged, Protocol};
--- a/crates/turnstile/src/hooks.rs
+++ b/crates/turnstile/src/hooks.rs
@@ -1,7 +1,7 @@
 //! The named points of a request's life, for a host that looks on: before admission, before each attempt, at the end
 //! of each, at the answer and at the departure. A host without hooks pays one test for `None` at each point.
 
-use springusher::{AttemptEnd, CustomerId, Millis, Request, RequestId};
+use brassport_policy::{AttemptEnd, CustomerId, Millis, Request, RequestId};
 use std::future::Future;
 use std::pin::Pin;
 
--- a/crates/turnstile/src/protocol.rs
+++ b/crates/turnstile/src/protocol.rs
@@ -1,8 +1,8 @@
 //! The seam to a program's protocol: what its attempts say, what answers tell of them, and who counts them.
 
+use brassport_policy::Outcome;
 use hyper::header::HeaderMap;
 use hyper::http::response::Parts;
-use springusher::Outcome;
 use std::time::Duration;
 
 /// What a program says to a backend and reads from its answers, where the two programs differ.
--- a/crates/turnstile/tests/client_gone.rs
+++ b/crates/turnstile/tests/client_gone.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
+use brassport_policy::Effect;
 use common::{bounded, Site};
 use http_body_util::BodyExt;
 use hyper::header::HeaderMap;
-use springusher::Effect;
 use std::future::poll_fn;
 use std::pin::Pin;
 use std::task::Poll;
--- a/crates/turnstile/tests/common/mod.rs
+++ b/crates/turnstile/tests/common/mod.rs
@@ -3,11 +3,13 @@
 // Each test program uses some of it.
 #![allow(dead_code)]
 
+use brassport_policy::{
+    Class, Effect, Event, Lifecycle, ListKind, Outcome, Plan, Request, ServerEntry, Settings,
+};
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
 use hyper::{Method, StatusCode, Uri};
-use springusher::{Class, Effect, Event, Lifecycle, ListKind, Outcome, Plan, Request, ServerEntry, Settings};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/turnstile/tests/door.rs
+++ b/crates/turnstile/tests/door.rs
@@ -3,10 +3,10 @@
 
 mod common;
 
+use brassport_policy::Effect;
 use common::{bounded, Site};
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::StatusCode;
-use springusher::Effect;
 use std::time::Duration;
 use turnstile::door::Answer;
 
--- a/crates/turnstile/tests/golden.rs
+++ b/crates/turnstile/tests/golden.rs
@@ -4,12 +4,12 @@
 
 mod common;
 
+use brassport_policy::{Class, Effect, Event, Lifecycle, ListKind, Plan, ServerEntry, Settings};
 use common::{bounded, Counts, PassesAll};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use springusher::{Class, Effect, Event, Lifecycle, ListKind, Plan, ServerEntry, Settings};
 use std::cell::Cell;
 use std::future::{pending, Future};
 use std::net::SocketAddr;
@@ -372,7 +372,7 @@
             headers.insert("x-one", HeaderValue::from_static("1"));
             headers.append("cookie", HeaderValue::from_static("a=b"));
             headers.append("cookie", HeaderValue::from_static("c=d"));
-            let request = springusher::Request {
+            let request = brassport_policy::Request {
                 id: 0,
                 customer: 7,
                 plan: 0,
