--- a/crates/turnstile/tests/client_gone.rs
+++ b/crates/brassport-proxy/tests/client_gone.rs
@@ -3,13 +3,13 @@
 mod common;
 
 use brassport_policy::Effect;
+use brassport_proxy::door::Answer;
 use common::{bounded, Site};
 use http_body_util::BodyExt;
 use hyper::header::HeaderMap;
 use std::future::poll_fn;
 use std::pin::Pin;
 use std::task::Poll;
-use turnstile::door::Answer;
 
 /// No answer at all.
 const SILENCE: &str = "";
--- a/crates/turnstile/tests/common/mod.rs
+++ b/crates/brassport-proxy/tests/common/mod.rs
@@ -6,6 +6,11 @@
 use brassport_policy::{
     Class, Effect, Event, Lifecycle, ListKind, Outcome, Plan, Request, ServerEntry, Settings,
 };
+use brassport_proxy::backends::{Backends, Carried, Message};
+use brassport_proxy::clock::SystemClock;
+use brassport_proxy::door::{Answer, Door, Host, Ticket};
+use brassport_proxy::network::Tcp;
+use brassport_proxy::protocol::{AttemptCounts, Judged, Protocol};
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
@@ -20,11 +25,6 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, Semaphore};
 use tokio::task::{spawn_local, LocalSet};
-use turnstile::backends::{Backends, Carried, Message};
-use turnstile::clock::SystemClock;
-use turnstile::door::{Answer, Door, Host, Ticket};
-use turnstile::network::Tcp;
-use turnstile::protocol::{AttemptCounts, Judged, Protocol};
 
 /// How long clients wait: no test runs into it.
 const PATIENCE: Duration = Duration::from_secs(60);
--- a/crates/turnstile/tests/connection.rs
+++ b/crates/brassport-proxy/tests/connection.rs
@@ -1,6 +1,8 @@
 //! One connection to a backend in trouble: whose answer is whose, what counts as whole, and which connection is never used
 //! again.
 
+use brassport_proxy::bodies::Outgoing;
+use brassport_proxy::connection::{Connection, Failure};
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::Request;
@@ -10,8 +12,6 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
-use turnstile::bodies::Outgoing;
-use turnstile::connection::{Connection, Failure};
 
 /// What a backend does with its side of the connection, one after another; behind the last it is silent.
 #[derive(Clone, Copy)]
--- a/crates/turnstile/tests/door.rs
+++ b/crates/brassport-proxy/tests/door.rs
@@ -4,11 +4,11 @@
 mod common;
 
 use brassport_policy::Effect;
+use brassport_proxy::door::Answer;
 use common::{bounded, Site};
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::StatusCode;
 use std::time::Duration;
-use turnstile::door::Answer;
 
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 const ERROR: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 5\r\n\r\nfault";
--- a/crates/turnstile/tests/golden.rs
+++ b/crates/brassport-proxy/tests/golden.rs
@@ -5,6 +5,15 @@
 mod common;
 
 use brassport_policy::{Class, Effect, Event, Lifecycle, ListKind, Plan, ServerEntry, Settings};
+use brassport_proxy::answers::{come_back, is_ambiguous, pass_on, text};
+use brassport_proxy::backends::{Backends, Carried, Message};
+use brassport_proxy::bodies::{Answer, Coming};
+use brassport_proxy::clients::{serve, Service};
+use brassport_proxy::clock::{Clock, SystemClock};
+use brassport_proxy::connections::{ClientConnection, Connections};
+use brassport_proxy::date::DateHeader;
+use brassport_proxy::door::{self, Door, Host};
+use brassport_proxy::network::Tcp;
 use common::{bounded, Counts, PassesAll};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
@@ -21,15 +30,6 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, Semaphore};
 use tokio::task::spawn_local;
-use turnstile::answers::{come_back, is_ambiguous, pass_on, text};
-use turnstile::backends::{Backends, Carried, Message};
-use turnstile::bodies::{Answer, Coming};
-use turnstile::clients::{serve, Service};
-use turnstile::clock::{Clock, SystemClock};
-use turnstile::connections::{ClientConnection, Connections};
-use turnstile::date::DateHeader;
-use turnstile::door::{self, Door, Host};
-use turnstile::network::Tcp;
 
 /// The fixture of this name, which the text must equal.
 fn golden(name: &str, text: &str) {
--- a/crates/brassport/src/clients.rs
+++ b/crates/brassport/src/clients.rs
@@ -18,6 +18,8 @@
 use crate::run::terms::Terms;
 use crate::shutdown::{Phase, Shutdown};
 use brassport_policy::{Effect, Settings};
+use brassport_proxy::answers::{come_back, is_ambiguous, pass_on, text};
+use brassport_proxy::clients::Service;
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::http::request::Parts;
@@ -28,8 +30,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Semaphore;
-use turnstile::answers::{come_back, is_ambiguous, pass_on, text};
-use turnstile::clients::Service;
 
 /// A client's time runs from when it sent the request to when it has the whole answer: so much is kept back
 /// for the way here and back.
--- a/crates/brassport/src/door.rs
+++ b/crates/brassport/src/door.rs
@@ -17,13 +17,13 @@
 use brassport_membership::book::{Entry, State};
 use brassport_policy::{CustomerId, Event, InvalidSetting, Lifecycle, ListKind, Millis};
 use brassport_policy::{Request, ServerEntry, ServerId, Settings};
+use brassport_proxy::door as owner;
+pub use brassport_proxy::door::{Answer, Ticket};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
-use turnstile::door as owner;
-pub use turnstile::door::{Answer, Ticket};
 
 #[derive(Default)]
 struct Inner {
--- a/crates/brassport/src/lib.rs
+++ b/crates/brassport/src/lib.rs
@@ -35,6 +35,6 @@
 pub mod run;
 mod upstream;
 
+use brassport_proxy::{backends, connections, date, protocol, shutdown};
+pub use brassport_proxy::{bodies, clock, connection, hooks, log, mutants, network};
 pub use program::{front_door, front_door_with, Control, Inspection, Look, Surroundings, Upgrades};
-use turnstile::{backends, connections, date, protocol, shutdown};
-pub use turnstile::{bodies, clock, connection, hooks, log, mutants, network};
--- a/crates/brassport/src/local_meter.rs
+++ b/crates/brassport/src/local_meter.rs
@@ -2,8 +2,8 @@
 //! from the door's own attempts, in the same terms and no sooner. No I/O.
 
 use brassport_policy::{CustomerId, Millis, Settings};
+use brassport_proxy::door::Meter;
 use std::collections::BTreeMap;
-use turnstile::door::Meter;
 
 #[derive(Debug, Default)]
 struct Use {
--- a/crates/brassport/src/program.rs
+++ b/crates/brassport/src/program.rs
@@ -24,6 +24,7 @@
 use crate::upstream::Upstream;
 use brassport_membership::book::{Book, Moment, Report, Source};
 use brassport_policy::{ListKind, Settings};
+use brassport_proxy::clients::serve;
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
 use std::pin::pin;
@@ -33,7 +34,6 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch, Semaphore};
 use tokio::task::spawn_local;
-use turnstile::clients::serve;
 
 /// Descriptors that are neither a client's nor a backend's: streams, event queue, listener, discovery.
 const OWN_DESCRIPTORS: usize = 32;
--- a/crates/brassport/src/run/handover/mod.rs
+++ b/crates/brassport/src/run/handover/mod.rs
@@ -13,6 +13,7 @@
 use crate::log;
 use crate::network::Network;
 use crate::shutdown::Phase;
+use brassport_proxy::clients::Adopted;
 use link::Link;
 use links::{HandOver, Links};
 use protocol::{Giver, GiverDoes, Heard, Message, Offer, Taker, TakerDoes, VERSION};
@@ -27,7 +28,6 @@
 use std::time::Duration;
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{mpsc, oneshot, Semaphore};
-use turnstile::clients::Adopted;
 
 /// How long a word that is owed may take. Both waits together leave most of the 6 s in which a new process is to be
 /// ready.
--- a/crates/brassport/tests/golden.rs
+++ b/crates/brassport/tests/golden.rs
@@ -16,6 +16,7 @@
 use brassport::run::terms::Terms;
 use brassport_membership::book::{Entry, Report, State};
 use brassport_policy::{Class, Effect, Plan, Scope, Settings};
+use brassport_proxy::protocol::AttemptCounts;
 use hyper::StatusCode;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -31,7 +32,6 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::UnixStream;
 use tokio::task::LocalSet;
-use turnstile::protocol::AttemptCounts;
 
 use common::{reserve, target, temporary, with_operators, Front};
 
--- a/crates/junction/src/run.rs
+++ b/crates/junction/src/run.rs
@@ -4,6 +4,9 @@
 use crate::disk::{Disk, Told};
 use crate::listeners::{self, Called};
 use crate::settings::{Settings, VARIABLE};
+use brassport_proxy::clock::SystemClock;
+use brassport_proxy::network::Tcp;
+use brassport_proxy::shutdown::{Phase, Shutdown};
 use platform::{Options, Platform};
 use signalbox::call::Reply;
 use signalbox::peer_message::Envelope;
@@ -20,9 +23,6 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::{interval, MissedTickBehavior};
-use turnstile::clock::SystemClock;
-use turnstile::network::Tcp;
-use turnstile::shutdown::{Phase, Shutdown};
 
 /// Between two looks at what is due: of a voter, and of the others.
 const TICK: Duration = Duration::from_millis(60);
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -3,6 +3,18 @@
 use crate::service::Platform;
 use crate::shares::NOBODY;
 use crate::wire::{CUSTOMER, EXPECT_SERVER, TIME_LEFT, TRY_ID};
+use brassport_proxy::answers::{come_back, is_ambiguous, pass_on, text};
+use brassport_proxy::backends::{Carried, Message, Uploading};
+use brassport_proxy::bodies::pace::Pace;
+use brassport_proxy::bodies::upload::{Progress, Upload};
+use brassport_proxy::bodies::{read, Answer, Outgoing, Problem, Read};
+use brassport_proxy::clients::{self, Service};
+use brassport_proxy::clock::Clock;
+use brassport_proxy::connections::{ClientConnection, Connections};
+use brassport_proxy::date::DateHeader;
+use brassport_proxy::door::Answer as Verdict;
+use brassport_proxy::network::Network;
+use brassport_proxy::shutdown::{Phase, Shutdown};
 use config_store::configuration::Route;
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderName, HeaderValue};
@@ -12,18 +24,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
-use turnstile::answers::{come_back, is_ambiguous, pass_on, text};
-use turnstile::backends::{Carried, Message, Uploading};
-use turnstile::bodies::pace::Pace;
-use turnstile::bodies::upload::{Progress, Upload};
-use turnstile::bodies::{read, Answer, Outgoing, Problem, Read};
-use turnstile::clients::{self, Service};
-use turnstile::clock::Clock;
-use turnstile::connections::{ClientConnection, Connections};
-use turnstile::date::DateHeader;
-use turnstile::door::Answer as Verdict;
-use turnstile::network::Network;
-use turnstile::shutdown::{Phase, Shutdown};
 
 /// A client's time runs from when it sent the request to when it has the whole answer: so much is kept back for the way
 /// here and back.
--- a/crates/platform/src/hooks.rs
+++ b/crates/platform/src/hooks.rs
@@ -3,12 +3,12 @@
 use crate::metrics::RequestCounters;
 use crate::shares::{tenant, Shares, NOBODY};
 use brassport_policy::{AttemptEnd, Millis, Request, RequestId};
+use brassport_proxy::clock::Clock;
+use brassport_proxy::hooks::{Hooks, Verdict};
 use shunting::TenantId;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
-use turnstile::clock::Clock;
-use turnstile::hooks::{Hooks, Verdict};
 
 /// A request that awaits its answer or the ends of its attempts.
 #[derive(Debug)]
--- a/crates/platform/src/metrics.rs
+++ b/crates/platform/src/metrics.rs
@@ -1,9 +1,9 @@
 //! Counters of what becomes of requests and of their attempts, and their text for operators.
 
 use brassport_policy::{Figures, Outcome};
+use brassport_proxy::hooks::Verdict;
 use std::cell::Cell;
 use std::fmt::Write;
-use turnstile::hooks::Verdict;
 
 /// Work that goes on for longer than this behind its client's leaving, in milliseconds, counts as abandoned.
 pub const ABANDONED_AFTER_MS: u64 = 500;
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -6,6 +6,11 @@
 use crate::terms::{Place, Terms, COLD_FOR};
 use crate::wire::Wire;
 use brassport_policy::{Event, Lifecycle, ListKind, ServerEntry, ServerId, Settings, Tuning};
+use brassport_proxy::backends::Backends;
+use brassport_proxy::clock::Clock;
+use brassport_proxy::door::{Door, Host};
+use brassport_proxy::network::Network;
+use brassport_proxy::protocol::AttemptCounts;
 use config_store::configuration::{Index, Limits};
 use config_store::consensus::State;
 use shunting::{Limit, Loan, Use};
@@ -18,11 +23,6 @@
 use std::time::Duration;
 use tokio::sync::Semaphore;
 use tokio::task::spawn_local;
-use turnstile::backends::Backends;
-use turnstile::clock::Clock;
-use turnstile::door::{Door, Host};
-use turnstile::network::Network;
-use turnstile::protocol::AttemptCounts;
 
 /// A connection that does not come up by then never will: the machine is dark or cut off.
 const CONNECT: Duration = Duration::from_millis(350);
--- a/crates/platform/src/shares.rs
+++ b/crates/platform/src/shares.rs
@@ -2,13 +2,13 @@
 //! request pass.
 
 use brassport_policy::{CustomerId, Millis, Settings};
+use brassport_proxy::clock::Clock;
+use brassport_proxy::door::Meter;
 use shunting::{Borrower, Limit, Loan, TenantId, Use, PERIOD};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Instant;
-use turnstile::clock::Clock;
-use turnstile::door::Meter;
 
 /// Stands for requests without a tenant.
 pub const NOBODY: TenantId = 0;
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -1,12 +1,12 @@
 //! What an attempt says to a backend, and what the answer's head says of it.
 
 use brassport_policy::Outcome;
+use brassport_proxy::protocol::{Judged, Protocol};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_ENCODING};
 use hyper::http::response::Parts;
 use hyper::StatusCode;
 use std::cell::RefCell;
 use std::time::Duration;
-use turnstile::protocol::{Judged, Protocol};
 
 /// Names the client's try; every answer carries it back.
 pub const TRY_ID: HeaderName = HeaderName::from_static("x-try-id");
--- a/crates/platform/tests/golden.rs
+++ b/crates/platform/tests/golden.rs
@@ -5,6 +5,11 @@
 mod fixture;
 
 use brassport_policy::{Figures, Outcome};
+use brassport_proxy::clock::SystemClock;
+use brassport_proxy::hooks::Verdict;
+use brassport_proxy::network::Tcp;
+use brassport_proxy::protocol::Protocol;
+use brassport_proxy::shutdown::Shutdown;
 use config_store::consensus::{Entry, State, VoterId};
 use hyper::header::{HeaderMap, HeaderValue};
 use platform::metrics::{RequestCounters, ABANDONED_AFTER_MS};
@@ -20,11 +25,6 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::timeout;
-use turnstile::clock::SystemClock;
-use turnstile::hooks::Verdict;
-use turnstile::network::Tcp;
-use turnstile::protocol::Protocol;
-use turnstile::shutdown::Shutdown;
 
 const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
 
--- a/crates/platform/tests/wire.rs
+++ b/crates/platform/tests/wire.rs
@@ -2,13 +2,13 @@
 //! which connection is of no use any more.
 
 use brassport_policy::Outcome;
+use brassport_proxy::protocol::{Judged, Protocol};
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
 use hyper::Response;
 use platform::wire::Wire;
 use std::time::Duration;
 use test_case::test_case;
-use turnstile::protocol::{Judged, Protocol};
 
 fn asked() -> HeaderMap {
     let mut headers = HeaderMap::new();
