--- a/crates/platform/tests/golden.rs
+++ b/crates/brassport-data-plane/tests/golden.rs
@@ -4,6 +4,9 @@
 #[path = "../../telegraph/tests/common/fixture.rs"]
 mod fixture;
 
+use brassport_data_plane::metrics::{RequestCounters, ABANDONED_AFTER_MS};
+use brassport_data_plane::wire::{Wire, CUSTOMER, EXPECT_SERVER, TIME_LEFT, TRY_ID};
+use brassport_data_plane::{front, Options, Platform};
 use brassport_policy::{Figures, Outcome};
 use brassport_proxy::clock::SystemClock;
 use brassport_proxy::hooks::Verdict;
@@ -12,9 +15,6 @@
 use brassport_proxy::shutdown::Shutdown;
 use config_store::consensus::{Entry, State, VoterId};
 use hyper::header::{HeaderMap, HeaderValue};
-use platform::metrics::{RequestCounters, ABANDONED_AFTER_MS};
-use platform::wire::{Wire, CUSTOMER, EXPECT_SERVER, TIME_LEFT, TRY_ID};
-use platform::{front, Options, Platform};
 use signalbox::backends::{Backend, Stage};
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
--- a/crates/platform/tests/wire.rs
+++ b/crates/brassport-data-plane/tests/wire.rs
@@ -1,12 +1,12 @@
 //! What the head of a backend's answer says of an attempt: which answers are the client's, which prove that nothing ran, and
 //! which connection is of no use any more.
 
+use brassport_data_plane::wire::Wire;
 use brassport_policy::Outcome;
 use brassport_proxy::protocol::{Judged, Protocol};
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
 use hyper::Response;
-use platform::wire::Wire;
 use std::time::Duration;
 use test_case::test_case;
 
--- a/crates/junction/src/run.rs
+++ b/crates/junction/src/run.rs
@@ -4,10 +4,10 @@
 use crate::disk::{Disk, Told};
 use crate::listeners::{self, Called};
 use crate::settings::{Settings, VARIABLE};
+use brassport_data_plane::{Options, Platform};
 use brassport_proxy::clock::SystemClock;
 use brassport_proxy::network::Tcp;
 use brassport_proxy::shutdown::{Phase, Shutdown};
-use platform::{Options, Platform};
 use signalbox::call::Reply;
 use signalbox::peer_message::Envelope;
 use signalbox::{Action, Control, Event, Start};
@@ -206,7 +206,11 @@
     let mut serving = match settings.front {
         Some(at) => {
             let listener = listeners::bind(at).map_err(failed("the clients' port"))?;
-            Some(spawn_local(platform::front::serve(listener, platform.clone(), shutdown.clone())))
+            Some(spawn_local(brassport_data_plane::front::serve(
+                listener,
+                platform.clone(),
+                shutdown.clone(),
+            )))
         }
         None => None,
     };
