--- a/crates/signalbox/tests/golden.rs
+++ b/crates/brassport-control-plane/tests/golden.rs
@@ -6,15 +6,15 @@
 #[path = "../../telegraph/tests/common/hex.rs"]
 mod hex;
 
+use brassport_control_plane::backends::{Backend, Stage, RANGES};
+use brassport_control_plane::call::{Call, Reply};
+use brassport_control_plane::peer_message::{Envelope, PeerMessage};
+use brassport_control_plane::ring_position::Rank;
+use brassport_control_plane::{Action, Chunk, Control, Event, Millis, SnapshotId, Start, Survive};
 use config_store::consensus::{Chosen, Entry, Message, Recovered, State, VoterId};
 use hex::hex;
 use serde::{de::DeserializeOwned, Serialize};
 use shunting::{Loan, Use};
-use signalbox::backends::{Backend, Stage, RANGES};
-use signalbox::call::{Call, Reply};
-use signalbox::peer_message::{Envelope, PeerMessage};
-use signalbox::ring_position::Rank;
-use signalbox::{Action, Chunk, Control, Event, Millis, SnapshotId, Start, Survive};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 use std::net::Ipv4Addr;
--- a/crates/signalbox/tests/other_seeds.rs
+++ b/crates/brassport-control-plane/tests/other_seeds.rs
@@ -1,5 +1,5 @@
 //! The scenarios under other seeds than their own: what holds by the luck of one order of messages does not hold.
-//! `SIGNALBOX_OTHER_SEEDS=200` plays more.
+//! `CONTROL_PLANE_OTHER_SEEDS=200` plays more.
 
 mod world;
 
@@ -27,7 +27,7 @@
 #[test]
 fn scenarios_hold_under_other_seeds() {
     let seeds =
-        std::env::var("SIGNALBOX_OTHER_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(SEEDS);
+        std::env::var("CONTROL_PLANE_OTHER_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(SEEDS);
     let mut failed = Vec::new();
     for file in scenarios() {
         let name = file.file_stem().expect("a name").to_string_lossy().into_owned();
--- a/crates/signalbox/tests/replacement_times.rs
+++ b/crates/brassport-control-plane/tests/replacement_times.rs
@@ -1,6 +1,6 @@
 //! How long after the start of a lost machine's successor the old voter is out and the new one votes. The next loss is
 //! allowed `catchUpS` (4 s; 6 s on the larger deployments) after that start: half of 4 s is the bound of 99 in 100.
-//! `SIGNALBOX_LOSSES=1000` plays more.
+//! `CONTROL_PLANE_LOSSES=1000` plays more.
 
 mod world;
 
@@ -40,7 +40,8 @@
 #[test_case(4, 1, "at 10.0 stop OLD\nat 16 retire OLD"; "four machines, planned")]
 #[test_case(8, 2, "at 10.0 stop OLD\nat 16 retire OLD"; "eight machines, planned")]
 fn the_successor_votes_and_the_old_voter_is_out_in_time(machines: usize, survive: usize, how: &str) {
-    let losses = std::env::var("SIGNALBOX_LOSSES").ok().and_then(|text| text.parse().ok()).unwrap_or(LOSSES);
+    let losses =
+        std::env::var("CONTROL_PLANE_LOSSES").ok().and_then(|text| text.parse().ok()).unwrap_or(LOSSES);
     let mut times: Vec<u64> = (0..losses).map(|seed| replaced(machines, survive, how, seed)).collect();
     times.sort_unstable();
     let at = |share: usize| times[(times.len() - 1) * share / 100];
--- a/crates/signalbox/tests/seeds.rs
+++ b/crates/brassport-control-plane/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! Schedules drawn from a seed, over 3, 4 and 8 machines with disks, some replaced, with what must always hold. `SIGNALBOX_SEEDS` sets how many. A
+//! Schedules drawn from a seed, over 3, 4 and 8 machines with disks, some replaced, with what must always hold. `CONTROL_PLANE_SEEDS` sets how many. A
 //! schedule that fails is printed as a scenario: saved as a file of `scenarios/` it plays the same.
 
 mod world;
@@ -138,8 +138,10 @@
 
 #[test]
 fn schedules_from_seeds_keep_what_must_hold() {
-    let seeds: u64 = std::env::var("SIGNALBOX_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(200);
-    let first: u64 = std::env::var("SIGNALBOX_FIRST").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
+    let seeds: u64 =
+        std::env::var("CONTROL_PLANE_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(200);
+    let first: u64 =
+        std::env::var("CONTROL_PLANE_FIRST").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
     let threads = std::thread::available_parallelism().map_or(2, std::num::NonZero::get).min(4) as u64;
     let lane = |lane: u64| {
         let mut broken = Vec::new();
--- a/crates/signalbox/tests/survive.rs
+++ b/crates/brassport-control-plane/tests/survive.rs
@@ -1,6 +1,6 @@
 //! Which sets of voters bear what may be lost at once.
 
-use signalbox::Survive;
+use brassport_control_plane::Survive;
 use test_case::test_case;
 
 fn zones(names: &str) -> Vec<Option<&str>> {
--- a/crates/signalbox/tests/world/mod.rs
+++ b/crates/brassport-control-plane/tests/world/mod.rs
@@ -9,15 +9,15 @@
 pub mod play;
 pub mod script;
 
+use brassport_control_plane::call::{Call, Reply};
+use brassport_control_plane::peer_message::{Envelope, PeerMessage};
+use brassport_control_plane::{Action, Chunk, Control, Event, SnapshotId, Start, Survive};
 use callers::Callers;
 use config_store::consensus::{Chosen, Entry, Message, Record, Recovered, State};
 use judge::Judge;
 use oorandom::Rand64;
 use script::{Line, Millis, Script, Setup};
 use sha2::{Digest, Sha256};
-use signalbox::call::{Call, Reply};
-use signalbox::peer_message::{Envelope, PeerMessage};
-use signalbox::{Action, Chunk, Control, Event, SnapshotId, Start, Survive};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 use telegraph::views::Member;
--- a/crates/signalbox/tests/world/play.rs
+++ b/crates/brassport-control-plane/tests/world/play.rs
@@ -3,9 +3,9 @@
 use super::callers::What;
 use super::script::{Cut, Disk, Expect, Millis, Statement, When};
 use super::{ip, Step, World};
+use brassport_control_plane::backends::Stage;
 use config_store::consensus::State;
 use serde_json::Value;
-use signalbox::backends::Stage;
 
 /// After the last line, unless the scenario says how long it lasts.
 const REST: Millis = 6_000;
--- a/crates/brassport-data-plane/tests/golden.rs
+++ b/crates/brassport-data-plane/tests/golden.rs
@@ -4,6 +4,7 @@
 #[path = "../../telegraph/tests/common/fixture.rs"]
 mod fixture;
 
+use brassport_control_plane::backends::{Backend, Stage};
 use brassport_data_plane::metrics::{RequestCounters, ABANDONED_AFTER_MS};
 use brassport_data_plane::wire::{Wire, CUSTOMER, EXPECT_SERVER, TIME_LEFT, TRY_ID};
 use brassport_data_plane::{front, Options, Platform};
@@ -15,7 +16,6 @@
 use brassport_proxy::shutdown::Shutdown;
 use config_store::consensus::{Entry, State, VoterId};
 use hyper::header::{HeaderMap, HeaderValue};
-use signalbox::backends::{Backend, Stage};
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::rc::Rc;
--- a/crates/junction/src/listeners.rs
+++ b/crates/junction/src/listeners.rs
@@ -1,5 +1,6 @@
 //! The listeners for backends and operators (`control`) and for the platform (`ready`).
 
+use brassport_control_plane::call::{Call, Fault, Reply};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{HeaderValue, CONTENT_TYPE, LOCATION, RETRY_AFTER};
@@ -7,7 +8,6 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use signalbox::call::{Call, Fault, Reply};
 use std::convert::Infallible;
 use std::net::SocketAddrV4;
 use std::time::Duration;
--- a/crates/junction/src/run.rs
+++ b/crates/junction/src/run.rs
@@ -4,13 +4,13 @@
 use crate::disk::{Disk, Told};
 use crate::listeners::{self, Called};
 use crate::settings::{Settings, VARIABLE};
+use brassport_control_plane::call::Reply;
+use brassport_control_plane::peer_message::Envelope;
+use brassport_control_plane::{Action, Control, Event, Start};
 use brassport_data_plane::{Options, Platform};
 use brassport_proxy::clock::SystemClock;
 use brassport_proxy::network::Tcp;
 use brassport_proxy::shutdown::{Phase, Shutdown};
-use signalbox::call::Reply;
-use signalbox::peer_message::Envelope;
-use signalbox::{Action, Control, Event, Start};
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
--- a/crates/junction/src/settings.rs
+++ b/crates/junction/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings file: what a process is told at its start. Fields that are not known are passed over.
 
+use brassport_control_plane::Survive;
 use schematic::{Config, ConfigLoader};
-use signalbox::Survive;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
--- a/crates/junction/tests/golden.rs
+++ b/crates/junction/tests/golden.rs
@@ -4,10 +4,10 @@
 #[path = "../../telegraph/tests/common/fixture.rs"]
 mod fixture;
 
+use brassport_control_plane::call::{Call, Reply};
 use config_store::store::FILE as STORE_FILE;
 use junction::listeners::{self, Called};
 use junction::settings::{Fault, Settings};
-use signalbox::call::{Call, Reply};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddrV4};
