--- a/crates/config-store/tests/common/alone.rs
+++ b/crates/brassport-config-store/tests/common/alone.rs
@@ -3,7 +3,7 @@
 // Each test file has a use for a part of this.
 #![allow(dead_code)]
 
-use config_store::consensus::{
+use brassport_config_store::consensus::{
     Action, Command, Outcome, Recovered, Replica, State, VoterId, REMEMBERED_ORDERS,
 };
 use std::net::Ipv4Addr;
--- a/crates/config-store/tests/common/mod.rs
+++ b/crates/brassport-config-store/tests/common/mod.rs
@@ -6,8 +6,8 @@
 #![allow(dead_code)]
 
 use brassport_checkers::versions::{self, Answered, Operation};
-use config_store::consensus::mutants::Mutant;
-use config_store::consensus::*;
+use brassport_config_store::consensus::mutants::Mutant;
+use brassport_config_store::consensus::*;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
--- a/crates/config-store/tests/common/voters.rs
+++ b/crates/brassport-config-store/tests/common/voters.rs
@@ -7,8 +7,8 @@
 // Each test file has a use for a part of this.
 #![allow(dead_code)]
 
-use config_store::consensus::mutants::Mutant;
-use config_store::consensus::*;
+use brassport_config_store::consensus::mutants::Mutant;
+use brassport_config_store::consensus::*;
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -167,7 +167,7 @@
 
 fn is_chosen(_mutant: Option<Mutant>) {
     #[cfg(feature = "mutants")]
-    config_store::consensus::mutants::choose(_mutant);
+    brassport_config_store::consensus::mutants::choose(_mutant);
 }
 
 impl Site {
--- a/crates/config-store/tests/configuration.rs
+++ b/crates/brassport-config-store/tests/configuration.rs
@@ -1,6 +1,6 @@
 //! The operator's configuration: what is refused, how a change applies, and what the doors read.
 
-use config_store::configuration::{
+use brassport_config_store::configuration::{
     difference, Configuration, Difference, Document, Fault, Faults, Index, Kind, Limits, Version,
 };
 use serde_json::{json, Value};
--- a/crates/config-store/tests/golden.rs
+++ b/crates/brassport-config-store/tests/golden.rs
@@ -6,11 +6,11 @@
 #[path = "../../telegraph/tests/common/hex.rs"]
 mod hex;
 
-use config_store::configuration::{difference, Document, Fault, Faults, Kind, Version};
-use config_store::consensus::{
+use brassport_config_store::configuration::{difference, Document, Fault, Faults, Kind, Version};
+use brassport_config_store::consensus::{
     Chosen, Entry, Message, OrderDigest, Record, Recovered, State, Term, VoterId, REMEMBERED_ORDERS,
 };
-use config_store::store::{Fault as StoreFault, Store, FILE};
+use brassport_config_store::store::{Fault as StoreFault, Store, FILE};
 use hex::hex;
 use rusqlite::types::Value as Cell;
 use serde::{de::DeserializeOwned, Serialize};
@@ -215,7 +215,7 @@
     fn new(name: &str) -> Folder {
         static MADE: AtomicU32 = AtomicU32::new(0);
         let number = MADE.fetch_add(1, Ordering::Relaxed);
-        let name = format!("config_store-golden-{}-{number}-{name}", std::process::id());
+        let name = format!("brassport_config_store-golden-{}-{number}-{name}", std::process::id());
         let folder = std::env::temp_dir().join(name);
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
--- a/crates/config-store/tests/leadership.rs
+++ b/crates/brassport-config-store/tests/leadership.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use config_store::consensus::{Action, Message};
+use brassport_config_store::consensus::{Action, Message};
 
 #[test]
 fn the_duty_waits_for_the_own_promise_and_a_judgement_for_a_majority() {
@@ -18,8 +18,8 @@
 #[test]
 fn a_change_of_voters_that_was_overtaken_by_another_is_refused() {
     let [first, second] = common::two_changes_at_once();
-    assert_eq!(first, Some(config_store::consensus::Outcome::Taken));
-    assert_eq!(second, Some(config_store::consensus::Outcome::Outdated));
+    assert_eq!(first, Some(brassport_config_store::consensus::Outcome::Taken));
+    assert_eq!(second, Some(brassport_config_store::consensus::Outcome::Outdated));
 }
 
 /// A heartbeat that comes again and again, late, is no sign of life: the follower campaigns all the same.
--- a/crates/config-store/tests/mutants.rs
+++ b/crates/brassport-config-store/tests/mutants.rs
@@ -7,8 +7,8 @@
 #[path = "common/voters.rs"]
 mod voters;
 
+use brassport_config_store::consensus::mutants::{choose, Mutant, ALL};
 use common::{one_voter_step_by_step, Sizes, World};
-use config_store::consensus::mutants::{choose, Mutant, ALL};
 use voters::{walk, Sizes as ModelSizes, CALM};
 
 #[test]
--- a/crates/config-store/tests/orders.rs
+++ b/crates/brassport-config-store/tests/orders.rs
@@ -4,7 +4,7 @@
 mod alone;
 
 use alone::{body, orders_of_long_ago_refused, Alone, ME};
-use config_store::consensus::{
+use brassport_config_store::consensus::{
     Action, Command, Entry, Message, OrderDigest, Outcome, Record, Recovered, Replica, State, VoterId,
 };
 use std::net::Ipv4Addr;
--- a/crates/config-store/tests/store.rs
+++ b/crates/brassport-config-store/tests/store.rs
@@ -1,7 +1,7 @@
 //! A voter's store: what was synced is found again, whatever came behind it; what is none of this format is refused by name.
 
-use config_store::consensus::{Chosen, Entry, Record, Recovered, Replica, State, VoterId};
-use config_store::store::{Fault, Store, FILE};
+use brassport_config_store::consensus::{Chosen, Entry, Record, Recovered, Replica, State, VoterId};
+use brassport_config_store::store::{Fault, Store, FILE};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
@@ -10,7 +10,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let folder = std::env::temp_dir().join(format!("config_store-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("brassport_config_store-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
         Folder(folder)
--- a/crates/config-store/tests/store_growth.rs
+++ b/crates/brassport-config-store/tests/store_growth.rs
@@ -5,8 +5,8 @@
 mod alone;
 
 use alone::{body, Alone};
-use config_store::consensus::{Action, Command, Record, Recovered, State};
-use config_store::store::Store;
+use brassport_config_store::consensus::{Action, Command, Record, Recovered, State};
+use brassport_config_store::store::Store;
 use std::path::Path;
 use std::time::Instant;
 
--- a/crates/brassport-control-plane/src/confirmations.rs
+++ b/crates/brassport-control-plane/src/confirmations.rs
@@ -9,7 +9,7 @@
 use crate::gossip::SPEAKS;
 use crate::peer_message::PeerMessage;
 use crate::Millis;
-use config_store::consensus::LogIndex;
+use brassport_config_store::consensus::LogIndex;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
--- a/crates/brassport-control-plane/src/control.rs
+++ b/crates/brassport-control-plane/src/control.rs
@@ -11,7 +11,7 @@
 use crate::ring_position::{OwnRank, Ranks};
 use crate::snapshots::Snapshots;
 use crate::Millis;
-use config_store::consensus::{self, Command, Record, Recovered, Replica, State, Term};
+use brassport_config_store::consensus::{self, Command, Record, Recovered, Replica, State, Term};
 use shunting::{Lender, Limit, Loan, TenantId, Use};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
--- a/crates/brassport-control-plane/src/gossip.rs
+++ b/crates/brassport-control-plane/src/gossip.rs
@@ -4,7 +4,7 @@
 use crate::control::Control;
 use crate::peer_message::{LeaderTold, PeerMessage};
 use crate::Millis;
-use config_store::consensus::Term;
+use brassport_config_store::consensus::Term;
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 use telegraph::views::{Aged, Member};
--- a/crates/brassport-control-plane/src/isolation.rs
+++ b/crates/brassport-control-plane/src/isolation.rs
@@ -7,7 +7,7 @@
 
 use crate::control::{Action, Control, ALL};
 use crate::Millis;
-use config_store::consensus::mutants::{is_chosen, Mutant};
+use brassport_config_store::consensus::mutants::{is_chosen, Mutant};
 use std::net::Ipv4Addr;
 
 /// What is doubted is dropped after so long, once the table was compared with another machine's; where there are many
--- a/crates/brassport-control-plane/src/log_updates.rs
+++ b/crates/brassport-control-plane/src/log_updates.rs
@@ -4,8 +4,8 @@
 use crate::peer_message::PeerMessage;
 use crate::snapshots::CHUNK;
 use crate::Millis;
-use config_store::consensus::mutants::{is_chosen, Mutant};
-use config_store::consensus::{Chosen, LogIndex};
+use brassport_config_store::consensus::mutants::{is_chosen, Mutant};
+use brassport_config_store::consensus::{Chosen, LogIndex};
 use std::net::Ipv4Addr;
 
 /// Entries up to so many bytes are told at once; of longer ones it is told that they are there.
--- a/crates/brassport-control-plane/src/membership.rs
+++ b/crates/brassport-control-plane/src/membership.rs
@@ -12,8 +12,8 @@
 use crate::control::Control;
 use crate::peer_message::PeerMessage;
 use crate::Millis;
-use config_store::consensus::mutants::{is_chosen, Mutant};
-use config_store::consensus::{Command, LogIndex, VoterId};
+use brassport_config_store::consensus::mutants::{is_chosen, Mutant};
+use brassport_config_store::consensus::{Command, LogIndex, VoterId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use telegraph::views::Member;
--- a/crates/brassport-control-plane/src/operator.rs
+++ b/crates/brassport-control-plane/src/operator.rs
@@ -3,7 +3,7 @@
 use crate::call::Reply;
 use crate::control::{Action, Control};
 use crate::peer_message::PeerMessage;
-use config_store::consensus::{self, Command, Outcome};
+use brassport_config_store::consensus::{self, Command, Outcome};
 use shunting::Limit;
 use std::sync::Arc;
 
--- a/crates/brassport-control-plane/src/peer_message.rs
+++ b/crates/brassport-control-plane/src/peer_message.rs
@@ -4,7 +4,7 @@
 use crate::backends::{Backend, RANGES};
 use crate::ring_position::Rank;
 use crate::snapshots::{Chunk, SnapshotId};
-use config_store::consensus::{Chosen, LogIndex, Message, Term};
+use brassport_config_store::consensus::{Chosen, LogIndex, Message, Term};
 use serde::{Deserialize, Serialize};
 use shunting::{Loan, Use};
 use std::net::Ipv4Addr;
--- a/crates/brassport-control-plane/src/ring_position.rs
+++ b/crates/brassport-control-plane/src/ring_position.rs
@@ -9,7 +9,7 @@
 use crate::control::Control;
 use crate::peer_message::PeerMessage;
 use crate::Millis;
-use config_store::consensus::Term;
+use brassport_config_store::consensus::Term;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
--- a/crates/brassport-control-plane/src/snapshots.rs
+++ b/crates/brassport-control-plane/src/snapshots.rs
@@ -7,8 +7,8 @@
 use crate::control::Control;
 use crate::peer_message::PeerMessage;
 use crate::Millis;
-use config_store::consensus::mutants::{is_chosen, Mutant};
-use config_store::consensus::{LogIndex, State};
+use brassport_config_store::consensus::mutants::{is_chosen, Mutant};
+use brassport_config_store::consensus::{LogIndex, State};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::net::Ipv4Addr;
--- a/crates/brassport-control-plane/tests/golden.rs
+++ b/crates/brassport-control-plane/tests/golden.rs
@@ -6,12 +6,12 @@
 #[path = "../../telegraph/tests/common/hex.rs"]
 mod hex;
 
+use brassport_config_store::consensus::{Chosen, Entry, Message, Recovered, State, VoterId};
 use brassport_control_plane::backends::{Backend, Stage, RANGES};
 use brassport_control_plane::call::{Call, Reply};
 use brassport_control_plane::peer_message::{Envelope, PeerMessage};
 use brassport_control_plane::ring_position::Rank;
 use brassport_control_plane::{Action, Chunk, Control, Event, Millis, SnapshotId, Start, Survive};
-use config_store::consensus::{Chosen, Entry, Message, Recovered, State, VoterId};
 use hex::hex;
 use serde::{de::DeserializeOwned, Serialize};
 use shunting::{Loan, Use};
--- a/crates/brassport-control-plane/tests/mutants.rs
+++ b/crates/brassport-control-plane/tests/mutants.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use config_store::consensus::mutants::{choose, Mutant};
+use brassport_config_store::consensus::mutants::{choose, Mutant};
 use std::path::Path;
 use test_case::test_case;
 use world::script;
--- a/crates/brassport-control-plane/tests/world/callers.rs
+++ b/crates/brassport-control-plane/tests/world/callers.rs
@@ -3,8 +3,8 @@
 
 use super::script::{Ask, Flaw, Millis};
 use super::{machine, Step, World, BEAT, CALLER};
+use brassport_config_store::consensus::OrderDigest;
 use brassport_control_plane::call::{Call, Reply};
-use config_store::consensus::OrderDigest;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/brassport-control-plane/tests/world/judge.rs
+++ b/crates/brassport-control-plane/tests/world/judge.rs
@@ -5,8 +5,8 @@
 //! machine of the core that reaches more than half of it), and that of the core for `inTouchS` = 3 s.
 
 use super::script::Millis;
+use brassport_config_store::consensus::{Chosen, Entry, LogIndex, OrderDigest, State};
 use brassport_control_plane::backends::{Backend, Stage};
-use config_store::consensus::{Chosen, Entry, LogIndex, OrderDigest, State};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/brassport-control-plane/tests/world/mod.rs
+++ b/crates/brassport-control-plane/tests/world/mod.rs
@@ -9,11 +9,11 @@
 pub mod play;
 pub mod script;
 
+use brassport_config_store::consensus::{Chosen, Entry, Message, Record, Recovered, State};
 use brassport_control_plane::call::{Call, Reply};
 use brassport_control_plane::peer_message::{Envelope, PeerMessage};
 use brassport_control_plane::{Action, Chunk, Control, Event, SnapshotId, Start, Survive};
 use callers::Callers;
-use config_store::consensus::{Chosen, Entry, Message, Record, Recovered, State};
 use judge::Judge;
 use oorandom::Rand64;
 use script::{Line, Millis, Script, Setup};
--- a/crates/brassport-control-plane/tests/world/play.rs
+++ b/crates/brassport-control-plane/tests/world/play.rs
@@ -3,8 +3,8 @@
 use super::callers::What;
 use super::script::{Cut, Disk, Expect, Millis, Statement, When};
 use super::{ip, Step, World};
+use brassport_config_store::consensus::State;
 use brassport_control_plane::backends::Stage;
-use config_store::consensus::State;
 use serde_json::Value;
 
 /// After the last line, unless the scenario says how long it lasts.
@@ -49,14 +49,14 @@
     /// How many disks have what was put under a name.
     fn kept_by(&self, name: &str) -> usize {
         let Some(put) = self.callers.put(name) else { return 0 };
-        let holds = |entry: &config_store::consensus::Entry| match entry {
-            config_store::consensus::Entry::Replace { body, built_on }
-            | config_store::consensus::Entry::Change { body, built_on } => {
+        let holds = |entry: &brassport_config_store::consensus::Entry| match entry {
+            brassport_config_store::consensus::Entry::Replace { body, built_on }
+            | brassport_config_store::consensus::Entry::Change { body, built_on } => {
                 *body == put.body && *built_on == put.built_on
             }
             _ => false,
         };
-        let has = |kept: &config_store::consensus::Recovered| {
+        let has = |kept: &brassport_config_store::consensus::Recovered| {
             kept.state.taken.values().any(|taken| *taken == put.digest())
                 || kept.open.as_ref().is_some_and(|(_, entry)| holds(entry))
         };
--- a/crates/brassport-data-plane/src/front.rs
+++ b/crates/brassport-data-plane/src/front.rs
@@ -3,6 +3,7 @@
 use crate::service::Platform;
 use crate::shares::NOBODY;
 use crate::wire::{CUSTOMER, EXPECT_SERVER, TIME_LEFT, TRY_ID};
+use brassport_config_store::configuration::Route;
 use brassport_proxy::answers::{come_back, is_ambiguous, pass_on, text};
 use brassport_proxy::backends::{Carried, Message, Uploading};
 use brassport_proxy::bodies::pace::Pace;
@@ -15,7 +16,6 @@
 use brassport_proxy::door::Answer as Verdict;
 use brassport_proxy::network::Network;
 use brassport_proxy::shutdown::{Phase, Shutdown};
-use config_store::configuration::Route;
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
--- a/crates/brassport-data-plane/src/terms.rs
+++ b/crates/brassport-data-plane/src/terms.rs
@@ -1,7 +1,7 @@
 //! The decision module's settings for one service, from the operator's configuration.
 
+use brassport_config_store::configuration::{Configuration, Kind, Route};
 use brassport_policy::{Class, Effect, Plan, Settings, Tuning};
-use config_store::configuration::{Configuration, Kind, Route};
 use std::collections::HashMap;
 
 /// A backend that starts has at least this part of its capacity, and is warm after so many milliseconds at the latest.
--- a/crates/brassport-data-plane/tests/golden.rs
+++ b/crates/brassport-data-plane/tests/golden.rs
@@ -4,6 +4,7 @@
 #[path = "../../telegraph/tests/common/fixture.rs"]
 mod fixture;
 
+use brassport_config_store::consensus::{Entry, State, VoterId};
 use brassport_control_plane::backends::{Backend, Stage};
 use brassport_data_plane::metrics::{RequestCounters, ABANDONED_AFTER_MS};
 use brassport_data_plane::wire::{Wire, CUSTOMER, EXPECT_SERVER, TIME_LEFT, TRY_ID};
@@ -14,7 +15,6 @@
 use brassport_proxy::network::Tcp;
 use brassport_proxy::protocol::Protocol;
 use brassport_proxy::shutdown::Shutdown;
-use config_store::consensus::{Entry, State, VoterId};
 use hyper::header::{HeaderMap, HeaderValue};
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
--- a/crates/junction/src/command.rs
+++ b/crates/junction/src/command.rs
@@ -2,8 +2,8 @@
 
 use crate::run;
 use crate::settings::Settings;
-use config_store::configuration::{difference, Document};
-use config_store::store::Store;
+use brassport_config_store::configuration::{difference, Document};
+use brassport_config_store::store::Store;
 use gumdrop::Options;
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
@@ -173,7 +173,7 @@
         }
         Verb::Store(File { file }) => {
             let folder = named(file)?;
-            if !folder.join(config_store::store::FILE).is_file() {
+            if !folder.join(brassport_config_store::store::FILE).is_file() {
                 return Err(miette::miette!(
                     help = "name the data folder",
                     "{}: no store is there",
--- a/crates/junction/src/disk.rs
+++ b/crates/junction/src/disk.rs
@@ -1,7 +1,7 @@
 //! The disk's thread: the one owner of a voter's store. A disk that hangs holds up this thread and nobody else.
 
-use config_store::consensus::{Record, Recovered, State};
-use config_store::store::Store;
+use brassport_config_store::consensus::{Record, Recovered, State};
+use brassport_config_store::store::Store;
 use std::path::PathBuf;
 use std::sync::mpsc as std_mpsc;
 use tokio::sync::mpsc;
--- a/crates/junction/tests/golden.rs
+++ b/crates/junction/tests/golden.rs
@@ -4,8 +4,8 @@
 #[path = "../../telegraph/tests/common/fixture.rs"]
 mod fixture;
 
+use brassport_config_store::store::FILE as STORE_FILE;
 use brassport_control_plane::call::{Call, Reply};
-use config_store::store::FILE as STORE_FILE;
 use junction::listeners::{self, Called};
 use junction::settings::{Fault, Settings};
 use std::collections::BTreeMap;
@@ -288,7 +288,7 @@
     for (file, text) in files {
         std::fs::write(folder.join(file), text).expect("written");
     }
-    let store = Path::new(PACKAGE).join("../config-store/tests/golden/store-2.sqlite");
+    let store = Path::new(PACKAGE).join("../brassport-config-store/tests/golden/store-2.sqlite");
     std::fs::copy(store, folder.join("data").join(STORE_FILE)).expect("the fixture is there");
     let cases = [
         ("check", run_on(&folder, "check", &["settings.yaml"])),
