--- a/crates/brassport-control-plane/src/control.rs
+++ b/crates/brassport-control-plane/src/control.rs
@@ -12,7 +12,7 @@
 use crate::snapshots::Snapshots;
 use crate::Millis;
 use brassport_config_store::consensus::{self, Command, Record, Recovered, Replica, State, Term};
-use shunting::{Lender, Limit, Loan, TenantId, Use};
+use brassport_quota::{Lender, Limit, Loan, TenantId, Use};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
--- a/crates/brassport-control-plane/src/lending.rs
+++ b/crates/brassport-control-plane/src/lending.rs
@@ -2,7 +2,7 @@
 
 use crate::control::{Control, ALL};
 use crate::ring_position::Ranks;
-use shunting::{Loan, Use};
+use brassport_quota::{Loan, Use};
 use std::net::Ipv4Addr;
 
 impl Control {
--- a/crates/brassport-control-plane/src/operator.rs
+++ b/crates/brassport-control-plane/src/operator.rs
@@ -4,7 +4,7 @@
 use crate::control::{Action, Control};
 use crate::peer_message::PeerMessage;
 use brassport_config_store::consensus::{self, Command, Outcome};
-use shunting::Limit;
+use brassport_quota::Limit;
 use std::sync::Arc;
 
 impl Control {
@@ -56,7 +56,7 @@
                 .values()
                 .map(|tenant| {
                     let limit = Limit { rate: tenant.rate_per_s, burst: tenant.burst };
-                    (shunting::tenant_id(&tenant.name), limit)
+                    (brassport_quota::tenant_id(&tenant.name), limit)
                 })
                 .collect();
             // Before any answer to the operator: this door goes by the configuration that it acknowledges.
--- a/crates/brassport-control-plane/src/peer_message.rs
+++ b/crates/brassport-control-plane/src/peer_message.rs
@@ -5,8 +5,8 @@
 use crate::ring_position::Rank;
 use crate::snapshots::{Chunk, SnapshotId};
 use brassport_config_store::consensus::{Chosen, LogIndex, Message, Term};
+use brassport_quota::{Loan, Use};
 use serde::{Deserialize, Serialize};
-use shunting::{Loan, Use};
 use std::net::Ipv4Addr;
 use telegraph::views::{Aged, Member};
 
--- a/crates/brassport-control-plane/tests/golden.rs
+++ b/crates/brassport-control-plane/tests/golden.rs
@@ -12,9 +12,9 @@
 use brassport_control_plane::peer_message::{Envelope, PeerMessage};
 use brassport_control_plane::ring_position::Rank;
 use brassport_control_plane::{Action, Chunk, Control, Event, Millis, SnapshotId, Start, Survive};
+use brassport_quota::{Loan, Use};
 use hex::hex;
 use serde::{de::DeserializeOwned, Serialize};
-use shunting::{Loan, Use};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 use std::net::Ipv4Addr;
@@ -479,7 +479,7 @@
         PeerMessage::Ranges([0; RANGES]),
         PeerMessage::Backends(vec![Backend { id: "i-2".to_owned(), ..backend(Stage::Ready) }], Some(9)),
         PeerMessage::Fetch(1),
-        PeerMessage::Used(3, vec![Use(shunting::tenant_id("c"), 5, 5, 4)]),
+        PeerMessage::Used(3, vec![Use(brassport_quota::tenant_id("c"), 5, 5, 4)]),
         PeerMessage::AskRank("zone-a".to_owned()),
         PeerMessage::Fetch(0),
     ];
--- a/crates/brassport-data-plane/src/front.rs
+++ b/crates/brassport-data-plane/src/front.rs
@@ -35,7 +35,7 @@
 const NOT_YET: f64 = 600.0;
 /// A door that began so lately hears of more backends from one moment to the next: where it has no room yet, it advises to
 /// wait for so long at most.
-const YOUNG: shunting::Millis = 1_500;
+const YOUNG: brassport_quota::Millis = 1_500;
 const SOON: f64 = 300.0;
 /// Headers that only the system may set, or see.
 const OWN: [HeaderName; 3] = [header::AUTHORIZATION, CUSTOMER, EXPECT_SERVER];
@@ -237,7 +237,7 @@
         let Some(service) = self.service(&service) else {
             return come_back(StatusCode::SERVICE_UNAVAILABLE, NOT_YET);
         };
-        let tenant = asked.tenant.as_deref().map_or(NOBODY, shunting::tenant_id);
+        let tenant = asked.tenant.as_deref().map_or(NOBODY, brassport_quota::tenant_id);
         let (class, plan) = {
             let terms = service.terms.borrow();
             (terms.class(route), asked.tenant.as_deref().map_or(0, |name| terms.plan(name)))
@@ -300,7 +300,7 @@
 /// The service of a route that a try goes to: by its id, so that a split is kept over many.
 fn target<'a>(route: &'a Route, id: &str) -> &'a str {
     let all: u64 = route.targets.iter().map(|(_, weight)| u64::from(*weight)).sum();
-    let mut point = u64::from(shunting::tenant_id(id)).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
+    let mut point = u64::from(brassport_quota::tenant_id(id)).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
     point = (point * all.max(1)) >> 32;
     for (name, weight) in &route.targets {
         if point < u64::from(*weight) {
--- a/crates/brassport-data-plane/src/hooks.rs
+++ b/crates/brassport-data-plane/src/hooks.rs
@@ -5,7 +5,7 @@
 use brassport_policy::{AttemptEnd, Millis, Request, RequestId};
 use brassport_proxy::clock::Clock;
 use brassport_proxy::hooks::{Hooks, Verdict};
-use shunting::TenantId;
+use brassport_quota::TenantId;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 struct InFlight {
     tenant: TenantId,
     /// When its client left without an answer.
-    client_left: Option<shunting::Millis>,
+    client_left: Option<brassport_quota::Millis>,
 }
 
 /// The hooks of one service's door.
--- a/crates/brassport-data-plane/src/service.rs
+++ b/crates/brassport-data-plane/src/service.rs
@@ -14,7 +14,7 @@
 use brassport_proxy::door::{Door, Host};
 use brassport_proxy::network::Network;
 use brassport_proxy::protocol::AttemptCounts;
-use shunting::{Limit, Loan, Use};
+use brassport_quota::{Limit, Loan, Use};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -181,7 +181,7 @@
         self.has_keys.set(configuration.has_keys);
         let limits = configuration.tenants.values().map(|tenant| {
             let limit = Limit { rate: tenant.rate_per_s, burst: tenant.burst };
-            (shunting::tenant_id(&tenant.name), limit)
+            (brassport_quota::tenant_id(&tenant.name), limit)
         });
         self.shares.settle(limits.collect(), state.slots);
         self.settle_services(state);
@@ -236,7 +236,7 @@
             released: Box::new(|_| {}),
             clock_before: None,
         };
-        let seed = self.options.seed ^ u64::from(shunting::tenant_id(name));
+        let seed = self.options.seed ^ u64::from(brassport_quota::tenant_id(name));
         let door = match Door::new(self.clock.clone(), settings.clone(), seed, host, backends.clone()) {
             Ok(door) => door,
             // The check of configurations lets no such figure pass.
@@ -359,7 +359,7 @@
         {
             let listed = &mut *self.listed.borrow_mut();
             let number = || {
-                let mut id = shunting::tenant_id(&backend.id);
+                let mut id = brassport_quota::tenant_id(&backend.id);
                 while listed.values().any(|other| other.id == id) {
                     id = id.wrapping_add(1);
                 }
--- a/crates/brassport-data-plane/src/shares.rs
+++ b/crates/brassport-data-plane/src/shares.rs
@@ -4,7 +4,7 @@
 use brassport_policy::{CustomerId, Millis, Settings};
 use brassport_proxy::clock::Clock;
 use brassport_proxy::door::Meter;
-use shunting::{Borrower, Limit, Loan, TenantId, Use, PERIOD};
+use brassport_quota::{Borrower, Limit, Loan, TenantId, Use, PERIOD};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -37,8 +37,8 @@
     }
 
     /// Milliseconds since the start.
-    pub fn now(&self) -> shunting::Millis {
-        self.clock.now().saturating_duration_since(self.start).as_millis() as shunting::Millis
+    pub fn now(&self) -> brassport_quota::Millis {
+        self.clock.now().saturating_duration_since(self.start).as_millis() as brassport_quota::Millis
     }
 
     /// Other limits hold from now on.
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// Nothing is left of it; how long to wait.
-    pub(crate) fn take(&self, tenant: TenantId) -> Result<(), shunting::Millis> {
+    pub(crate) fn take(&self, tenant: TenantId) -> Result<(), brassport_quota::Millis> {
         if tenant == NOBODY {
             return Ok(());
         }
--- a/crates/brassport-data-plane/src/terms.rs
+++ b/crates/brassport-data-plane/src/terms.rs
@@ -119,7 +119,7 @@
             classes: self.classes.iter().map(ClassKey::class).collect(),
             plans: self.held.clone(),
             max_units: 1.0,
-            meter_period: shunting::PERIOD as f64,
+            meter_period: brassport_quota::PERIOD as f64,
             max_attempts: tries.unwrap_or(1),
             may_duplicate: false,
             may_cancel: true,
--- a/crates/shunting/src/lib.rs
+++ b/crates/brassport-quota/src/lib.rs
@@ -9,7 +9,7 @@
 //! No I/O; time is an argument.
 //!
 //! ```
-//! use shunting::{Borrower, Limit};
+//! use brassport_quota::{Borrower, Limit};
 //! let mut door = Borrower::default();
 //! let limit = Limit { rate: 100.0, burst: 100.0 };
 //! // Alone with nothing ahead, one of ten doors has its base.
--- a/crates/shunting/tests/advice.rs
+++ b/crates/brassport-quota/tests/advice.rs
@@ -1,6 +1,6 @@
 //! What a door advises those whom it refuses: each to come later than the one before, so that they don't all come at once.
 
-use shunting::{Borrower, Limit};
+use brassport_quota::{Borrower, Limit};
 
 const LIMIT: Limit = Limit { rate: 100.0, burst: 50.0 };
 const SLOTS: u32 = 10;
--- a/crates/shunting/tests/bound.rs
+++ b/crates/brassport-quota/tests/bound.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn no_window_holds_more_than_the_rule_allows() {
-    let seeds: u64 = std::env::var("SHUNTING_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(400);
+    let seeds: u64 = std::env::var("QUOTA_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(400);
     let (mut worst, mut least) = ((0.0, 0), (f64::MAX, 0));
     let mut all = 0.0;
     for seed in 0..seeds {
--- a/crates/shunting/tests/common/mod.rs
+++ b/crates/brassport-quota/tests/common/mod.rs
@@ -2,8 +2,8 @@
 //! does not know it for a while, tenants that send many times their usual on some doors or on all. All runs that pass a door
 //! are judged by the rule: in no window of five seconds more than the limit, its slack included.
 
+use brassport_quota::{Borrower, Lender, Limit, Loan, Use};
 use oorandom::Rand64;
-use shunting::{Borrower, Lender, Limit, Loan, Use};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/shunting/tests/golden.rs
+++ b/crates/brassport-quota/tests/golden.rs
@@ -6,9 +6,9 @@
 #[path = "../../telegraph/tests/common/hex.rs"]
 mod hex;
 
+use brassport_quota::{tenant_id, Borrower, Lender, Limit, Loan, Use};
 use hex::hex;
 use serde::{de::DeserializeOwned, Serialize};
-use shunting::{tenant_id, Borrower, Lender, Limit, Loan, Use};
 use std::fmt::Debug;
 
 const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
--- a/crates/shunting/tests/mutants.rs
+++ b/crates/brassport-quota/tests/mutants.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use shunting::mutants::{choose, ALL};
+use brassport_quota::mutants::{choose, ALL};
 
 #[test]
 fn every_mutant_breaks_the_bound() {
