--- a/crates/brassport-config-store/tests/golden.rs
+++ b/crates/brassport-config-store/tests/golden.rs
@@ -1,9 +1,9 @@
 //! Golden bytes: what voters say to one another and keep on disk, and what becomes of an operator's document, held against
 //! fixtures in `tests/golden`. Two of them are stores as a voter left them, of format 2 and of format 1.
 
-#[path = "../../telegraph/tests/common/fixture.rs"]
+#[path = "../../brassport-transport/tests/common/fixture.rs"]
 mod fixture;
-#[path = "../../telegraph/tests/common/hex.rs"]
+#[path = "../../brassport-transport/tests/common/hex.rs"]
 mod hex;
 
 use brassport_config_store::configuration::{difference, Document, Fault, Faults, Kind, Version};
--- a/crates/brassport-control-plane/src/control.rs
+++ b/crates/brassport-control-plane/src/control.rs
@@ -13,10 +13,10 @@
 use crate::Millis;
 use brassport_config_store::consensus::{self, Command, Record, Recovered, Replica, State, Term};
 use brassport_quota::{Lender, Limit, Loan, TenantId, Use};
+use brassport_transport::views::{Member, Views};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
-use telegraph::views::{Member, Views};
 
 /// A door that tells its changes to all whom it knows, up to so many; with more it tells some, who tell on.
 pub(crate) const ALL: usize = 16;
--- a/crates/brassport-control-plane/src/gossip.rs
+++ b/crates/brassport-control-plane/src/gossip.rs
@@ -5,9 +5,9 @@
 use crate::peer_message::{LeaderTold, PeerMessage};
 use crate::Millis;
 use brassport_config_store::consensus::Term;
+use brassport_transport::views::{Aged, Member};
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
-use telegraph::views::{Aged, Member};
 
 /// Between two gossip exchanges, and between two while nobody is known yet.
 const GOSSIP: Millis = 400;
--- a/crates/brassport-control-plane/src/membership.rs
+++ b/crates/brassport-control-plane/src/membership.rs
@@ -14,9 +14,9 @@
 use crate::Millis;
 use brassport_config_store::consensus::mutants::{is_chosen, Mutant};
 use brassport_config_store::consensus::{Command, LogIndex, VoterId};
+use brassport_transport::views::Member;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
-use telegraph::views::Member;
 
 /// A voter that has not answered for so long is silent.
 const SILENCE: Millis = 1_200;
--- a/crates/brassport-control-plane/src/peer_message.rs
+++ b/crates/brassport-control-plane/src/peer_message.rs
@@ -6,9 +6,9 @@
 use crate::snapshots::{Chunk, SnapshotId};
 use brassport_config_store::consensus::{Chosen, LogIndex, Message, Term};
 use brassport_quota::{Loan, Use};
+use brassport_transport::views::{Aged, Member};
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
-use telegraph::views::{Aged, Member};
 
 /// Who leads, under which term, and how many milliseconds ago it was heard.
 pub type LeaderTold = (Term, Ipv4Addr, u32);
--- a/crates/brassport-control-plane/tests/golden.rs
+++ b/crates/brassport-control-plane/tests/golden.rs
@@ -1,9 +1,9 @@
 //! Golden bytes: what processes say to one another as frames, what is lent, and what callers read and send, held against
 //! fixtures in `tests/golden`. A change of names in the sources must not change one of them.
 
-#[path = "../../telegraph/tests/common/fixture.rs"]
+#[path = "../../brassport-transport/tests/common/fixture.rs"]
 mod fixture;
-#[path = "../../telegraph/tests/common/hex.rs"]
+#[path = "../../brassport-transport/tests/common/hex.rs"]
 mod hex;
 
 use brassport_config_store::consensus::{Chosen, Entry, Message, Recovered, State, VoterId};
@@ -13,14 +13,14 @@
 use brassport_control_plane::ring_position::Rank;
 use brassport_control_plane::{Action, Chunk, Control, Event, Millis, SnapshotId, Start, Survive};
 use brassport_quota::{Loan, Use};
+use brassport_transport::frame;
+use brassport_transport::views::Member;
 use hex::hex;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
-use telegraph::frame;
-use telegraph::views::Member;
 
 const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
 const MACHINE: Ipv4Addr = Ipv4Addr::new(10, 0, 1, 7);
--- a/crates/brassport-control-plane/tests/world/mod.rs
+++ b/crates/brassport-control-plane/tests/world/mod.rs
@@ -13,6 +13,7 @@
 use brassport_control_plane::call::{Call, Reply};
 use brassport_control_plane::peer_message::{Envelope, PeerMessage};
 use brassport_control_plane::{Action, Chunk, Control, Event, SnapshotId, Start, Survive};
+use brassport_transport::views::Member;
 use callers::Callers;
 use judge::Judge;
 use oorandom::Rand64;
@@ -20,7 +21,6 @@
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
-use telegraph::views::Member;
 
 /// Between two ticks of a process; between two looks of the judge; between two beats of a backend.
 const TICK: Millis = 60;
--- a/crates/brassport-data-plane/tests/golden.rs
+++ b/crates/brassport-data-plane/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden text: the counters' page, what an attempt says to a backend, and what clients are answered, byte by byte, held
 //! against fixtures in `tests/golden`. Times and lengths of waits that differ from run to run stand there as `#`.
 
-#[path = "../../telegraph/tests/common/fixture.rs"]
+#[path = "../../brassport-transport/tests/common/fixture.rs"]
 mod fixture;
 
 use brassport_config_store::consensus::{Entry, State, VoterId};
--- a/crates/brassport-quota/tests/golden.rs
+++ b/crates/brassport-quota/tests/golden.rs
@@ -1,9 +1,9 @@
 //! Golden bytes: counts and loans as they stand in messages, and the hash that stands for a tenant, held against fixtures
 //! in `tests/golden`.
 
-#[path = "../../telegraph/tests/common/fixture.rs"]
+#[path = "../../brassport-transport/tests/common/fixture.rs"]
 mod fixture;
-#[path = "../../telegraph/tests/common/hex.rs"]
+#[path = "../../brassport-transport/tests/common/hex.rs"]
 mod hex;
 
 use brassport_quota::{tenant_id, Borrower, Lender, Limit, Loan, Use};
--- a/crates/telegraph/src/lib.rs
+++ b/crates/brassport-transport/src/lib.rs
@@ -5,7 +5,7 @@
 //! decides; the crates above say what is sent.
 //!
 //! ```
-//! use telegraph::frame;
+//! use brassport_transport::frame;
 //! let bytes = frame::encode(&("place", 7_u64));
 //! assert_eq!(frame::decode::<(String, u64)>(&bytes), Some(("place".to_owned(), 7)));
 //! ```
--- a/crates/telegraph/tests/golden.rs
+++ b/crates/brassport-transport/tests/golden.rs
@@ -6,6 +6,9 @@
 #[path = "common/hex.rs"]
 mod hex;
 
+use brassport_transport::frame;
+use brassport_transport::links::Links;
+use brassport_transport::views::{Aged, Member, Views};
 use hex::hex;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::BTreeMap;
@@ -13,9 +16,6 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 use std::time::Duration;
-use telegraph::frame;
-use telegraph::links::Links;
-use telegraph::views::{Aged, Member, Views};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
--- a/crates/junction/tests/golden.rs
+++ b/crates/junction/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden text: the settings file and its refusals, what the listeners answer, byte by byte, and what `junction status`
 //! asks and prints, held against fixtures in `tests/golden`.
 
-#[path = "../../telegraph/tests/common/fixture.rs"]
+#[path = "../../brassport-transport/tests/common/fixture.rs"]
 mod fixture;
 
 use brassport_config_store::store::FILE as STORE_FILE;
