--- a/crates/sidings/src/lib.rs
+++ b/crates/brassport-testbed/src/lib.rs
@@ -3,7 +3,7 @@
 //! - [`site`] lays out the settings files and runs each [`door`] as a real process.
 //! - [`backend`] stands in for backends, [`operator`] for the operator, [`clients`] for clients and the platform.
 //! - [`history`] is what all of them saw; [`rules`] judges it.
-//! - [`play`] puts them together; the program `junction-try` plays once and says which rules were kept.
+//! - [`play`] puts them together; the program `brassport-testbed` plays once and says which rules were kept.
 //!
 //! Everything listens on 127.x.y.z addresses. Nothing here is part of the gateway.
 #![forbid(unsafe_code)]
--- a/crates/sidings/src/main.rs
+++ b/crates/brassport-testbed/src/main.rs
@@ -1,10 +1,10 @@
 //! Plays a whole small site on loopback, and says which rules were kept.
 #![forbid(unsafe_code)]
 
+use brassport_testbed::play::{block_on, play, Terms};
+use brassport_testbed::site::junction_beside;
 use gumdrop::Options;
 use miette::miette;
-use sidings::play::{block_on, play, Terms};
-use sidings::site::junction_beside;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -42,7 +42,7 @@
     let words = match Words::parse_args_default(&words) {
         Ok(words) => words,
         Err(error) => {
-            eprintln!("junction-try: {error}; see junction-try --help");
+            eprintln!("brassport-testbed: {error}; see brassport-testbed --help");
             return ExitCode::from(2);
         }
     };
@@ -55,7 +55,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(report) => {
-            eprintln!("junction-try: {report}");
+            eprintln!("brassport-testbed: {report}");
             if let Some(help) = report.help() {
                 eprintln!("  {help}");
             }
--- a/crates/sidings/src/site.rs
+++ b/crates/brassport-testbed/src/site.rs
@@ -77,7 +77,7 @@
     /// # Errors
     /// No free ports were found, or there is no room for the folder.
     pub fn lay(layout: &Layout) -> miette::Result<Site> {
-        let folder = tempfile::Builder::new().prefix("sidings-").tempdir().into_diagnostic()?;
+        let folder = tempfile::Builder::new().prefix("brassport-testbed-").tempdir().into_diagnostic()?;
         let count = layout.counted + layout.others;
         let seed = u64::from(std::process::id()) << 20 | u64::from(clock_nanos() >> 10);
         let mut random = oorandom::Rand32::new(seed);
--- a/crates/sidings/tests/common/mod.rs
+++ b/crates/brassport-testbed/tests/common/mod.rs
@@ -3,12 +3,12 @@
 // Each test program uses some of it.
 #![allow(dead_code)]
 
-use sidings::backend::Backend;
-use sidings::configuration::Plan;
-use sidings::history::Journal;
-use sidings::operator::Operator;
-use sidings::play::backends;
-use sidings::site::{Layout, Site};
+use brassport_testbed::backend::Backend;
+use brassport_testbed::configuration::Plan;
+use brassport_testbed::history::Journal;
+use brassport_testbed::operator::Operator;
+use brassport_testbed::play::backends;
+use brassport_testbed::site::{Layout, Site};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 
 /// The folder that this build's programs lie in.
 pub fn programs() -> &'static Path {
-    Path::new(env!("CARGO_BIN_EXE_junction-try")).parent().expect("a folder")
+    Path::new(env!("CARGO_BIN_EXE_brassport-testbed")).parent().expect("a folder")
 }
 
 /// The gateway's program, built as these tests are: cargo builds the programs of a test's own package only.
@@ -101,10 +101,11 @@
         for door in &self.site.doors {
             let since = Instant::now();
             let found = loop {
-                let answer = sidings::operator::call(door.control(), "GET", "/Config.Read", None, &[]).await;
+                let answer =
+                    brassport_testbed::operator::call(door.control(), "GET", "/Config.Read", None, &[]).await;
                 let found = answer
                     .filter(|(_, answer)| answer.status == 200)
-                    .and_then(|(_, answer)| sidings::configuration::read(&answer.body));
+                    .and_then(|(_, answer)| brassport_testbed::configuration::read(&answer.body));
                 if found.is_some() || since.elapsed() > patience {
                     break found;
                 }
--- a/crates/sidings/tests/losses.rs
+++ b/crates/brassport-testbed/tests/losses.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
+use brassport_testbed::clients::{Client, Platform, Wish};
+use brassport_testbed::configuration::{digits, Plan, HOST};
+use brassport_testbed::history::Ending;
+use brassport_testbed::operator::{call, Operator, Said};
+use brassport_testbed::play::block_on;
 use common::{Serving, TO_COME_UP};
 use serde_json::{json, Value};
-use sidings::clients::{Client, Platform, Wish};
-use sidings::configuration::{digits, Plan, HOST};
-use sidings::history::Ending;
-use sidings::operator::{call, Operator, Said};
-use sidings::play::block_on;
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -45,7 +45,7 @@
         let mut serving = Serving::start().await;
         let plan = serving.next();
         serving.put(plan.clone()).await;
-        serving.site.doors.iter_mut().for_each(sidings::door::Door::kill);
+        serving.site.doors.iter_mut().for_each(brassport_testbed::door::Door::kill);
         let since = Instant::now();
         serving.site.start_all().expect("they start again");
         for door in &serving.site.doors {
@@ -65,7 +65,7 @@
         let mut serving = Serving::start().await;
         let plan = serving.next();
         let last = serving.put(plan.clone()).await;
-        serving.site.doors.iter_mut().take(3).for_each(sidings::door::Door::kill);
+        serving.site.doors.iter_mut().take(3).for_each(brassport_testbed::door::Door::kill);
         assert!(last < 3, "a door without a disk acknowledged");
         serving.site.doors[last].wipe().expect("it is emptied");
         assert!(serving.site.settings(last, false).contains("firstStart: false"));
--- a/crates/sidings/tests/metrics.rs
+++ b/crates/brassport-testbed/tests/metrics.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
+use brassport_testbed::clients::{Client, Platform, Wish};
+use brassport_testbed::http;
+use brassport_testbed::play::block_on;
 use common::Serving;
-use sidings::clients::{Client, Platform, Wish};
-use sidings::http;
-use sidings::play::block_on;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
--- a/crates/sidings/tests/rules.rs
+++ b/crates/brassport-testbed/tests/rules.rs
@@ -1,9 +1,9 @@
 //! Each rule passes a sound history, and shows red on one that breaks just this rule.
 
-use sidings::configuration::Plan;
-use sidings::history::{Disturbance, History, Outcome, Run, Sent, Try};
-use sidings::http::Failure;
-use sidings::rules::ALL;
+use brassport_testbed::configuration::Plan;
+use brassport_testbed::history::{Disturbance, History, Outcome, Run, Sent, Try};
+use brassport_testbed::http::Failure;
+use brassport_testbed::rules::ALL;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 const DOOR: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(127, 64, 1, 1), 12_000);
--- a/crates/sidings/tests/schedules.rs
+++ b/crates/brassport-testbed/tests/schedules.rs
@@ -2,17 +2,17 @@
 //! write on top of what they last read. Kills, freezes, one-way cuts, the whole core killed, and at the end a disk lost
 //! right behind an acknowledgement. What the operators saw is judged for linearizability.
 //!
-//! `SIDINGS_SCHEDULES=100 SIDINGS_FIRST=1 cargo test --release -p sidings --test schedules -- --nocapture`
+//! `TESTBED_SCHEDULES=100 TESTBED_FIRST=1 cargo test --release -p brassport-testbed --test schedules -- --nocapture`
 
 mod common;
 
 use brassport_checkers::versions::{judge, Answered, Asked, Operation};
+use brassport_testbed::configuration::{read, Plan};
+use brassport_testbed::operator::call;
+use brassport_testbed::play::block_on;
+use brassport_testbed::relays::Relays;
+use brassport_testbed::site::{Layout, Site};
 use oorandom::Rand64;
-use sidings::configuration::{read, Plan};
-use sidings::operator::call;
-use sidings::play::block_on;
-use sidings::relays::Relays;
-use sidings::site::{Layout, Site};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -159,7 +159,7 @@
                 relays.join();
             }
             _ => {
-                site.doors.iter_mut().for_each(sidings::door::Door::kill);
+                site.doors.iter_mut().for_each(brassport_testbed::door::Door::kill);
                 sleep(Duration::from_millis(draw(300) as u64)).await;
                 site.start_all().expect("they start again");
             }
@@ -174,7 +174,7 @@
         sleep(Duration::from_millis(1)).await;
     }
     let by = shared.acknowledged_by.get().and_then(|at| shared.controls.iter().position(|door| *door == at));
-    site.doors.iter_mut().for_each(sidings::door::Door::kill);
+    site.doors.iter_mut().for_each(brassport_testbed::door::Door::kill);
     site.doors[by.unwrap_or_default()].wipe().expect("it is emptied");
     site.start_all().expect("they start again");
     sleep(Duration::from_millis(3_000)).await;
@@ -209,8 +209,8 @@
 
 #[test]
 fn what_operators_see_of_real_processes_is_linearizable() {
-    let (first, count) = (number("SIDINGS_FIRST", 1), number("SIDINGS_SCHEDULES", 3));
-    let lanes = number("SIDINGS_LANES", 3).min(count);
+    let (first, count) = (number("TESTBED_FIRST", 1), number("TESTBED_SCHEDULES", 3));
+    let lanes = number("TESTBED_LANES", 3).min(count);
     let lane = move |lane: u64| {
         let seeds: Vec<u64> = (first + lane..first + count).step_by(lanes as usize).collect();
         let played = seeds.into_iter().map(|seed| (seed, block_on(schedule(seed)).expect("a runtime")));
--- a/crates/sidings/tests/soak.rs
+++ b/crates/brassport-testbed/tests/soak.rs
@@ -2,19 +2,19 @@
 //! middle; doors are told to end, killed, frozen and sent SIGHUP, in series that overlap; backends come, leave and crash;
 //! the configuration changes in bursts. What everybody saw is judged by the rules.
 //!
-//! `SIDINGS_SOAKS=50 SIDINGS_FIRST=1 SIDINGS_DOORS=5 cargo test --release -p sidings --test soak -- --nocapture`
+//! `TESTBED_SOAKS=50 TESTBED_FIRST=1 TESTBED_DOORS=5 cargo test --release -p brassport-testbed --test soak -- --nocapture`
 
 mod common;
 
+use brassport_testbed::backend::Backend;
+use brassport_testbed::clients::{Client, Platform, Wish};
+use brassport_testbed::configuration::{Plan, SERVICES};
+use brassport_testbed::history::{Ending, Journal};
+use brassport_testbed::operator::Operator;
+use brassport_testbed::play::{backend, backends, block_on, clients};
+use brassport_testbed::report::Report;
+use brassport_testbed::site::{Layout, Site, GRACE};
 use oorandom::Rand64;
-use sidings::backend::Backend;
-use sidings::clients::{Client, Platform, Wish};
-use sidings::configuration::{Plan, SERVICES};
-use sidings::history::{Ending, Journal};
-use sidings::operator::Operator;
-use sidings::play::{backend, backends, block_on, clients};
-use sidings::report::Report;
-use sidings::site::{Layout, Site, GRACE};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -354,9 +354,9 @@
 
 #[test]
 fn what_overlaps_breaks_no_rule() {
-    let (first, count) = (number("SIDINGS_FIRST", 1), number("SIDINGS_SOAKS", SOAKS));
-    let lanes = number("SIDINGS_LANES", SOAKS).min(count);
-    let doors = number("SIDINGS_DOORS", DOORS) as usize;
+    let (first, count) = (number("TESTBED_FIRST", 1), number("TESTBED_SOAKS", SOAKS));
+    let lanes = number("TESTBED_LANES", SOAKS).min(count);
+    let doors = number("TESTBED_DOORS", DOORS) as usize;
     let lane = move |lane: u64| {
         let seeds = (first + lane..first + count).step_by(lanes as usize);
         seeds
--- a/crates/sidings/tests/whole_site.rs
+++ b/crates/brassport-testbed/tests/whole_site.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use brassport_testbed::play::{block_on, play, Terms};
 use common::{junction, ALONE};
-use sidings::play::{block_on, play, Terms};
 use std::process::Command;
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
 #[test]
 fn words_that_make_no_sense_are_refused() {
     for words in [&["--kill", "6"][..], &["--for", "soon"], &["--nothing"], &["--for", "0s"]] {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_junction-try"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_brassport-testbed"));
         let output = command.args(words).output().expect("it runs");
         assert_eq!(output.status.code(), Some(2), "{words:?}");
     }
--- a/crates/junction/src/command.rs
+++ b/crates/junction/src/command.rs
@@ -72,7 +72,7 @@
 
 #[derive(Debug, Options)]
 struct Rest {
-    #[options(free, help = "the words of junction-try, options among them")]
+    #[options(free, help = "the words of brassport-testbed, options among them")]
     words: Vec<String>,
 }
 
@@ -197,7 +197,7 @@
 
 /// Becomes the program that tries a site; returns only where it can't.
 fn try_site(words: &[String]) -> miette::Result<()> {
-    let beside = std::env::current_exe().unwrap_or_default().with_file_name("junction-try");
+    let beside = std::env::current_exe().unwrap_or_default().with_file_name("brassport-testbed");
     let error = Command::new(&beside).args(words).exec();
     Err(miette::miette!(
         help = "`cargo build --release --workspace` makes it",
