--- a/crates/junction/src/command.rs
+++ b/crates/brassport-gateway/src/command.rs
@@ -36,7 +36,7 @@
     Status(Addresses),
     #[options(help = "say what a voter's store holds; the process that owns it must not run")]
     Store(File),
-    #[options(help = "try a whole small site on loopback; see junction try --help")]
+    #[options(help = "try a whole small site on loopback; see brassport-gateway try --help")]
     Try(Rest),
 }
 
@@ -85,16 +85,16 @@
     let words = match Words::parse_args_default(&words) {
         Ok(words) => words,
         Err(error) => {
-            eprintln!("junction: {error}; see junction --help");
+            eprintln!("brassport-gateway: {error}; see brassport-gateway --help");
             return ExitCode::from(2);
         }
     };
     if words.version {
-        println!("junction {}", env!("CARGO_PKG_VERSION"));
+        println!("brassport-gateway {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
     let Some(verb) = words.verb.filter(|_| !words.help) else {
-        println!("The gateway.\n\njunction VERB\n\n{}", Words::usage());
+        println!("The gateway.\n\nbrassport-gateway VERB\n\n{}", Words::usage());
         println!("\nVerbs:\n{}", Words::command_list().unwrap_or_default());
         return if words.help { ExitCode::SUCCESS } else { ExitCode::from(2) };
     };
@@ -105,7 +105,7 @@
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
-            eprintln!("junction: {report:?}");
+            eprintln!("brassport-gateway: {report:?}");
             ExitCode::FAILURE
         }
     }
@@ -139,7 +139,7 @@
         Verb::Difference(Two { files }) => {
             let [older, newer] = &files[..] else {
                 return Err(miette::miette!(
-                    help = "junction difference OLDER NEWER",
+                    help = "brassport-gateway difference OLDER NEWER",
                     "two files are wanted"
                 ));
             };
@@ -151,7 +151,7 @@
         Verb::Status(Addresses { addresses, json }) => {
             if addresses.is_empty() {
                 return Err(miette::miette!(
-                    help = "junction status 10.0.0.1:8381 ...",
+                    help = "brassport-gateway status 10.0.0.1:8381 ...",
                     "an address is wanted"
                 ));
             }
@@ -215,9 +215,9 @@
     Ok(Document::from_bytes(&bytes)?)
 }
 
-/// Lines to standard error; how many is said by `JUNCTION_LOG` (error, warn, info, debug).
+/// Lines to standard error; how many is said by `BRASSPORT_GATEWAY_LOG` (error, warn, info, debug).
 fn logs() -> miette::Result<()> {
-    let level = std::env::var("JUNCTION_LOG").ok().and_then(|text| text.parse().ok());
+    let level = std::env::var("BRASSPORT_GATEWAY_LOG").ok().and_then(|text| text.parse().ok());
     fern::Dispatch::new()
         .format(|out, message, record| out.finish(format_args!("{} {message}", record.level())))
         .level(level.unwrap_or(log::LevelFilter::Info))
--- a/crates/junction/src/main.rs
+++ b/crates/brassport-gateway/src/main.rs
@@ -10,5 +10,5 @@
         report(panic);
         std::process::abort();
     }));
-    junction::command::main(std::env::args().skip(1).collect())
+    brassport_gateway::command::main(std::env::args().skip(1).collect())
 }
--- a/crates/junction/src/settings.rs
+++ b/crates/brassport-gateway/src/settings.rs
@@ -75,7 +75,7 @@
 
 /// Settings that can't be used.
 #[derive(Debug, PartialEq, Eq, miette::Diagnostic)]
-#[diagnostic(help("the file is YAML, as DEPLOY says; its path stands in BRASSPORT_CONFIG; `junction check` reads it without starting"))]
+#[diagnostic(help("the file is YAML, as DEPLOY says; its path stands in BRASSPORT_CONFIG; `brassport-gateway check` reads it without starting"))]
 pub struct Fault {
     /// The file.
     pub file: PathBuf,
--- a/crates/junction/tests/golden.rs
+++ b/crates/brassport-gateway/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden text: the settings file and its refusals, what the listeners answer, byte by byte, and what `junction status`
+//! Golden text: the settings file and its refusals, what the listeners answer, byte by byte, and what `brassport-gateway status`
 //! asks and prints, held against fixtures in `tests/golden`.
 
 #[path = "../../brassport-transport/tests/common/fixture.rs"]
@@ -6,8 +6,8 @@
 
 use brassport_config_store::store::FILE as STORE_FILE;
 use brassport_control_plane::call::{Call, Reply};
-use junction::listeners::{self, Called};
-use junction::settings::{Fault, Settings};
+use brassport_gateway::listeners::{self, Called};
+use brassport_gateway::settings::{Fault, Settings};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -34,7 +34,7 @@
 firstStart: true
 counted: true
 limits: {openFiles: 4096, memoryMb: 512.5}
-dataFolder: /var/lib/junction
+dataFolder: /var/lib/brassport-gateway
 reportEveryS: 2.5
 survive: {machines: 1, zones: 1, regions: 1}
 bounds: [drainS=3.5, retryRatio = 0.2, strict=true, loose=false, note=words]
@@ -54,7 +54,7 @@
     assert_eq!(settings.seeds, [Ipv4Addr::new(10, 0, 1, 7), Ipv4Addr::new(10, 0, 2, 9)]);
     assert!(settings.first_start && settings.counted);
     assert_eq!((settings.open_files, settings.memory_mb), (4096, 512.5));
-    assert_eq!(settings.data_folder, Some(PathBuf::from("/var/lib/junction")));
+    assert_eq!(settings.data_folder, Some(PathBuf::from("/var/lib/brassport-gateway")));
     assert_eq!(settings.report_every_s, 2.5);
     let survive = &settings.survive;
     assert_eq!((survive.machines, survive.zones, survive.regions), (1, 1, 1));
@@ -238,7 +238,7 @@
         stream.write_all(answer.as_bytes()).expect("answered");
         String::from_utf8_lossy(&head).into_owned()
     });
-    let mut command = Command::new(env!("CARGO_BIN_EXE_junction"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_brassport-gateway"));
     let output = command.arg("status").args(words).arg(at.to_string()).output().expect("it runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let asked = asked.join().expect("it asked");
@@ -268,7 +268,7 @@
 /// Runs the program on files of a folder: exit code, output and errors; the folder as `FOLDER`.
 fn run_on(folder: &Path, verb: &str, files: &[&str]) -> String {
     let files = files.iter().map(|file| folder.join(file));
-    let mut command = Command::new(env!("CARGO_BIN_EXE_junction"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_brassport-gateway"));
     let output = command.arg(verb).args(files).output().expect("it runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let (out, err) = (text(&output.stdout), text(&output.stderr));
@@ -278,7 +278,7 @@
 
 #[test]
 fn files_are_checked_in_the_same_words() {
-    let folder = std::env::temp_dir().join(format!("junction-golden-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("brassport-gateway-golden-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(folder.join("data")).expect("a folder");
     let older = r#"{"version":"00000001","services":[{"name":"a"}],"hosts":[]}"#;
--- a/crates/brassport-testbed/src/main.rs
+++ b/crates/brassport-testbed/src/main.rs
@@ -2,7 +2,7 @@
 #![forbid(unsafe_code)]
 
 use brassport_testbed::play::{block_on, play, Terms};
-use brassport_testbed::site::junction_beside;
+use brassport_testbed::site::gateway_beside;
 use gumdrop::Options;
 use miette::miette;
 use std::path::PathBuf;
@@ -25,8 +25,8 @@
     kill: Option<usize>,
     #[options(no_short, help = "print lines only, which is what it does anyway")]
     headless: bool,
-    #[options(no_short, meta = "PROGRAM", help = "the gateway (the junction beside this program)")]
-    junction: Option<PathBuf>,
+    #[options(no_short, meta = "PROGRAM", help = "the gateway (the brassport-gateway beside this program)")]
+    gateway: Option<PathBuf>,
 }
 
 fn seconds(text: &str) -> Result<Duration, String> {
@@ -72,7 +72,7 @@
         length: words.length.unwrap_or(Duration::from_secs(10)),
         has_faults: true,
         kill: words.kill.map(|door| door - 1),
-        program: words.junction.map_or_else(junction_beside, Ok)?,
+        program: words.gateway.map_or_else(gateway_beside, Ok)?,
     };
     let report = block_on(async {
         let told = |kind| signal(kind).map_err(|error| miette!("signals: {error}"));
--- a/crates/brassport-testbed/src/site.rs
+++ b/crates/brassport-testbed/src/site.rs
@@ -50,22 +50,22 @@
     folder: TempDir,
 }
 
-/// The program `junction` beside the current executable (or beside the folder `deps` that it lies in).
+/// The program `brassport-gateway` beside the current executable (or beside the folder `deps` that it lies in).
 ///
 /// # Errors
 /// There is none.
-pub fn junction_beside() -> miette::Result<PathBuf> {
+pub fn gateway_beside() -> miette::Result<PathBuf> {
     let own = std::env::current_exe().into_diagnostic()?;
     let mut folder = own.parent().unwrap_or(Path::new("."));
     if folder.ends_with("deps") {
         folder = folder.parent().unwrap_or(folder);
     }
-    let program = folder.join("junction");
+    let program = folder.join("brassport-gateway");
     if program.is_file() {
         return Ok(program);
     }
     Err(miette!(
-        help = "`cargo build -p junction` makes it; --junction names another",
+        help = "`cargo build -p brassport-gateway` makes it; --gateway names another",
         "{}: there is no such program",
         program.display()
     ))
--- a/crates/brassport-testbed/tests/common/mod.rs
+++ b/crates/brassport-testbed/tests/common/mod.rs
@@ -25,19 +25,29 @@
 }
 
 /// The gateway's program, built as these tests are: cargo builds the programs of a test's own package only.
-pub fn junction() -> &'static Path {
+pub fn gateway_program() -> &'static Path {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     PROGRAM.get_or_init(|| {
         let folder = programs();
         let mut command = Command::new(env!("CARGO"));
-        command.args(["build", "--quiet", "--offline", "--package", "junction", "--bin", "junction"]);
-        command.arg("--manifest-path").arg(concat!(env!("CARGO_MANIFEST_DIR"), "/../junction/Cargo.toml"));
+        command.args([
+            "build",
+            "--quiet",
+            "--offline",
+            "--package",
+            "brassport-gateway",
+            "--bin",
+            "brassport-gateway",
+        ]);
+        command
+            .arg("--manifest-path")
+            .arg(concat!(env!("CARGO_MANIFEST_DIR"), "/../brassport-gateway/Cargo.toml"));
         command.arg("--target-dir").arg(folder.parent().expect("the target folder"));
         if folder.ends_with("release") {
             command.arg("--release");
         }
-        assert!(command.status().expect("cargo runs").success(), "junction is not built");
-        folder.join("junction")
+        assert!(command.status().expect("cargo runs").success(), "brassport-gateway is not built");
+        folder.join("brassport-gateway")
     })
 }
 
@@ -57,7 +67,7 @@
 
 impl Serving {
     pub async fn start() -> Serving {
-        let program = junction();
+        let program = gateway_program();
         let alone = ALONE.lock().await;
         let mut site = Site::lay(&Layout::of_five(program)).expect("free ports");
         let journal = Journal::begin();
--- a/crates/brassport-testbed/tests/schedules.rs
+++ b/crates/brassport-testbed/tests/schedules.rs
@@ -114,7 +114,7 @@
 }
 
 async fn schedule(seed: u64) -> Seen {
-    let program = common::junction();
+    let program = common::gateway_program();
     let layout = Layout { counted: DOORS, others: 0, program: program.into(), has_relays: true };
     let mut site = Site::lay(&layout).expect("free ports");
     let relays = Relays::begin(&site).await.expect("the relays' addresses are free");
--- a/crates/brassport-testbed/tests/soak.rs
+++ b/crates/brassport-testbed/tests/soak.rs
@@ -288,7 +288,7 @@
 
 /// What came of one seed: the report, and what else was found.
 async fn soak(seed: u64, doors: usize) -> (Report, Vec<String>, String) {
-    let program = common::junction();
+    let program = common::gateway_program();
     let layout =
         Layout { counted: COUNTED, others: doors - COUNTED, program: program.into(), has_relays: false };
     let mut site = Site::lay(&layout).expect("free ports");
--- a/crates/brassport-testbed/tests/whole_site.rs
+++ b/crates/brassport-testbed/tests/whole_site.rs
@@ -3,14 +3,18 @@
 mod common;
 
 use brassport_testbed::play::{block_on, play, Terms};
-use common::{junction, ALONE};
+use common::{gateway_program, ALONE};
 use std::process::Command;
 use std::time::Duration;
 
 #[test]
 fn five_doors_serve_and_keep_all_rules() {
-    let terms =
-        Terms { length: Duration::from_secs(6), has_faults: false, kill: None, program: junction().into() };
+    let terms = Terms {
+        length: Duration::from_secs(6),
+        has_faults: false,
+        kill: None,
+        program: gateway_program().into(),
+    };
     let _alone = ALONE.blocking_lock();
     let report = block_on(play(&terms)).expect("a runtime").expect("the site comes up");
     println!("{report}");
@@ -26,9 +30,9 @@
 
 #[test]
 fn the_gateways_verb_plays_with_a_killed_and_a_rolled_door() {
-    let mut command = Command::new(junction());
+    let mut command = Command::new(gateway_program());
     let _alone = ALONE.blocking_lock();
-    let output = command.args(["try", "--for", "8s"]).output().expect("junction runs");
+    let output = command.args(["try", "--for", "8s"]).output().expect("brassport-gateway runs");
     let said = String::from_utf8_lossy(&output.stdout);
     println!("{said}");
     assert!(output.status.success(), "{said}\n{}", String::from_utf8_lossy(&output.stderr));
