--- a/crates/brassport-appliance/tests/dns.rs
+++ b/crates/brassport-appliance/tests/dns.rs
@@ -4,9 +4,9 @@
 
 use brassport::clock::SystemClock;
 use brassport::network::Tcp;
-use brassport_standin::cluster::Cluster;
-use brassport_standin::dns::{Data, Resolvers, Trouble, Zone};
-use brassport_standin::nomad::Servers;
+use brassport_fakes::cluster::Cluster;
+use brassport_fakes::dns::{Data, Resolvers, Trouble, Zone};
+use brassport_fakes::nomad::Servers;
 use common::{program, send, status, PATIENCE};
 use serde_json::Value;
 use std::io::{Read, Write};
--- a/crates/brassport-appliance/tests/nomad.rs
+++ b/crates/brassport-appliance/tests/nomad.rs
@@ -1,9 +1,9 @@
 //! The whole program with `--config`, its nodes told by a stand-in of Nomad, under load.
 
 use brassport::clock::SystemClock;
+use brassport_fakes::cluster::Cluster;
+use brassport_fakes::nomad::{Servers, Trouble};
 use brassport_processes::port::reserve;
-use brassport_standin::cluster::Cluster;
-use brassport_standin::nomad::{Servers, Trouble};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
--- a/crates/brassport-nomad/tests/source.rs
+++ b/crates/brassport-nomad/tests/source.rs
@@ -2,11 +2,11 @@
 
 use brassport::clock::SystemClock;
 use brassport::network::Tcp;
+use brassport_fakes::cluster::Cluster;
+use brassport_fakes::nomad::{Servers, Trouble};
 use brassport_membership::book::{Book, Moment, Report, State};
 use brassport_nomad::{Host, Server, Settings, Source, Token};
 use brassport_processes::port::reserve;
-use brassport_standin::cluster::Cluster;
-use brassport_standin::nomad::{Servers, Trouble};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/brassport-nomad/tests/tls.rs
+++ b/crates/brassport-nomad/tests/tls.rs
@@ -3,10 +3,10 @@
 
 use brassport::clock::SystemClock;
 use brassport::network::Tcp;
+use brassport_fakes::cluster::Cluster;
+use brassport_fakes::nomad::Servers;
 use brassport_nomad::tls::{Files, Tls};
 use brassport_nomad::{Host, Server, Settings, Source};
-use brassport_standin::cluster::Cluster;
-use brassport_standin::nomad::Servers;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
--- a/crates/brassport-sim/src/dns.rs
+++ b/crates/brassport-sim/src/dns.rs
@@ -8,10 +8,10 @@
 use brassport::config::Feed;
 use brassport_dns::follower::Options;
 use brassport_dns::source::{self, Source};
+use brassport_fakes::dns::{Resolvers, Trouble, Zone};
 use brassport_membership::book::Report;
 use brassport_resolver::question::Name;
 use brassport_resolver::resolver::Settings;
-use brassport_standin::dns::{Resolvers, Trouble, Zone};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -164,7 +164,7 @@
     }
 
     fn zone(&self) -> BTreeMap<String, SocketAddr> {
-        use brassport_standin::dns::Data;
+        use brassport_fakes::dns::Data;
         let zone = self.resolvers.zone();
         let places = zone.records.get(SERVICE).into_iter().flatten();
         let node = |data: &Data| {
