--- a/crates/brassport-appliance/tests/common/mod.rs
+++ b/crates/brassport-appliance/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use brassport_processes::port::reserve;
+use brassport_process_harness::port::reserve;
 use brassport_state::files::Directory;
 use brassport_state::store::Store;
 use serde_json::{json, Value};
--- a/crates/brassport-appliance/tests/nomad.rs
+++ b/crates/brassport-appliance/tests/nomad.rs
@@ -3,7 +3,7 @@
 use brassport::clock::SystemClock;
 use brassport_fakes::cluster::Cluster;
 use brassport_fakes::nomad::{Servers, Trouble};
-use brassport_processes::port::reserve;
+use brassport_process_harness::port::reserve;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
--- a/crates/brassport-nomad/tests/source.rs
+++ b/crates/brassport-nomad/tests/source.rs
@@ -6,7 +6,7 @@
 use brassport_fakes::nomad::{Servers, Trouble};
 use brassport_membership::book::{Book, Moment, Report, State};
 use brassport_nomad::{Host, Server, Settings, Source, Token};
-use brassport_processes::port::reserve;
+use brassport_process_harness::port::reserve;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/brassport-peers/tests/processes.rs
+++ b/crates/brassport-peers/tests/processes.rs
@@ -2,7 +2,7 @@
 //!
 //! A campaign: BRASSPORT_SCHEDULES=100 BRASSPORT_FIRST=1 cargo test --release -p brassport-peers --test processes
 
-use brassport_processes::fleet::{Fleet, Outcome};
+use brassport_process_harness::fleet::{Fleet, Outcome};
 use std::path::Path;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Mutex;
--- a/crates/brassport-peers/tests/tasks.rs
+++ b/crates/brassport-peers/tests/tasks.rs
@@ -2,7 +2,7 @@
 //!
 //! A campaign: BRASSPORT_SCHEDULES=200 BRASSPORT_FIRST=1 cargo test --release -p brassport-peers --test tasks -- --nocapture
 
-use brassport_processes::fleet::{Acts, Fleet};
+use brassport_process_harness::fleet::{Acts, Fleet};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::atomic::{AtomicU32, Ordering};
--- a/crates/brassport/tests/common/mod.rs
+++ b/crates/brassport/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! The built program against small scripted peers, over loopback.
 #![allow(dead_code, reason = "each test program uses its own part")]
 
-pub use brassport_processes::port::reserve;
+pub use brassport_process_harness::port::reserve;
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
--- a/crates/brassport/tests/hooks.rs
+++ b/crates/brassport/tests/hooks.rs
@@ -7,7 +7,7 @@
 use brassport::{front_door_with, Surroundings};
 use brassport_membership::book::{Entry, Report, Source};
 use brassport_policy::{Class, Effect, Plan, RequestId, Settings};
-use brassport_processes::port::reserve;
+use brassport_process_harness::port::reserve;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
