--- a/crates/brassport-config-store/src/configuration/change.rs
+++ b/crates/brassport-config-store/src/configuration/change.rs
@@ -2,12 +2,12 @@
 
 use super::check::{list, Seen};
 use super::layout::{join, wrong_type};
-use super::{normal_host, Fault};
+use super::{normalize_host, ValidationError};
 use serde_json::{Map, Value};
 use std::collections::{HashMap, HashSet};
 
 /// Applies a change to a document, noting what the change itself gets wrong.
-pub fn apply(raw: &mut Map<String, Value>, change: &Map<String, Value>, faults: &mut Vec<Fault>) {
+pub fn apply(raw: &mut Map<String, Value>, change: &Map<String, Value>, faults: &mut Vec<ValidationError>) {
     let none = Map::new();
     let put = object(change, "put", faults).unwrap_or(&none);
     let remove = object(change, "remove", faults).unwrap_or(&none);
@@ -17,7 +17,7 @@
         let names = names(remove, field, faults);
         match field.as_str() {
             "hosts" => {
-                let gone: HashSet<_> = names.iter().map(|name| normal_host(name)).collect();
+                let gone: HashSet<_> = names.iter().map(|name| normalize_host(name)).collect();
                 entries(raw).retain(|entry| !host_of(entry).is_some_and(|host| gone.contains(&*host)));
             }
             "routes" => {
@@ -55,14 +55,14 @@
     }
 }
 
-fn misplaced(at: &str, what: &str) -> Fault {
-    Fault::BadValue { at: at.to_owned(), what: format!("is out of place: {what}") }
+fn misplaced(at: &str, what: &str) -> ValidationError {
+    ValidationError::BadValue { at: at.to_owned(), what: format!("is out of place: {what}") }
 }
 
 fn object<'a>(
     raw: &'a Map<String, Value>,
     field: &str,
-    faults: &mut Vec<Fault>,
+    faults: &mut Vec<ValidationError>,
 ) -> Option<&'a Map<String, Value>> {
     match raw.get(field) {
         None | Some(Value::Null) => None,
@@ -75,7 +75,11 @@
 }
 
 /// The names in a list of `remove`.
-fn names<'a>(remove: &'a Map<String, Value>, field: &str, faults: &mut Vec<Fault>) -> HashSet<&'a str> {
+fn names<'a>(
+    remove: &'a Map<String, Value>,
+    field: &str,
+    faults: &mut Vec<ValidationError>,
+) -> HashSet<&'a str> {
     let mut names = HashSet::new();
     for (place, name) in list(remove, "remove", field, faults).iter().enumerate() {
         match name {
@@ -93,7 +97,7 @@
 }
 
 fn host_of(entry: &Value) -> Option<String> {
-    entry.get("host").and_then(Value::as_str).map(|host| normal_host(host).into_owned())
+    entry.get("host").and_then(Value::as_str).map(|host| normalize_host(host).into_owned())
 }
 
 fn paths_of(entry: &Value) -> Option<&Vec<Value>> {
@@ -128,7 +132,12 @@
 }
 
 /// The name of a put item, which must have one that no other has.
-fn put_name<'a>(item: &'a Value, at: &str, seen: &mut Seen, faults: &mut Vec<Fault>) -> Option<&'a str> {
+fn put_name<'a>(
+    item: &'a Value,
+    at: &str,
+    seen: &mut Seen,
+    faults: &mut Vec<ValidationError>,
+) -> Option<&'a str> {
     match item.get("name") {
         Some(Value::String(name)) => {
             seen.name(name, at, faults);
@@ -139,7 +148,7 @@
             None
         }
         None | Some(Value::Null) => {
-            faults.push(Fault::Missing { at: join(at, "name") });
+            faults.push(ValidationError::Missing { at: join(at, "name") });
             None
         }
         Some(other) => {
@@ -150,7 +159,7 @@
 }
 
 /// Adds items to a list, or replaces those of the same name in their places.
-fn put_items(raw: &mut Map<String, Value>, field: &str, put: &[Value], faults: &mut Vec<Fault>) {
+fn put_items(raw: &mut Map<String, Value>, field: &str, put: &[Value], faults: &mut Vec<ValidationError>) {
     let mut seen = Seen::default();
     for (place, item) in put.iter().enumerate() {
         put_name(item, &format!("put.{field}[{place}]"), &mut seen, faults);
@@ -182,7 +191,7 @@
     raw: &mut Map<String, Value>,
     put: &[Value],
     touched: &mut HashSet<String>,
-    faults: &mut Vec<Fault>,
+    faults: &mut Vec<ValidationError>,
 ) {
     let entries = entries(raw);
     let mut places = HashMap::new();
@@ -226,15 +235,15 @@
 fn put_host<'a>(
     entry: &'a Value,
     at: &str,
-    faults: &mut Vec<Fault>,
+    faults: &mut Vec<ValidationError>,
 ) -> Option<(String, &'a Map<String, Value>)> {
     let Value::Object(fields) = entry else {
         faults.push(wrong_type(at, entry, "an object"));
         return None;
     };
     match fields.get("host") {
-        Some(Value::String(host)) => return Some((normal_host(host).into_owned(), fields)),
-        None | Some(Value::Null) => faults.push(Fault::Missing { at: join(at, "host") }),
+        Some(Value::String(host)) => return Some((normalize_host(host).into_owned(), fields)),
+        None | Some(Value::Null) => faults.push(ValidationError::Missing { at: join(at, "host") }),
         Some(other) => faults.push(wrong_type(&join(at, "host"), other, "a text")),
     }
     None
--- a/crates/brassport-config-store/src/configuration/check.rs
+++ b/crates/brassport-config-store/src/configuration/check.rs
@@ -1,7 +1,9 @@
 //! Reads the whole document as a [`Configuration`], with the checks across items.
 
 use super::layout::{join, read, wrong_type, LimitsLayout, RouteLayout, ServiceLayout, TenantLayout};
-use super::{normal_host, Configuration, Fault, Faults, Limits, Route, Service, Tenant, Version};
+use super::{
+    normalize_host, Configuration, Limits, Route, Service, Tenant, ValidationError, ValidationErrors, Version,
+};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,7 +11,10 @@
 const USUAL_CONNECTIONS: u32 = 100;
 
 /// Reads a document. With `above`, the version must be above it.
-pub fn configuration(raw: &Map<String, Value>, above: Option<Version>) -> Result<Configuration, Faults> {
+pub fn configuration(
+    raw: &Map<String, Value>,
+    above: Option<Version>,
+) -> Result<Configuration, ValidationErrors> {
     let mut faults = Vec::new();
     let version = version(raw, above, &mut faults);
     let services = services(raw, &mut faults);
@@ -17,17 +22,21 @@
     let tenants = tenants(raw, &mut faults);
     let routes = routes(raw, &services, &mut faults);
     if !faults.is_empty() {
-        return Err(Faults(faults));
+        return Err(ValidationErrors(faults));
     }
     let has_keys = !tenants.is_empty();
     Ok(Configuration { version: version.unwrap_or_default(), services, limits, tenants, routes, has_keys })
 }
 
 /// Reads `version`, and holds it against the current one.
-pub fn version(raw: &Map<String, Value>, above: Option<Version>, faults: &mut Vec<Fault>) -> Option<Version> {
+pub fn version(
+    raw: &Map<String, Value>,
+    above: Option<Version>,
+    faults: &mut Vec<ValidationError>,
+) -> Option<Version> {
     let text = match raw.get("version") {
         None | Some(Value::Null) => {
-            faults.push(Fault::Missing { at: "version".to_owned() });
+            faults.push(ValidationError::Missing { at: "version".to_owned() });
             return None;
         }
         Some(Value::String(text)) => text,
@@ -38,19 +47,24 @@
     };
     match (text.parse::<Version>(), above) {
         (Ok(sent), Some(current)) if sent <= current => {
-            faults.push(Fault::OldVersion { sent, current });
+            faults.push(ValidationError::OldVersion { sent, current });
             None
         }
         (Ok(sent), _) => Some(sent),
         (Err(bad), _) => {
-            faults.push(Fault::BadValue { at: "version".to_owned(), what: bad.to_string() });
+            faults.push(ValidationError::BadValue { at: "version".to_owned(), what: bad.to_string() });
             None
         }
     }
 }
 
 /// The items of a list; none where it is left out.
-pub fn list<'a>(raw: &'a Map<String, Value>, at: &str, field: &str, faults: &mut Vec<Fault>) -> &'a [Value] {
+pub fn list<'a>(
+    raw: &'a Map<String, Value>,
+    at: &str,
+    field: &str,
+    faults: &mut Vec<ValidationError>,
+) -> &'a [Value] {
     match raw.get(field) {
         None | Some(Value::Null) => &[],
         Some(Value::Array(items)) => items,
@@ -78,9 +92,9 @@
     }
 
     /// Notes a name, and a fault if it was there before.
-    pub fn name(&mut self, name: &str, at: &str, faults: &mut Vec<Fault>) {
+    pub fn name(&mut self, name: &str, at: &str, faults: &mut Vec<ValidationError>) {
         if let Some(other) = self.note(name.to_owned(), at) {
-            faults.push(Fault::SameName { at: at.to_owned(), other, name: name.to_owned() });
+            faults.push(ValidationError::SameName { at: at.to_owned(), other, name: name.to_owned() });
         }
     }
 }
@@ -94,7 +108,7 @@
     }
 }
 
-fn services(raw: &Map<String, Value>, faults: &mut Vec<Fault>) -> BTreeMap<String, Service> {
+fn services(raw: &Map<String, Value>, faults: &mut Vec<ValidationError>) -> BTreeMap<String, Service> {
     let mut seen = Seen::default();
     let mut services = BTreeMap::new();
     for (place, item) in list(raw, "", "services", faults).iter().enumerate() {
@@ -113,7 +127,7 @@
     services
 }
 
-fn limits(raw: &Map<String, Value>, faults: &mut Vec<Fault>) -> Limits {
+fn limits(raw: &Map<String, Value>, faults: &mut Vec<ValidationError>) -> Limits {
     let usual = Limits::default();
     let item = match raw.get("limits") {
         None | Some(Value::Null) => return usual,
@@ -128,7 +142,7 @@
     }
 }
 
-fn tenants(raw: &Map<String, Value>, faults: &mut Vec<Fault>) -> BTreeMap<String, Tenant> {
+fn tenants(raw: &Map<String, Value>, faults: &mut Vec<ValidationError>) -> BTreeMap<String, Tenant> {
     let mut seen = Seen::default();
     let mut seen_keys = Seen::default();
     let mut tenants = BTreeMap::new();
@@ -139,7 +153,7 @@
         for (place, key) in keys.iter().enumerate() {
             let at = format!("{at}.keys[{place}]");
             if let Some(other) = seen_keys.note(key.clone(), &at) {
-                faults.push(Fault::SharedKey { at, other });
+                faults.push(ValidationError::SharedKey { at, other });
             }
         }
         let Some(name) = read.name else { continue };
@@ -159,7 +173,7 @@
 fn routes(
     raw: &Map<String, Value>,
     services: &BTreeMap<String, Service>,
-    faults: &mut Vec<Fault>,
+    faults: &mut Vec<ValidationError>,
 ) -> Vec<Route> {
     let mut names = Seen::default();
     let mut places = Seen::default();
@@ -177,15 +191,15 @@
             if let Some(name) = &read.name {
                 names.name(name, &at, faults);
             }
-            if let (Some(host), Some(path_start)) = (&host, &read.path_start) {
-                let place = format!("{host}{path_start}");
+            if let (Some(host), Some(path_prefix)) = (&host, &read.path_start) {
+                let place = format!("{host}{path_prefix}");
                 if let Some(other) = places.note(place.clone(), &at) {
-                    faults.push(Fault::SamePlace { at: at.clone(), other, place });
+                    faults.push(ValidationError::SamePlace { at: at.clone(), other, place });
                 }
             }
             let targets = targets(&read, item, &at, services, faults);
             // What is missing here has its fault already.
-            let (Some(name), Some(host), Some(path_start), Some(give_up_s)) =
+            let (Some(name), Some(host), Some(path_prefix), Some(timeout_s)) =
                 (read.name, host.clone(), read.path_start, read.give_up_s)
             else {
                 continue;
@@ -193,13 +207,13 @@
             routes.push(Route {
                 name,
                 host,
-                path_start,
+                path_prefix,
                 kind: read.kind,
-                give_up_s,
-                goal_s: read.goal_s.unwrap_or(give_up_s),
+                timeout_s,
+                latency_target_s: read.goal_s.unwrap_or(timeout_s),
                 rank: read.rank,
                 targets,
-                tries: read.tries,
+                max_attempts: read.tries,
                 public: read.public,
             });
         }
@@ -208,16 +222,16 @@
 }
 
 /// The host of an entry in the form in which it is looked up.
-fn host(entry: &Map<String, Value>, at: &str, faults: &mut Vec<Fault>) -> Option<String> {
+fn host(entry: &Map<String, Value>, at: &str, faults: &mut Vec<ValidationError>) -> Option<String> {
     let at = join(at, "host");
     match entry.get("host") {
-        None | Some(Value::Null) => faults.push(Fault::Missing { at }),
+        None | Some(Value::Null) => faults.push(ValidationError::Missing { at }),
         Some(Value::String(host)) => {
-            let host = normal_host(host);
+            let host = normalize_host(host);
             if !host.is_empty() {
                 return Some(host.into_owned());
             }
-            faults.push(Fault::BadValue { at, what: "is empty".to_owned() });
+            faults.push(ValidationError::BadValue { at, what: "is empty".to_owned() });
         }
         Some(other) => faults.push(wrong_type(&at, other, "a text")),
     }
@@ -230,13 +244,13 @@
     item: &Value,
     at: &str,
     services: &BTreeMap<String, Service>,
-    faults: &mut Vec<Fault>,
+    faults: &mut Vec<ValidationError>,
 ) -> Vec<(String, u32)> {
     let plain = read.service.as_deref().filter(|service| !service.is_empty());
     let split = read.split.as_deref().unwrap_or_default();
     let mut known = |service: &str, at: String| {
         if !services.contains_key(service) {
-            faults.push(Fault::UnknownService { at, service: service.to_owned() });
+            faults.push(ValidationError::UnknownService { at, service: service.to_owned() });
         }
     };
     if let Some(service) = plain {
@@ -262,7 +276,7 @@
     let unread = |field: &str, read: bool| !read && item.get(field).is_some_and(|value| !value.is_null());
     let unread = unread("service", read.service.is_some()) || unread("split", read.split.is_some());
     if targets.is_empty() && whole && !unread && item.is_object() {
-        faults.push(Fault::NoTarget { at: at.to_owned() });
+        faults.push(ValidationError::NoTarget { at: at.to_owned() });
     }
     targets
 }
--- a/crates/brassport-config-store/src/configuration/difference.rs
+++ b/crates/brassport-config-store/src/configuration/difference.rs
@@ -176,7 +176,7 @@
     let by_name = |configuration: &Configuration| -> BTreeMap<String, Route> {
         configuration.routes.iter().map(|route| (route.name.clone(), route.clone())).collect()
     };
-    let place = |route: &Route| format!("{}{}", route.host, route.path_start);
+    let place = |route: &Route| format!("{}{}", route.host, route.path_prefix);
     let (from, to) = (by_name(from), by_name(to));
     for (name, from, to) in pairs(&from, &to) {
         let name = name.clone();
@@ -201,10 +201,10 @@
         }
         let what = Fields::default()
             .note("kind", from.kind, to.kind)
-            .note("giveUpS", from.give_up_s, to.give_up_s)
-            .note("goalS", from.goal_s, to.goal_s)
+            .note("giveUpS", from.timeout_s, to.timeout_s)
+            .note("goalS", from.latency_target_s, to.latency_target_s)
             .note("rank", from.rank, to.rank)
-            .note("tries", from.tries, to.tries)
+            .note("tries", from.max_attempts, to.max_attempts)
             .note("public", from.public, to.public);
         found.extend(what.what().map(|what| Difference::RouteChanged { name, what }));
     }
--- a/crates/brassport-config-store/src/configuration/document.rs
+++ b/crates/brassport-config-store/src/configuration/document.rs
@@ -1,6 +1,6 @@
 //! The document as the operator wrote it.
 
-use super::{change, check, Configuration, Fault, Faults, Version};
+use super::{change, check, Configuration, ValidationError, ValidationErrors, Version};
 use serde_json::{Map, Value};
 use std::fmt;
 use std::sync::Arc;
@@ -38,12 +38,12 @@
     }
 
     /// What the doors read.
-    pub fn parsed(&self) -> &Configuration {
+    pub fn configuration(&self) -> &Configuration {
         &self.parsed
     }
 
     /// `Config.Replace` on top of `self`. Checks everything except `X-Built-On`.
-    pub fn replace(&self, body: &[u8]) -> Result<Document, Faults> {
+    pub fn replace(&self, body: &[u8]) -> Result<Document, ValidationErrors> {
         Document::read(object(body)?, Some(self.version()))
     }
 
@@ -54,7 +54,7 @@
     /// replace the item with the same name in its place; anything else, as `limits`, is replaced
     /// whole. A route put under another host moves there. An entry of a host that loses its last
     /// route goes.
-    pub fn change(&self, body: &[u8]) -> Result<Document, Faults> {
+    pub fn change(&self, body: &[u8]) -> Result<Document, ValidationErrors> {
         let change = object(body)?;
         let mut faults = Vec::new();
         // The version is told of once, with the faults of the change itself.
@@ -66,11 +66,11 @@
         }
         match Document::read(raw, None) {
             Ok(document) if faults.is_empty() => Ok(document),
-            Ok(_) => Err(Faults(faults)),
-            Err(Faults(more)) => {
+            Ok(_) => Err(ValidationErrors(faults)),
+            Err(ValidationErrors(more)) => {
                 let more = more.into_iter().filter(|fault| fault.at() != "version");
                 faults.extend(more);
-                Err(Faults(faults))
+                Err(ValidationErrors(faults))
             }
         }
     }
@@ -82,26 +82,26 @@
     }
 
     /// Reads what [`Document::to_bytes`] gave. Any version will do.
-    pub fn from_bytes(bytes: &[u8]) -> Result<Document, Faults> {
+    pub fn from_bytes(bytes: &[u8]) -> Result<Document, ValidationErrors> {
         Document::read(object(bytes)?, None)
     }
 
-    fn read(raw: Map<String, Value>, above: Option<Version>) -> Result<Document, Faults> {
+    fn read(raw: Map<String, Value>, above: Option<Version>) -> Result<Document, ValidationErrors> {
         let parsed = check::configuration(&raw, above)?;
         Ok(Document { raw: Arc::new(raw), parsed: Arc::new(parsed) })
     }
 }
 
 /// Reads a body as a JSON object.
-fn object(body: &[u8]) -> Result<Map<String, Value>, Faults> {
+fn object(body: &[u8]) -> Result<Map<String, Value>, ValidationErrors> {
     match serde_json::from_slice(body) {
         Ok(Value::Object(object)) => Ok(object),
-        Ok(other) => Err(Faults(vec![super::layout::wrong_type("", &other, "an object")])),
+        Ok(other) => Err(ValidationErrors(vec![super::layout::wrong_type("", &other, "an object")])),
         Err(error) => {
             let (line, column) = (error.line(), error.column());
             let what = error.to_string();
             let what = what.split(" at line ").next().unwrap_or_default().to_owned();
-            Err(Faults(vec![Fault::Unreadable { line, column, what }]))
+            Err(ValidationErrors(vec![ValidationError::Unreadable { line, column, what }]))
         }
     }
 }
--- a/crates/brassport-config-store/src/configuration/fault.rs
+++ b/crates/brassport-config-store/src/configuration/fault.rs
@@ -7,7 +7,7 @@
 /// One fault: what is wrong, where, and the way out (`help`). Keys are never named.
 #[derive(Clone, Debug, PartialEq)]
 #[non_exhaustive]
-pub enum Fault {
+pub enum ValidationError {
     /// The text can't be read as JSON.
     Unreadable {
         /// The line, from 1.
@@ -84,106 +84,106 @@
     },
 }
 
-impl Fault {
+impl ValidationError {
     /// Where the fault is: a path such as `hosts[2].paths[0].service`, empty for the whole. A
     /// change's faults are looked for in what it would result in; only what the change itself
     /// gets wrong stands under `put` and `remove`.
     pub fn at(&self) -> &str {
         match self {
-            Fault::Unreadable { .. } => "",
-            Fault::OldVersion { .. } => "version",
-            Fault::WrongType { at, .. }
-            | Fault::Missing { at }
-            | Fault::BadValue { at, .. }
-            | Fault::UnknownService { at, .. }
-            | Fault::SamePlace { at, .. }
-            | Fault::SameName { at, .. }
-            | Fault::SharedKey { at, .. }
-            | Fault::NoTarget { at } => at,
+            ValidationError::Unreadable { .. } => "",
+            ValidationError::OldVersion { .. } => "version",
+            ValidationError::WrongType { at, .. }
+            | ValidationError::Missing { at }
+            | ValidationError::BadValue { at, .. }
+            | ValidationError::UnknownService { at, .. }
+            | ValidationError::SamePlace { at, .. }
+            | ValidationError::SameName { at, .. }
+            | ValidationError::SharedKey { at, .. }
+            | ValidationError::NoTarget { at } => at,
         }
     }
 
     /// The way out.
-    pub fn way_out(&self) -> &'static str {
+    pub fn help(&self) -> &'static str {
         match self {
-            Fault::Unreadable { .. } => "send the whole document as JSON",
-            Fault::WrongType { .. } => "give the field the type that is wanted",
-            Fault::Missing { .. } => "add the field",
-            Fault::BadValue { .. } => "give the field an allowed value",
-            Fault::OldVersion { .. } => "give it a version above the current one",
-            Fault::UnknownService { .. } => "add the service, or name one that is there",
-            Fault::SamePlace { .. } => "remove one of the routes, or give it another prefix",
-            Fault::SameName { .. } => "remove one of the items, or give it another name",
-            Fault::SharedKey { .. } => "give every key to one tenant, once",
-            Fault::NoTarget { .. } => "name a service, or give a weight above 0 in the split",
+            ValidationError::Unreadable { .. } => "send the whole document as JSON",
+            ValidationError::WrongType { .. } => "give the field the type that is wanted",
+            ValidationError::Missing { .. } => "add the field",
+            ValidationError::BadValue { .. } => "give the field an allowed value",
+            ValidationError::OldVersion { .. } => "give it a version above the current one",
+            ValidationError::UnknownService { .. } => "add the service, or name one that is there",
+            ValidationError::SamePlace { .. } => "remove one of the routes, or give it another prefix",
+            ValidationError::SameName { .. } => "remove one of the items, or give it another name",
+            ValidationError::SharedKey { .. } => "give every key to one tenant, once",
+            ValidationError::NoTarget { .. } => "name a service, or give a weight above 0 in the split",
         }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ValidationError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let whole = if self.at().is_empty() { "the configuration" } else { self.at() };
         match self {
-            Fault::Unreadable { line, column, what } => {
+            ValidationError::Unreadable { line, column, what } => {
                 write!(formatter, "line {line}, column {column}: can't be read: {what}")
             }
-            Fault::WrongType { found, wanted, .. } => {
+            ValidationError::WrongType { found, wanted, .. } => {
                 write!(formatter, "{whole}: is {found}, but {wanted} is wanted")
             }
-            Fault::Missing { .. } => write!(formatter, "{whole}: is missing"),
-            Fault::BadValue { what, .. } => write!(formatter, "{whole}: {what}"),
-            Fault::OldVersion { sent, current } => {
+            ValidationError::Missing { .. } => write!(formatter, "{whole}: is missing"),
+            ValidationError::BadValue { what, .. } => write!(formatter, "{whole}: {what}"),
+            ValidationError::OldVersion { sent, current } => {
                 write!(formatter, "{whole}: {sent} is not above the current {current}")
             }
-            Fault::UnknownService { service, .. } => {
+            ValidationError::UnknownService { service, .. } => {
                 write!(formatter, "{whole}: there is no service {service:?}")
             }
-            Fault::SamePlace { other, place, .. } => {
+            ValidationError::SamePlace { other, place, .. } => {
                 write!(formatter, "{whole}: has host and prefix {place:?} of {other}")
             }
-            Fault::SameName { other, name, .. } => {
+            ValidationError::SameName { other, name, .. } => {
                 write!(formatter, "{whole}: has the name {name:?} of {other}")
             }
-            Fault::SharedKey { other, .. } => write!(formatter, "{whole}: is the key at {other}"),
-            Fault::NoTarget { .. } => write!(formatter, "{whole}: goes to no service"),
+            ValidationError::SharedKey { other, .. } => write!(formatter, "{whole}: is the key at {other}"),
+            ValidationError::NoTarget { .. } => write!(formatter, "{whole}: goes to no service"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ValidationError {}
 
-impl Diagnostic for Fault {
+impl Diagnostic for ValidationError {
     fn help<'a>(&'a self) -> Option<Box<dyn fmt::Display + 'a>> {
-        Some(Box::new(self.way_out()))
+        Some(Box::new(self.help()))
     }
 }
 
 /// All faults of a configuration; at least one. `Display` gives one line for each.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Faults(pub Vec<Fault>);
+pub struct ValidationErrors(pub Vec<ValidationError>);
 
-impl Faults {
+impl ValidationErrors {
     /// The faults in the order in which they were found.
-    pub fn iter(&self) -> std::slice::Iter<'_, Fault> {
+    pub fn iter(&self) -> std::slice::Iter<'_, ValidationError> {
         self.0.iter()
     }
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for ValidationErrors {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (place, fault) in self.0.iter().enumerate() {
             if place > 0 {
                 formatter.write_str("\n")?;
             }
-            write!(formatter, "{fault} ({})", fault.way_out())?;
+            write!(formatter, "{fault} ({})", fault.help())?;
         }
         Ok(())
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for ValidationErrors {}
 
-impl Diagnostic for Faults {
+impl Diagnostic for ValidationErrors {
     fn related<'a>(&'a self) -> Option<Box<dyn Iterator<Item = &'a dyn Diagnostic> + 'a>> {
         Some(Box::new(self.0.iter().map(|fault| fault as &dyn Diagnostic)))
     }
--- a/crates/brassport-config-store/src/configuration/layout.rs
+++ b/crates/brassport-config-store/src/configuration/layout.rs
@@ -1,6 +1,6 @@
 //! The layouts of the document's items, with the checks that concern one field.
 
-use super::{Fault, Kind};
+use super::{Idempotency, ValidationError};
 use schematic::{Config, ConfigError, PartialConfig, PathSegment, ValidateError, ValidateResult};
 use serde_json::{Map, Value};
 
@@ -71,7 +71,7 @@
     pub name: Option<String>,
     #[setting(required, validate = prefix)]
     pub path_start: Option<String>,
-    pub kind: Kind,
+    pub kind: Idempotency,
     #[setting(required, validate = give_up)]
     pub give_up_s: Option<f64>,
     #[setting(validate = above_0)]
@@ -146,8 +146,8 @@
 }
 
 /// Notes that a value is of the wrong type.
-pub fn wrong_type(at: &str, found: &Value, wanted: &str) -> Fault {
-    Fault::WrongType { at: at.to_owned(), found: kind_of(found), wanted: wanted.to_owned() }
+pub fn wrong_type(at: &str, found: &Value, wanted: &str) -> ValidationError {
+    ValidationError::WrongType { at: at.to_owned(), found: kind_of(found), wanted: wanted.to_owned() }
 }
 
 /// Joins a path and a field.
@@ -161,7 +161,7 @@
 
 /// Reads an item as its layout and checks its fields, noting all faults. What can't be read is
 /// left out of the layout, as if the document didn't have it.
-pub fn read<L>(item: &Value, at: &str, faults: &mut Vec<Fault>) -> L
+pub fn read<L>(item: &Value, at: &str, faults: &mut Vec<ValidationError>) -> L
 where
     L: Config,
     L::Partial: PartialConfig<Context = ()>,
@@ -181,10 +181,10 @@
             if message == "this setting is required" {
                 // A field of the wrong type has its fault already.
                 if !known {
-                    faults.push(Fault::Missing { at: join(at, &field) });
+                    faults.push(ValidationError::Missing { at: join(at, &field) });
                 }
             } else {
-                faults.push(Fault::BadValue { at: join(at, &field), what: message });
+                faults.push(ValidationError::BadValue { at: join(at, &field), what: message });
             }
         }
     }
@@ -194,7 +194,11 @@
 
 /// Reads the fields that can be read, and notes those that can't. The values themselves are not
 /// repeated: they may be keys.
-fn readable_fields<P: PartialConfig>(fields: &Map<String, Value>, at: &str, faults: &mut Vec<Fault>) -> P {
+fn readable_fields<P: PartialConfig>(
+    fields: &Map<String, Value>,
+    at: &str,
+    faults: &mut Vec<ValidationError>,
+) -> P {
     let mut readable = Map::new();
     for (name, value) in fields {
         let alone = Value::Object(Map::from_iter([(name.clone(), value.clone())]));
--- a/crates/brassport-config-store/src/configuration/mod.rs
+++ b/crates/brassport-config-store/src/configuration/mod.rs
@@ -20,9 +20,9 @@
 
 pub use difference::{difference, Difference};
 pub use document::Document;
-pub use fault::{Fault, Faults};
-pub use routes::{normal_host, Index};
-pub use version::{BadVersion, Version};
+pub use fault::{ValidationError, ValidationErrors};
+pub use routes::{normalize_host, RouteTable};
+pub use version::{ParseVersionError, Version};
 
 use schematic::ConfigEnum;
 use serde::{Deserialize, Serialize};
@@ -49,7 +49,7 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize, ConfigEnum)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum Idempotency {
     /// It may run more than once.
     Safe,
     /// It runs at most once per try. This is also read where the kind is left out.
@@ -65,20 +65,20 @@
     /// The host in lower case and without a port.
     pub host: String,
     /// The prefix of the path. It begins and ends with a slash.
-    pub path_start: String,
+    pub path_prefix: String,
     /// Whether its requests may run more than once.
-    pub kind: Kind,
+    pub kind: Idempotency,
     /// The longest time a request is held, in seconds: above 0, at most 600.
-    pub give_up_s: f64,
-    /// The time within which an answer earns its full worth, in seconds. Left out: `give_up_s`.
-    pub goal_s: f64,
+    pub timeout_s: f64,
+    /// The time within which an answer earns its full worth, in seconds. Left out: `timeout_s`.
+    pub latency_target_s: f64,
     /// Its rank; 0 is the highest.
     pub rank: u32,
     /// The services and their weights. Every weight is above 0, and there is at least one. A
     /// split's services of weight 0 are left out; a route with a plain `service` has the weight 1.
     pub targets: Vec<(String, u32)>,
     /// The largest number of backends one try may be sent to; at least 1.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Whether it needs no key.
     pub public: bool,
 }
--- a/crates/brassport-config-store/src/configuration/routes.rs
+++ b/crates/brassport-config-store/src/configuration/routes.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 /// A host as it is looked up: in lower case, without a port and without spaces around it.
-pub fn normal_host(host: &str) -> Cow<'_, str> {
+pub fn normalize_host(host: &str) -> Cow<'_, str> {
     let host = host.trim();
     let port = match host.rfind(']') {
         // An address of version 6 in brackets has colons of its own.
@@ -31,17 +31,17 @@
 }
 
 /// Finds routes and tenants. `Debug` shows only how many there are.
-pub struct Index {
+pub struct RouteTable {
     routes: Vec<Route>,
     hosts: HashMap<String, Host>,
     tenants: Vec<Tenant>,
     keys: HashMap<String, usize>,
 }
 
-impl fmt::Debug for Index {
+impl fmt::Debug for RouteTable {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
-            .debug_struct("Index")
+            .debug_struct("RouteTable")
             .field("routes", &self.routes.len())
             .field("hosts", &self.hosts.len())
             .field("tenants", &self.tenants.len())
@@ -50,14 +50,14 @@
     }
 }
 
-impl Index {
+impl RouteTable {
     /// Builds the index of a configuration.
-    pub fn new(configuration: &Configuration) -> Index {
+    pub fn new(configuration: &Configuration) -> RouteTable {
         let mut hosts: HashMap<String, Host> = HashMap::new();
         for (place, route) in configuration.routes.iter().enumerate() {
             let host = hosts.entry(route.host.clone()).or_default();
-            host.longest = host.longest.max(route.path_start.len());
-            host.routes.insert(route.path_start.clone(), place);
+            host.longest = host.longest.max(route.path_prefix.len());
+            host.routes.insert(route.path_prefix.clone(), place);
         }
         let tenants: Vec<Tenant> = configuration.tenants.values().cloned().collect();
         let mut keys = HashMap::new();
@@ -66,14 +66,14 @@
                 keys.insert(key.clone(), place);
             }
         }
-        Index { routes: configuration.routes.clone(), hosts, tenants, keys }
+        RouteTable { routes: configuration.routes.clone(), hosts, tenants, keys }
     }
 
     /// The route of a request: of those of the host, the one with the longest prefix of the path.
     /// The path comes without the query. Prefixes end with a slash, so only what ends with one is
     /// looked up, longest first.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let host = self.hosts.get(&*normal_host(host))?;
+        let host = self.hosts.get(&*normalize_host(host))?;
         let ends = path.bytes().take(host.longest).enumerate().filter(|(_, byte)| *byte == b'/');
         let ends: Vec<usize> = ends.map(|(at, _)| at + 1).collect();
         let place = ends.iter().rev().find_map(|&end| host.routes.get(&path[..end]))?;
--- a/crates/brassport-config-store/src/configuration/version.rs
+++ b/crates/brassport-config-store/src/configuration/version.rs
@@ -15,25 +15,25 @@
 
 /// What was read isn't a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadVersion;
+pub struct ParseVersionError;
 
-impl fmt::Display for BadVersion {
+impl fmt::Display for ParseVersionError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("is not a version: a version is eight hexadecimal digits")
     }
 }
 
-impl std::error::Error for BadVersion {}
+impl std::error::Error for ParseVersionError {}
 
 impl FromStr for Version {
-    type Err = BadVersion;
+    type Err = ParseVersionError;
 
     /// Reads one to eight hexadecimal digits: `X-Built-On` may be a plain `0`.
-    fn from_str(text: &str) -> Result<Version, BadVersion> {
+    fn from_str(text: &str) -> Result<Version, ParseVersionError> {
         let digits = (1..=8).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if !digits {
-            return Err(BadVersion);
+            return Err(ParseVersionError);
         }
-        u32::from_str_radix(text, 16).map(Version).map_err(|_| BadVersion)
+        u32::from_str_radix(text, 16).map(Version).map_err(|_| ParseVersionError)
     }
 }
--- a/crates/brassport-config-store/src/consensus/campaign.rs
+++ b/crates/brassport-config-store/src/consensus/campaign.rs
@@ -2,9 +2,9 @@
 //! itself included, has the promise on disk.
 
 use super::leader::Leading;
-use super::mutants::{is_chosen, Mutant};
+use super::mutants::{is_active, Mutant};
 use super::replica::Replica;
-use super::{Action, Entry, LogIndex, Message, Millis, Term, VoterId};
+use super::{AcceptedEntry, Action, DiskId, Entry, LogIndex, Message, Millis, Term, VoterId};
 use std::collections::BTreeMap;
 
 /// A campaign that has no majority after so long is over; the next one has a higher term.
@@ -48,14 +48,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Promised {
     index: LogIndex,
-    open: Option<(Term, Entry)>,
+    accepted: Option<AcceptedEntry>,
 }
 
 impl Replica {
     /// Campaigns under a term above all that it knows.
     pub(super) fn campaign(&mut self) {
-        let number = self.promised.0.max(self.role.term().map_or(0, |term| term.0)) + 1;
-        let term = (number, self.me.disk);
+        let number = self.promised.number.max(self.role.term().map_or(0, |term| term.number)) + 1;
+        let term = Term::new(number, self.me.disk);
         self.quiet_since = self.now;
         self.role =
             Role::Candidate(Candidate { term, since: self.now, asked: self.now, promises: BTreeMap::new() });
@@ -78,7 +78,7 @@
     pub(super) fn refused(&mut self, term: Term) {
         if self.role.term().is_some_and(|own| term > own) {
             // The next term that it campaigns under is above this one.
-            self.promised = self.promised.max((term.0, 0));
+            self.promised = self.promised.max(Term::new(term.number, DiskId::NONE));
             self.step_down();
         }
     }
@@ -89,15 +89,15 @@
         from: VoterId,
         term: Term,
         index: LogIndex,
-        open: Option<(Term, Entry)>,
+        accepted: Option<AcceptedEntry>,
     ) {
         let Role::Candidate(candidate) = &mut self.role else { return };
         if candidate.term != term {
             return;
         }
-        candidate.promises.insert(from, Promised { index, open });
+        candidate.promises.insert(from, Promised { index, accepted });
         if index > self.state.index {
-            self.actions.push(Action::Fetch(from.ip));
+            self.actions.push(Action::FetchLog(from.ip));
         }
         if from != self.me {
             self.promise_oneself();
@@ -108,30 +108,30 @@
     /// Leads, if a majority has promised by now: the state may have moved on meanwhile.
     pub(super) fn review_campaign(&mut self) {
         let Role::Candidate(candidate) = &self.role else { return };
-        if !self.votes() {
+        if !self.is_voter() {
             // What it learned meanwhile says that it has no vote any more.
             return self.step_down();
         }
         let promised: Vec<&Promised> =
             self.state.voters.iter().filter_map(|voter| candidate.promises.get(voter)).collect();
         // Guards against the same term being taken again after a crash: the own promise is on disk first.
-        let is_own = candidate.promises.contains_key(&self.me) || is_chosen(Mutant::OwnPromiseUnsynced);
+        let is_own = candidate.promises.contains_key(&self.me) || is_active(Mutant::OwnPromiseUnsynced);
         // Guards against a leader that is behind one of those who promised: what it lacks comes first.
         let is_behind = promised.iter().any(|told| told.index > self.state.index);
         if !is_own || is_behind || promised.len() < self.state.majority() {
             return;
         }
         let at_next = promised.into_iter().filter(|told| told.index == self.state.index);
-        let open = at_next.filter_map(|told| told.open.clone()).max_by_key(|(under, _)| *under);
+        let accepted = at_next.filter_map(|told| told.accepted.clone()).max_by_key(|accepted| accepted.term);
         let term = candidate.term;
         self.lead(term);
-        self.adopt_open_entry(open.map(|(_, entry)| entry));
+        self.adopt_open_entry(accepted.map(|accepted| accepted.entry));
     }
 
     /// What may have been chosen under a lower term is finished before anything is judged. Where nothing is open, no entry
     /// is needed to make sure of the majority.
     fn adopt_open_entry(&mut self, open: Option<Entry>) {
-        if let Some(entry) = open.filter(|_| !is_chosen(Mutant::OpenForgotten)) {
+        if let Some(entry) = open.filter(|_| !is_active(Mutant::OpenForgotten)) {
             self.propose(entry, None);
         }
     }
--- a/crates/brassport-config-store/src/consensus/leader.rs
+++ b/crates/brassport-config-store/src/consensus/leader.rs
@@ -1,12 +1,14 @@
 //! The leader: heartbeats, the queue of what is asked of it, its one open proposal, and what it knows of the voters.
 
 use super::campaign::Role;
-use super::mutants::{is_chosen, Mutant};
+use super::mutants::{is_active, Mutant};
 use super::replica::Replica;
-use super::{Action, Entry, LogIndex, Message, Millis, OrderDigest, Outcome, State, Term, VoterId};
+use super::{
+    Action, ChangeScope, ConfigurationRequest, Entry, LogIndex, Message, Millis, Outcome, ReplicatedState,
+    Term, VoterId,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
-use std::sync::Arc;
 
 /// Between two heartbeats.
 const HEARTBEAT: Millis = 120;
@@ -25,23 +27,16 @@
 /// What may be asked of the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Command {
-    /// A configuration of the operator's, whole or a change, on top of a version.
-    Put {
-        /// Whether it is a whole one.
-        is_whole: bool,
-        /// The version it builds on.
-        built_on: u32,
-        /// As it was sent.
-        body: Arc<Vec<u8>>,
-    },
+    /// Change the configuration.
+    Configure(ConfigurationRequest),
     /// The newest state.
     Read,
-    /// Other voters, by one at the most, or other parts of limits.
-    Voters {
+    /// Another set of voters, that differs by one at the most, or another number of quota shares.
+    ChangeVoters {
         /// The voters.
         voters: Vec<VoterId>,
-        /// Parts that limits are cut into.
-        slots: u32,
+        /// How many equal shares tenants' rate limits are cut into.
+        quota_shares: u32,
     },
 }
 
@@ -107,17 +102,17 @@
     /// Voters that are new here count as heard now: their silence begins here.
     fn know(&mut self, voters: &[VoterId], now: Millis) {
         for voter in voters {
-            self.answered.entry(*voter).or_insert(Answered { heartbeat: 0, at: now, index: 0 });
+            self.answered.entry(*voter).or_insert(Answered { heartbeat: 0, at: now, index: LogIndex(0) });
         }
     }
 
     /// Whether a majority answered of late.
-    pub fn has_quorum(&self, now: Millis, state: &State) -> bool {
+    pub fn has_quorum(&self, now: Millis, state: &ReplicatedState) -> bool {
         self.is_majority(state, |answered| now < answered.at + QUORUM_SILENCE)
     }
 
     /// Whether what a majority answered last passes.
-    fn is_majority(&self, state: &State, passes: impl Fn(&Answered) -> bool) -> bool {
+    fn is_majority(&self, state: &ReplicatedState, passes: impl Fn(&Answered) -> bool) -> bool {
         let has_passed = |voter: &&VoterId| self.answered.get(voter).is_some_and(&passes);
         state.voters.iter().filter(has_passed).count() >= state.majority()
     }
@@ -141,7 +136,7 @@
 
 impl Replica {
     /// Whether this machine leads.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
@@ -151,12 +146,12 @@
     }
 
     /// Whether this machine has led for so long.
-    pub fn has_led(&self, now: Millis, long: Millis) -> bool {
+    pub fn has_led_for(&self, now: Millis, long: Millis) -> bool {
         matches!(&self.role, Role::Leader(leading) if now >= leading.since + long)
     }
 
     /// For how long a voter has not answered this leader's heartbeats; `None` if this machine does not lead.
-    pub fn silence_of(&self, voter: VoterId, now: Millis) -> Option<Millis> {
+    pub fn unresponsive_for(&self, voter: VoterId, now: Millis) -> Option<Millis> {
         let Role::Leader(leading) = &self.role else { return None };
         if voter == self.me {
             return Some(0);
@@ -176,7 +171,7 @@
     }
 
     /// Hands leadership over to another voter, once what is proposed has its outcome. Nothing new is judged any more.
-    pub fn hand_over(&mut self, now: Millis) -> Vec<Action> {
+    pub fn transfer_leadership(&mut self, now: Millis) -> Vec<Action> {
         self.now = now;
         if let Role::Leader(leading) = &mut self.role {
             leading.hands_over.get_or_insert(now);
@@ -193,7 +188,7 @@
         }
         let Some(to) = self.successor() else { return };
         let term = leading.term;
-        self.tell_others(&Message::Transfer { term, to });
+        self.tell_others(&Message::TransferLeadership { term, to });
         self.step_down();
     }
 
@@ -213,7 +208,7 @@
             return;
         }
         (self.heard, self.quiet_since) = (None, self.now);
-        if to == self.me && self.votes() && matches!(self.role, Role::Follower) {
+        if to == self.me && self.is_voter() && matches!(self.role, Role::Follower) {
             self.campaign();
         }
     }
@@ -230,13 +225,13 @@
             let proposed = leading.proposal.and_then(|proposal| proposal.asker);
             let waiting = leading.waiting.into_iter().map(|waiting| waiting.number);
             let numbers: Vec<u64> = proposed.into_iter().chain(waiting).collect();
-            numbers.into_iter().for_each(|number| self.answer(number, Outcome::Open));
+            numbers.into_iter().for_each(|number| self.answer(number, Outcome::Unknown));
         }
         self.quiet_since = self.now;
     }
 
     fn answer(&mut self, number: u64, outcome: Outcome) {
-        self.actions.push(Action::Answer(number, outcome));
+        self.actions.push(Action::Respond(number, outcome));
     }
 
     pub(super) fn tell_others(&mut self, message: &Message) {
@@ -248,7 +243,7 @@
     fn tell_voters(&mut self, message: &Message) {
         self.tell_others(message);
         // This machine itself comes last: what it says to itself may change what follows.
-        if self.votes() {
+        if self.is_voter() {
             self.send(self.me.ip, message.clone());
         }
     }
@@ -258,7 +253,7 @@
         let Role::Leader(leading) = &mut self.role else { return };
         leading.heartbeat += 1;
         leading.heartbeat_at = now;
-        let message = Message::Lead { term: leading.term, index, heartbeat: leading.heartbeat };
+        let message = Message::Heartbeat { term: leading.term, index, heartbeat: leading.heartbeat };
         self.tell_voters(&message);
     }
 
@@ -288,7 +283,7 @@
         let Some(Proposal { entry, asker, .. }) = leading.proposal.take() else { return };
         self.advance(entry);
         if let Some(number) = asker {
-            self.answer(number, Outcome::Taken);
+            self.answer(number, Outcome::Committed);
         }
         self.continue_behind_chosen();
     }
@@ -296,7 +291,7 @@
     /// The promises that a leader has are enough for a set that differs by one voter: each majority of the new set meets
     /// each of the old, so whoever accepted behind this index under a lower term would have told of this index.
     fn continue_behind_chosen(&mut self) {
-        if !self.votes() {
+        if !self.is_voter() {
             return self.step_down();
         }
         let (now, state) = (self.now, self.state.clone());
@@ -315,7 +310,7 @@
         let Some(proposal) = leading.proposal.take_if(|proposal| proposal.index <= index) else { return };
         if let Some(number) = proposal.asker {
             let same = proposal.index == index && proposal.entry == *entry;
-            self.answer(number, if same { Outcome::Taken } else { Outcome::Open });
+            self.answer(number, if same { Outcome::Committed } else { Outcome::Unknown });
         }
     }
 
@@ -327,7 +322,7 @@
             return;
         }
         let before = leading.answered.get(&from).copied();
-        let before = before.unwrap_or(Answered { heartbeat: 0, at: now, index: 0 });
+        let before = before.unwrap_or(Answered { heartbeat: 0, at: now, index: LogIndex(0) });
         // Guards against an answer that comes late, or twice: it does not show that the voter hears this leader now.
         let at = if heartbeat > before.heartbeat { now } else { before.at };
         let heartbeat = before.heartbeat.max(heartbeat);
@@ -338,9 +333,9 @@
     /// Takes a command up; it is judged once it is sure that nobody else leads.
     pub(super) fn enqueue(&mut self, number: u64, command: Command) {
         let now = self.now;
-        let Role::Leader(leading) = &mut self.role else { return self.answer(number, Outcome::Open) };
+        let Role::Leader(leading) = &mut self.role else { return self.answer(number, Outcome::Unknown) };
         if leading.hands_over.is_some() {
-            return self.answer(number, Outcome::Open);
+            return self.answer(number, Outcome::Unknown);
         }
         let heartbeat = leading.heartbeat + 1;
         leading.waiting.push_back(Waiting { number, command, since: now, heartbeat });
@@ -363,7 +358,7 @@
         }
         let since = leading.waiting.front()?.heartbeat;
         let has_quorum = leading.is_majority(&state, |answered| answered.heartbeat >= since);
-        if !has_quorum && !is_chosen(Mutant::JudgesUnsure) {
+        if !has_quorum && !is_active(Mutant::JudgesUnsure) {
             return None;
         }
         leading.waiting.pop_front()
@@ -371,41 +366,41 @@
 
     fn judge(&mut self, number: u64, command: Command) {
         match command {
-            Command::Read => self.answer(number, Outcome::Newest(self.state.clone())),
-            Command::Voters { voters, slots } => self.judge_voters(number, voters, slots),
-            Command::Put { is_whole, built_on, body } => self.judge_order(number, is_whole, built_on, body),
+            Command::Read => self.answer(number, Outcome::Current(self.state.clone())),
+            Command::ChangeVoters { voters, quota_shares } => self.judge_voters(number, voters, quota_shares),
+            Command::Configure(request) => self.judge_request(number, request),
         }
     }
 
-    /// Guards against a change that was asked for before another was chosen: of two sets that differ by more than one
+    /// Guards against a change that was asked for before another was committed: of two sets that differ by more than one
     /// voter, majorities need not meet.
-    fn judge_voters(&mut self, number: u64, voters: Vec<VoterId>, slots: u32) {
-        let is_step = self.state.differs_by(&voters) <= 1 || is_chosen(Mutant::VotersUnchecked);
+    fn judge_voters(&mut self, number: u64, voters: Vec<VoterId>, quota_shares: u32) {
+        let is_step = self.state.differs_by(&voters) <= 1 || is_active(Mutant::VotersUnchecked);
         if is_step && !voters.is_empty() {
-            self.propose(Entry::Voters { voters, slots }, Some(number));
+            self.propose(Entry::Voters { voters, quota_shares }, Some(number));
         } else {
-            self.answer(number, Outcome::Outdated);
+            self.answer(number, Outcome::VersionConflict);
         }
     }
 
-    fn judge_order(&mut self, number: u64, is_whole: bool, built_on: u32, body: Arc<Vec<u8>>) {
+    fn judge_request(&mut self, number: u64, request: ConfigurationRequest) {
         let state = self.state.clone();
-        let order = OrderDigest::of(is_whole, built_on, &body);
-        if state.has_taken(&order) {
-            return self.answer(number, Outcome::Taken);
+        if state.has_applied(&request.digest()) {
+            return self.answer(number, Outcome::Committed);
         }
-        if state.may_have_forgotten(built_on) {
-            return self.answer(number, Outcome::Open);
+        if state.may_have_forgotten(request.base_version) {
+            return self.answer(number, Outcome::Unknown);
         }
-        if built_on != state.version() {
-            return self.answer(number, Outcome::Outdated);
+        if request.base_version != state.version() {
+            return self.answer(number, Outcome::VersionConflict);
         }
-        if let Err(faults) = state.built(is_whole, &body) {
-            return self.answer(number, Outcome::Invalid(faults.to_string()));
+        if let Err(errors) = state.evaluate(request.scope, &request.body) {
+            return self.answer(number, Outcome::Invalid(errors.to_string()));
         }
-        let entry = match is_whole {
-            true => Entry::Replace { built_on, body },
-            false => Entry::Change { built_on, body },
+        let ConfigurationRequest { scope, base_version, body } = request;
+        let entry = match scope {
+            ChangeScope::Full => Entry::Replace { base_version, body },
+            ChangeScope::Partial => Entry::Change { base_version, body },
         };
         self.propose(entry, Some(number));
     }
@@ -419,7 +414,7 @@
         }
         let is_heartbeat_due = now >= leading.heartbeat_at + HEARTBEAT;
         let overdue = leading.drop_overdue(now);
-        overdue.into_iter().for_each(|number| self.answer(number, Outcome::Open));
+        overdue.into_iter().for_each(|number| self.answer(number, Outcome::Unknown));
         self.send_proposal_again();
         if is_heartbeat_due {
             self.send_heartbeat();
--- a/crates/brassport-config-store/src/consensus/log.rs
+++ b/crates/brassport-config-store/src/consensus/log.rs
@@ -7,19 +7,22 @@
 /// What stands at an index.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Entry {
-    /// Nothing: a leader makes sure of its majority.
-    Nothing,
+    /// No change: a leader makes sure of its majority.
+    #[serde(rename = "Nothing")]
+    Noop,
     /// These are the voters from the next index on, and so many doors share what is lent.
     Voters {
         /// The voters, in the agreed order.
         voters: Vec<VoterId>,
-        /// Parts that limits are cut into.
-        slots: u32,
+        /// How many equal shares tenants' rate limits are cut into.
+        #[serde(rename = "slots")]
+        quota_shares: u32,
     },
     /// A whole configuration on top of a version.
     Replace {
         /// The version it builds on.
-        built_on: u32,
+        #[serde(rename = "built_on")]
+        base_version: u32,
         /// As the operator sent it.
         #[serde(with = "bytes")]
         body: Arc<Vec<u8>>,
@@ -27,7 +30,8 @@
     /// A change of named items on top of a version.
     Change {
         /// The version it builds on.
-        built_on: u32,
+        #[serde(rename = "built_on")]
+        base_version: u32,
         /// As the operator sent it.
         #[serde(with = "bytes")]
         body: Arc<Vec<u8>>,
@@ -64,7 +68,7 @@
 
 /// An entry that is chosen.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Chosen {
+pub struct CommittedEntry {
     /// Its index.
     #[serde(rename = "place")]
     pub index: LogIndex,
@@ -77,7 +81,7 @@
     pub fn size(&self) -> usize {
         match self {
             Entry::Replace { body, .. } | Entry::Change { body, .. } => body.len() + SMALL_ENTRY,
-            Entry::Nothing | Entry::Voters { .. } => SMALL_ENTRY,
+            Entry::Noop | Entry::Voters { .. } => SMALL_ENTRY,
         }
     }
 }
--- a/crates/brassport-config-store/src/consensus/message.rs
+++ b/crates/brassport-config-store/src/consensus/message.rs
@@ -1,147 +1,172 @@
-//! What replicas say to one another, and what a replica asks of its host.
+//! What replicas send to one another, what a replica asks of its host, and what becomes of a command.
 
-use super::log::{Chosen, Entry};
-use super::replica::Recovered;
-use super::state::State;
+use super::log::{CommittedEntry, Entry};
+use super::replica::DurableState;
+use super::state::ReplicatedState;
 use super::{LogIndex, Term, VoterId};
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// What voters say to one another.
+/// An entry that a voter has accepted and that is not known to be committed.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(from = "(Term, Entry)", into = "(Term, Entry)")]
+pub struct AcceptedEntry {
+    /// The term under which it was accepted.
+    pub term: Term,
+    /// The entry.
+    pub entry: Entry,
+}
+
+impl From<(Term, Entry)> for AcceptedEntry {
+    fn from((term, entry): (Term, Entry)) -> AcceptedEntry {
+        AcceptedEntry { term, entry }
+    }
+}
+
+impl From<AcceptedEntry> for (Term, Entry) {
+    fn from(accepted: AcceptedEntry) -> (Term, Entry) {
+        (accepted.term, accepted.entry)
+    }
+}
+
+/// A message between voters. On the wire, variants and fields have names of one letter.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Promise to go below this term no more.
+    /// A candidate asks for a promise to take part in no lower term.
     #[serde(rename = "p")]
     Prepare {
-        /// The term.
+        /// The candidate's term.
         #[serde(rename = "e")]
         term: Term,
     },
-    /// Promised; the last index known to be chosen, and the entry accepted behind it.
+    /// The answer to [`Prepare`](Message::Prepare): the term is promised, and the promise is on disk.
     #[serde(rename = "q")]
     Promise {
         /// The term promised.
         #[serde(rename = "e")]
         term: Term,
-        /// The last index known to be chosen.
+        /// The last index that the sender knows to be committed.
         #[serde(rename = "p")]
         index: LogIndex,
-        /// What was accepted at the next, and under which term.
-        open: Option<(Term, Entry)>,
+        /// What the sender accepted at the next index.
+        #[serde(rename = "open")]
+        accepted: Option<AcceptedEntry>,
     },
-    /// Not under this term: a higher one was promised, or the leader lives.
+    /// The term is rejected: a higher one was promised, or the leader is alive.
     #[serde(rename = "x")]
-    Refuse {
-        /// The highest term promised.
+    Reject {
+        /// The highest term that the sender has promised.
         #[serde(rename = "e")]
         term: Term,
     },
-    /// Accept this entry.
+    /// The leader asks for an entry to be accepted.
     #[serde(rename = "a")]
     Accept {
         /// The leader's term.
         #[serde(rename = "e")]
         term: Term,
-        /// The index.
+        /// The index of the entry.
         #[serde(rename = "p")]
         index: LogIndex,
         /// The entry.
         entry: Entry,
     },
-    /// Accepted, and on disk.
+    /// The answer to [`Accept`](Message::Accept): the entry is accepted, and on disk.
     #[serde(rename = "b")]
     Accepted {
-        /// The term.
+        /// The leader's term.
         #[serde(rename = "e")]
         term: Term,
-        /// The index.
+        /// The index of the entry.
         #[serde(rename = "p")]
         index: LogIndex,
     },
-    /// The leader lives, and knows all up to this index to be chosen.
+    /// The leader is alive, and knows all entries up to an index to be committed.
     #[serde(rename = "l")]
-    Lead {
+    Heartbeat {
         /// The leader's term.
         #[serde(rename = "e")]
         term: Term,
-        /// The last chosen index.
+        /// The last committed index.
         #[serde(rename = "p")]
         index: LogIndex,
-        /// Number of this heartbeat: an answer to it shows that the leader still holds.
+        /// The number of this heartbeat; the answer repeats it.
         #[serde(rename = "n")]
         heartbeat: u64,
     },
-    /// The leader gives leadership up in favour of this voter, which campaigns at once.
+    /// The leader steps down in favour of a voter, which campaigns at once.
     #[serde(rename = "t")]
-    Transfer {
+    TransferLeadership {
         /// The leader's term.
         #[serde(rename = "e")]
         term: Term,
-        /// Who is to lead.
+        /// The voter that is to lead.
         to: VoterId,
     },
-    /// Heard; no higher term was promised.
+    /// The answer to [`Heartbeat`](Message::Heartbeat): no higher term was promised.
     #[serde(rename = "f")]
-    Follow {
+    HeartbeatResponse {
         /// The leader's term.
         #[serde(rename = "e")]
         term: Term,
-        /// The last index known here to be chosen.
+        /// The last index that the sender knows to be committed.
         #[serde(rename = "p")]
         index: LogIndex,
-        /// The heartbeat answered.
+        /// The number of the heartbeat that is answered.
         #[serde(rename = "n")]
         heartbeat: u64,
     },
 }
 
-/// What is to be kept on disk before the effects behind it.
+/// What has to be on disk before the messages that depend on it are sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Record {
     /// A promise.
     Promised(Term),
-    /// What is chosen at an index, where something else or nothing was accepted here.
-    Chosen(Chosen),
-    /// An acceptance; it is a promise of its term too. All before this index is chosen.
+    /// An entry that is committed, where another one or none was accepted here.
+    #[serde(rename = "Chosen")]
+    Committed(CommittedEntry),
+    /// An acceptance, which is a promise of its term too. All before its index is committed.
     Accepted {
-        /// Under which term.
+        /// The term under which it is accepted.
         term: Term,
-        /// Where.
+        /// Its index.
         index: LogIndex,
-        /// What.
+        /// The entry.
         entry: Entry,
     },
-    /// All that there is to keep, in the place of what was kept before.
-    Whole(Recovered),
+    /// All that there is to keep, in place of what was kept before.
+    #[serde(rename = "Whole")]
+    Snapshot(DurableState),
 }
 
-/// What a voter asks of its host.
+/// What a replica asks of its host.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Send a message to a machine.
     Send(Ipv4Addr, Message),
-    /// Keep this on disk; once it is synced, say so with the number.
-    Write(u64, Record),
-    /// The state has moved on: this entry was chosen, or with `None` a whole state was taken over.
-    Moved(Option<Chosen>),
-    /// What the operator asked under this number has its outcome.
-    Answer(u64, Outcome),
-    /// This replica lacks what stands before the open index: fetch it from that machine.
-    Fetch(Ipv4Addr),
+    /// Write a record to disk; once it is synced, call [`Replica::on_persisted`](super::Replica::on_persisted) with the number.
+    Persist(u64, Record),
+    /// An entry was applied to the state; `None`: a snapshot was installed.
+    Applied(Option<CommittedEntry>),
+    /// The command with this number has its outcome.
+    Respond(u64, Outcome),
+    /// This replica lacks committed entries: fetch them from that machine.
+    FetchLog(Ipv4Addr),
 }
 
-/// What became of what an operator asked.
+/// What became of a command.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// It is chosen, or was before.
-    Taken,
-    /// Another version is in index, and what was asked will never be in force.
-    Outdated,
-    /// It is invalid; why.
+    /// It is committed, or was before.
+    Committed,
+    /// It builds on a version that is not the current one, and will never be in force.
+    VersionConflict,
+    /// It is invalid and will never be in force; why.
     Invalid(String),
-    /// Whether it will be in force is open, or nobody here can tell.
-    Open,
-    /// To a reader: the newest state is this.
-    Newest(Arc<State>),
+    /// Whether it will be in force is not known, or this replica can't tell.
+    Unknown,
+    /// To a read: the newest state.
+    Current(Arc<ReplicatedState>),
 }
--- a/crates/brassport-config-store/src/consensus/mod.rs
+++ b/crates/brassport-config-store/src/consensus/mod.rs
@@ -7,7 +7,7 @@
 //!
 //! - **One entry at an index.** A voter accepts under a term only if it has promised no higher one (`Replica::accept`),
 //!   and a leader adopts the open entry of the highest term that its majority tells (`Replica::adopt_open_entry`).
-//! - **Nothing leaves before it is on disk.** Promise and acceptance are effects behind a write: [`Action::Write`]
+//! - **Nothing leaves before it is on disk.** Promise and acceptance are effects behind a write: [`Action::Persist`]
 //!   carries what may be said once it is synced.
 //! - **Majorities meet.** The set of voters is part of the log and changes by one voter at an index, so that each majority
 //!   of one set meets each of the next.
@@ -17,31 +17,25 @@
 //! The first live voter in the agreed order campaigns: each waits longer, the later it stands in that order.
 
 mod campaign;
+mod configuration_request;
 mod leader;
 mod log;
 mod message;
 pub mod mutants;
-mod order;
 mod replica;
 mod state;
 
+pub use brassport_types::{DiskId, LogIndex, Millis, Term};
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
+pub use configuration_request::{ChangeScope, ConfigurationRequest, RequestDigest};
 pub use leader::Command;
-pub use log::{Chosen, Entry};
-pub use message::{Action, Message, Outcome, Record};
-pub use order::OrderDigest;
-pub use replica::{Recovered, Replica};
+pub use log::{CommittedEntry, Entry};
+pub use message::{AcceptedEntry, Action, Message, Outcome, Record};
+pub use replica::{DurableState, Replica};
 pub(crate) use state::ShortDigestState;
-pub use state::{State, REMEMBERED_ORDERS};
-
-/// Milliseconds of the steady clock.
-pub type Millis = u64;
-/// How often leadership was taken, and the disk of whoever took it: two leaders never have the same.
-pub type Term = (u64, u64);
-/// Where an entry stands in the log; the first has index 1.
-pub type LogIndex = u64;
+pub use state::{ReplicatedState, REMEMBERED_REQUESTS};
 
 /// A voter: its address, and the number that its disk was given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -49,5 +43,5 @@
     /// Its machine.
     pub ip: Ipv4Addr,
     /// Its disk.
-    pub disk: u64,
+    pub disk: DiskId,
 }
--- a/crates/brassport-config-store/src/consensus/mutants.rs
+++ b/crates/brassport-config-store/src/consensus/mutants.rs
@@ -73,21 +73,21 @@
     }
 
     /// Lets one fault into this thread, or none.
-    pub fn choose(mutant: Option<Mutant>) {
+    pub fn activate(mutant: Option<Mutant>) {
         CHOSEN.set(mutant.map_or(0, |mutant| mutant as u8));
     }
 
     /// Whether this fault was let into this thread.
-    pub fn is_chosen(mutant: Mutant) -> bool {
+    pub fn is_active(mutant: Mutant) -> bool {
         CHOSEN.get() == mutant as u8
     }
 }
 
 #[cfg(feature = "mutants")]
-pub use chosen::{choose, is_chosen};
+pub use chosen::{activate, is_active};
 
 /// Whether this fault was let into this thread: never, without the feature.
 #[cfg(not(feature = "mutants"))]
-pub const fn is_chosen(_: Mutant) -> bool {
+pub const fn is_active(_: Mutant) -> bool {
     false
 }
--- a/crates/brassport-config-store/src/consensus/replica.rs
+++ b/crates/brassport-config-store/src/consensus/replica.rs
@@ -2,8 +2,11 @@
 //! without a vote has one too, and only follows.
 
 use super::campaign::Role;
-use super::mutants::{is_chosen, Mutant};
-use super::{Action, Chosen, Command, Entry, LogIndex, Message, Millis, Record, State, Term, VoterId};
+use super::mutants::{is_active, Mutant};
+use super::{
+    AcceptedEntry, Action, Command, CommittedEntry, DiskId, Entry, LogIndex, Message, Millis, Record,
+    ReplicatedState, Term, VoterId,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -13,7 +16,7 @@
 const KEPT: usize = 256;
 const KEPT_BYTES: usize = 512 * 1024;
 /// A whole state is written each so many indexes, in the place of the entries that led there.
-const SNAPSHOT: LogIndex = 64;
+const SNAPSHOT: u64 = 64;
 /// A leader that was heard so lately lives: nobody else is promised anything. Guards leadership against a voter that is
 /// heard and does not hear.
 const LIVES: Millis = 360;
@@ -26,13 +29,21 @@
 
 /// What was found on disk.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Recovered {
+pub struct DurableState {
     /// The highest term promised.
     pub promised: Term,
     /// The state that the chosen entries led to.
-    pub state: State,
-    /// What was accepted behind that.
-    pub open: Option<(Term, Entry)>,
+    pub state: ReplicatedState,
+    /// What was accepted at the next index.
+    #[serde(rename = "open")]
+    pub accepted: Option<AcceptedEntry>,
+}
+
+impl DurableState {
+    /// What a new disk holds.
+    pub fn empty() -> DurableState {
+        DurableState { promised: Term::ZERO, state: ReplicatedState::empty(), accepted: None }
+    }
 }
 
 /// A leader as it was heard last.
@@ -49,15 +60,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Replica {
     pub(super) me: VoterId,
-    pub(super) state: Arc<State>,
+    pub(super) state: Arc<ReplicatedState>,
     pub(super) promised: Term,
     /// Accepted at the next index.
-    open: Option<(Term, Entry)>,
+    accepted: Option<AcceptedEntry>,
     /// The latest entries, the newest last.
-    kept: VecDeque<Chosen>,
+    kept: VecDeque<CommittedEntry>,
     kept_bytes: usize,
     /// The state at the last index that all replicas take a snapshot of.
-    checkpoint: Option<Arc<State>>,
+    checkpoint: Option<Arc<ReplicatedState>>,
     /// The leader that was heard last.
     pub(super) heard: Option<HeardLeader>,
     /// Whether a leader was heard, or somebody stood, in this life.
@@ -80,13 +91,13 @@
 
 impl Replica {
     /// A machine that starts. `disk` is the number that its disk was given; 0: it has none, and never votes.
-    pub fn new(ip: Ipv4Addr, disk: u64, found: Option<Recovered>, now: Millis) -> Replica {
-        let found = found.unwrap_or(Recovered { promised: (0, 0), state: State::nothing(), open: None });
+    pub fn new(ip: Ipv4Addr, disk: DiskId, found: Option<DurableState>, now: Millis) -> Replica {
+        let found = found.unwrap_or(DurableState::empty());
         Replica {
             me: VoterId { ip, disk },
             state: Arc::new(found.state),
             promised: found.promised,
-            open: found.open,
+            accepted: found.accepted,
             kept: VecDeque::new(),
             kept_bytes: 0,
             checkpoint: None,
@@ -95,7 +106,7 @@
             quiet_since: now,
             role: Role::Follower,
             writes: BTreeMap::new(),
-            synced: (found.promised, ((0, 0), 0)),
+            synced: (found.promised, (Term::ZERO, LogIndex(0))),
             last_write: 0,
             torn: false,
             is_leaving: false,
@@ -105,17 +116,17 @@
     }
 
     /// The disk is there: its number, and what was found on it.
-    pub fn attach(&mut self, now: Millis, disk: u64, found: Recovered) -> Vec<Action> {
+    pub fn attach_store(&mut self, now: Millis, disk: DiskId, found: DurableState) -> Vec<Action> {
         self.now = now;
         self.me.disk = disk;
         self.promised = self.promised.max(found.promised);
         self.synced.0 = found.promised;
-        if found.state.index >= self.state.index && found.state.index > 0 {
-            (self.state, self.open) = (Arc::new(found.state), found.open);
+        if found.state.index >= self.state.index && found.state.index > LogIndex(0) {
+            (self.state, self.accepted) = (Arc::new(found.state), found.accepted);
             self.kept.clear();
             self.kept_bytes = 0;
-            self.actions.push(Action::Moved(None));
-        } else if self.state.index > 0 {
+            self.actions.push(Action::Applied(None));
+        } else if self.state.index > LogIndex(0) {
             self.write_whole();
         }
         self.quiet_since = now;
@@ -123,24 +134,24 @@
     }
 
     /// Begins the log, with this voter alone. Only one machine may ever be told to.
-    pub fn bootstrap(&mut self, now: Millis, slots: u32) -> Vec<Action> {
+    pub fn bootstrap(&mut self, now: Millis, quota_shares: u32) -> Vec<Action> {
         self.now = now;
-        if self.state.index == 0 && self.me.disk != 0 {
-            self.state = Arc::new(State::genesis(vec![self.me], slots));
+        if self.state.index == LogIndex(0) && self.me.disk.is_some() {
+            self.state = Arc::new(ReplicatedState::genesis(vec![self.me], quota_shares));
             self.write_whole();
-            self.actions.push(Action::Moved(None));
+            self.actions.push(Action::Applied(None));
             self.quiet_since = now.saturating_sub(SILENCE);
         }
         self.done()
     }
 
     /// The state that the log has led to, as far as it is known here.
-    pub fn state(&self) -> &Arc<State> {
+    pub fn state(&self) -> &Arc<ReplicatedState> {
         &self.state
     }
 
     /// Who this is.
-    pub fn me(&self) -> VoterId {
+    pub fn id(&self) -> VoterId {
         self.me
     }
 
@@ -155,28 +166,28 @@
     /// This machine is about to end: it campaigns no more, and hands leadership over if it leads.
     pub fn leave(&mut self, now: Millis) -> Vec<Action> {
         self.is_leaving = true;
-        self.hand_over(now)
+        self.transfer_leadership(now)
     }
 
     /// Whether this machine has a vote, as far as it knows.
-    pub fn votes(&self) -> bool {
-        self.me.disk != 0 && self.state.voters.contains(&self.me)
+    pub fn is_voter(&self) -> bool {
+        self.me.disk.is_some() && self.state.voters.contains(&self.me)
     }
 
     /// The entries from behind an index on; `None` if they are no longer kept.
-    pub fn entries_after(&self, index: LogIndex) -> Option<Vec<Chosen>> {
+    pub fn entries_after(&self, index: LogIndex) -> Option<Vec<CommittedEntry>> {
         let first = self.kept.front().map_or(self.state.index + 1, |chosen| chosen.index);
         (index + 1 >= first && index <= self.state.index)
             .then(|| self.kept.iter().filter(|chosen| chosen.index > index).cloned().collect())
     }
 
     /// The state at the last index that every replica takes a snapshot of, if this one has gone by it: all have the same.
-    pub fn checkpoint(&self) -> Option<Arc<State>> {
+    pub fn checkpoint(&self) -> Option<Arc<ReplicatedState>> {
         self.checkpoint.clone()
     }
 
     /// Takes in entries that are known to be chosen.
-    pub fn learn(&mut self, now: Millis, entries: Vec<Chosen>) -> Vec<Action> {
+    pub fn append_committed(&mut self, now: Millis, entries: Vec<CommittedEntry>) -> Vec<Action> {
         self.now = now;
         for chosen in entries {
             if chosen.index == self.state.index + 1 {
@@ -189,24 +200,24 @@
     }
 
     /// Takes in a whole state that is known to be chosen; an older one than this is passed over.
-    pub fn install_snapshot(&mut self, now: Millis, state: State) -> Vec<Action> {
+    pub fn install_snapshot(&mut self, now: Millis, state: ReplicatedState) -> Vec<Action> {
         self.now = now;
         if state.index > self.state.index {
-            self.overtaken(state.index, &Entry::Nothing);
+            self.overtaken(state.index, &Entry::Noop);
             self.state = Arc::new(state);
-            (self.open, self.kept_bytes) = (None, 0);
+            (self.accepted, self.kept_bytes) = (None, 0);
             self.kept.clear();
-            if self.me.disk != 0 {
+            if self.me.disk.is_some() {
                 self.write_whole();
             }
-            self.actions.push(Action::Moved(None));
+            self.actions.push(Action::Applied(None));
         }
         self.review_campaign();
         self.done()
     }
 
     /// A write is synced, or failed: then nothing is said of it, ever.
-    pub fn written(&mut self, now: Millis, number: u64, synced: bool) -> Vec<Action> {
+    pub fn on_persisted(&mut self, now: Millis, number: u64, synced: bool) -> Vec<Action> {
         self.now = now;
         let said = self.writes.remove(&number).unwrap_or_default();
         if synced {
@@ -225,14 +236,14 @@
     }
 
     /// A message came from a voter.
-    pub fn receive(&mut self, now: Millis, from: VoterId, message: Message) -> Vec<Action> {
+    pub fn step(&mut self, now: Millis, from: VoterId, message: Message) -> Vec<Action> {
         self.now = now;
         self.handle(from, message);
         self.done()
     }
 
     /// Asks something of the leader, which is this machine; the answer comes with the number.
-    pub fn ask(&mut self, now: Millis, number: u64, command: Command) -> Vec<Action> {
+    pub fn submit(&mut self, now: Millis, number: u64, command: Command) -> Vec<Action> {
         self.now = now;
         self.enqueue(number, command);
         self.done()
@@ -245,7 +256,7 @@
             (self.heard, self.quiet_since) = (None, now);
         }
         self.now = now;
-        if self.votes() && !self.is_leaving && matches!(self.role, Role::Follower) {
+        if self.is_voter() && !self.is_leaving && matches!(self.role, Role::Follower) {
             let order = self.state.voters.iter().position(|voter| *voter == self.me).unwrap_or_default();
             let alone = self.state.voters.len() == 1;
             let (silence, step) = if self.is_born { (SILENCE, STEP) } else { (FIRST_SILENCE, FIRST_STEP) };
@@ -268,12 +279,14 @@
         match message {
             Message::Prepare { term } => self.prepare(from, term),
             Message::Accept { term, index, entry } => self.accept(from, term, index, entry),
-            Message::Lead { term, index, heartbeat } => self.heartbeat(from, term, index, heartbeat),
-            Message::Promise { term, index, open } => self.promise(from, term, index, open),
+            Message::Heartbeat { term, index, heartbeat } => self.heartbeat(from, term, index, heartbeat),
+            Message::Promise { term, index, accepted } => self.promise(from, term, index, accepted),
             Message::Accepted { term, index } => self.accepted(from, term, index),
-            Message::Follow { term, index, heartbeat } => self.followed(from, term, heartbeat, index),
-            Message::Transfer { term, to } => self.transferred(from, term, to),
-            Message::Refuse { term } => self.refused(term),
+            Message::HeartbeatResponse { term, index, heartbeat } => {
+                self.followed(from, term, heartbeat, index)
+            }
+            Message::TransferLeadership { term, to } => self.transferred(from, term, to),
+            Message::Reject { term } => self.refused(term),
         }
     }
 
@@ -288,39 +301,39 @@
 
     fn write(&mut self, record: Record, said: Vec<(Ipv4Addr, Message)>) {
         if std::mem::take(&mut self.torn)
-            && !matches!(record, Record::Whole(_))
-            && !is_chosen(Mutant::TornIgnored)
+            && !matches!(record, Record::Snapshot(_))
+            && !is_active(Mutant::TornIgnored)
         {
             // Guards against a gap on disk: what failed to be written is part of this.
             self.write_whole();
         }
         self.last_write += 1;
-        let early = if is_chosen(Mutant::SaidUnsynced) { said.clone() } else { Vec::new() };
+        let early = if is_active(Mutant::SaidUnsynced) { said.clone() } else { Vec::new() };
         early.into_iter().for_each(|(to, message)| self.send(to, message));
         self.writes.insert(self.last_write, said);
-        self.actions.push(Action::Write(self.last_write, record));
+        self.actions.push(Action::Persist(self.last_write, record));
     }
 
     fn write_whole(&mut self) {
-        let state = State::clone(&self.state);
-        let whole = Recovered { promised: self.promised, state, open: self.open.clone() };
-        self.write(Record::Whole(whole), Vec::new());
+        let state = ReplicatedState::clone(&self.state);
+        let whole = DurableState { promised: self.promised, state, accepted: self.accepted.clone() };
+        self.write(Record::Snapshot(whole), Vec::new());
     }
 
     /// Somebody wants leadership.
     fn prepare(&mut self, from: VoterId, term: Term) {
-        if self.me.disk == 0 {
+        if self.me.disk.is_none() {
             return;
         }
         let held = match &self.role {
             Role::Leader(leading) => leading.has_quorum(self.now, &self.state) && from.ip != self.me.ip,
             _ => self.heard.is_some_and(|heard| self.now < heard.at + LIVES && heard.ip != from.ip),
         };
-        let below = term < self.promised && !is_chosen(Mutant::PromiseBroken);
+        let below = term < self.promised && !is_active(Mutant::PromiseBroken);
         if below || (term > self.promised && held) {
-            return self.send(from.ip, Message::Refuse { term: self.promised });
+            return self.send(from.ip, Message::Reject { term: self.promised });
         }
-        let promise = Message::Promise { term, index: self.state.index, open: self.open.clone() };
+        let promise = Message::Promise { term, index: self.state.index, accepted: self.accepted.clone() };
         if term > self.promised {
             self.promised = term;
             if from.ip != self.me.ip {
@@ -343,22 +356,22 @@
 
     /// The leader wants an entry accepted.
     fn accept(&mut self, from: VoterId, term: Term, index: LogIndex, entry: Entry) {
-        if self.me.disk == 0 {
+        if self.me.disk.is_none() {
             return;
         }
-        if term < self.promised && !is_chosen(Mutant::PromiseBroken) {
-            return self.send(from.ip, Message::Refuse { term: self.promised });
+        if term < self.promised && !is_active(Mutant::PromiseBroken) {
+            return self.send(from.ip, Message::Reject { term: self.promised });
         }
         self.hear_leader(term, from.ip, 0);
         if index > self.state.index + 1 {
-            return self.actions.push(Action::Fetch(from.ip));
+            return self.actions.push(Action::FetchLog(from.ip));
         }
         if index <= self.state.index {
             // It is chosen, and the leader does not know that yet. Under its own term it can be nothing else.
             return;
         }
         let said = Message::Accepted { term, index };
-        let same = self.open.as_ref().is_some_and(|(under, held)| *under == term && *held == entry);
+        let same = self.accepted.as_ref().is_some_and(|held| held.term == term && held.entry == entry);
         if same && self.synced.1 == (term, index) {
             return self.send(from.ip, said);
         }
@@ -366,25 +379,25 @@
             return;
         }
         self.promised = term;
-        self.open = Some((term, entry.clone()));
+        self.accepted = Some(AcceptedEntry { term, entry: entry.clone() });
         self.write(Record::Accepted { term, index, entry }, vec![(from.ip, said)]);
     }
 
     /// The leader lives, and tells how far the log is chosen.
     fn heartbeat(&mut self, from: VoterId, term: Term, index: LogIndex, heartbeat: u64) {
-        if term < self.promised && !is_chosen(Mutant::PromiseBroken) {
-            return self.send(from.ip, Message::Refuse { term: self.promised });
+        if term < self.promised && !is_active(Mutant::PromiseBroken) {
+            return self.send(from.ip, Message::Reject { term: self.promised });
         }
         self.hear_leader(term, from.ip, heartbeat);
         if index == self.state.index + 1 {
-            if let Some((_, entry)) = self.open.take_if(|(under, _)| *under == term) {
+            if let Some(AcceptedEntry { entry, .. }) = self.accepted.take_if(|held| held.term == term) {
                 self.advance_open(entry);
             }
         }
         if index > self.state.index {
-            self.actions.push(Action::Fetch(from.ip));
+            self.actions.push(Action::FetchLog(from.ip));
         }
-        self.send(from.ip, Message::Follow { term, index: self.state.index, heartbeat });
+        self.send(from.ip, Message::HeartbeatResponse { term, index: self.state.index, heartbeat });
     }
 
     /// A leader says something. Only a heartbeat that was not heard before shows that it lives: an old one may come late, or
@@ -406,35 +419,35 @@
 
     /// What was accepted here is chosen: it is on disk already, or on its way there.
     fn advance_open(&mut self, entry: Entry) {
-        self.open = None;
+        self.accepted = None;
         self.moved(entry);
     }
 
     /// An entry is chosen, whatever was accepted here.
     pub(super) fn advance(&mut self, entry: Entry) {
         let index = self.state.index + 1;
-        let held = self.open.take().is_some_and(|(_, open)| open == entry);
-        if self.me.disk != 0 && !held {
-            self.write(Record::Chosen(Chosen { index, entry: entry.clone() }), Vec::new());
+        let held = self.accepted.take().is_some_and(|held| held.entry == entry);
+        if self.me.disk.is_some() && !held {
+            self.write(Record::Committed(CommittedEntry { index, entry: entry.clone() }), Vec::new());
         }
         self.moved(entry);
     }
 
     fn moved(&mut self, entry: Entry) {
         Arc::make_mut(&mut self.state).apply(&entry);
-        let chosen = Chosen { index: self.state.index, entry };
+        let chosen = CommittedEntry { index: self.state.index, entry };
         self.kept_bytes += chosen.entry.size();
         self.kept.push_back(chosen.clone());
         while self.kept.len() > KEPT || self.kept_bytes > KEPT_BYTES {
             let Some(oldest) = self.kept.pop_front() else { break };
             self.kept_bytes -= oldest.entry.size();
         }
-        self.actions.push(Action::Moved(Some(chosen)));
-        if !self.state.index.is_multiple_of(SNAPSHOT) {
+        self.actions.push(Action::Applied(Some(chosen)));
+        if !self.state.index.0.is_multiple_of(SNAPSHOT) {
             return;
         }
         self.checkpoint = Some(self.state.clone());
-        if self.me.disk != 0 {
+        if self.me.disk.is_some() {
             self.write_whole();
         }
     }
--- a/crates/brassport-config-store/src/consensus/state.rs
+++ b/crates/brassport-config-store/src/consensus/state.rs
@@ -2,8 +2,8 @@
 
 use super::log::{bytes, Entry};
 use super::mutants::{self, Mutant};
-use super::{LogIndex, OrderDigest, VoterId};
-use crate::configuration::{Document, Faults};
+use super::{ChangeScope, LogIndex, RequestDigest, VoterId};
+use crate::configuration::{Document, ValidationErrors};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -11,26 +11,28 @@
 
 /// How many of the latest orders are remembered, to tell one that is sent again from a new one. At 13,000 changes a day
 /// they reach back 57 minutes, where a caller sends an order again within seconds. An older one gets no clear answer.
-pub const REMEMBERED_ORDERS: usize = 512;
+pub const REMEMBERED_REQUESTS: usize = 512;
 
 /// What the log has led to at an index.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
+pub struct ReplicatedState {
     /// The index.
     #[serde(rename = "place")]
     pub index: LogIndex,
     /// Who votes on the next index.
     pub voters: Vec<VoterId>,
-    /// Parts that limits are cut into.
-    pub slots: u32,
+    /// How many equal shares tenants' rate limits are cut into.
+    #[serde(rename = "slots")]
+    pub quota_shares: u32,
     /// The configuration.
     #[serde(with = "document")]
     pub document: Arc<Document>,
     /// Digests of the orders that made each of the latest versions.
-    pub taken: BTreeMap<u32, OrderDigest>,
+    #[serde(rename = "taken")]
+    pub applied_requests: BTreeMap<u32, RequestDigest>,
     /// The highest version whose order is no longer remembered; 0: all are.
-    #[serde(default)]
-    pub forgotten: u32,
+    #[serde(default, rename = "forgotten")]
+    pub forgotten_up_to: u32,
 }
 
 /// A state as stores of format 1 have it: orders stand under digests of 64 bits.
@@ -39,25 +41,29 @@
     #[serde(rename = "place")]
     index: LogIndex,
     voters: Vec<VoterId>,
-    slots: u32,
+    #[serde(rename = "slots")]
+    quota_shares: u32,
     #[serde(deserialize_with = "document::deserialize")]
     document: Arc<Document>,
-    taken: BTreeMap<u32, u64>,
+    #[serde(rename = "taken")]
+    applied_requests: BTreeMap<u32, u64>,
 }
 
-impl From<ShortDigestState> for State {
+impl From<ShortDigestState> for ReplicatedState {
     /// None of its orders can be told from others any more: all count as forgotten.
-    fn from(old: ShortDigestState) -> State {
-        let ShortDigestState { index, voters, slots, document, taken } = old;
-        let forgotten = taken.last_key_value().map_or(0, |(version, _)| *version);
-        State { index, voters, slots, document, taken: BTreeMap::new(), forgotten }
+    fn from(old: ShortDigestState) -> ReplicatedState {
+        let ShortDigestState { index, voters, quota_shares, document, applied_requests } = old;
+        let forgotten_up_to = applied_requests.last_key_value().map_or(0, |(version, _)| *version);
+        let applied_requests = BTreeMap::new();
+        ReplicatedState { index, voters, quota_shares, document, applied_requests, forgotten_up_to }
     }
 }
 
 // A document follows from the orders that led to it, of which the digests are kept: those stand for it.
-impl Hash for State {
+impl Hash for ReplicatedState {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        (self.index, &self.voters, self.slots, &self.taken, self.forgotten).hash(hasher);
+        (self.index, &self.voters, self.quota_shares, &self.applied_requests, self.forgotten_up_to)
+            .hash(hasher);
     }
 }
 
@@ -76,21 +82,27 @@
     }
 }
 
-impl State {
-    /// Before anything was heard.
-    pub fn nothing() -> State {
-        let document = Arc::new(Document::empty());
-        State { index: 0, voters: Vec::new(), slots: 0, document, taken: BTreeMap::new(), forgotten: 0 }
+impl ReplicatedState {
+    /// The state before the first entry.
+    pub fn empty() -> ReplicatedState {
+        ReplicatedState {
+            index: LogIndex(0),
+            voters: Vec::new(),
+            quota_shares: 0,
+            document: Arc::new(Document::empty()),
+            applied_requests: BTreeMap::new(),
+            forgotten_up_to: 0,
+        }
     }
 
     /// The beginning: there are voters, and no configuration.
-    pub fn genesis(voters: Vec<VoterId>, slots: u32) -> State {
-        State { index: 1, voters, slots, ..State::nothing() }
+    pub fn genesis(voters: Vec<VoterId>, quota_shares: u32) -> ReplicatedState {
+        ReplicatedState { index: LogIndex(1), voters, quota_shares, ..ReplicatedState::empty() }
     }
 
     /// So many voters are a majority.
     pub fn majority(&self) -> usize {
-        self.voters.len() / 2 + usize::from(!mutants::is_chosen(Mutant::NoMajority))
+        self.voters.len() / 2 + usize::from(!mutants::is_active(Mutant::NoMajority))
     }
 
     /// By how many voters another set differs: those that come and those that go.
@@ -104,49 +116,54 @@
         self.document.version().0
     }
 
-    /// Whether this very order made one of the versions that are remembered.
-    pub fn has_taken(&self, order: &OrderDigest) -> bool {
-        self.taken.values().any(|taken| taken == order)
+    /// Whether this very request made one of the versions whose requests are remembered.
+    pub fn has_applied(&self, request: &RequestDigest) -> bool {
+        self.applied_requests.values().any(|applied| applied == request)
     }
 
-    /// Whether an order on top of this version may have been taken so long ago that it is no longer remembered. An order
+    /// Whether a request on top of this version may have been applied so long ago that it is no longer remembered. A request
     /// leads to a higher version than it builds on, so one on top of a remembered version is remembered itself.
-    pub fn may_have_forgotten(&self, built_on: u32) -> bool {
-        built_on < self.forgotten && !mutants::is_chosen(Mutant::ForgottenRefused)
+    pub fn may_have_forgotten(&self, base_version: u32) -> bool {
+        base_version < self.forgotten_up_to && !mutants::is_active(Mutant::ForgottenRefused)
     }
 
     /// Applies the entry at the next index. Whoever applies the same entries has the same state.
     pub fn apply(&mut self, entry: &Entry) {
         self.index += 1;
         match entry {
-            Entry::Nothing => {}
-            Entry::Voters { voters, slots } => (self.voters, self.slots) = (voters.clone(), *slots),
-            Entry::Replace { built_on, body } => self.apply_order(true, *built_on, body),
-            Entry::Change { built_on, body } => self.apply_order(false, *built_on, body),
+            Entry::Noop => {}
+            Entry::Voters { voters, quota_shares } => {
+                (self.voters, self.quota_shares) = (voters.clone(), *quota_shares);
+            }
+            Entry::Replace { base_version, body } => {
+                self.apply_request(ChangeScope::Full, *base_version, body);
+            }
+            Entry::Change { base_version, body } => {
+                self.apply_request(ChangeScope::Partial, *base_version, body);
+            }
         }
     }
 
-    fn apply_order(&mut self, is_whole: bool, built_on: u32, body: &[u8]) {
-        // It was judged before it was proposed, on this very state.
-        let Ok(document) = self.built(is_whole, body) else { return };
-        let digest = OrderDigest::of(is_whole, built_on, body);
-        self.taken.insert(document.version().0, digest);
+    fn apply_request(&mut self, scope: ChangeScope, base_version: u32, body: &[u8]) {
+        // It was checked before it was proposed, against this very state.
+        let Ok(document) = self.evaluate(scope, body) else { return };
+        let digest = RequestDigest::of(scope, base_version, body);
+        self.applied_requests.insert(document.version().0, digest);
         self.document = Arc::new(document);
-        while self.taken.len() > REMEMBERED_ORDERS {
-            let Some((version, _)) = self.taken.pop_first() else { break };
-            self.forgotten = version;
+        while self.applied_requests.len() > REMEMBERED_REQUESTS {
+            let Some((version, _)) = self.applied_requests.pop_first() else { break };
+            self.forgotten_up_to = version;
         }
     }
 
-    /// What this configuration becomes by an order of the operator's.
+    /// What the current configuration becomes by a request.
     ///
     /// # Errors
-    /// The order, or what it would lead to, is invalid.
-    pub fn built(&self, is_whole: bool, body: &[u8]) -> Result<Document, Faults> {
-        if is_whole {
-            self.document.replace(body)
-        } else {
-            self.document.change(body)
+    /// The request, or what it would lead to, is invalid.
+    pub fn evaluate(&self, scope: ChangeScope, body: &[u8]) -> Result<Document, ValidationErrors> {
+        match scope {
+            ChangeScope::Full => self.document.replace(body),
+            ChangeScope::Partial => self.document.change(body),
         }
     }
 }
--- a/crates/brassport-config-store/src/store.rs
+++ b/crates/brassport-config-store/src/store.rs
@@ -2,7 +2,10 @@
 //! synced before [`Store::keep`] returns. One owner; the host gives it a thread, so that a disk that hangs holds up
 //! nobody else.
 
-use crate::consensus::{Chosen, Entry, LogIndex, Record, Recovered, ShortDigestState, State, Term};
+use crate::consensus::{
+    AcceptedEntry, CommittedEntry, DiskId, DurableState, Entry, LogIndex, Record, ReplicatedState,
+    ShortDigestState, Term,
+};
 use rusqlite::{params, Connection, OptionalExtension};
 use serde::{de::DeserializeOwned, Serialize};
 use std::path::{Path, PathBuf};
@@ -15,16 +18,16 @@
 const MOST: u64 = 40 << 20;
 const PAGE: u64 = 4096;
 /// The file's name in the data folder.
-pub const FILE: &str = "timetable.sqlite";
+pub const FILE_NAME: &str = "timetable.sqlite";
 
 /// Why a store can't be used, or did not keep a record.
 #[derive(Debug, miette::Diagnostic)]
-pub enum Fault {
+pub enum StoreError {
     /// The file is of another format.
     #[diagnostic(help(
         "start the program that wrote it, or move the file away: a voter without it is let in anew"
     ))]
-    Format {
+    UnsupportedFormat {
         /// The file.
         file: PathBuf,
         /// What it says of itself.
@@ -32,7 +35,7 @@
     },
     /// What is in it makes no sense.
     #[diagnostic(help("move the file away: a voter without it is let in anew by the others"))]
-    Spoilt {
+    Corrupt {
         /// The file.
         file: PathBuf,
         /// What was wrong.
@@ -40,7 +43,7 @@
     },
     /// The folder itself can't be synced.
     #[diagnostic(help("see to the disk, and to the rights on the folder"))]
-    Folder {
+    SyncFolder {
         /// The folder.
         folder: PathBuf,
         /// What the system said.
@@ -48,27 +51,27 @@
     },
     /// The disk refuses.
     #[diagnostic(help("make room, or see to the disk; what was not kept was not promised"))]
-    Disk(rusqlite::Error),
+    Sqlite(rusqlite::Error),
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for StoreError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Fault::Format { file, found } => {
+            StoreError::UnsupportedFormat { file, found } => {
                 write!(f, "{}: format {found}, this program writes {FORMAT}", file.display())
             }
-            Fault::Spoilt { file, what } => write!(f, "{}: {what}", file.display()),
-            Fault::Folder { folder, error } => write!(f, "{}: {error}", folder.display()),
-            Fault::Disk(error) => write!(f, "the store's disk: {error}"),
+            StoreError::Corrupt { file, what } => write!(f, "{}: {what}", file.display()),
+            StoreError::SyncFolder { folder, error } => write!(f, "{}: {error}", folder.display()),
+            StoreError::Sqlite(error) => write!(f, "the store's disk: {error}"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for StoreError {}
 
-impl From<rusqlite::Error> for Fault {
-    fn from(error: rusqlite::Error) -> Fault {
-        Fault::Disk(error)
+impl From<rusqlite::Error> for StoreError {
+    fn from(error: rusqlite::Error) -> StoreError {
+        StoreError::Sqlite(error)
     }
 }
 
@@ -77,7 +80,7 @@
 pub struct Store {
     file: PathBuf,
     connection: Connection,
-    disk: u64,
+    disk: DiskId,
     /// Whether a record was not kept: what comes behind it would stand on a gap, until all is written anew.
     torn: bool,
 }
@@ -87,16 +90,20 @@
     ///
     /// # Errors
     /// The disk refuses, or the file is none of this format.
-    pub fn open(folder: &Path, new_disk: u64) -> Result<(Store, Recovered), Fault> {
-        Store::open_within(folder, new_disk, MOST)
+    pub fn open(folder: &Path, new_disk: DiskId) -> Result<(Store, DurableState), StoreError> {
+        Store::open_with_limit(folder, new_disk, MOST)
     }
 
     /// As [`open`](Store::open), for a file of so many bytes at the most: what goes beyond is refused as by a full disk.
     ///
     /// # Errors
     /// As there.
-    pub fn open_within(folder: &Path, new_disk: u64, most: u64) -> Result<(Store, Recovered), Fault> {
-        let file = folder.join(FILE);
+    pub fn open_with_limit(
+        folder: &Path,
+        new_disk: DiskId,
+        most: u64,
+    ) -> Result<(Store, DurableState), StoreError> {
+        let file = folder.join(FILE_NAME);
         let connection = Connection::open(&file)?;
         // Exclusive: the index of the write-ahead log stays in this process's memory.
         connection.pragma_update(None, "locking_mode", "exclusive")?;
@@ -114,7 +121,7 @@
         match store.meta::<u32>("format")? {
             Some(FORMAT) => {}
             Some(SHORT_DIGESTS) => store.convert_short_digests()?,
-            Some(found) => return Err(Fault::Format { file: store.file, found }),
+            Some(found) => return Err(StoreError::UnsupportedFormat { file: store.file, found }),
             None => {
                 let transaction = store.connection.transaction()?;
                 put_meta(&transaction, "format", &FORMAT)?;
@@ -123,14 +130,14 @@
             }
         }
         sync_folder(folder)?;
-        store.disk = store.meta("disk")?.ok_or_else(|| store.spoilt("it has no number".to_owned()))?;
+        store.disk = store.meta("disk")?.ok_or_else(|| store.corrupt("it has no number".to_owned()))?;
         let recovered = store.recover()?;
         Ok((store, recovered))
     }
 
     /// Orders of a file of format 1 can't be told from others any more: they are noted as forgotten, so that one that is
     /// sent again gets no clear answer rather than a wrong one.
-    fn convert_short_digests(&mut self) -> Result<(), Fault> {
+    fn convert_short_digests(&mut self) -> Result<(), StoreError> {
         let bytes: Option<Vec<u8>> =
             self.connection.query_row("SELECT value FROM state", [], |row| row.get(0)).optional()?;
         let old = bytes.map(|bytes| self.decode::<ShortDigestState>(&bytes)).transpose()?;
@@ -144,7 +151,7 @@
     }
 
     /// The number that this disk was given.
-    pub fn disk(&self) -> u64 {
+    pub fn disk(&self) -> DiskId {
         self.disk
     }
 
@@ -152,11 +159,12 @@
     ///
     /// # Errors
     /// The disk refuses, or a record can't be read.
-    pub fn recover(&self) -> Result<Recovered, Fault> {
+    pub fn recover(&self) -> Result<DurableState, StoreError> {
         let promised: Term = self.meta("promised")?.unwrap_or_default();
         let state: Option<Vec<u8>> =
             self.connection.query_row("SELECT value FROM state", [], |row| row.get(0)).optional()?;
-        let mut state: State = state.map_or(Ok(State::nothing()), |bytes| self.decode(&bytes))?;
+        let mut state: ReplicatedState =
+            state.map_or(Ok(ReplicatedState::empty()), |bytes| self.decode(&bytes))?;
         let mut statement =
             self.connection.prepare("SELECT place, epoch, entry, chosen FROM log ORDER BY place")?;
         let rows = statement.query_map([], |row| {
@@ -169,37 +177,37 @@
         })?;
         let rows: Vec<_> = rows.collect::<Result<_, _>>()?;
         let last = rows.len();
-        let mut open = None;
+        let mut accepted: Option<AcceptedEntry> = None;
         for (number, (index, term, entry, chosen)) in rows.into_iter().enumerate() {
             let entry: Entry = self.decode(&entry)?;
-            if index as LogIndex != state.index + 1 {
-                return Err(self.spoilt(format!("index {index} stands behind index {}", state.index)));
+            if LogIndex(index as u64) != state.index + 1 {
+                return Err(self.corrupt(format!("index {index} stands behind index {}", state.index)));
             }
             // What stands before another was chosen when that was accepted.
             if chosen || number + 1 < last {
                 state.apply(&entry);
             } else {
-                open = Some((self.decode(&term)?, entry));
+                accepted = Some(AcceptedEntry { term: self.decode(&term)?, entry });
             }
         }
-        let promised = open.as_ref().map_or(promised, |(term, _): &(Term, Entry)| promised.max(*term));
-        Ok(Recovered { promised, state, open })
+        let promised = accepted.as_ref().map_or(promised, |accepted| promised.max(accepted.term));
+        Ok(DurableState { promised, state, accepted })
     }
 
     /// Keeps a record; it is on disk when this returns.
     ///
     /// # Errors
     /// The disk refuses; nothing of the record is kept.
-    pub fn keep(&mut self, record: &Record) -> Result<(), Fault> {
-        if self.torn && !matches!(record, Record::Whole(_)) {
-            return Err(self.spoilt("a record before this one was not kept".to_owned()));
+    pub fn append(&mut self, record: &Record) -> Result<(), StoreError> {
+        if self.torn && !matches!(record, Record::Snapshot(_)) {
+            return Err(self.corrupt("a record before this one was not kept".to_owned()));
         }
         let kept = self.try_to_keep(record);
         self.torn = kept.is_err();
         kept
     }
 
-    fn try_to_keep(&mut self, record: &Record) -> Result<(), Fault> {
+    fn try_to_keep(&mut self, record: &Record) -> Result<(), StoreError> {
         let transaction = self.connection.transaction()?;
         match record {
             Record::Promised(term) => put_meta(&transaction, "promised", term)?,
@@ -207,14 +215,14 @@
                 put_meta(&transaction, "promised", term)?;
                 put_entry(&transaction, (*index, entry), *term, false)?;
             }
-            Record::Chosen(Chosen { index, entry }) => {
-                put_entry(&transaction, (*index, entry), (0, 0), true)?;
+            Record::Committed(CommittedEntry { index, entry }) => {
+                put_entry(&transaction, (*index, entry), Term::ZERO, true)?;
             }
-            Record::Whole(Recovered { promised, state, open }) => {
+            Record::Snapshot(DurableState { promised, state, accepted }) => {
                 put_meta(&transaction, "promised", promised)?;
                 put_state(&transaction, state)?;
                 transaction.execute("DELETE FROM log", [])?;
-                if let Some((term, entry)) = open {
+                if let Some(AcceptedEntry { term, entry }) = accepted {
                     put_entry(&transaction, (state.index + 1, entry), *term, false)?;
                 }
             }
@@ -223,7 +231,7 @@
         Ok(())
     }
 
-    fn meta<T: DeserializeOwned>(&self, key: &str) -> Result<Option<T>, Fault> {
+    fn meta<T: DeserializeOwned>(&self, key: &str) -> Result<Option<T>, StoreError> {
         let value: Option<Vec<u8>> = self
             .connection
             .query_row("SELECT value FROM meta WHERE key = ?1", [key], |row| row.get(0))
@@ -231,12 +239,12 @@
         value.map(|bytes| self.decode(&bytes)).transpose()
     }
 
-    fn decode<T: DeserializeOwned>(&self, bytes: &[u8]) -> Result<T, Fault> {
-        ciborium::from_reader(bytes).map_err(|error| self.spoilt(error.to_string()))
+    fn decode<T: DeserializeOwned>(&self, bytes: &[u8]) -> Result<T, StoreError> {
+        ciborium::from_reader(bytes).map_err(|error| self.corrupt(error.to_string()))
     }
 
-    fn spoilt(&self, what: String) -> Fault {
-        Fault::Spoilt { file: self.file.clone(), what }
+    fn corrupt(&self, what: String) -> StoreError {
+        StoreError::Corrupt { file: self.file.clone(), what }
     }
 }
 
@@ -248,18 +256,18 @@
 }
 
 /// Syncs the folder's own entries. Guards against a loss of power that takes a file whose content was synced.
-fn sync_folder(folder: &Path) -> Result<(), Fault> {
+fn sync_folder(folder: &Path) -> Result<(), StoreError> {
     std::fs::File::open(folder)
         .and_then(|folder| folder.sync_all())
-        .map_err(|error| Fault::Folder { folder: folder.to_owned(), error })
+        .map_err(|error| StoreError::SyncFolder { folder: folder.to_owned(), error })
 }
 
-fn put_state(at: &Connection, state: &State) -> Result<(), Fault> {
+fn put_state(at: &Connection, state: &ReplicatedState) -> Result<(), StoreError> {
     at.execute("INSERT OR REPLACE INTO state VALUES (1, ?1)", params![encode(state)])?;
     Ok(())
 }
 
-fn put_meta(at: &Connection, key: &str, value: &impl Serialize) -> Result<(), Fault> {
+fn put_meta(at: &Connection, key: &str, value: &impl Serialize) -> Result<(), StoreError> {
     at.execute("INSERT OR REPLACE INTO meta VALUES (?1, ?2)", params![key, encode(value)])?;
     Ok(())
 }
@@ -269,11 +277,11 @@
     (index, entry): (LogIndex, &Entry),
     term: Term,
     chosen: bool,
-) -> Result<(), Fault> {
-    at.execute("DELETE FROM log WHERE place >= ?1", [index as i64])?;
+) -> Result<(), StoreError> {
+    at.execute("DELETE FROM log WHERE place >= ?1", [index.0 as i64])?;
     at.execute(
         "INSERT INTO log VALUES (?1, ?2, ?3, ?4)",
-        params![index as i64, encode(&term), encode(entry), chosen],
+        params![index.0 as i64, encode(&term), encode(entry), chosen],
     )?;
     Ok(())
 }
--- a/crates/brassport-config-store/tests/common/alone.rs
+++ b/crates/brassport-config-store/tests/common/alone.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code)]
 
 use brassport_config_store::consensus::{
-    Action, Command, Outcome, Recovered, Replica, State, VoterId, REMEMBERED_ORDERS,
+    Action, Command, DurableState, Outcome, Replica, ReplicatedState, VoterId, REMEMBERED_REQUESTS,
 };
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -16,21 +16,21 @@
     next: u64,
 }
 
-pub const ME: VoterId = VoterId { ip: Ipv4Addr::new(10, 0, 0, 1), disk: 7 };
+pub const ME: VoterId = VoterId { ip: Ipv4Addr::new(10, 0, 0, 1), disk: DiskId(7) };
 
 impl Alone {
     pub fn new() -> Alone {
-        Alone::from(State::genesis(vec![ME], 4))
+        Alone::from(ReplicatedState::genesis(vec![ME], 4))
     }
 
-    pub fn from(state: State) -> Alone {
-        Alone::recovered(Recovered { promised: (0, 0), state, open: None })
+    pub fn from(state: ReplicatedState) -> Alone {
+        Alone::recovered(DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None })
     }
 
-    pub fn recovered(found: Recovered) -> Alone {
+    pub fn recovered(found: DurableState) -> Alone {
         let replica = Replica::new(ME.ip, ME.disk, Some(found), 0);
         let mut alone = Alone { replica, now: 0, next: 0 };
-        while !alone.replica.leads() {
+        while !alone.replica.is_leader() {
             alone.now += 50;
             let actions = alone.replica.tick(alone.now);
             alone.carry_out(actions);
@@ -42,18 +42,24 @@
         let mut answers = Vec::new();
         while let Some(action) = (!actions.is_empty()).then(|| actions.remove(0)) {
             match action {
-                Action::Write(number, _) => actions.extend(self.replica.written(self.now, number, true)),
-                Action::Answer(number, outcome) => answers.push((number, outcome)),
+                Action::Persist(number, _) => {
+                    actions.extend(self.replica.on_persisted(self.now, number, true))
+                }
+                Action::Respond(number, outcome) => answers.push((number, outcome)),
                 _ => {}
             }
         }
         answers
     }
 
-    pub fn put(&mut self, built_on: u32, body: &Arc<Vec<u8>>) -> Outcome {
+    pub fn put(&mut self, base_version: u32, body: &Arc<Vec<u8>>) -> Outcome {
         self.next += 1;
-        let command = Command::Put { is_whole: true, built_on, body: body.clone() };
-        let actions = self.replica.ask(self.now, self.next, command);
+        let command = Command::Configure(ConfigurationRequest {
+            scope: ChangeScope::Full,
+            base_version,
+            body: body.clone(),
+        });
+        let actions = self.replica.submit(self.now, self.next, command);
         let mut answers = self.carry_out(actions);
         assert_eq!(answers.len(), 1, "one answer to one order");
         answers.remove(0).1
@@ -72,17 +78,17 @@
 pub fn orders_of_long_ago_refused() -> Option<String> {
     let mut leader = Alone::new();
     let beyond = 100;
-    let versions = 1..=(REMEMBERED_ORDERS as u32 + beyond);
+    let versions = 1..=(REMEMBERED_REQUESTS as u32 + beyond);
     let bodies: Vec<(u32, Arc<Vec<u8>>)> =
         versions.map(|version| (version - 1, body(version, "a"))).collect();
-    for (built_on, body) in &bodies {
-        assert_eq!(leader.put(*built_on, body), Outcome::Taken);
+    for (base_version, body) in &bodies {
+        assert_eq!(leader.put(*base_version, body), Outcome::Committed);
     }
-    let wrong = bodies.iter().find_map(|(built_on, body)| {
-        let answer = leader.put(*built_on, body);
-        let expected = if *built_on >= beyond { Outcome::Taken } else { Outcome::Open };
-        (answer != expected).then(|| format!("on top of {built_on}: {answer:?}"))
+    let wrong = bodies.iter().find_map(|(base_version, body)| {
+        let answer = leader.put(*base_version, body);
+        let expected = if *base_version >= beyond { Outcome::Committed } else { Outcome::Unknown };
+        (answer != expected).then(|| format!("on top of {base_version}: {answer:?}"))
     });
     let other = leader.put(300, &body(900, "b"));
-    wrong.or_else(|| (other != Outcome::Outdated).then(|| format!("another order: {other:?}")))
+    wrong.or_else(|| (other != Outcome::VersionConflict).then(|| format!("another order: {other:?}")))
 }
--- a/crates/brassport-config-store/tests/common/mod.rs
+++ b/crates/brassport-config-store/tests/common/mod.rs
@@ -38,8 +38,8 @@
 
 struct Machine {
     replica: Option<Replica>,
-    disk: u64,
-    kept: Recovered,
+    disk: DiskId,
+    kept: DurableState,
     /// Whether its store stands on a gap until all is written anew.
     torn: bool,
     life: u64,
@@ -51,9 +51,9 @@
 }
 
 struct Asked {
-    digest: OrderDigest,
+    digest: RequestDigest,
     version: u32,
-    built_on: u32,
+    base_version: u32,
 }
 
 /// A run.
@@ -70,7 +70,7 @@
     asked: BTreeMap<u64, Asked>,
     next_ask: u64,
     last_version: u32,
-    taken: Vec<(OrderDigest, u32)>,
+    taken: Vec<(RequestDigest, u32)>,
     /// What operators called, by number: when, and what they were answered so far.
     history: BTreeMap<u64, Operation>,
     pub acknowledged: usize,
@@ -95,11 +95,11 @@
 
 impl World {
     pub fn new(seed: u64, sizes: Sizes, mutant: Option<Mutant>) -> World {
-        let nothing = || Recovered { promised: (0, 0), state: State::nothing(), open: None };
+        let nothing = || DurableState::empty();
         let machines = (0..sizes.machines)
             .map(|number| Machine {
                 replica: None,
-                disk: 1_000 + number as u64,
+                disk: DiskId(1_000 + number as u64),
                 kept: nothing(),
                 torn: false,
                 life: 0,
@@ -129,9 +129,9 @@
         };
         // They all begin with the same voters: how those are met is the scenarios' matter.
         let voters: Vec<VoterId> =
-            (0..sizes.voters).map(|one| VoterId { ip: ip(one), disk: 1_000 + one as u64 }).collect();
+            (0..sizes.voters).map(|one| VoterId { ip: ip(one), disk: DiskId(1_000 + one as u64) }).collect();
         for number in 0..sizes.machines {
-            world.machines[number].kept.state = State::genesis(voters.clone(), 4);
+            world.machines[number].kept.state = ReplicatedState::genesis(voters.clone(), 4);
             world.begin(number);
         }
         world.at(50, Step::Fault);
@@ -208,7 +208,7 @@
                 }
                 let now = self.now;
                 if let Some(replica) = &mut self.machines[one].replica {
-                    let actions = replica.receive(now, from, message);
+                    let actions = replica.step(now, from, message);
                     self.carry_out(one, actions);
                 }
             }
@@ -219,7 +219,7 @@
                 let refuses = self.now < self.machines[one].full_until;
                 let machine = &mut self.machines[one];
                 let ignored = self.mutant == Some(Mutant::TornIgnored);
-                let gap = machine.torn && !matches!(record, Record::Whole(_)) && !ignored;
+                let gap = machine.torn && !matches!(record, Record::Snapshot(_)) && !ignored;
                 let kept = !refuses && !gap;
                 machine.torn = !kept;
                 if kept {
@@ -227,7 +227,7 @@
                 }
                 let now = self.now;
                 if let Some(replica) = &mut machine.replica {
-                    let actions = replica.written(now, write, kept);
+                    let actions = replica.on_persisted(now, write, kept);
                     self.carry_out(one, actions);
                 }
             }
@@ -240,7 +240,7 @@
                 }
             }
             Step::Ask => {
-                self.ask();
+                self.submit();
                 let wait = 10 + self.draw(90);
                 self.at(wait, Step::Ask);
             }
@@ -265,7 +265,7 @@
         for action in actions {
             match action {
                 Action::Send(to, message) => self.send(one, machine(to), message),
-                Action::Write(number, record) => {
+                Action::Persist(number, record) => {
                     let longest = if self.draw(20) == 0 { 300 } else { 8 };
                     let wait = 1 + self.draw(longest);
                     let at = self.machines[one].busy.max(self.now) + wait;
@@ -273,12 +273,12 @@
                     let life = self.machines[one].life;
                     self.at(at - self.now, Step::Synced(one, number, record, life));
                 }
-                Action::Fetch(from) => {
+                Action::FetchLog(from) => {
                     let wait = 2 + self.draw(10);
                     self.at(wait, Step::Fetched(one, machine(from)));
                 }
-                Action::Moved(entry) => {
-                    if let Some(Chosen { index, entry }) = entry {
+                Action::Applied(entry) => {
+                    if let Some(CommittedEntry { index, entry }) = entry {
                         let first = self.chosen.entry(index).or_insert_with(|| entry.clone());
                         if *first != entry {
                             self.broken
@@ -286,7 +286,7 @@
                         }
                     }
                 }
-                Action::Answer(number, outcome) => self.answered(number, outcome),
+                Action::Respond(number, outcome) => self.answered(number, outcome),
             }
         }
     }
@@ -320,11 +320,11 @@
             return;
         };
         let Some(source) = &self.machines[from].replica else { return };
-        let (entries, state) = (source.entries_after(index), State::clone(source.state()));
+        let (entries, state) = (source.entries_after(index), ReplicatedState::clone(source.state()));
         let now = self.now;
         let Some(replica) = &mut self.machines[one].replica else { return };
         let actions = match entries {
-            Some(entries) => replica.learn(now, entries),
+            Some(entries) => replica.append_committed(now, entries),
             None => replica.install_snapshot(now, state),
         };
         self.carry_out(one, actions);
@@ -377,14 +377,14 @@
     /// A disk is lost, if all others are as they were: more than may be lost at once would prove nothing.
     fn wipe(&mut self, one: usize) {
         let newest = self.machines.iter().map(|machine| machine.kept.state.index).max().unwrap_or_default();
-        let is_whole = |machine: &Machine| {
+        let scope = |machine: &Machine| {
             let state = &machine.kept.state;
             let voters = &state.voters;
             let in_order = machine.kept.state.index + 1 >= newest && voters.len() >= self.sizes.voters;
             in_order && machine.replica.is_some()
         };
         let others_whole = self.machines.iter().all(|machine| {
-            is_whole(machine)
+            scope(machine)
                 && machine
                     .kept
                     .state
@@ -400,7 +400,7 @@
         if self.mutant != Some(Mutant::DiskIgnored) {
             machine.disk += 100;
         }
-        machine.kept = Recovered { promised: (0, 0), state: State::nothing(), open: None };
+        machine.kept = DurableState::empty();
         machine.torn = false;
         self.back(one);
     }
@@ -438,7 +438,7 @@
         }
         let number = 1 << 60;
         if let Some(replica) = &mut self.machines[leader].replica {
-            let actions = replica.ask(now, number, Command::Voters { voters, slots: state.slots });
+            let actions = replica.submit(now, number, Command::ChangeVoters { voters, quota_shares: state.quota_shares });
             self.carry_out(leader, actions);
         }
     }
@@ -461,7 +461,7 @@
         if self.draw(5) == 0 {
             self.begin_call(number, versions::Asked::Read);
             if let Some(replica) = &mut self.machines[one].replica {
-                let actions = replica.ask(now, number, Command::Read);
+                let actions = replica.submit(now, number, Command::Read);
                 self.carry_out(one, actions);
             }
             return;
@@ -470,20 +470,21 @@
         let any = self.draw(self.machines.len() as u64) as usize;
         let known = self.machines[any].replica.as_ref().map_or(0, |replica| replica.state().version());
         let again = self.draw(8) == 0;
-        let (version, built_on) = match self.asked.values().last().filter(|_| again) {
-            Some(asked) => (asked.version, asked.built_on),
+        let (version, base_version) = match self.asked.values().last().filter(|_| again) {
+            Some(asked) => (asked.version, asked.base_version),
             None => {
                 self.last_version += 1 + self.draw(3) as u32;
                 (self.last_version, known)
             }
         };
         let body = body(version);
-        let digest = OrderDigest::of(true, built_on, &body);
-        self.asked.insert(number, Asked { digest, version, built_on });
-        self.begin_call(number, versions::Asked::Write { version, built_on });
+        let digest = RequestDigest::of(true, base_version, &body);
+        self.asked.insert(number, Asked { digest, version, base_version });
+        self.begin_call(number, versions::Asked::Write { version, base_version });
         if let Some(replica) = &mut self.machines[one].replica {
-            let command = Command::Put { is_whole: true, built_on, body };
-            let actions = replica.ask(now, number, command);
+            let command =
+                Command::Configure(ConfigurationRequest { scope: ChangeScope::Full, base_version, body });
+            let actions = replica.submit(now, number, command);
             self.carry_out(one, actions);
         }
     }
@@ -498,14 +499,14 @@
         let Some(operation) = self.history.get_mut(&number) else { return };
         operation.ended = self.now;
         operation.answered = match outcome {
-            Outcome::Taken => Answered::Taken,
-            Outcome::Outdated => Answered::Outdated,
+            Outcome::Committed => Answered::Taken,
+            Outcome::VersionConflict => Answered::Outdated,
             Outcome::Invalid(_) => Answered::Invalid,
-            Outcome::Open => Answered::Open,
-            Outcome::Newest(state) => Answered::Newest(state.version()),
+            Outcome::Unknown => Answered::Open,
+            Outcome::Current(state) => Answered::Newest(state.version()),
         };
         if let (Answered::Taken, Some(asked)) = (operation.answered, self.asked.get(&number)) {
-            self.taken.push((asked.digest, asked.version));
+            self.applied_requests.push((asked.digest, asked.version));
             self.acknowledged += 1;
         }
     }
@@ -513,8 +514,8 @@
     /// All indexes, a line each.
     fn told(&self) -> String {
         let line = |(index, entry): (&LogIndex, &Entry)| match entry {
-            Entry::Replace { built_on, body } => {
-                format!("{index}: {} on {built_on:08x}\n", String::from_utf8_lossy(&body[12..20]))
+            Entry::Replace { base_version, body } => {
+                format!("{index}: {} on {base_version:08x}\n", String::from_utf8_lossy(&body[12..20]))
             }
             other => format!("{index}: {other:?}\n"),
         };
@@ -528,8 +529,8 @@
         if !self.machines.iter().any(|machine| machine.replica.as_ref().is_some_and(Replica::leads)) {
             self.broken.push("8 s of calm and nobody holds leadership".to_owned());
         }
-        for (digest, version) in &self.taken {
-            if state.taken.len() < 500 && state.taken.get(version) != Some(digest) {
+        for (digest, version) in &self.applied_requests {
+            if state.applied_requests.len() < 500 && state.applied_requests.get(version) != Some(digest) {
                 self.broken.push(format!("version {version} was acknowledged and is lost"));
             }
         }
@@ -538,42 +539,42 @@
             self.broken.push(format!("{broken:?}"));
         }
         // The chain is one chain: each version was built on the one before.
-        let mut built_on = 0;
+        let mut base_version = 0;
         for entry in self.chosen.values() {
-            if let Entry::Replace { built_on: on, body } = entry {
-                if *on != built_on {
+            if let Entry::Replace { base_version: on, body } = entry {
+                if *on != base_version {
                     println!("{}", self.told());
-                    self.broken.push(format!("a version on top of {on} stands behind {built_on}"));
+                    self.broken.push(format!("a version on top of {on} stands behind {base_version}"));
                 }
                 let text = String::from_utf8_lossy(body);
-                built_on = u32::from_str_radix(&text[12..20], 16).unwrap_or_default();
+                base_version = u32::from_str_radix(&text[12..20], 16).unwrap_or_default();
             }
         }
     }
 }
 
 /// What a store does with a record.
-fn keep(kept: &mut Recovered, record: Record) {
+fn keep(kept: &mut DurableState, record: Record) {
     match record {
         Record::Promised(term) => kept.promised = kept.promised.max(term),
         Record::Accepted { term, index, entry } => {
             kept.promised = kept.promised.max(term);
             while kept.state.index + 1 < index {
                 // What stands before another was chosen when that was accepted.
-                let Some((_, before)) = kept.open.take() else { break };
+                let Some((_, before)) = kept.accepted.take() else { break };
                 kept.state.apply(&before);
             }
-            kept.open = Some((term, entry));
+            kept.accepted = Some((term, entry));
         }
-        Record::Chosen(Chosen { index, entry }) => {
+        Record::Committed(CommittedEntry { index, entry }) => {
             while kept.state.index + 1 < index {
-                let Some((_, before)) = kept.open.take() else { break };
+                let Some((_, before)) = kept.accepted.take() else { break };
                 kept.state.apply(&before);
             }
-            kept.open = None;
+            kept.accepted = None;
             kept.state.apply(&entry);
         }
-        Record::Whole(whole) => *kept = whole,
+        Record::Snapshot(whole) => *kept = whole,
     }
 }
 
@@ -624,10 +625,10 @@
 /// leadership before its own promise was synced, whether it did once that was, and whether it judged before and behind the word
 /// of a majority.
 pub fn one_voter_step_by_step() -> [bool; 4] {
-    let id = |one: usize| VoterId { ip: ip(one), disk: one as u64 + 1 };
-    let state = State::genesis((0..3).map(id).collect(), 4);
-    let found = Recovered { promised: (0, 0), state, open: None };
-    let mut replica = Replica::new(ip(0), 1, Some(found), 0);
+    let id = |one: usize| VoterId { ip: ip(one), disk: DiskId(one as u64 + 1) };
+    let state = ReplicatedState::genesis((0..3).map(id).collect(), 4);
+    let found = DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None };
+    let mut replica = Replica::new(ip(0), DiskId(1), Some(found), 0);
     let mut term = None;
     for now in [100, 200, 300] {
         for action in replica.tick(now) {
@@ -637,34 +638,39 @@
         }
     }
     let term = term.expect("the first in the order stands");
-    let promise = Message::Promise { term, index: 1, open: None };
-    let mut actions = replica.receive(301, id(1), promise.clone());
-    actions.extend(replica.receive(302, id(2), promise));
-    let early = replica.leads();
+    let promise = Message::Promise { term, index: LogIndex(1), accepted: None };
+    let mut actions = replica.step(301, id(1), promise.clone());
+    actions.extend(replica.step(302, id(2), promise));
+    let early = replica.is_leader();
     let write = actions.iter().find_map(|action| match action {
-        Action::Write(number, Record::Promised(_)) => Some(*number),
+        Action::Persist(number, Record::Promised(_)) => Some(*number),
         _ => None,
     });
-    replica.written(303, write.expect("it writes its own promise"), true);
-    let held = replica.leads();
-    let answers = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Answer(9, _)));
-    let asked = replica.ask(304, 9, Command::Read);
+    replica.on_persisted(303, write.expect("it writes its own promise"), true);
+    let held = replica.is_leader();
+    let answers = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Respond(9, _)));
+    let asked = replica.submit(304, 9, Command::Read);
     let heartbeat = asked.iter().find_map(|action| match action {
-        Action::Send(_, Message::Lead { heartbeat, .. }) => Some(*heartbeat),
+        Action::Send(_, Message::Heartbeat { heartbeat, .. }) => Some(*heartbeat),
         _ => None,
     });
     let heartbeat = heartbeat.expect("it asks the others");
     let unsure = answers(&asked);
-    let sure = answers(&replica.receive(305, id(1), Message::Follow { term, index: 1, heartbeat }));
+    let sure = answers(&replica.step(305, id(1), Message::HeartbeatResponse { term, index: LogIndex(1), heartbeat }));
     [early, held, unsure, sure]
 }
 
 /// A voter that is alone holds leadership and is asked for two changes at once, each of which would let another machine in.
 /// What it answers to both.
 pub fn two_changes_at_once() -> [Option<Outcome>; 2] {
-    let id = |one: usize| VoterId { ip: ip(one), disk: one as u64 + 1 };
-    let state = State::genesis(vec![id(0)], 4);
-    let mut replica = Replica::new(ip(0), 1, Some(Recovered { promised: (0, 0), state, open: None }), 0);
+    let id = |one: usize| VoterId { ip: ip(one), disk: DiskId(one as u64 + 1) };
+    let state = ReplicatedState::genesis(vec![id(0)], 4);
+    let mut replica = Replica::new(
+        ip(0),
+        1,
+        Some(DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None }),
+        0,
+    );
     let mut answers = [None, None];
     let mut actions = Vec::new();
     // Alone it holds leadership as soon as its promise is synced.
@@ -672,22 +678,26 @@
         let mut more = if now % 50 == 0 { replica.tick(now) } else { Vec::new() };
         for action in actions.drain(..) {
             match action {
-                Action::Write(number, _) => more.extend(replica.written(now, number, true)),
-                Action::Answer(number @ 3..=4, outcome) => answers[number as usize - 3] = Some(outcome),
+                Action::Persist(number, _) => more.extend(replica.on_persisted(now, number, true)),
+                Action::Respond(number @ 3..=4, outcome) => answers[number as usize - 3] = Some(outcome),
                 // The one that was let in accepts what it is asked to.
                 Action::Send(to, Message::Accept { term, index, .. }) if to == ip(3) => {
-                    more.extend(replica.receive(now, id(3), Message::Accepted { term, index }));
+                    more.extend(replica.step(now, id(3), Message::Accepted { term, index }));
                 }
-                Action::Send(to, Message::Lead { term, index, heartbeat }) if to == ip(3) => {
-                    more.extend(replica.receive(now, id(3), Message::Follow { term, index, heartbeat }));
+                Action::Send(to, Message::Heartbeat { term, index, heartbeat }) if to == ip(3) => {
+                    more.extend(replica.step(
+                        now,
+                        id(3),
+                        Message::HeartbeatResponse { term, index, heartbeat },
+                    ));
                 }
                 _ => {}
             }
         }
         if now == 152 {
             for new in [3, 4] {
-                let command = Command::Voters { voters: vec![id(0), id(new)], slots: 4 };
-                more.extend(replica.ask(now, new as u64, command));
+                let command = Command::ChangeVoters { voters: vec![id(0), id(new)], slots: 4 };
+                more.extend(replica.submit(now, new as u64, command));
             }
         }
         actions = more;
@@ -696,19 +706,24 @@
 }
 
 fn of_three(one: usize) -> Replica {
-    let id = |one: usize| VoterId { ip: ip(one), disk: one as u64 + 1 };
-    let state = State::genesis((0..3).map(id).collect(), 4);
-    Replica::new(ip(one), one as u64 + 1, Some(Recovered { promised: (0, 0), state, open: None }), 0)
+    let id = |one: usize| VoterId { ip: ip(one), disk: DiskId(one as u64 + 1) };
+    let state = ReplicatedState::genesis((0..3).map(id).collect(), 4);
+    Replica::new(
+        ip(one),
+        one as u64 + 1,
+        Some(DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None }),
+        0,
+    )
 }
 
 /// The second of three voters, and who the first is.
 pub fn follower_of_three() -> (Replica, VoterId) {
-    (of_three(1), VoterId { ip: ip(0), disk: 1 })
+    (of_three(1), VoterId { ip: ip(0), disk: DiskId(1) })
 }
 
 /// The first of three voters, which leads from 300 ms on; who the second is; and the term.
 pub fn leader_of_three() -> (Replica, VoterId, Term) {
-    let (mut replica, other) = (of_three(0), VoterId { ip: ip(1), disk: 2 });
+    let (mut replica, other) = (of_three(0), VoterId { ip: ip(1), disk: DiskId(2) });
     let mut led = None;
     for now in (50..=300).step_by(50) {
         let mut actions = replica.tick(now);
@@ -716,17 +731,17 @@
             match action {
                 Action::Send(to, Message::Prepare { term }) if to == other.ip => {
                     led = Some(term);
-                    actions.extend(replica.receive(
+                    actions.extend(replica.step(
                         now,
                         other,
-                        Message::Promise { term, index: 1, open: None },
+                        Message::Promise { term, index: LogIndex(1), accepted: None },
                     ));
                 }
-                Action::Write(number, _) => actions.extend(replica.written(now, number, true)),
+                Action::Persist(number, _) => actions.extend(replica.on_persisted(now, number, true)),
                 _ => {}
             }
         }
     }
-    assert!(replica.leads());
+    assert!(replica.is_leader());
     (replica, other, led.expect("it has campaigned"))
 }
--- a/crates/brassport-config-store/tests/common/voters.rs
+++ b/crates/brassport-config-store/tests/common/voters.rs
@@ -71,8 +71,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Machine {
     replica: Replica,
-    disk: u64,
-    kept: Recovered,
+    disk: DiskId,
+    kept: DurableState,
     /// Whether its store stands on a gap until all is written anew.
     torn: bool,
     /// Written, not yet synced, in their order.
@@ -99,10 +99,10 @@
     chosen: BTreeMap<LogIndex, Entry>,
     words: u8,
     /// Digests of what was asked, by number; of reads the newest version acknowledged when they began.
-    asked: BTreeMap<u64, OrderDigest>,
+    asked: BTreeMap<u64, RequestDigest>,
     reads: BTreeMap<u64, u32>,
-    acknowledged: BTreeMap<OrderDigest, u32>,
-    refused: BTreeSet<OrderDigest>,
+    acknowledged: BTreeMap<RequestDigest, u32>,
+    refused: BTreeSet<RequestDigest>,
     left: Left,
     /// Holders, by term and the life of whoever holds.
     leaders: BTreeSet<Term>,
@@ -165,9 +165,9 @@
     Arc::new(text.into_bytes())
 }
 
-fn is_chosen(_mutant: Option<Mutant>) {
+fn is_active(_mutant: Option<Mutant>) {
     #[cfg(feature = "mutants")]
-    brassport_config_store::consensus::mutants::choose(_mutant);
+    brassport_config_store::consensus::mutants::activate(_mutant);
 }
 
 impl Site {
@@ -200,7 +200,7 @@
         let (number, record) = self.machines[one].writes.remove(0);
         let kept = self.machines[one].keep(record, mends_nothing);
         let now = self.now(one);
-        let actions = self.machines[one].replica.written(now, number, kept);
+        let actions = self.machines[one].replica.on_persisted(now, number, kept);
         self.carry_out(one, actions);
     }
 
@@ -211,11 +211,11 @@
     }
 
     fn at_rest(sizes: Sizes) -> Site {
-        let id = |one: usize| VoterId { ip: ip(one), disk: 10 + one as u64 };
-        let state = State::genesis((0..sizes.voters).map(id).collect(), 4);
+        let id = |one: usize| VoterId { ip: ip(one), disk: DiskId(10 + one as u64) };
+        let state = ReplicatedState::genesis((0..sizes.voters).map(id).collect(), 4);
         let machines = (0..sizes.voters + sizes.spares).map(|one| {
-            let state = if one < sizes.voters { state.clone() } else { State::nothing() };
-            let kept = Recovered { promised: (0, 0), state, open: None };
+            let state = if one < sizes.voters { state.clone() } else { ReplicatedState::empty() };
+            let kept = DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None };
             let disk = id(one).disk;
             let replica = Replica::new(ip(one), disk, Some(kept.clone()), 0);
             Machine { replica, disk, kept, torn: false, writes: Vec::new(), laters: 0, is_gone: false }
@@ -257,23 +257,23 @@
         for action in actions {
             match action {
                 Action::Send(to, message) => self.post(number(to), self.id(one), message),
-                Action::Fetch(from) if !self.machines[number(from)].is_gone => {
+                Action::FetchLog(from) if !self.machines[number(from)].is_gone => {
                     self.posts.insert((number(from), self.id(one), Packet::Fetch));
                 }
-                Action::Fetch(_) => {}
-                Action::Write(number, record) => self.machines[one].writes.push((number, record)),
-                Action::Moved(Some(Chosen { index, entry })) => {
+                Action::FetchLog(_) => {}
+                Action::Persist(number, record) => self.machines[one].writes.push((number, record)),
+                Action::Applied(Some(CommittedEntry { index, entry })) => {
                     let first = self.chosen.entry(index).or_insert_with(|| entry.clone());
                     if *first != entry {
                         self.broken = Some("two entries at one index");
                     }
                 }
-                Action::Moved(None) => {}
-                Action::Answer(number, outcome) => self.answered(number, outcome),
+                Action::Applied(None) => {}
+                Action::Respond(number, outcome) => self.answered(number, outcome),
             }
         }
         if let (true, Some((term, _))) =
-            (self.machines[one].replica.leads(), self.machines[one].replica.leader(self.now(one)))
+            (self.machines[one].replica.is_leader(), self.machines[one].replica.leader(self.now(one)))
         {
             self.leaders.insert(term);
         }
@@ -296,8 +296,8 @@
             return;
         }
         let under = |message: &Message| match message {
-            Message::Lead { term, .. } => Some((true, *term)),
-            Message::Follow { term, .. } => Some((false, *term)),
+            Message::Heartbeat { term, .. } => Some((true, *term)),
+            Message::HeartbeatResponse { term, .. } => Some((false, *term)),
             _ => None,
         };
         if under(&message).is_some() {
@@ -310,25 +310,25 @@
     }
 
     /// Digests of all words that are chosen.
-    fn taken(&self) -> impl Iterator<Item = OrderDigest> + '_ {
+    fn taken(&self) -> impl Iterator<Item = RequestDigest> + '_ {
         self.chosen.values().filter_map(|entry| match entry {
-            Entry::Replace { built_on, body } => Some(OrderDigest::of(true, *built_on, body)),
+            Entry::Replace { base_version, body } => Some(RequestDigest::of(true, *base_version, body)),
             _ => None,
         })
     }
 
     fn answered(&mut self, number: u64, outcome: Outcome) {
         match (outcome, self.asked.get(&number).copied(), self.reads.get(&number).copied()) {
-            (Outcome::Taken, Some(digest), _) => {
+            (Outcome::Committed, Some(digest), _) => {
                 if !self.taken().any(|taken| taken == digest) {
                     self.broken = Some("acknowledged and not chosen");
                 }
                 self.acknowledged.insert(digest, number as u32);
             }
-            (Outcome::Outdated | Outcome::Invalid(_), Some(digest), _) => {
+            (Outcome::VersionConflict | Outcome::Invalid(_), Some(digest), _) => {
                 self.refused.insert(digest);
             }
-            (Outcome::Newest(state), _, Some(newest)) if state.version() < newest => {
+            (Outcome::Current(state), _, Some(newest)) if state.version() < newest => {
                 self.broken = Some("a read is older than what was acknowledged");
             }
             _ => {}
@@ -374,7 +374,7 @@
 impl Machine {
     /// Whether the store keeps a record; behind one that it refused it takes nothing but the whole.
     fn keep(&mut self, record: Record, mends_nothing: bool) -> bool {
-        if self.torn && !matches!(record, Record::Whole(_)) && !mends_nothing {
+        if self.torn && !matches!(record, Record::Snapshot(_)) && !mends_nothing {
             return false;
         }
         self.torn = false;
@@ -383,14 +383,14 @@
             Record::Accepted { term, index, entry } => {
                 self.kept.promised = self.kept.promised.max(term);
                 self.reach(index);
-                self.kept.open = Some((term, entry));
+                self.kept.accepted = Some((term, entry));
             }
-            Record::Chosen(Chosen { index, entry }) => {
+            Record::Committed(CommittedEntry { index, entry }) => {
                 self.reach(index);
-                self.kept.open = None;
+                self.kept.accepted = None;
                 self.kept.state.apply(&entry);
             }
-            Record::Whole(whole) => self.kept = whole,
+            Record::Snapshot(whole) => self.kept = whole,
         }
         true
     }
@@ -398,7 +398,7 @@
     /// What stands before another was chosen when that was written.
     fn reach(&mut self, index: LogIndex) {
         while self.kept.state.index + 1 < index {
-            let Some((_, before)) = self.kept.open.take() else { break };
+            let Some((_, before)) = self.kept.accepted.take() else { break };
             self.kept.state.apply(&before);
         }
     }
@@ -413,7 +413,7 @@
     }
 
     fn actions(&self, site: &Site, steps: &mut Vec<Step>) {
-        is_chosen(self.mutant);
+        is_active(self.mutant);
         let left = &site.left;
         for post in &site.posts {
             steps.push(Step::Arrives(post.clone()));
@@ -440,7 +440,7 @@
             if left.wipes > 0 {
                 steps.push(Step::Wiped(one));
             }
-            if machine.replica.leads() {
+            if machine.replica.is_leader() {
                 if site.words < self.sizes.words {
                     steps.push(Step::Asked(one));
                 }
@@ -458,7 +458,7 @@
     }
 
     fn next_state(&self, before: &Site, step: Step) -> Option<Site> {
-        is_chosen(self.mutant);
+        is_active(self.mutant);
         let mut site = before.clone();
         match step {
             Step::Later(one) => {
@@ -484,7 +484,7 @@
                 let (number, _) = site.machines[one].writes.remove(0);
                 site.machines[one].torn = true;
                 let now = site.now(one);
-                let actions = site.machines[one].replica.written(now, number, false);
+                let actions = site.machines[one].replica.on_persisted(now, number, false);
                 site.carry_out(one, actions);
             }
             Step::Crashes(one, reached) => {
@@ -500,18 +500,19 @@
                 }
                 // Who has the old number all the same knows who votes: a copy of it came from another.
                 let state = match self.mutant {
-                    Some(Mutant::DiskIgnored) => {
-                        State::genesis((0..before.machines.len()).map(|one| before.id(one)).collect(), 4)
-                    }
-                    _ => State::nothing(),
+                    Some(Mutant::DiskIgnored) => ReplicatedState::genesis(
+                        (0..before.machines.len()).map(|one| before.id(one)).collect(),
+                        4,
+                    ),
+                    _ => ReplicatedState::empty(),
                 };
-                machine.kept = Recovered { promised: (0, 0), state, open: None };
+                machine.kept = DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None };
                 site.crash(one, 0);
             }
             Step::HandsOver(one) => {
                 site.left.hand_overs -= 1;
                 let now = site.now(one);
-                let actions = site.machines[one].replica.hand_over(now);
+                let actions = site.machines[one].replica.transfer_leadership(now);
                 site.carry_out(one, actions);
             }
             Step::Departs(one) => {
@@ -520,13 +521,14 @@
             }
             Step::Asked(one) => {
                 site.words += 1;
-                let (number, built_on) =
+                let (number, base_version) =
                     (u64::from(site.words), site.machines[one].replica.state().version());
                 let body = body(u32::from(site.words));
-                site.asked.insert(number, OrderDigest::of(true, built_on, &body));
+                site.asked.insert(number, RequestDigest::of(true, base_version, &body));
                 let now = site.now(one);
-                let command = Command::Put { is_whole: true, built_on, body };
-                let actions = site.machines[one].replica.ask(now, number, command);
+                let command =
+                    Command::Configure(ConfigurationRequest { scope: ChangeScope::Full, base_version, body });
+                let actions = site.machines[one].replica.submit(now, number, command);
                 site.carry_out(one, actions);
             }
             Step::Read(one) => {
@@ -535,7 +537,7 @@
                 let newest = site.acknowledged.values().max().copied().unwrap_or_default();
                 site.reads.insert(number, newest);
                 let now = site.now(one);
-                let actions = site.machines[one].replica.ask(now, number, Command::Read);
+                let actions = site.machines[one].replica.submit(now, number, Command::Read);
                 site.carry_out(one, actions);
             }
             Step::Changes(one) => {
@@ -543,8 +545,8 @@
                 let voters = site.change_due(one)?;
                 let now = site.now(one);
                 let number = 200 + u64::from(site.left.changes);
-                let command = Command::Voters { voters, slots: 4 };
-                let actions = site.machines[one].replica.ask(now, number, command);
+                let command = Command::ChangeVoters { voters, quota_shares: 4 };
+                let actions = site.machines[one].replica.submit(now, number, command);
                 site.carry_out(one, actions);
             }
         }
@@ -573,7 +575,7 @@
             return;
         }
         let actions = match packet {
-            Packet::Said(message) => self.machines[to].replica.receive(now, from, message),
+            Packet::Said(message) => self.machines[to].replica.step(now, from, message),
             Packet::Fetch => {
                 // The answer is taken in at once: what it says is chosen, whenever it comes.
                 let (asker, source) = (number(from.ip), self.machines[to].replica.state().clone());
@@ -582,8 +584,8 @@
                 let now = self.now(asker);
                 let replica = &mut self.machines[asker].replica;
                 let actions = match entries {
-                    Some(entries) => replica.learn(now, entries),
-                    None => replica.install_snapshot(now, State::clone(&source)),
+                    Some(entries) => replica.append_committed(now, entries),
+                    None => replica.install_snapshot(now, ReplicatedState::clone(&source)),
                 };
                 return self.carry_out(asker, actions);
             }
@@ -603,7 +605,7 @@
 /// is less deep. The seed, and the steps to what breaks.
 pub fn walk(sizes: Sizes, mutant: Option<Mutant>, walks: u64) -> Option<(u64, Vec<Step>, &'static str)> {
     let model = Voters { sizes, mutant };
-    is_chosen(model.mutant);
+    is_active(model.mutant);
     let mut steps = Vec::new();
     (0..walks).find_map(|seed| {
         let mut rng = oorandom::Rand64::new(u128::from(seed));
--- a/crates/brassport-config-store/tests/configuration.rs
+++ b/crates/brassport-config-store/tests/configuration.rs
@@ -1,7 +1,8 @@
 //! The operator's configuration: what is refused, how a change applies, and what the doors read.
 
 use brassport_config_store::configuration::{
-    difference, Configuration, Difference, Document, Fault, Faults, Index, Kind, Limits, Version,
+    difference, Configuration, Difference, Document, Idempotency, Limits, RouteTable, ValidationError,
+    ValidationErrors, Version,
 };
 use serde_json::{json, Value};
 use std::time::Instant;
@@ -74,8 +75,8 @@
     edited(place, None)
 }
 
-fn route(name: &str, path_start: &str, service: &str) -> Value {
-    json!({"name": name, "pathStart": path_start, "kind": "safe", "giveUpS": 2, "goalS": 0.5, "rank": 0,
+fn route(name: &str, path_prefix: &str, service: &str) -> Value {
+    json!({"name": name, "pathStart": path_prefix, "kind": "safe", "giveUpS": 2, "goalS": 0.5, "rank": 0,
            "service": service, "tries": 1, "public": false})
 }
 
@@ -86,7 +87,7 @@
 }
 
 /// What a refused body's faults say, one a line.
-fn told(faults: &Faults) -> String {
+fn told(faults: &ValidationErrors) -> String {
     assert!(!faults.0.is_empty());
     let text = faults.to_string();
     no_key_in(&text);
@@ -150,7 +151,7 @@
     assert_eq!(faults.0.len(), 1, "{text}");
     assert_eq!(faults.0[0].at(), at);
     assert!(text.contains(what), "{text}");
-    assert!(!faults.0[0].way_out().is_empty());
+    assert!(!faults.0[0].help().is_empty());
 }
 
 #[test_case("00000007", false; "the same")]
@@ -182,11 +183,13 @@
     let whole = bytes(&example());
     for end in 0..whole.len() {
         let faults = Document::empty().replace(&whole[..end]).unwrap_err();
-        assert!(matches!(faults.0[..], [Fault::Unreadable { line: 1, column, .. }] if column <= end));
+        assert!(
+            matches!(faults.0[..], [ValidationError::Unreadable { line: 1, column, .. }] if column <= end)
+        );
         told(&faults);
     }
     let faults = Document::empty().replace(b"{\n  \"version\": ?\n}").unwrap_err();
-    assert!(matches!(faults.0[..], [Fault::Unreadable { line: 2, column: 14, .. }]), "{faults:?}");
+    assert!(matches!(faults.0[..], [ValidationError::Unreadable { line: 2, column: 14, .. }]), "{faults:?}");
 }
 
 #[test]
@@ -202,7 +205,7 @@
     document["customers"][1]["burst"] = json!(-1);
     let faults = Document::empty().replace(&bytes(&document)).unwrap_err();
     let text = told(&faults);
-    let at: Vec<&str> = faults.iter().map(Fault::at).collect();
+    let at: Vec<&str> = faults.iter().map(ValidationError::at).collect();
     let expected = [
         "version",
         "services[0].tls",
@@ -220,7 +223,7 @@
 #[test]
 fn the_example_is_read_as_it_stands() {
     let document = first();
-    let read = document.parsed();
+    let read = document.configuration();
     assert_eq!(document.version(), Version(7));
     assert_eq!(read.version, Version(7));
     assert!(read.has_keys);
@@ -233,10 +236,10 @@
     assert_eq!(service.protocol, "h1");
     let [one, two] = &read.routes[..] else { panic!("{read:?}") };
     assert_eq!((one.name.as_str(), one.host.as_str()), ("r-one", "jepu9.example"));
-    assert_eq!((one.path_start.as_str(), one.kind, one.public), ("/lepu270/", Kind::Safe, false));
-    assert_eq!((one.give_up_s, one.goal_s, one.rank, one.tries), (1.5, 0.4, 2, 2));
+    assert_eq!((one.path_prefix.as_str(), one.kind, one.public), ("/lepu270/", Idempotency::Safe, false));
+    assert_eq!((one.timeout_s, one.latency_target_s, one.rank, one.tries), (1.5, 0.4, 2, 2));
     assert_eq!(one.targets, [("huvo11a".to_owned(), 90), ("kafi81c".to_owned(), 10)]);
-    assert_eq!((two.kind, two.public, two.tries), (Kind::Unsafe, true, 3));
+    assert_eq!((two.kind, two.public, two.tries), (Idempotency::Unsafe, true, 3));
     assert_eq!(two.targets, [("wuno96b".to_owned(), 1)]);
     let tenant = &read.tenants["yefi830"];
     assert_eq!((tenant.keys.len(), tenant.rank, tenant.rate_per_s, tenant.burst), (2, 1, 123.0, 12.5));
@@ -254,12 +257,15 @@
     let route = json!({"name": "r", "pathStart": "/", "giveUpS": 3, "service": "s"});
     fields.insert("hosts".to_owned(), json!([{"host": "A.Example:8080", "paths": [route]}, {"host": "b"}]));
     let document = Document::empty().replace(&bytes(&document)).unwrap();
-    let read = document.parsed();
+    let read = document.configuration();
     assert_eq!(read.limits, Limits::default());
     assert!(!read.has_keys && read.tenants.is_empty());
     let route = &read.routes[0];
-    assert_eq!((route.host.as_str(), route.kind, route.goal_s), ("a.example", Kind::Unsafe, 3.0));
-    assert_eq!((route.rank, route.tries, route.public), (0, 1, false));
+    assert_eq!(
+        (route.host.as_str(), route.kind, route.latency_target_s),
+        ("a.example", Idempotency::Unsafe, 3.0)
+    );
+    assert_eq!((route.rank, route.max_attempts, route.public), (0, 1, false));
     assert_eq!(
         (read.services["s"].health_path.as_str(), read.services["s"].max_connections),
         ("/health", 100)
@@ -269,16 +275,22 @@
 #[test]
 fn limits_of_0_are_the_defaults_and_600_seconds_are_allowed() {
     let document = set("/limits", json!({"maxBodyBytes": 0, "idleWaitS": 0}));
-    assert_eq!(Document::empty().replace(&bytes(&document)).unwrap().parsed().limits, Limits::default());
+    assert_eq!(
+        Document::empty().replace(&bytes(&document)).unwrap().configuration().limits,
+        Limits::default()
+    );
     let document = set("/hosts/1/paths/0/giveUpS", json!(600));
-    assert_eq!(Document::empty().replace(&bytes(&document)).unwrap().parsed().routes[1].give_up_s, 600.0);
+    assert_eq!(
+        Document::empty().replace(&bytes(&document)).unwrap().configuration().routes[1].timeout_s,
+        600.0
+    );
 }
 
 #[test]
 fn a_weight_of_0_takes_nothing() {
     let document = set(&format!("{R}/split/1/weight"), json!(0));
     let document = Document::empty().replace(&bytes(&document)).unwrap();
-    assert_eq!(document.parsed().routes[0].targets, [("huvo11a".to_owned(), 90)]);
+    assert_eq!(document.configuration().routes[0].targets, [("huvo11a".to_owned(), 90)]);
 }
 
 #[test]
@@ -291,7 +303,7 @@
     assert_eq!(again.to_bytes(), bytes);
     let empty = Document::empty();
     assert_eq!(empty.version(), Version(0));
-    assert_eq!(empty.parsed(), &Configuration::default());
+    assert_eq!(empty.configuration(), &Configuration::default());
     assert_eq!(Document::from_bytes(&empty.to_bytes()).unwrap(), empty);
 }
 
@@ -299,9 +311,9 @@
 fn keys_are_not_shown() {
     let document = first();
     no_key_in(&format!("{document:?}"));
-    no_key_in(&format!("{:#?}", document.parsed()));
-    no_key_in(&format!("{:?}", Index::new(document.parsed())));
-    no_key_in(&format!("{:?}", difference(&Configuration::default(), document.parsed())));
+    no_key_in(&format!("{:#?}", document.configuration()));
+    no_key_in(&format!("{:?}", RouteTable::new(document.configuration())));
+    no_key_in(&format!("{:?}", difference(&Configuration::default(), document.configuration())));
 }
 
 #[test]
@@ -317,7 +329,7 @@
     }});
     let with = before.change(&bytes(&put)).unwrap();
     assert_eq!(with.version(), Version(9));
-    let index = Index::new(with.parsed());
+    let index = RouteTable::new(with.configuration());
     assert_eq!(index.route("new.example", "/x").unwrap().name, "r-new");
     assert_eq!(index.route("jepu9.example", "/lepu270/more/x").unwrap().name, "r-more");
     assert_eq!(index.tenant("another-key").unwrap().name, "third");
@@ -325,8 +337,11 @@
         "services": ["new", "never"], "customers": ["third"], "routes": ["r-new", "r-more", "r-never"]
     }});
     let after = with.change(&bytes(&remove)).unwrap();
-    assert_eq!(difference(before.parsed(), after.parsed()), []);
-    assert_eq!(Configuration { version: Version(7), ..after.parsed().clone() }, *before.parsed());
+    assert_eq!(difference(before.configuration(), after.configuration()), []);
+    assert_eq!(
+        Configuration { version: Version(7), ..after.configuration().clone() },
+        *before.configuration()
+    );
     let left: Value = serde_json::from_slice(&after.to_bytes()).unwrap();
     assert_eq!(left["hosts"].as_array().unwrap().len(), 2, "the host without routes goes");
     assert_eq!(left["note"], example()["note"]);
@@ -342,14 +357,14 @@
         "hosts": [{"host": "jepu9.example", "paths": [route("r-one", "/lepu271/", "wuno96b")]}]
     }});
     let after = first().change(&bytes(&put)).unwrap();
-    let read = after.parsed();
+    let read = after.configuration();
     assert_eq!(read.services["huvo11a"].max_connections, 7);
     assert_eq!(read.services.len(), 3);
     assert_eq!(read.tenants["yefi830"].keys, ["only"]);
     assert_eq!(read.limits, Limits { idle_wait_s: 4.0, ..Limits::default() });
-    assert_eq!(read.routes[0].path_start, "/lepu271/");
+    assert_eq!(read.routes[0].path_prefix, "/lepu271/");
     assert_eq!(read.routes.len(), 2);
-    let index = Index::new(read);
+    let index = RouteTable::new(read);
     assert!(index.route("jepu9.example", "/lepu270/").is_none());
     assert!(index.tenant(KEYS[0]).is_none());
 }
@@ -360,8 +375,8 @@
         "hosts": [{"host": "hulo84.example", "paths": [route("r-one", "/lepu270/", "huvo11a")]}]
     }});
     let after = first().change(&bytes(&put)).unwrap();
-    assert_eq!(after.parsed().routes.len(), 2);
-    let index = Index::new(after.parsed());
+    assert_eq!(after.configuration().routes.len(), 2);
+    let index = RouteTable::new(after.configuration());
     assert!(index.route("jepu9.example", "/lepu270/2f").is_none());
     assert_eq!(index.route("hulo84.example", "/lepu270/2f").unwrap().name, "r-one");
     let left: Value = serde_json::from_slice(&after.to_bytes()).unwrap();
@@ -377,8 +392,8 @@
         "hosts": [{"host": "jepu9.example", "paths": [route("r-new", "/newer/", "huvo11a")]}]
     }});
     let after = before.change(&bytes(&put)).unwrap();
-    assert_eq!(after.parsed().routes.len(), 3);
-    let index = Index::new(after.parsed());
+    assert_eq!(after.configuration().routes.len(), 3);
+    let index = RouteTable::new(after.configuration());
     assert_eq!(index.route("jepu9.example", "/newer/").unwrap().name, "r-new");
     assert!(index.route("jepu9.example", "/new/").is_none());
 }
@@ -419,8 +434,8 @@
 fn a_host_is_removed_with_its_routes() {
     let remove = json!({"version": "00000009", "remove": {"hosts": ["JEPU9.example", "never.example"]}});
     let after = first().change(&bytes(&remove)).unwrap();
-    assert_eq!(after.parsed().routes.len(), 1);
-    assert_eq!(after.parsed().routes[0].name, "r-two");
+    assert_eq!(after.configuration().routes.len(), 1);
+    assert_eq!(after.configuration().routes[0].name, "r-two");
 }
 
 #[test]
@@ -429,7 +444,10 @@
         "hosts": [{"host": "jepu9.example", "paths": [route("r-new", "/lepu270/", "huvo11a")]}]
     }});
     let after = first().change(&bytes(&change)).unwrap();
-    assert_eq!(Index::new(after.parsed()).route("jepu9.example", "/lepu270/").unwrap().name, "r-new");
+    assert_eq!(
+        RouteTable::new(after.configuration()).route("jepu9.example", "/lepu270/").unwrap().name,
+        "r-new"
+    );
 }
 
 #[test]
@@ -438,7 +456,7 @@
         "hosts": [{"host": "jepu9.example", "paths": [route("r-one", "/a/", "huvo11a")]}]
     }});
     let after = first().change(&bytes(&change)).unwrap();
-    assert_eq!(Index::new(after.parsed()).route("jepu9.example", "/a/").unwrap().name, "r-one");
+    assert_eq!(RouteTable::new(after.configuration()).route("jepu9.example", "/a/").unwrap().name, "r-one");
 }
 
 #[test_case(json!({"remove": {"services": ["huvo11a"]}}), "hosts[0].paths[0].split[0].service"; "a service in use goes")]
@@ -492,13 +510,13 @@
         {"host": "[::1]", "paths": [route("six", "/", "s")]}
     ]});
     let document = Document::empty().replace(&bytes(&document)).unwrap();
-    let index = Index::new(document.parsed());
+    let index = RouteTable::new(document.configuration());
     assert_eq!(index.route(host, path).map(|route| route.name.as_str()), name);
 }
 
 #[test]
 fn keys_find_their_tenants() {
-    let index = Index::new(first().parsed());
+    let index = RouteTable::new(first().configuration());
     assert_eq!(index.tenant(KEYS[1]).unwrap().name, "yefi830");
     assert_eq!(index.tenant(KEYS[2]).unwrap().name, "zola12");
     assert!(index.tenant("").is_none());
@@ -518,7 +536,7 @@
     }});
     let before = first();
     let after = before.change(&bytes(&change)).unwrap();
-    let found = difference(before.parsed(), after.parsed());
+    let found = difference(before.configuration(), after.configuration());
     let lines: Vec<String> = found.iter().map(Difference::to_string).collect();
     let expected = [
         "route r-new: added at x.example/",
@@ -536,7 +554,7 @@
     ];
     assert_eq!(lines, expected);
     no_key_in(&lines.join("\n"));
-    assert_eq!(difference(after.parsed(), after.parsed()), []);
+    assert_eq!(difference(after.configuration(), after.configuration()), []);
 }
 
 #[test_case("0", Some(0); "zero")]
@@ -580,11 +598,11 @@
         println!("{what}: best of 50 {:?}", times.min().unwrap());
     };
     let before = Document::empty().replace(&body).unwrap();
-    let index = Index::new(before.parsed());
+    let index = RouteTable::new(before.configuration());
     println!("body: {} bytes", body.len());
     best("replace", &|| drop(Document::empty().replace(&body).unwrap()));
     best("change", &|| drop(before.change(&change).unwrap()));
-    best("index", &|| drop(Index::new(before.parsed())));
+    best("index", &|| drop(RouteTable::new(before.configuration())));
     best("1000 routes found", &|| {
         for _ in 0..1000 {
             assert!(index.route("h30.example", "/p4/q/x/y").is_some());
--- a/crates/brassport-config-store/tests/leadership.rs
+++ b/crates/brassport-config-store/tests/leadership.rs
@@ -18,19 +18,19 @@
 #[test]
 fn a_change_of_voters_that_was_overtaken_by_another_is_refused() {
     let [first, second] = common::two_changes_at_once();
-    assert_eq!(first, Some(brassport_config_store::consensus::Outcome::Taken));
-    assert_eq!(second, Some(brassport_config_store::consensus::Outcome::Outdated));
+    assert_eq!(first, Some(brassport_config_store::consensus::Outcome::Committed));
+    assert_eq!(second, Some(brassport_config_store::consensus::Outcome::VersionConflict));
 }
 
 /// A heartbeat that comes again and again, late, is no sign of life: the follower campaigns all the same.
 #[test]
 fn a_heartbeat_that_comes_twice_does_not_keep_a_lost_leader_alive() {
     let (mut follower, leader) = common::follower_of_three();
-    let term = (1, leader.disk);
-    let heartbeat = Message::Lead { term, index: 1, heartbeat: 9 };
+    let term = Term::new(1, leader.disk);
+    let heartbeat = Message::Heartbeat { term, index: LogIndex(1), heartbeat: 9 };
     let mut has_campaigned = false;
     for now in (100..2_000).step_by(50) {
-        let mut actions = follower.receive(now, leader, heartbeat.clone());
+        let mut actions = follower.step(now, leader, heartbeat.clone());
         actions.extend(follower.tick(now + 1));
         has_campaigned |=
             actions.iter().any(|action| matches!(action, Action::Send(_, Message::Prepare { .. })));
@@ -42,10 +42,10 @@
 #[test]
 fn an_answer_that_comes_twice_does_not_keep_a_leader_that_nobody_hears() {
     let (mut leader, other, term) = common::leader_of_three();
-    let answer = Message::Follow { term, index: 1, heartbeat: 1 };
+    let answer = Message::HeartbeatResponse { term, index: LogIndex(1), heartbeat: 1 };
     for now in (400..2_000).step_by(50) {
-        leader.receive(now, other, answer.clone());
+        leader.step(now, other, answer.clone());
         leader.tick(now + 1);
     }
-    assert!(!leader.leads());
+    assert!(!leader.is_leader());
 }
--- a/crates/brassport-config-store/tests/mutants.rs
+++ b/crates/brassport-config-store/tests/mutants.rs
@@ -7,7 +7,7 @@
 #[path = "common/voters.rs"]
 mod voters;
 
-use brassport_config_store::consensus::mutants::{choose, Mutant, ALL};
+use brassport_config_store::consensus::mutants::{activate, Mutant, ALL};
 use common::{one_voter_step_by_step, Sizes, World};
 use voters::{walk, Sizes as ModelSizes, CALM};
 
@@ -20,7 +20,7 @@
     ];
     // A fault is let into one thread alone.
     let found_by = |mutant| {
-        choose(Some(mutant));
+        activate(Some(mutant));
         // Two faults need a moment that few seeds meet: they are shown step by step.
         match mutant {
             Mutant::OwnPromiseUnsynced | Mutant::JudgesUnsure => {
--- a/crates/brassport-config-store/tests/orders.rs
+++ b/crates/brassport-config-store/tests/orders.rs
@@ -5,17 +5,20 @@
 
 use alone::{body, orders_of_long_ago_refused, Alone, ME};
 use brassport_config_store::consensus::{
-    Action, Command, Entry, Message, OrderDigest, Outcome, Record, Recovered, Replica, State, VoterId,
+    Action, Command, DurableState, Entry, Message, Outcome, Record, Replica, ReplicatedState, RequestDigest,
+    VoterId,
 };
 use std::net::Ipv4Addr;
 
 #[test]
 fn an_order_is_known_by_method_base_and_body() {
-    let order = OrderDigest::of(true, 5, b"{}");
-    assert_eq!(order, OrderDigest::of(true, 5, b"{}"));
-    for other in
-        [OrderDigest::of(false, 5, b"{}"), OrderDigest::of(true, 6, b"{}"), OrderDigest::of(true, 5, b"{} ")]
-    {
+    let order = RequestDigest::of(true, 5, b"{}");
+    assert_eq!(order, RequestDigest::of(true, 5, b"{}"));
+    for other in [
+        RequestDigest::of(false, 5, b"{}"),
+        RequestDigest::of(true, 6, b"{}"),
+        RequestDigest::of(true, 5, b"{} "),
+    ] {
         assert_ne!(order, other);
     }
 }
@@ -24,12 +27,12 @@
 fn two_orders_under_one_number_have_one_winner() {
     let mut leader = Alone::new();
     let (one, other) = (body(5, "one"), body(5, "other"));
-    assert_eq!(leader.put(0, &one), Outcome::Taken);
-    assert_eq!(leader.put(0, &other), Outcome::Outdated);
-    assert_eq!(leader.put(0, &one), Outcome::Taken, "sent again it is acknowledged again");
-    assert_eq!(leader.put(5, &body(7, "next")), Outcome::Taken);
-    assert_eq!(leader.put(0, &one), Outcome::Taken, "also behind a newer one");
-    assert_eq!(leader.put(0, &other), Outcome::Outdated);
+    assert_eq!(leader.put(0, &one), Outcome::Committed);
+    assert_eq!(leader.put(0, &other), Outcome::VersionConflict);
+    assert_eq!(leader.put(0, &one), Outcome::Committed, "sent again it is acknowledged again");
+    assert_eq!(leader.put(5, &body(7, "next")), Outcome::Committed);
+    assert_eq!(leader.put(0, &one), Outcome::Committed, "also behind a newer one");
+    assert_eq!(leader.put(0, &other), Outcome::VersionConflict);
 }
 
 #[test]
@@ -41,14 +44,14 @@
 fn a_snapshot_carries_which_orders_were_taken() {
     let mut leader = Alone::new();
     let first = body(5, "one");
-    assert_eq!(leader.put(0, &first), Outcome::Taken);
-    assert_eq!(leader.put(5, &body(6, "two")), Outcome::Taken);
+    assert_eq!(leader.put(0, &first), Outcome::Committed);
+    assert_eq!(leader.put(5, &body(6, "two")), Outcome::Committed);
     let mut bytes = Vec::new();
     ciborium::into_writer(&**leader.replica.state(), &mut bytes).expect("a state can be written");
-    let state: State = ciborium::from_reader(&bytes[..]).expect("and read");
+    let state: ReplicatedState = ciborium::from_reader(&bytes[..]).expect("and read");
     let mut later = Alone::from(state);
-    assert_eq!(later.put(0, &first), Outcome::Taken);
-    assert_eq!(later.put(0, &body(5, "other")), Outcome::Outdated);
+    assert_eq!(later.put(0, &first), Outcome::Committed);
+    assert_eq!(later.put(0, &body(5, "other")), Outcome::VersionConflict);
 }
 
 /// The leader is lost between choosing and answering: whoever leads next answers the same order as taken, whether it
@@ -56,32 +59,39 @@
 #[test]
 fn the_next_leader_acknowledges_what_its_predecessor_chose() {
     let order = body(5, "one");
-    let entry = Entry::Replace { built_on: 0, body: order.clone() };
-    let found =
-        Recovered { promised: (1, 1), state: State::genesis(vec![ME], 4), open: Some(((1, 1), entry)) };
+    let entry = Entry::Replace { base_version: 0, body: order.clone() };
+    let found = DurableState {
+        promised: Term::new(1, DiskId(1)),
+        state: ReplicatedState::genesis(vec![ME], 4),
+        open: Some(((1, 1), entry)),
+    };
     let mut next = Alone::recovered(found);
-    assert_eq!(next.put(0, &order), Outcome::Taken);
-    assert_eq!(next.put(0, &body(5, "other")), Outcome::Outdated);
+    assert_eq!(next.put(0, &order), Outcome::Committed);
+    assert_eq!(next.put(0, &body(5, "other")), Outcome::VersionConflict);
 }
 
 /// A leader that hands over answers what is open, campaigns no more, and names the voter that knows most.
 #[test]
 fn a_leader_that_leaves_names_its_successor_and_judges_nothing_more() {
-    let other = VoterId { ip: Ipv4Addr::new(10, 0, 0, 2), disk: 8 };
-    let found = Recovered { promised: (0, 0), state: State::genesis(vec![ME, other], 4), open: None };
+    let other = VoterId { ip: Ipv4Addr::new(10, 0, 0, 2), disk: DiskId(8) };
+    let found = DurableState {
+        promised: Term::new(0, DiskId(0)),
+        state: ReplicatedState::genesis(vec![ME, other], 4),
+        accepted: None,
+    };
     let mut leader = Replica::new(ME.ip, ME.disk, Some(found), 0);
     let mut now = 0;
-    while !leader.leads() {
+    while !leader.is_leader() {
         now += 50;
         let mut actions = leader.tick(now);
         while let Some(action) = actions.pop() {
             match action {
                 Action::Send(_, Message::Prepare { term }) => {
-                    let promise = Message::Promise { term, index: 1, open: None };
-                    actions.extend(leader.receive(now, other, promise));
+                    let promise = Message::Promise { term, index: LogIndex(1), accepted: None };
+                    actions.extend(leader.step(now, other, promise));
                 }
-                Action::Write(number, Record::Promised(_)) => {
-                    actions.extend(leader.written(now, number, true))
+                Action::Persist(number, Record::Promised(_)) => {
+                    actions.extend(leader.on_persisted(now, number, true))
                 }
                 _ => {}
             }
@@ -89,13 +99,13 @@
     }
     let actions = leader.leave(now);
     let named = actions.iter().find_map(|action| match action {
-        Action::Send(_, Message::Transfer { to, .. }) => Some(*to),
+        Action::Send(_, Message::TransferLeadership { to, .. }) => Some(*to),
         _ => None,
     });
     assert_eq!(named, Some(other));
-    assert!(!leader.leads());
-    let answer = leader.ask(now, 1, Command::Read);
-    assert_eq!(answer, [Action::Answer(1, Outcome::Open)]);
+    assert!(!leader.is_leader());
+    let answer = leader.submit(now, 1, Command::Read);
+    assert_eq!(answer, [Action::Respond(1, Outcome::Unknown)]);
     for later in 1..40 {
         assert!(leader.tick(now + later * 50).iter().all(|action| !matches!(action, Action::Send(..))));
     }
--- a/crates/brassport-config-store/tests/store.rs
+++ b/crates/brassport-config-store/tests/store.rs
@@ -1,7 +1,9 @@
 //! A voter's store: what was synced is found again, whatever came behind it; what is none of this format is refused by name.
 
-use brassport_config_store::consensus::{Chosen, Entry, Record, Recovered, Replica, State, VoterId};
-use brassport_config_store::store::{Fault, Store, FILE};
+use brassport_config_store::consensus::{
+    CommittedEntry, DurableState, Entry, Record, Replica, ReplicatedState, VoterId,
+};
+use brassport_config_store::store::{Store, StoreError, FILE_NAME};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
@@ -24,22 +26,22 @@
     }
 }
 
-fn open(folder: &Path) -> (Store, Recovered) {
+fn open(folder: &Path) -> (Store, DurableState) {
     Store::open(folder, 77).expect("the store opens")
 }
 
 fn voters() -> Vec<VoterId> {
-    (1..4).map(|one| VoterId { ip: [10, 0, 0, one].into(), disk: u64::from(one) }).collect()
+    (1..4).map(|one| VoterId { ip: [10, 0, 0, one].into(), disk: DiskId(u64::from(one)) }).collect()
 }
 
 fn whole() -> Record {
-    let state = State::genesis(voters(), 4);
-    Record::Whole(Recovered { promised: (1, 1), state, open: None })
+    let state = ReplicatedState::genesis(voters(), 4);
+    Record::Snapshot(DurableState { promised: Term::new(1, DiskId(1)), state, accepted: None })
 }
 
-fn word(version: u32, built_on: u32) -> Entry {
+fn word(version: u32, base_version: u32) -> Entry {
     let text = format!("{{\"version\":\"{version:08x}\",\"services\":[],\"hosts\":[]}}");
-    Entry::Replace { built_on, body: Arc::new(text.into_bytes()) }
+    Entry::Replace { base_version, body: Arc::new(text.into_bytes()) }
 }
 
 fn accepted(term: u64, index: u64, entry: Entry) -> Record {
@@ -61,29 +63,29 @@
     let (mut store, _) = open(&folder.0);
     for record in [whole(), accepted(2, 2, word(5, 0)), Record::Promised((4, 1)), accepted(4, 3, word(9, 5))]
     {
-        store.keep(&record).expect("kept");
+        store.append(&record).expect("kept");
     }
     drop(store);
     let (_, found) = open(&folder.0);
     assert_eq!((found.state.index, found.state.version()), (2, 5));
-    assert_eq!(found.open, Some(((4, 1), word(9, 5))));
+    assert_eq!(found.accepted, Some(((4, 1), word(9, 5))));
     assert_eq!(found.promised, (4, 1));
     // And a replica goes on from there.
     let replica = Replica::new([10, 0, 0, 1].into(), 1, Some(found), 0);
-    assert!(replica.votes());
+    assert!(replica.is_voter());
 }
 
 #[test]
 fn what_is_chosen_goes_before_what_was_accepted() {
     let folder = Folder::new("chosen");
     let (mut store, _) = open(&folder.0);
-    let chosen = Record::Chosen(Chosen { index: 2, entry: word(7, 0) });
+    let chosen = Record::Committed(CommittedEntry { index: LogIndex(2), entry: word(7, 0) });
     for record in [whole(), accepted(2, 2, word(5, 0)), chosen] {
-        store.keep(&record).expect("kept");
+        store.append(&record).expect("kept");
     }
     drop(store);
     let (_, found) = open(&folder.0);
-    assert_eq!((found.state.index, found.state.version(), found.open), (2, 7, None));
+    assert_eq!((found.state.index, found.state.version(), found.accepted), (2, 7, None));
 }
 
 #[test]
@@ -91,24 +93,30 @@
     let folder = Folder::new("whole");
     let (mut store, _) = open(&folder.0);
     for record in [whole(), accepted(2, 2, word(5, 0))] {
-        store.keep(&record).expect("kept");
+        store.append(&record).expect("kept");
     }
-    let mut state = State::genesis(voters(), 4);
+    let mut state = ReplicatedState::genesis(voters(), 4);
     state.apply(&word(5, 0));
     let open_entry = Some(((3, 2), word(6, 5)));
-    let record =
-        Record::Whole(Recovered { promised: (9, 3), state: state.clone(), open: open_entry.clone() });
-    store.keep(&record).expect("kept");
+    let record = Record::Snapshot(DurableState {
+        promised: Term::new(9, DiskId(3)),
+        state: state.clone(),
+        open: open_entry.clone(),
+    });
+    store.append(&record).expect("kept");
     drop(store);
-    assert_eq!(open(&folder.0).1, Recovered { promised: (9, 3), state, open: open_entry });
+    assert_eq!(
+        open(&folder.0).1,
+        DurableState { promised: Term::new(9, DiskId(3)), state, open: open_entry }
+    );
 }
 
 #[test]
 fn a_tail_that_was_torn_off_costs_only_what_was_not_synced() {
     let folder = Folder::new("torn");
     let (mut store, _) = open(&folder.0);
-    store.keep(&whole()).expect("kept");
-    store.keep(&accepted(2, 2, word(5, 0))).expect("kept");
+    store.append(&whole()).expect("kept");
+    store.append(&accepted(2, 2, word(5, 0))).expect("kept");
     // As a loss of power leaves it: the files as they are now, with something torn behind.
     let copy = Folder::new("torn-copy");
     for file in std::fs::read_dir(&folder.0).expect("the folder") {
@@ -120,19 +128,19 @@
         std::fs::write(copy.0.join(file.file_name()), bytes).expect("the copy");
     }
     let (_, found) = open(&copy.0);
-    assert_eq!(found.open, Some(((2, 1), word(5, 0))));
+    assert_eq!(found.accepted, Some(((2, 1), word(5, 0))));
 }
 
 #[test]
 fn a_store_of_another_format_is_refused_with_its_name_and_the_way_out() {
     let folder = Folder::new("format");
     drop(open(&folder.0));
-    let file = rusqlite::Connection::open(folder.0.join(FILE)).expect("the file");
+    let file = rusqlite::Connection::open(folder.0.join(FILE_NAME)).expect("the file");
     file.execute("UPDATE meta SET value = x'1863' WHERE key = 'format'", []).expect("another format");
     drop(file);
     let fault = Store::open(&folder.0, 1).expect_err("it is refused");
-    assert!(matches!(fault, Fault::Format { found: 99, .. }), "{fault}");
-    assert!(fault.to_string().contains(FILE), "{fault}");
+    assert!(matches!(fault, StoreError::UnsupportedFormat { found: 99, .. }), "{fault}");
+    assert!(fault.to_string().contains(FILE_NAME), "{fault}");
     let help = miette::Diagnostic::help(&fault).expect("a way out").to_string();
     assert!(help.contains("move the file away"), "{help}");
 }
@@ -140,22 +148,22 @@
 #[test]
 fn a_file_that_is_no_store_is_refused_and_left_as_it_is() {
     let folder = Folder::new("no-store");
-    std::fs::write(folder.0.join(FILE), b"something else altogether, of some length").expect("a file");
+    std::fs::write(folder.0.join(FILE_NAME), b"something else altogether, of some length").expect("a file");
     assert!(Store::open(&folder.0, 1).is_err());
-    let bytes = std::fs::read(folder.0.join(FILE)).expect("still there");
+    let bytes = std::fs::read(folder.0.join(FILE_NAME)).expect("still there");
     assert_eq!(&bytes[..9], b"something");
 }
 
 #[test]
 fn behind_a_record_that_was_not_kept_nothing_is_until_all_is_written_anew() {
     let folder = Folder::new("refused");
-    let (mut store, _) = Store::open_within(&folder.0, 77, 96 << 10).expect("the store opens");
-    store.keep(&whole()).expect("kept");
-    let large = Entry::Change { built_on: 0, body: Arc::new(vec![b'x'; 200 << 10]) };
-    assert!(matches!(store.keep(&accepted(2, 2, large)), Err(Fault::Disk(_))), "the disk is full");
-    assert!(store.keep(&accepted(2, 3, word(6, 5))).is_err(), "it would stand on a gap");
-    store.keep(&whole()).expect("all anew");
-    store.keep(&accepted(2, 2, word(5, 0))).expect("kept again");
+    let (mut store, _) = Store::open_with_limit(&folder.0, 77, 96 << 10).expect("the store opens");
+    store.append(&whole()).expect("kept");
+    let large = Entry::Change { base_version: 0, body: Arc::new(vec![b'x'; 200 << 10]) };
+    assert!(matches!(store.append(&accepted(2, 2, large)), Err(StoreError::Sqlite(_))), "the disk is full");
+    assert!(store.append(&accepted(2, 3, word(6, 5))).is_err(), "it would stand on a gap");
+    store.append(&whole()).expect("all anew");
+    store.append(&accepted(2, 2, word(5, 0))).expect("kept again");
     drop(store);
     assert_eq!(open(&folder.0).1.open, Some(((2, 1), word(5, 0))));
 }
@@ -165,23 +173,23 @@
 fn a_store_of_the_format_before_is_converted() {
     let folder = Folder::new("converted");
     let (mut store, _) = open(&folder.0);
-    store.keep(&whole()).expect("it is kept");
-    store.keep(&accepted(1, 2, word(5, 0))).expect("it is kept");
-    store.keep(&accepted(1, 3, word(9, 5))).expect("it is kept");
+    store.append(&whole()).expect("it is kept");
+    store.append(&accepted(1, 2, word(5, 0))).expect("it is kept");
+    store.append(&accepted(1, 3, word(9, 5))).expect("it is kept");
     let found = store.recover().expect("it can be read");
     drop(store);
     make_format_1(&folder.0, &found.state);
     let (store, converted) = open(&folder.0);
     let state = converted.state;
     assert_eq!((state.version(), state.index, &state.voters), (5, 2, &voters()));
-    assert_eq!((state.forgotten, state.taken.len()), (5, 0));
+    assert_eq!((state.forgotten, state.applied_requests.len()), (5, 0));
     assert_eq!(store.disk(), 77, "it is the same disk");
     drop(store);
     assert_eq!(open(&folder.0).1.state, state, "and it is converted once");
 }
 
 /// Writes a state as format 1 had it, with nothing behind it.
-fn make_format_1(folder: &Path, state: &State) {
+fn make_format_1(folder: &Path, state: &ReplicatedState) {
     use ciborium::Value;
     let mut bytes = Vec::new();
     ciborium::into_writer(state, &mut bytes).expect("a state can be written");
@@ -190,12 +198,12 @@
         other => panic!("a state is a map: {other:?}"),
     };
     fields.retain(|(key, _)| key.as_text() != Some("forgotten") && key.as_text() != Some("taken"));
-    let taken = state.taken.keys().map(|version| (Value::from(*version), Value::from(u64::MAX)));
+    let taken = state.applied_requests.keys().map(|version| (Value::from(*version), Value::from(u64::MAX)));
     fields.push((Value::from("taken"), Value::Map(taken.collect())));
     let (mut old, mut format) = (Vec::new(), Vec::new());
     ciborium::into_writer(&Value::Map(fields), &mut old).expect("it can be written");
     ciborium::into_writer(&1_u32, &mut format).expect("it can be written");
-    let file = rusqlite::Connection::open(folder.join(FILE)).expect("the file opens");
+    let file = rusqlite::Connection::open(folder.join(FILE_NAME)).expect("the file opens");
     file.execute("INSERT OR REPLACE INTO state VALUES (1, ?1)", [old]).expect("it is kept");
     file.execute("DELETE FROM log", []).expect("it is kept");
     file.execute("UPDATE meta SET value = ?1 WHERE key = 'format'", [format]).expect("it is kept");
--- a/crates/brassport-config-store/tests/store_growth.rs
+++ b/crates/brassport-config-store/tests/store_growth.rs
@@ -5,7 +5,7 @@
 mod alone;
 
 use alone::{body, Alone};
-use brassport_config_store::consensus::{Action, Command, Record, Recovered, State};
+use brassport_config_store::consensus::{Action, Command, DurableState, Record, ReplicatedState};
 use brassport_config_store::store::Store;
 use std::path::Path;
 use std::time::Instant;
@@ -14,17 +14,20 @@
 fn after(changes: u32, folder: &Path) -> (u64, f64, u32) {
     let (mut store, _) = Store::open(folder, 7).expect("the store opens");
     let mut alone = Alone::new();
-    let state = State::clone(alone.replica.state());
-    let whole = Record::Whole(Recovered { promised: (1, 7), state, open: None });
-    store.keep(&whole).expect("it is kept");
+    let state = ReplicatedState::clone(alone.replica.state());
+    let whole = Record::Snapshot(DurableState { promised: Term::new(1, DiskId(7)), state, accepted: None });
+    store.append(&whole).expect("it is kept");
     for version in 1..=changes {
-        let command =
-            Command::Put { is_whole: true, built_on: version - 1, body: body(version, &"n".repeat(2_000)) };
-        let mut actions = alone.replica.ask(alone.now, u64::from(version), command);
+        let command = Command::Configure(ConfigurationRequest {
+            scope: ChangeScope::Full,
+            base_version: version - 1,
+            body: body(version, &"n".repeat(2_000)),
+        });
+        let mut actions = alone.replica.submit(alone.now, u64::from(version), command);
         while let Some(action) = (!actions.is_empty()).then(|| actions.remove(0)) {
-            if let Action::Write(number, record) = action {
-                store.keep(&record).expect("it is kept");
-                actions.extend(alone.replica.written(alone.now, number, true));
+            if let Action::Persist(number, record) = action {
+                store.append(&record).expect("it is kept");
+                actions.extend(alone.replica.on_persisted(alone.now, number, true));
             }
         }
     }
@@ -35,7 +38,7 @@
     let (_, found) = Store::open(folder, 7).expect("it opens again");
     let took = since.elapsed().as_secs_f64() * 1_000.0;
     // The last change is accepted; that it is chosen would be told by the next.
-    let version = found.state.version() + u32::from(found.open.is_some());
+    let version = found.state.version() + u32::from(found.accepted.is_some());
     (bytes, took, version)
 }
 
--- a/crates/brassport-control-plane/src/backends.rs
+++ b/crates/brassport-control-plane/src/backends.rs
@@ -21,15 +21,18 @@
 
 /// What a backend is at; what stands later goes before what stands earlier under the same count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Stage {
+pub enum BackendState {
     /// It takes requests.
     Ready,
-    /// Its beats have stopped, as the door says that heard the last.
-    Silent,
+    /// Its heartbeats have stopped, as the node says that received the last.
+    #[serde(rename = "Silent")]
+    Unresponsive,
     /// It finishes its work; nothing new may be sent.
-    Emptying,
-    /// Its life is over.
-    Gone,
+    #[serde(rename = "Emptying")]
+    Draining,
+    /// It has ended.
+    #[serde(rename = "Gone")]
+    Terminated,
 }
 
 /// One life of a backend.
@@ -48,11 +51,14 @@
     /// Requests that it handles at once.
     pub capacity: u32,
     /// What it is at.
-    pub stage: Stage,
+    #[serde(rename = "stage")]
+    pub state: BackendState,
     /// How many calls it had made; it goes up with each.
-    pub count: u64,
+    #[serde(rename = "count")]
+    pub call_count: u64,
     /// For how many more milliseconds it is slow from its start, when this was told.
-    pub warming_ms: u32,
+    #[serde(rename = "warming_ms")]
+    pub warmup_left_ms: u32,
     /// How long ago a call of its own moved this, when it was told: copies end at the same time wherever they went.
     #[serde(default)]
     pub age_ms: u32,
@@ -60,13 +66,13 @@
 
 impl Backend {
     /// What two copies are compared by.
-    fn rank(&self) -> (bool, u64, Stage) {
-        (self.stage == Stage::Gone, self.count, self.stage)
+    fn rank(&self) -> (bool, u64, BackendState) {
+        (self.state == BackendState::Terminated, self.call_count, self.state)
     }
 
     fn digest(&self) -> u64 {
-        let quantum = if self.stage == Stage::Ready { self.count / QUANTUM } else { 0 };
-        let words = [quantum, self.stage as u64, u64::from(self.address.port())];
+        let quantum = if self.state == BackendState::Ready { self.call_count / QUANTUM } else { 0 };
+        let words = [quantum, self.state as u64, u64::from(self.address.port())];
         let bytes = self.id.bytes().chain(words.into_iter().flat_map(u64::to_be_bytes));
         mix(bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
@@ -92,13 +98,13 @@
 
 /// What a record says that was not known here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
+pub enum MergeOutcome {
     /// Nothing, or that all is as before.
-    None,
+    Unchanged,
     /// It changes whether or where requests are sent.
     Changed,
     /// It takes for silent what has been heard here since: whoever tells it is to hear so.
-    Outdated,
+    Stale,
 }
 
 #[derive(Debug)]
@@ -135,51 +141,56 @@
     }
 
     /// Takes in a record; `own`: it came from the backend itself.
-    pub fn hear(&mut self, now: Millis, backend: Backend, own: bool) -> News {
+    pub fn hear(&mut self, now: Millis, backend: Backend, own: bool) -> MergeOutcome {
         let news = self.take_in(now, backend, own);
-        if news == News::Changed {
+        if news == MergeOutcome::Changed {
             self.changed = Some(now);
         }
         news
     }
 
-    fn take_in(&mut self, now: Millis, backend: Backend, own: bool) -> News {
-        let warm_at = now + Millis::from(backend.warming_ms);
+    fn take_in(&mut self, now: Millis, backend: Backend, own: bool) -> MergeOutcome {
+        let warm_at = now + Millis::from(backend.warmup_left_ms);
         let moved = now.saturating_sub(Millis::from(backend.age_ms));
         // Guards against a record that goes round for ever: who has dropped it would be told of it again.
-        if now >= moved + lease(backend.stage) {
-            return News::None;
+        if now >= moved + lease(backend.state) {
+            return MergeOutcome::Unchanged;
         }
         let Some(held) = self.held.get_mut(&backend.id) else {
             let beat = own.then_some(now);
             self.held.insert(backend.id.clone(), Held { backend, moved, beat, warm_at, doubted: false });
-            return News::Changed;
+            return MergeOutcome::Changed;
         };
         held.doubted = false;
         if backend.rank() <= held.backend.rank() {
-            let heard_since = backend.stage == Stage::Silent && held.backend.stage == Stage::Ready;
-            return if heard_since { News::Outdated } else { News::None };
+            let heard_since =
+                backend.state == BackendState::Unresponsive && held.backend.state == BackendState::Ready;
+            return if heard_since { MergeOutcome::Stale } else { MergeOutcome::Unchanged };
         }
         // Guards against a beat that overtook the one before: what was emptying stays so.
-        let stage = match (held.backend.stage, backend.stage) {
-            (Stage::Emptying, Stage::Ready | Stage::Silent) => Stage::Emptying,
+        let stage = match (held.backend.state, backend.state) {
+            (BackendState::Draining, BackendState::Ready | BackendState::Unresponsive) => {
+                BackendState::Draining
+            }
             (_, stage) => stage,
         };
-        let changed = stage != held.backend.stage
+        let changed = stage != held.backend.state
             || backend.address != held.backend.address
             || backend.service != held.backend.service;
-        if backend.count > held.backend.count {
+        if backend.call_count > held.backend.call_count {
             held.moved = moved;
             held.beat = own.then_some(now);
         }
-        if held.backend.warming_ms == 0 && backend.warming_ms > 0 || backend.count > held.backend.count {
+        if held.backend.warmup_left_ms == 0 && backend.warmup_left_ms > 0
+            || backend.call_count > held.backend.call_count
+        {
             held.warm_at = warm_at;
         }
-        held.backend = Backend { stage, ..backend };
+        held.backend = Backend { state: stage, ..backend };
         if changed {
-            News::Changed
+            MergeOutcome::Changed
         } else {
-            News::None
+            MergeOutcome::Unchanged
         }
     }
 
@@ -200,9 +211,9 @@
                 zone: String::new(),
                 version: String::new(),
                 capacity: 1,
-                stage: Stage::Gone,
-                count: 0,
-                warming_ms: 0,
+                state: BackendState::Terminated,
+                call_count: 0,
+                warmup_left_ms: 0,
                 age_ms: 0,
             },
             moved: now,
@@ -210,7 +221,7 @@
             warm_at: now,
             doubted: false,
         });
-        held.backend.stage = Stage::Gone;
+        held.backend.state = BackendState::Terminated;
         held.doubted = false;
         held.moved = now;
         tell(held, now)
@@ -221,8 +232,8 @@
         let mut silent = Vec::new();
         for held in self.held.values_mut() {
             let stopped = held.beat.is_some_and(|at| now >= at + after);
-            if stopped && held.backend.stage == Stage::Ready && !held.doubted {
-                held.backend.stage = Stage::Silent;
+            if stopped && held.backend.state == BackendState::Ready && !held.doubted {
+                held.backend.state = BackendState::Unresponsive;
                 silent.push(held.backend.clone());
             }
         }
@@ -241,14 +252,14 @@
     /// since a time. What is doubted is told to nobody until somebody tells it here.
     pub fn doubt(&mut self, own_since: Millis) {
         for held in self.held.values_mut() {
-            let is_live = matches!(held.backend.stage, Stage::Ready | Stage::Silent);
+            let is_live = matches!(held.backend.state, BackendState::Ready | BackendState::Unresponsive);
             held.doubted = is_live && !held.is_own(own_since);
         }
     }
 
     /// Live backends whose last beat came here since a time.
     pub fn own(&self, now: Millis, since: Millis) -> Vec<Backend> {
-        let is_own = |held: &&Held| held.backend.stage == Stage::Ready && held.is_own(since);
+        let is_own = |held: &&Held| held.backend.state == BackendState::Ready && held.is_own(since);
         self.held.values().filter(is_own).map(|held| tell(held, now)).collect()
     }
 
@@ -262,10 +273,12 @@
 
     /// Drops what nothing has been heard of for long. Returns the names of those that were not gone.
     pub fn expire(&mut self, now: Millis) -> Vec<String> {
-        let over = |held: &Held| now >= held.moved + lease(held.backend.stage);
+        let over = |held: &Held| now >= held.moved + lease(held.backend.state);
         let names: Vec<String> =
             self.held.iter().filter(|(_, held)| over(held)).map(|(id, _)| id.clone()).collect();
-        let live = |id: &String| self.held.get(id).is_some_and(|held| held.backend.stage != Stage::Gone);
+        let live = |id: &String| {
+            self.held.get(id).is_some_and(|held| held.backend.state != BackendState::Terminated)
+        };
         let dropped: Vec<String> = names.iter().filter(|id| live(id)).cloned().collect();
         names.iter().for_each(|id| {
             self.held.remove(id);
@@ -321,15 +334,16 @@
 
 fn tell(held: &Held, now: Millis) -> Backend {
     let span = |millis: Millis| u32::try_from(millis).unwrap_or(u32::MAX);
-    let (warming_ms, age_ms) = (span(held.warm_at.saturating_sub(now)), span(now.saturating_sub(held.moved)));
-    Backend { warming_ms, age_ms, ..held.backend.clone() }
+    let (warmup_left_ms, age_ms) =
+        (span(held.warm_at.saturating_sub(now)), span(now.saturating_sub(held.moved)));
+    Backend { warmup_left_ms, age_ms, ..held.backend.clone() }
 }
 
 /// For how long a record holds without a call.
-fn lease(stage: Stage) -> Millis {
+fn lease(stage: BackendState) -> Millis {
     match stage {
-        Stage::Ready => LEASE,
-        Stage::Silent | Stage::Emptying => SILENT,
-        Stage::Gone => REMEMBERED,
+        BackendState::Ready => LEASE,
+        BackendState::Unresponsive | BackendState::Draining => SILENT,
+        BackendState::Terminated => REMEMBERED,
     }
 }
