--- a/crates/brassport-control-plane/src/call.rs
+++ b/crates/brassport-control-plane/src/call.rs
@@ -1,62 +1,56 @@
 //! What backends and operators call, as command objects: decoded here, run by the owner of the state.
 
-use crate::backends::{Backend, Stage};
+use crate::backends::{Backend, BackendState};
+use brassport_config_store::consensus::{ChangeScope, ConfigurationRequest};
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// A call, decoded.
+/// A call of a backend or of the operator, decoded.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Call {
-    /// A backend tells of itself.
-    CheckIn(Backend),
-    /// A backend's life ends.
-    SignOff(String),
-    /// The operator's configuration, whole or a change.
-    Put {
-        /// Whether it is a whole one.
-        is_whole: bool,
-        /// The version that it builds on.
-        built_on: u32,
-        /// As it was sent.
-        body: Arc<Vec<u8>>,
-    },
-    /// The newest configuration is wanted.
-    Read,
-    /// What this machine knows of the system, for the people who run it.
+    /// A heartbeat of a backend (`Servers.CheckIn`).
+    Heartbeat(Backend),
+    /// The backend with this id has ended (`Servers.SignOff`).
+    Deregister(String),
+    /// The operator changes the configuration (`Config.Replace`, `Config.Change`).
+    Configure(ConfigurationRequest),
+    /// The newest configuration is wanted (`Config.Read`).
+    ReadConfiguration,
+    /// What this node knows of the system, for the people who run it (`Status`).
     Status,
 }
 
-/// What a call is answered with.
+/// The answer to a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
     /// Done; with a body of JSON.
     Done(Arc<Vec<u8>>),
-    /// Another machine does this.
-    At(std::net::Ipv4Addr),
-    /// What is asked for makes no sense; why.
+    /// The node at this address does it.
+    Redirect(std::net::Ipv4Addr),
+    /// The call is invalid; why.
     Invalid(String),
-    /// Another version is in index.
-    Outdated,
-    /// Nobody here can do it now; ask again, or ask another.
-    NotNow(&'static str),
+    /// The configuration builds on a version that is not the current one.
+    VersionConflict,
+    /// This node can't do it now; why. The caller is to try again, or to call another node.
+    Unavailable(&'static str),
 }
 
-/// A call that could not be decoded.
+/// Why a call could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fault {
+pub enum DecodeError {
     /// There is no such call.
-    Unknown,
+    UnknownCall,
     /// It makes no sense; why.
     Malformed(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Unknown => f.write_str("there is no such call"),
-            Fault::Malformed(what) => f.write_str(what),
+            DecodeError::UnknownCall => f.write_str("there is no such call"),
+            DecodeError::Malformed(what) => f.write_str(what),
         }
     }
 }
@@ -99,51 +93,59 @@
     ///
     /// # Errors
     /// There is no such call, or it makes no sense.
-    pub fn decode(method: &str, path: &str, built_on: Option<&str>, body: Vec<u8>) -> Result<Call, Fault> {
+    pub fn decode(
+        method: &str,
+        path: &str,
+        base_version: Option<&str>,
+        body: Vec<u8>,
+    ) -> Result<Call, DecodeError> {
         let path = path.split('?').next().unwrap_or_default();
         let mut parts = path.trim_start_matches('/').splitn(2, '/');
         let (name, rest) = (parts.next().unwrap_or_default(), parts.next().unwrap_or_default());
         match (method, name) {
             ("POST", "Servers.CheckIn") if !rest.is_empty() => check_in(rest, &body),
-            ("POST", "Servers.SignOff") if !rest.is_empty() => Ok(Call::SignOff(rest.to_owned())),
+            ("POST", "Servers.SignOff") if !rest.is_empty() => Ok(Call::Deregister(rest.to_owned())),
             ("POST", "Config.Replace" | "Config.Change") if rest.is_empty() => {
-                let text = built_on.ok_or_else(|| malformed("X-Built-On is missing"))?.trim();
-                let built_on = u32::from_str_radix(text, 16)
+                let text = base_version.ok_or_else(|| malformed("X-Built-On is missing"))?.trim();
+                let base_version = u32::from_str_radix(text, 16)
                     .map_err(|_| malformed("X-Built-On is no version (eight hexadecimal digits)"))?;
-                Ok(Call::Put { is_whole: name == "Config.Replace", built_on, body: Arc::new(body) })
+                let scope = if name == "Config.Replace" { ChangeScope::Full } else { ChangeScope::Partial };
+                Ok(Call::Configure(ConfigurationRequest { scope, base_version, body: Arc::new(body) }))
             }
-            ("GET", "Config.Read") if rest.is_empty() => Ok(Call::Read),
+            ("GET", "Config.Read") if rest.is_empty() => Ok(Call::ReadConfiguration),
             ("GET", "Status") if rest.is_empty() => Ok(Call::Status),
-            _ => Err(Fault::Unknown),
+            _ => Err(DecodeError::UnknownCall),
         }
     }
 }
 
-fn malformed(what: &str) -> Fault {
-    Fault::Malformed(what.to_owned())
+fn malformed(what: &str) -> DecodeError {
+    DecodeError::Malformed(what.to_owned())
 }
 
-fn check_in(id: &str, body: &[u8]) -> Result<Call, Fault> {
+fn check_in(id: &str, body: &[u8]) -> Result<Call, DecodeError> {
     let told: CheckIn =
-        serde_json::from_slice(body).map_err(|error| Fault::Malformed(format!("the beat: {error}")))?;
+        serde_json::from_slice(body).map_err(|error| DecodeError::Malformed(format!("the beat: {error}")))?;
     let stage = match told.status.state.as_str() {
-        "ready" => Stage::Ready,
-        "emptying" => Stage::Emptying,
+        "ready" => BackendState::Ready,
+        "emptying" => BackendState::Draining,
         other => {
-            return Err(Fault::Malformed(format!("status.state: {other:?} is neither ready nor emptying")))
+            return Err(DecodeError::Malformed(format!(
+                "status.state: {other:?} is neither ready nor emptying"
+            )))
         }
     };
-    let warming_ms = (told.status.warmup_left_s.clamp(0.0, 600.0) * 1000.0) as u32;
-    Ok(Call::CheckIn(Backend {
+    let warmup_left_ms = (told.status.warmup_left_s.clamp(0.0, 600.0) * 1000.0) as u32;
+    Ok(Call::Heartbeat(Backend {
         id: id.to_owned(),
         service: told.details.service,
         address: told.address,
         zone: told.details.zone,
         version: told.details.version,
         capacity: told.details.capacity.max(1),
-        stage,
-        count: told.status.call_count,
-        warming_ms,
+        state: stage,
+        call_count: told.status.call_count,
+        warmup_left_ms,
         age_ms: 0,
     }))
 }
--- a/crates/brassport-control-plane/src/confirmations.rs
+++ b/crates/brassport-control-plane/src/confirmations.rs
@@ -3,9 +3,9 @@
 //! The majority is one of the voters that this machine knows of. Who confirms says how far it knows the log; while
 //! somebody knows more of it than this machine, this machine may not know who votes, and acknowledges nothing.
 
-use crate::backends::{Backend, Stage};
+use crate::backends::{Backend, BackendState};
 use crate::call::Reply;
-use crate::control::Control;
+use crate::control::ControlPlane;
 use crate::gossip::SPEAKS;
 use crate::peer_message::PeerMessage;
 use crate::Millis;
@@ -51,7 +51,7 @@
     /// Numbers begin anywhere. Guards against a confirmation that an earlier life of this machine asked for.
     pub(crate) fn new(seed: u64) -> Confirmations {
         let last = seed >> 16;
-        Confirmations { open: BTreeMap::new(), last, newest: 0, known_ends: BTreeSet::new() }
+        Confirmations { open: BTreeMap::new(), last, newest: LogIndex(0), known_ends: BTreeSet::new() }
     }
 
     fn note_known_end(&mut self, record: &Backend) {
@@ -63,7 +63,7 @@
 }
 
 fn end_of(record: &Backend) -> (String, bool) {
-    (record.id.clone(), record.stage == Stage::Gone)
+    (record.id.clone(), record.state == BackendState::Terminated)
 }
 
 impl Unconfirmed {
@@ -81,16 +81,16 @@
     }
 }
 
-impl Control {
+impl ControlPlane {
     /// Answers a call once a majority of the core has this record; at once, if none of the core is heard.
     pub(crate) fn confirm_by_core(&mut self, call: u64, record: Backend) {
         if self.confirmations.known_ends.contains(&end_of(&record)) {
             return self.done(call);
         }
         if self.is_cut_off() {
-            return self.reply(call, Reply::NotNow("none of the core is heard"));
+            return self.reply(call, Reply::Unavailable("none of the core is heard"));
         }
-        let me = self.start.member.ip;
+        let me = self.options.node.ip;
         let confirmed_by = self.core().into_iter().filter(|ip| *ip == me).collect();
         let unconfirmed = Unconfirmed { call, record, confirmed_by, since: self.now, asked: None };
         self.confirmations.last += 1;
@@ -101,7 +101,7 @@
     /// Whether other machines of the core are known and none of them was heard of late.
     pub(crate) fn is_cut_off(&self) -> bool {
         let others: Vec<Ipv4Addr> =
-            self.core().into_iter().filter(|ip| *ip != self.start.member.ip).collect();
+            self.core().into_iter().filter(|ip| *ip != self.options.node.ip).collect();
         let heard = |ip: &Ipv4Addr| self.heard.get(ip).is_some_and(|at| self.now < at + SPEAKS);
         !others.is_empty() && self.now >= self.born + SPEAKS && !others.iter().any(heard)
     }
@@ -137,7 +137,7 @@
         let now = self.now;
         let Some(unconfirmed) = self.confirmations.open.get_mut(&number) else { return };
         unconfirmed.asked = Some(now);
-        let message = PeerMessage::Backends(vec![unconfirmed.record.clone()], Some(number));
+        let message = PeerMessage::BackendRecords(vec![unconfirmed.record.clone()], Some(number));
         let to: Vec<Ipv4Addr> =
             core.iter().copied().filter(|ip| !unconfirmed.confirmed_by.contains(ip)).collect();
         to.into_iter().for_each(|ip| self.send(ip, message.clone()));
@@ -149,7 +149,7 @@
             self.confirmations.note_known_end(&unconfirmed.record);
             self.done(unconfirmed.call);
         } else {
-            self.reply(unconfirmed.call, Reply::NotNow("too few of the core answer"));
+            self.reply(unconfirmed.call, Reply::Unavailable("too few of the core answer"));
         }
     }
 }
--- a/crates/brassport-control-plane/src/control.rs
+++ b/crates/brassport-control-plane/src/control.rs
@@ -1,19 +1,22 @@
 //! The one owner of this machine's control state: takes events in, one after another, and says what is to be done.
 
-use crate::backends::{Backend, News, Stage, Table};
+use crate::backends::{Backend, BackendState, MergeOutcome, Table};
 use crate::call::{Call, Reply};
 use crate::confirmations::Confirmations;
 use crate::gossip::SPEAKS;
 use crate::isolation::Doubt;
 use crate::log_updates::OnItsWay;
-use crate::membership::{Membership, Survive};
-use crate::peer_message::{Envelope, PeerMessage};
+use crate::membership::{FaultTolerance, Membership};
+use crate::peer_message::{Envelope, GrantResponse, PeerMessage};
 use crate::ring_position::{OwnRank, Ranks};
 use crate::snapshots::Snapshots;
 use crate::Millis;
-use brassport_config_store::consensus::{self, Command, Record, Recovered, Replica, State, Term};
-use brassport_quota::{Lender, Limit, Loan, TenantId, Use};
-use brassport_transport::views::{Member, Views};
+use brassport_config_store::consensus::{
+    self, Command, CommittedEntry, DurableState, Record, Replica, ReplicatedState,
+};
+use brassport_quota::{Lender, RateLimit, UsageReport};
+use brassport_transport::peer_sampling::{PartialView, PeerRecord};
+use brassport_types::{DiskId, Incarnation, LogIndex, TenantId, Term};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -25,75 +28,75 @@
 /// A machine that was not asked for so long stood still.
 const STILL: Millis = 700;
 
-/// What a machine knows at its start.
+/// What a node is told at its start.
 #[derive(Debug, Clone)]
-pub struct Start {
-    /// What it says of itself; its disk is told later.
-    pub member: Member,
-    /// Addresses to begin with.
+pub struct Options {
+    /// What the node tells of itself. Its disk is filled in once the store is open.
+    pub node: PeerRecord,
+    /// Addresses of the nodes to contact first.
     pub seeds: Vec<Ipv4Addr>,
     /// Whether the whole system starts for the first time.
     pub first_start: bool,
-    /// What may be lost at once.
-    pub survive: Survive,
-    /// Between two beats of a backend.
-    pub beat_ms: Millis,
-    /// Draws.
+    /// The losses that the voters must tolerate.
+    pub fault_tolerance: FaultTolerance,
+    /// Milliseconds between two heartbeats of a backend.
+    pub heartbeat_interval_ms: Millis,
+    /// Seed of the node's random choices.
     pub seed: u64,
 }
 
-/// What happens to a machine.
+/// Something that happens to a node.
 #[derive(Debug)]
 pub enum Event {
-    /// Time passed.
+    /// Time passed. To be sent every 60 ms or so.
     Tick,
-    /// A message came.
+    /// A message came from another node.
     PeerMessage(Envelope),
-    /// Somebody calls; the answer goes with the number.
+    /// A backend or the operator calls. [`Action::Respond`] repeats the number.
     Call(u64, Call),
-    /// The disk is there: its number and what was found on it.
-    Disk(u64, Recovered),
-    /// A write is synced, or failed.
-    Written(u64, bool),
-    /// The data plane's counts, for the lender.
-    Used(u32, Vec<Use>),
-    /// Other addresses to begin with.
-    Seeds(Vec<Ipv4Addr>),
-    /// The process is to end.
-    Leave,
+    /// The store is open: the disk, and what was found on it.
+    StoreOpened(DiskId, DurableState),
+    /// The record with this number is on disk (`true`), or could not be written.
+    Persisted(u64, bool),
+    /// The data plane's usage counts, with the number of the report.
+    UsageReported(u32, Vec<UsageReport>),
+    /// The settings name other seeds.
+    SeedsChanged(Vec<Ipv4Addr>),
+    /// The process is to shut down.
+    Shutdown,
 }
 
-/// What a machine asks of its host.
+/// What a node asks of its host.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send this.
+    /// Send a message to a node.
     Send(Ipv4Addr, PeerMessage),
-    /// Keep this, then say so.
-    Write(u64, Record),
-    /// Answer a call.
-    Reply(u64, Reply),
-    /// The state of the log has moved on.
-    Configuration(Arc<State>),
-    /// A backend is new, or changed.
-    Backend(Backend),
-    /// A backend was not heard of for long.
-    Dropped(String),
-    /// What is lent upon a report.
-    Lent(Term, u32, Vec<Loan>),
+    /// Write a record to disk; then report [`Event::Persisted`] with the number.
+    Persist(u64, Record),
+    /// Answer the call with this number.
+    Respond(u64, Reply),
+    /// The replicated state has advanced.
+    StateAdvanced(Arc<ReplicatedState>),
+    /// A backend is new, or has changed.
+    BackendChanged(Backend),
+    /// Nothing was heard of the backend with this id for longer than its lease.
+    BackendExpired(String),
+    /// The leader's answer to a usage report.
+    QuotaGranted(GrantResponse),
 }
 
 /// The control state of one machine.
 #[derive(Debug)]
-pub struct Control {
-    pub(crate) start: Start,
+pub struct ControlPlane {
+    pub(crate) options: Options,
     pub(crate) now: Millis,
     pub(crate) born: Millis,
     pub(crate) replica: Replica,
-    pub(crate) views: Views,
+    pub(crate) views: PartialView,
     pub(crate) table: Table,
     pub(crate) lender: Lender,
     pub(crate) lends: bool,
-    pub(crate) limits: BTreeMap<TenantId, Limit>,
+    pub(crate) limits: BTreeMap<TenantId, RateLimit>,
     pub(crate) ranks: Ranks,
     pub(crate) own_rank: OwnRank,
     /// Whom a machine without a vote takes for the leader, and when that was heard.
@@ -109,9 +112,9 @@
     /// When each machine was heard last, by its own words.
     pub(crate) heard: BTreeMap<Ipv4Addr, Millis>,
     /// The log index that each machine told last.
-    pub(crate) indexes: BTreeMap<Ipv4Addr, u64>,
+    pub(crate) indexes: BTreeMap<Ipv4Addr, LogIndex>,
     /// Entries to tell a second time: when, to whom.
-    pub(crate) retell: Option<(Millis, Vec<Ipv4Addr>, Vec<consensus::Chosen>)>,
+    pub(crate) retell: Option<(Millis, Vec<Ipv4Addr>, Vec<CommittedEntry>)>,
     pub(crate) confirmations: Confirmations,
     /// Numbers of what this machine asks of consensus for itself.
     pub(crate) own: BTreeSet<u64>,
@@ -129,15 +132,15 @@
     pub(crate) actions: Vec<Action>,
 }
 
-impl Control {
+impl ControlPlane {
     /// A machine that starts.
-    pub fn new(start: Start, now: Millis) -> Control {
-        let (ip, seed) = (start.member.ip, start.seed);
-        Control {
+    pub fn new(options: Options, now: Millis) -> ControlPlane {
+        let (ip, seed) = (options.node.ip, options.seed);
+        ControlPlane {
             now,
             born: now,
-            replica: Replica::new(ip, 0, None, now),
-            views: Views::new(ip, seed),
+            replica: Replica::new(ip, DiskId::NONE, None, now),
+            views: PartialView::new(ip, seed),
             table: Table::default(),
             lender: Lender::default(),
             lends: false,
@@ -158,14 +161,14 @@
             own: BTreeSet::new(),
             last_own: 1 << 62,
             begun: None,
-            membership: Membership::of(&start.member),
+            membership: Membership::of(&options.node),
             snapshots: Snapshots::default(),
             stood_still: None,
             is_isolated: false,
             doubt: None,
             on_their_way: BTreeMap::new(),
             actions: Vec::new(),
-            start,
+            options,
         }
     }
 
@@ -184,39 +187,45 @@
         self.watch_isolation();
         match event {
             Event::Tick => self.tick(),
-            Event::PeerMessage(Envelope(from, life, message)) => self.hear(from, life, message),
+            Event::PeerMessage(Envelope { from, incarnation, message }) => {
+                self.hear(from, incarnation, message)
+            }
             Event::Call(number, call) => self.call(number, call),
-            Event::Disk(disk, found) => {
-                self.start.member.disk = disk;
-                let done = self.replica.attach(now, disk, found);
+            Event::StoreOpened(disk, found) => {
+                self.options.node.disk = disk;
+                let done = self.replica.attach_store(now, disk, found);
                 self.carry_out(done);
             }
-            Event::Written(number, synced) => {
-                let done = self.replica.written(now, number, synced);
+            Event::Persisted(number, synced) => {
+                let done = self.replica.on_persisted(now, number, synced);
                 self.carry_out(done);
             }
-            Event::Used(number, used) => match self.leader() {
-                Some((term, ip)) if ip == self.start.member.ip => {
-                    let loans = self.lend(ip, self.start.member.life, &used);
-                    self.actions.push(Action::Lent(term, number, loans));
+            Event::UsageReported(number, used) => match self.leader() {
+                Some((term, ip)) if ip == self.options.node.ip => {
+                    let loans = self.lend(ip, self.options.node.incarnation, &used);
+                    self.actions.push(Action::QuotaGranted(GrantResponse {
+                        term,
+                        report: number,
+                        grants: loans,
+                    }));
                 }
-                Some((_, ip)) => self.send(ip, PeerMessage::Used(number, used)),
+                Some((_, ip)) => self.send(ip, PeerMessage::UsageReport(number, used)),
                 None => {}
             },
-            Event::Seeds(seeds) => self.start.seeds = seeds,
-            Event::Leave => self.leave(),
+            Event::SeedsChanged(seeds) => self.options.seeds = seeds,
+            Event::Shutdown => self.leave(),
         }
         self.watch_leadership();
         std::mem::take(&mut self.actions)
     }
 
     /// The state that the log led to, as far as it is known here.
-    pub fn state(&self) -> &Arc<State> {
+    pub fn state(&self) -> &Arc<ReplicatedState> {
         self.replica.state()
     }
 
     /// The doors known here.
-    pub fn views(&self) -> &Views {
+    pub fn views(&self) -> &PartialView {
         &self.views
     }
 
@@ -234,7 +243,7 @@
     }
 
     pub(crate) fn send(&mut self, to: Ipv4Addr, message: PeerMessage) {
-        if to != self.start.member.ip {
+        if to != self.options.node.ip {
             self.actions.push(Action::Send(to, message));
         }
     }
@@ -245,14 +254,14 @@
         if !voters.is_empty() {
             return voters.iter().map(|voter| voter.ip).collect();
         }
-        let own = self.start.member.counted.then_some(self.start.member.ip);
-        self.views.members().filter(|member| member.counted).map(|member| member.ip).chain(own).collect()
+        let own = self.options.node.is_core.then_some(self.options.node.ip);
+        self.views.peers().filter(|member| member.is_core).map(|member| member.ip).chain(own).collect()
     }
 
     fn tick(&mut self) {
         let done = self.replica.tick(self.now);
         self.carry_out(done);
-        self.views.age_out(self.now);
+        self.views.expire(self.now);
         let now = self.now;
         self.heard.retain(|_, at| now < *at + 10 * SPEAKS);
         let heard = &self.heard;
@@ -263,13 +272,13 @@
             (self.gossiped, self.exchanges) = (self.now, self.exchanges + 1);
             self.gossip_next();
         }
-        let after = 2 * self.start.beat_ms + self.start.beat_ms * 7 / 10;
+        let after = 2 * self.options.heartbeat_interval_ms + self.options.heartbeat_interval_ms * 7 / 10;
         let silent = self.table.silent(self.now, after);
         for backend in silent {
-            self.actions.push(Action::Backend(backend.clone()));
+            self.actions.push(Action::BackendChanged(backend.clone()));
             self.spread(vec![backend], None);
         }
-        let dropped = self.table.expire(self.now).into_iter().map(Action::Dropped);
+        let dropped = self.table.expire(self.now).into_iter().map(Action::BackendExpired);
         self.actions.extend(dropped);
         self.retell();
         self.tend_snapshots();
@@ -282,62 +291,59 @@
         self.ask_for_rank();
     }
 
-    fn hear(&mut self, from: Ipv4Addr, life: u64, message: PeerMessage) {
+    fn hear(&mut self, from: Ipv4Addr, incarnation: Incarnation, message: PeerMessage) {
         self.end_isolation(from);
         self.heard.insert(from, self.now);
         match message {
-            PeerMessage::Gossip(member, index, digest, leader, members, back) => {
-                self.receive_gossip(member, (index, digest), leader, members, back);
-            }
+            PeerMessage::Gossip(gossip) => self.receive_gossip(gossip),
             PeerMessage::Consensus(disk, message) => {
-                let done = self.replica.receive(self.now, consensus::VoterId { ip: from, disk }, message);
+                let done = self.replica.step(self.now, consensus::VoterId { ip: from, disk }, message);
                 self.carry_out(done);
             }
-            PeerMessage::Fetch(index) => self.send_entries(from, index),
+            PeerMessage::FetchEntries(index) => self.send_entries(from, index),
             PeerMessage::Entries(entries) => self.receive_entries(from, entries),
-            PeerMessage::Snapshot(chunk) => self.receive_chunk(from, chunk),
-            PeerMessage::FetchSnapshot(id, offset) => self.continue_snapshot(from, id, offset),
-            PeerMessage::Ranges(theirs) => {
+            PeerMessage::SnapshotChunk(chunk) => self.receive_chunk(from, chunk),
+            PeerMessage::FetchSnapshotChunk(id, offset) => self.continue_snapshot(from, id, offset),
+            PeerMessage::TableDigests(theirs) => {
                 let records = self.table.differing(self.now, &theirs);
                 if !records.is_empty() {
-                    self.send(from, PeerMessage::Backends(records, None));
+                    self.send(from, PeerMessage::BackendRecords(records, None));
                 }
             }
-            PeerMessage::Backends(records, number) => self.receive_backends(from, records, number),
-            PeerMessage::Confirmed(number, index) => self.confirmed(number, from, index),
-            PeerMessage::Join(disk, index) => self.join_asked_by(from, disk, index),
-            PeerMessage::Leaving(disk, index) => self.left_by(from, disk, index),
-            PeerMessage::Released => self.released(),
+            PeerMessage::BackendRecords(records, number) => self.receive_backends(from, records, number),
+            PeerMessage::RecordsConfirmed(number, index) => self.confirmed(number, from, index),
+            PeerMessage::JoinRequest(disk, index) => self.join_asked_by(from, disk, index),
+            PeerMessage::LeaveRequest(disk, index) => self.left_by(from, disk, index),
+            PeerMessage::LeaveGranted => self.released(),
             PeerMessage::Bootstrap(slots) => {
-                if self.start.first_start && self.start.member.disk != 0 {
+                if self.options.first_start && self.options.node.disk.is_some() {
                     let done = self.replica.bootstrap(self.now, slots);
                     self.carry_out(done);
                 }
             }
-            PeerMessage::Used(number, used) => {
+            PeerMessage::UsageReport(number, used) => {
                 if let Some((term, ip)) = self.replica.leader(self.now) {
-                    if ip == self.start.member.ip {
-                        let loans = self.lend(from, life, &used);
-                        self.send(from, PeerMessage::Lent(term, number, loans));
+                    if ip == self.options.node.ip {
+                        let loans = self.lend(from, incarnation, &used);
+                        let response = GrantResponse { term, report: number, grants: loans };
+                        self.send(from, PeerMessage::QuotaGrant(response));
                     }
                 }
             }
-            PeerMessage::AskRank(zone) => self.rank_asked_by(from, zone),
-            PeerMessage::Rank(term, rank) => self.rank_told(term, rank),
-            PeerMessage::Lent(term, number, loans) => {
-                self.actions.push(Action::Lent(term, number, loans));
-            }
+            PeerMessage::RankRequest(zone) => self.rank_asked_by(from, zone),
+            PeerMessage::RankResponse(term, rank) => self.rank_told(term, rank),
+            PeerMessage::QuotaGrant(response) => self.actions.push(Action::QuotaGranted(response)),
         }
     }
 
     fn call(&mut self, number: u64, call: Call) {
         match call {
-            Call::CheckIn(record) => {
-                let (id, emptying) = (record.id.clone(), record.stage == Stage::Emptying);
+            Call::Heartbeat(record) => {
+                let (id, emptying) = (record.id.clone(), record.state == BackendState::Draining);
                 let news = self.table.hear(self.now, record, true);
                 let Some(record) = self.table.told(self.now, &id) else { return };
-                if news == News::Changed {
-                    self.actions.push(Action::Backend(record.clone()));
+                if news == MergeOutcome::Changed {
+                    self.actions.push(Action::BackendChanged(record.clone()));
                     self.spread(vec![record.clone()], None);
                 }
                 if emptying {
@@ -346,16 +352,14 @@
                     self.take_beat(number, &record);
                 }
             }
-            Call::SignOff(id) => {
+            Call::Deregister(id) => {
                 let record = self.table.sign_off(self.now, &id);
-                self.actions.push(Action::Backend(record.clone()));
+                self.actions.push(Action::BackendChanged(record.clone()));
                 self.spread(vec![record.clone()], None);
                 self.confirm_by_core(number, record);
             }
-            Call::Put { is_whole, built_on, body } => {
-                self.ask_leader(number, Command::Put { is_whole, built_on, body });
-            }
-            Call::Read => self.ask_leader(number, Command::Read),
+            Call::Configure(request) => self.ask_leader(number, Command::Configure(request)),
+            Call::ReadConfiguration => self.ask_leader(number, Command::Read),
             Call::Status => {
                 let status = self.status().to_string().into_bytes();
                 self.reply(number, Reply::Done(Arc::new(status)));
@@ -364,10 +368,10 @@
     }
 
     pub(crate) fn done(&mut self, number: u64) {
-        self.actions.push(Action::Reply(number, Reply::Done(Arc::new(b"{}".to_vec()))));
+        self.actions.push(Action::Respond(number, Reply::Done(Arc::new(b"{}".to_vec()))));
     }
 
     pub(crate) fn reply(&mut self, number: u64, reply: Reply) {
-        self.actions.push(Action::Reply(number, reply));
+        self.actions.push(Action::Respond(number, reply));
     }
 }
--- a/crates/brassport-control-plane/src/gossip.rs
+++ b/crates/brassport-control-plane/src/gossip.rs
@@ -1,11 +1,11 @@
 //! Gossip: exchanges between machines that keep the partial views fresh, tell how far each knows the log, who leads, and
 //! whether the tables of backends differ.
 
-use crate::control::Control;
-use crate::peer_message::{LeaderTold, PeerMessage};
+use crate::control::ControlPlane;
+use crate::peer_message::{Gossip, LeaderHint, PeerMessage};
 use crate::Millis;
-use brassport_config_store::consensus::Term;
-use brassport_transport::views::{Aged, Member};
+use brassport_transport::peer_sampling::AgedRecord;
+use brassport_types::Term;
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
@@ -24,7 +24,7 @@
 /// Between two looks for what is missing at one machine.
 const FETCH: Millis = 120;
 
-impl Control {
+impl ControlPlane {
     /// How long it is between two gossip exchanges that this machine begins.
     pub(crate) fn gossip_every(&self) -> Millis {
         if self.views.len() < 2 {
@@ -39,14 +39,14 @@
     /// Hails one of the core, one of those known, and, while few are known, the seeds.
     pub(crate) fn gossip_next(&mut self) {
         self.turn += 1;
-        let me = self.start.member.ip;
+        let me = self.options.node.ip;
         let core: Vec<Ipv4Addr> = self.core().into_iter().filter(|ip| *ip != me).collect();
-        let zone = self.start.member.zone.clone();
+        let zone = self.options.node.zone.clone();
         // One that has said nothing for long may be cut off: then those farther away are asked.
         let (heard, now) = (&self.heard, self.now);
         let speaks = |ip: &Ipv4Addr| heard.get(ip).is_some_and(|at| now < at + SPEAKS);
         let is_near =
-            |ip: &Ipv4Addr| speaks(ip) && self.views.member(*ip).is_some_and(|member| member.zone == zone);
+            |ip: &Ipv4Addr| speaks(ip) && self.views.peer(*ip).is_some_and(|member| member.zone == zone);
         let near: Vec<Ipv4Addr> = core.iter().copied().filter(is_near).collect();
         let mut to: BTreeSet<Ipv4Addr> = BTreeSet::new();
         // Mostly near: bytes between zones cost. All of the core and all doors have their turn.
@@ -59,57 +59,57 @@
             let of = if near.is_empty() || far { &core } else { &near };
             to.insert(of[(self.turn / 2) % of.len()]);
         } else if far {
-            to.extend(self.views.draw(1, |_| true));
+            to.extend(self.views.sample(1, |_| true));
         } else {
-            let drawn = self.views.draw(1, |member| member.zone == zone && speaks(&member.ip));
-            to.extend(if drawn.is_empty() { self.views.draw(1, |_| true) } else { drawn });
+            let drawn = self.views.sample(1, |member| member.zone == zone && speaks(&member.ip));
+            to.extend(if drawn.is_empty() { self.views.sample(1, |_| true) } else { drawn });
         }
         // Who hears none of the core follows through others that it hears, wherever they are.
         if is_cut_off {
-            let drawn = self.views.draw(1, |member| speaks(&member.ip));
+            let drawn = self.views.sample(1, |member| speaks(&member.ip));
             to.extend(if drawn.is_empty() {
-                self.views.draw(1, |member| !core.contains(&member.ip))
+                self.views.sample(1, |member| !core.contains(&member.ip))
             } else {
                 drawn
             });
         }
         // Guards against a part of the doors that knows only itself.
         if self.views.len() < 2 || self.turn.is_multiple_of(16) {
-            to.extend(self.start.seeds.iter().copied().filter(|ip| *ip != me));
+            to.extend(self.options.seeds.iter().copied().filter(|ip| *ip != me));
         }
         to.into_iter().for_each(|ip| self.gossip_to(ip, true));
     }
 
     pub(crate) fn gossip_to(&mut self, to: Ipv4Addr, back: bool) {
-        let told = |(term, ip): (Term, Ipv4Addr)| -> LeaderTold {
+        let hint = |(term, ip): (Term, Ipv4Addr)| -> LeaderHint {
             let at = self.told.filter(|(_, at_ip, _)| *at_ip == ip).map_or(self.now, |(_, _, at)| at);
             let heard = if self.replica.leader(self.now).is_some() { self.now } else { at };
-            (term, ip, u32::try_from(self.now - heard).unwrap_or(u32::MAX))
+            LeaderHint { term, ip, age_ms: u32::try_from(self.now - heard).unwrap_or(u32::MAX) }
         };
-        let leader = self.leader().map(told);
-        let (index, digest) = (self.replica.state().index, self.table.digest());
-        let members = self.views.swap(self.now, to);
-        let member = self.start.member.clone();
-        self.send(to, PeerMessage::Gossip(member, index, digest, leader, members, back));
+        let leader = self.leader().map(hint);
+        let gossip = Gossip {
+            sender: self.options.node.clone(),
+            index: self.replica.state().index,
+            table_digest: self.table.digest(),
+            leader,
+            peers: self.views.sample_for_exchange(self.now, to),
+            wants_reply: back,
+        };
+        self.send(to, PeerMessage::Gossip(gossip));
     }
 
-    pub(crate) fn receive_gossip(
-        &mut self,
-        member: Member,
-        (index, digest): (u64, u64),
-        leader: Option<LeaderTold>,
-        members: Vec<Aged>,
-        back: bool,
-    ) {
+    pub(crate) fn receive_gossip(&mut self, gossip: Gossip) {
+        let Gossip { sender: member, index, table_digest: digest, leader, peers: members, wants_reply: back } =
+            gossip;
         let from = member.ip;
         self.indexes.insert(from, index);
         self.membership.note_zone(&member);
-        self.views.hear(self.now, (member, 0));
+        self.views.merge(self.now, AgedRecord { peer: member, age_ms: 0 });
         for aged in members {
-            self.views.hear(self.now, aged);
+            self.views.merge(self.now, aged);
         }
-        if let Some((term, ip, age)) = leader {
-            let at = self.now.saturating_sub(Millis::from(age));
+        if let Some(LeaderHint { term, ip, age_ms }) = leader {
+            let at = self.now.saturating_sub(Millis::from(age_ms));
             let newer =
                 self.told.is_none_or(|(known, _, heard)| term > known || (term == known && at > heard));
             if newer {
@@ -127,7 +127,7 @@
         } else if self.may_repair() {
             self.repaired = Some(self.now);
             let own = self.table.digests();
-            self.send(from, PeerMessage::Ranges(own));
+            self.send(from, PeerMessage::TableDigests(own));
         }
     }
 
@@ -148,7 +148,7 @@
         if last.is_none_or(|at| self.now >= at + FETCH) {
             self.fetched.insert(from, self.now);
             let index = self.replica.state().index;
-            self.send(from, PeerMessage::Fetch(index));
+            self.send(from, PeerMessage::FetchEntries(index));
         }
     }
 }
--- a/crates/brassport-control-plane/src/isolation.rs
+++ b/crates/brassport-control-plane/src/isolation.rs
@@ -5,9 +5,9 @@
 //! It tells nobody of them, and uses them on, until another machine tells of them too. What nobody has told again soon is
 //! dropped: a backend that lives calls some machine within one interval.
 
-use crate::control::{Action, Control, ALL};
+use crate::control::{Action, ControlPlane, ALL};
 use crate::Millis;
-use brassport_config_store::consensus::mutants::{is_chosen, Mutant};
+use brassport_config_store::consensus::mutants::{is_active, Mutant};
 use std::net::Ipv4Addr;
 
 /// What is doubted is dropped after so long, once the table was compared with another machine's; where there are many
@@ -24,11 +24,11 @@
     is_compared: bool,
 }
 
-impl Control {
+impl ControlPlane {
     /// Looks whether this machine hears none of the core: from then on it tells nobody of live backends but of its own, so
     /// that two who were cut off do not take each other's word for news.
     pub(crate) fn watch_isolation(&mut self) {
-        if !self.is_isolated && self.is_cut_off() && !is_chosen(Mutant::IsolationTrusted) {
+        if !self.is_isolated && self.is_cut_off() && !is_active(Mutant::IsolationTrusted) {
             self.is_isolated = true;
             self.table.doubt(self.own_since());
         }
@@ -53,7 +53,7 @@
 
     /// A beat that came here since shows that its backend lives: it is no older than an interval and some more.
     fn own_since(&self) -> Millis {
-        let interval = self.start.beat_ms + self.start.beat_ms / 4;
+        let interval = self.options.heartbeat_interval_ms + self.options.heartbeat_interval_ms / 4;
         match self.stood_still {
             // Beats that were missed then were renewed: none of them shows anything.
             Some(at) if self.now < at + interval => Millis::MAX,
@@ -78,7 +78,7 @@
         };
         if self.now >= doubt.since + due {
             self.doubt = None;
-            let dropped = self.table.drop_doubted().into_iter().map(Action::Dropped);
+            let dropped = self.table.drop_doubted().into_iter().map(Action::BackendExpired);
             self.actions.extend(dropped);
         }
     }
--- a/crates/brassport-control-plane/src/lending.rs
+++ b/crates/brassport-control-plane/src/lending.rs
@@ -1,19 +1,20 @@
 //! The leader lends shares of limits; nobody else does.
 
-use crate::control::{Control, ALL};
+use crate::control::{ControlPlane, ALL};
 use crate::ring_position::Ranks;
-use brassport_quota::{Loan, Use};
+use brassport_quota::{QuotaGrant, UsageReport};
+use brassport_types::Incarnation;
 use std::net::Ipv4Addr;
 
-impl Control {
+impl ControlPlane {
     /// Begins to lend when it leads, and ends with it.
     pub(crate) fn watch_leadership(&mut self) {
-        let holds = self.replica.leads();
+        let holds = self.replica.is_leader();
         if holds && !self.lends {
             self.lender.begin(self.now);
             self.ranks = Ranks::default();
             // All whom it knows hear at once where to turn.
-            for ip in self.views.draw(ALL, |_| true) {
+            for ip in self.views.sample(ALL, |_| true) {
                 self.gossip_to(ip, false);
             }
         } else if !holds && self.lends {
@@ -22,12 +23,17 @@
         self.lends = holds;
     }
 
-    pub(crate) fn lend(&mut self, ip: Ipv4Addr, life: u64, used: &[Use]) -> Vec<Loan> {
+    pub(crate) fn lend(
+        &mut self,
+        ip: Ipv4Addr,
+        incarnation: Incarnation,
+        used: &[UsageReport],
+    ) -> Vec<QuotaGrant> {
         // Guards against one that stood still and leads no more: it lends only while a majority answers.
         if !self.replica.has_quorum(self.now) {
             return Vec::new();
         }
         let limits = &self.limits;
-        self.lender.lend(self.now, (ip, life), used, |tenant| limits.get(&tenant).copied())
+        self.lender.lend(self.now, (ip, incarnation), used, |tenant| limits.get(&tenant).copied())
     }
 }
--- a/crates/brassport-control-plane/src/lib.rs
+++ b/crates/brassport-control-plane/src/lib.rs
@@ -1,7 +1,7 @@
 //! The control plane of a gateway's process: which backends there are ([`backends`]), what backends and operators call
-//! ([`call`]), what processes say to one another ([`peer_message`]), and the one owner of all of it ([`Control`]).
+//! ([`call`]), what processes say to one another ([`peer_message`]), and the one owner of all of it ([`ControlPlane`]).
 //!
-//! [`Control`] does no I/O: a host hands it events with the time, and carries out the actions that come back. It holds
+//! [`ControlPlane`] does no I/O: a host hands it events with the time, and carries out the actions that come back. It holds
 //! this machine's replica of the log of configurations, the table of backends (soft state under leases, copied by
 //! gossip and mended by digests), the doors that it knows, and what is lent to it of limits. It decides nothing about a
 //! request; the data plane reads copies.
@@ -23,9 +23,8 @@
 mod snapshots;
 mod status;
 
-pub use control::{Action, Control, Event, Start};
-pub use membership::Survive;
-pub use snapshots::{Chunk, SnapshotId};
+pub use control::{Action, ControlPlane, Event, Options};
+pub use membership::FaultTolerance;
+pub use snapshots::{SnapshotChunk, SnapshotId};
 
-/// Milliseconds of the steady clock.
-pub type Millis = u64;
+pub use brassport_types::Millis;
--- a/crates/brassport-control-plane/src/log_updates.rs
+++ b/crates/brassport-control-plane/src/log_updates.rs
@@ -1,11 +1,11 @@
 //! Updates of the log: who tells whom, so that every door has each entry soon and no link carries it often.
 
-use crate::control::{Control, ALL};
+use crate::control::{ControlPlane, ALL};
 use crate::peer_message::PeerMessage;
 use crate::snapshots::CHUNK;
 use crate::Millis;
-use brassport_config_store::consensus::mutants::{is_chosen, Mutant};
-use brassport_config_store::consensus::{Chosen, LogIndex};
+use brassport_config_store::consensus::mutants::{is_active, Mutant};
+use brassport_config_store::consensus::{CommittedEntry, LogIndex};
 use std::net::Ipv4Addr;
 
 /// Entries up to so many bytes are told at once; of longer ones it is told that they are there.
@@ -31,21 +31,21 @@
     until: Millis,
 }
 
-fn size(entries: &[Chosen]) -> usize {
+fn size(entries: &[CommittedEntry]) -> usize {
     entries.iter().map(|chosen| chosen.entry.size()).sum()
 }
 
 /// The first entries that together take no more than [`MOST_BYTES`]; none, if the first one takes more.
-fn first_of(entries: Vec<Chosen>) -> Vec<Chosen> {
+fn first_of(entries: Vec<CommittedEntry>) -> Vec<CommittedEntry> {
     let mut bytes = 0;
-    let fits = |chosen: &Chosen| {
+    let fits = |chosen: &CommittedEntry| {
         bytes += chosen.entry.size();
         bytes <= MOST_BYTES
     };
     entries.into_iter().take_while(fits).collect()
 }
 
-impl Control {
+impl ControlPlane {
     /// Tells a machine what it lacks behind an index, unless that is on its way already.
     pub(crate) fn send_entries(&mut self, to: Ipv4Addr, index: LogIndex) {
         let is_on_its_way =
@@ -68,14 +68,14 @@
     /// configuration: without a leader that was heard of lately, only machines of the core are told, who need it to elect one.
     fn may_hand_out(&self, to: Ipv4Addr) -> bool {
         let is_of_core =
-            self.core().contains(&to) || self.views.member(to).is_some_and(|member| member.counted);
-        is_of_core || self.leader().is_some() || is_chosen(Mutant::CutOffHandsOut)
+            self.core().contains(&to) || self.views.peer(to).is_some_and(|member| member.is_core);
+        is_of_core || self.leader().is_some() || is_active(Mutant::CutOffHandsOut)
     }
 
     /// Takes in entries, and asks for more where there are.
-    pub(crate) fn receive_entries(&mut self, from: Ipv4Addr, entries: Vec<Chosen>) {
+    pub(crate) fn receive_entries(&mut self, from: Ipv4Addr, entries: Vec<CommittedEntry>) {
         let before = self.replica.state().index;
-        let done = self.replica.learn(self.now, entries);
+        let done = self.replica.append_committed(self.now, entries);
         self.carry_out(done);
         let index = self.replica.state().index;
         let told = self.indexes.get(&from).copied().unwrap_or_default();
@@ -86,29 +86,29 @@
     }
 
     /// Entries were chosen: the leader tells those who have no vote, and who hears of them tells on.
-    pub(crate) fn spread_entries(&mut self, entries: Vec<Chosen>) {
+    pub(crate) fn spread_entries(&mut self, entries: Vec<CommittedEntry>) {
         let few = self.views.len() <= ALL;
         let is_short = !entries.is_empty() && size(&entries) <= SHORT;
-        let most = match (self.replica.leads(), few) {
+        let most = match (self.replica.is_leader(), few) {
             (true, true) => ALL,
             (true, false) if is_short => SOME,
             (false, true) => return,
             (_, false) => ON,
         };
         let voters: Vec<Ipv4Addr> = self.replica.state().voters.iter().map(|voter| voter.ip).collect();
-        let to = self.views.draw(most, |member| !voters.contains(&member.ip));
+        let to = self.views.sample(most, |member| !voters.contains(&member.ip));
         // Of long ones it is told only that they are there.
         let entries = if is_short { entries } else { Vec::new() };
         self.tell_entries(&to, &entries);
-        self.retell = match (self.replica.leads(), few) {
+        self.retell = match (self.replica.is_leader(), few) {
             (true, true) => Some((self.now + RETELL, to, entries)),
             // Others than those who were told first: some of them nobody drew.
-            (true, false) => Some((self.now + RETELL, self.views.draw(most, |_| true), entries)),
-            (false, _) => Some((self.now + RETELL, self.views.draw(1, |_| true), entries)),
+            (true, false) => Some((self.now + RETELL, self.views.sample(most, |_| true), entries)),
+            (false, _) => Some((self.now + RETELL, self.views.sample(1, |_| true), entries)),
         };
     }
 
-    fn tell_entries(&mut self, to: &[Ipv4Addr], entries: &[Chosen]) {
+    fn tell_entries(&mut self, to: &[Ipv4Addr], entries: &[CommittedEntry]) {
         for ip in to {
             if entries.is_empty() {
                 self.gossip_to(*ip, false);
--- a/crates/brassport-control-plane/src/membership.rs
+++ b/crates/brassport-control-plane/src/membership.rs
@@ -9,12 +9,13 @@
 //!
 //! Who decides here is the leader; what it decides is an entry of the log like any other.
 
-use crate::control::Control;
+use crate::control::ControlPlane;
 use crate::peer_message::PeerMessage;
 use crate::Millis;
-use brassport_config_store::consensus::mutants::{is_chosen, Mutant};
+use brassport_config_store::consensus::mutants::{is_active, Mutant};
 use brassport_config_store::consensus::{Command, LogIndex, VoterId};
-use brassport_transport::views::Member;
+use brassport_transport::peer_sampling::PeerRecord;
+use brassport_types::DiskId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
@@ -33,13 +34,13 @@
 /// A request for a vote holds for so long, and that of one that leaves.
 const REQUEST_HOLDS: Millis = 700;
 /// Who waits for a vote has caught up if it lacks no more entries than this.
-const CAUGHT_UP: LogIndex = 64;
+const CAUGHT_UP: u64 = 64;
 /// The first seed waits so long for others of the core before it begins the log without itself.
 const MEET: Millis = 150;
 
 /// What may be lost at once with all rules kept.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Survive {
+pub struct FaultTolerance {
     /// Machines of the core.
     pub machines: usize,
     /// Whole zones.
@@ -50,10 +51,10 @@
     pub region_of: BTreeMap<String, String>,
 }
 
-impl Survive {
+impl FaultTolerance {
     /// So many machines of the core, and no zone.
-    pub fn machines(machines: usize) -> Survive {
-        Survive { machines, ..Survive::default() }
+    pub fn machines(machines: usize) -> FaultTolerance {
+        FaultTolerance { machines, ..FaultTolerance::default() }
     }
 
     /// Whether voters in these zones keep a majority over each loss that is to be borne. A voter whose zone is not known
@@ -84,7 +85,7 @@
 /// A machine that asks for a vote.
 #[derive(Debug, Clone, Copy)]
 struct Joiner {
-    disk: u64,
+    disk: DiskId,
     index: LogIndex,
     first: Millis,
     last: Millis,
@@ -93,7 +94,7 @@
 /// A voter that says that it ends.
 #[derive(Debug, Clone, Copy)]
 struct Leaver {
-    disk: u64,
+    disk: DiskId,
     at: Millis,
 }
 
@@ -120,21 +121,21 @@
 
 impl Membership {
     /// What a machine knows at its start: its own zone.
-    pub(crate) fn of(member: &Member) -> Membership {
+    pub(crate) fn of(member: &PeerRecord) -> Membership {
         let mut membership = Membership::default();
         membership.note_zone(member);
         membership
     }
 
     /// A machine of the core tells in which zone it stands.
-    pub(crate) fn note_zone(&mut self, member: &Member) {
-        if member.counted {
+    pub(crate) fn note_zone(&mut self, member: &PeerRecord) {
+        if member.is_core {
             self.zones.insert(member.ip, member.zone.clone());
         }
     }
 
     /// A machine asks for a vote.
-    fn asked_by(&mut self, now: Millis, from: Ipv4Addr, disk: u64, index: LogIndex) {
+    fn asked_by(&mut self, now: Millis, from: Ipv4Addr, disk: DiskId, index: LogIndex) {
         let fresh = Joiner { disk, index, first: now, last: now };
         let joiner = self.joiners.entry(from).or_insert(fresh);
         if joiner.disk != disk || now >= joiner.last + REQUEST_HOLDS {
@@ -186,29 +187,29 @@
     Joins(VoterId),
 }
 
-impl Control {
+impl ControlPlane {
     /// The first seed of the very first start says who begins the log: itself, or the first of the core that it meets.
     /// Nobody else ever does, so there is one beginning.
     pub(crate) fn bootstrap_log(&mut self) {
-        let member = &self.start.member;
-        let is_first = self.start.first_start && self.start.seeds.first() == Some(&member.ip);
-        if !is_first || self.replica.state().index > 0 || self.now < MEET {
+        let member = &self.options.node;
+        let is_first = self.options.first_start && self.options.seeds.first() == Some(&member.ip);
+        if !is_first || self.replica.state().index > LogIndex(0) || self.now < MEET {
             return;
         }
         if self.begun.is_none() {
-            let of_core = |disk: u64, counted: bool| disk != 0 && counted;
+            let of_core = |disk: DiskId, counted: bool| disk.is_some() && counted;
             let others = self
                 .views
-                .members()
-                .filter(|member| of_core(member.disk, member.counted))
+                .peers()
+                .filter(|member| of_core(member.disk, member.is_core))
                 .map(|member| member.ip);
-            let own = of_core(member.disk, member.counted).then_some(member.ip);
+            let own = of_core(member.disk, member.is_core).then_some(member.ip);
             // Its own disk may not be open yet: with a disk to come it waits for that.
-            self.begun = if member.counted { own } else { others.min() };
+            self.begun = if member.is_core { own } else { others.min() };
         }
         let slots = self.views.len() as u32 + 1;
         match self.begun {
-            Some(ip) if ip == self.start.member.ip => {
+            Some(ip) if ip == self.options.node.ip => {
                 let done = self.replica.bootstrap(self.now, slots);
                 self.carry_out(done);
             }
@@ -220,13 +221,13 @@
     /// Whether the voters bear all losses that are to be borne.
     pub(crate) fn bears_losses(&self) -> bool {
         let zones = self.membership.zones(self.replica.state().voters.iter());
-        self.start.survive.is_borne_by(&zones)
+        self.options.fault_tolerance.is_borne_by(&zones)
     }
 
     /// Changes the set of voters by one, if it is not as it ought to be.
     pub(crate) fn reconcile_voters(&mut self) {
         self.membership.forget_old(self.now);
-        if !self.replica.leads() || !self.own.is_empty() {
+        if !self.replica.is_leader() || !self.own.is_empty() {
             return;
         }
         let change = self.next_change();
@@ -244,26 +245,27 @@
             }
             None => {}
         }
-        // Views are partial, and only doors with traffic report to the lender: those that asked for ranks are all.
+        // PartialView are partial, and only doors with traffic report to the lender: those that asked for ranks are all.
         let known = (self.views.len() + 1).max(self.lender.doors(self.now)).max(self.ranks.len()) as u32;
-        let slots = state.slots.max(known);
+        let slots = state.quota_shares.max(known);
         // Parts are cut anew with the voters, or once those who start together have met.
-        let met = slots > state.slots && self.replica.has_led(self.now, 1_500);
+        let met = slots > state.quota_shares && self.replica.has_led_for(self.now, 1_500);
         if change.is_some() || met {
             self.ask_for_voters(voters, slots);
         }
     }
 
-    fn ask_for_voters(&mut self, voters: Vec<VoterId>, slots: u32) {
+    fn ask_for_voters(&mut self, voters: Vec<VoterId>, quota_shares: u32) {
         self.last_own += 1;
         self.own.insert(self.last_own);
-        let done = self.replica.ask(self.now, self.last_own, Command::Voters { voters, slots });
+        let done =
+            self.replica.submit(self.now, self.last_own, Command::ChangeVoters { voters, quota_shares });
         self.carry_out(done);
     }
 
     /// The change that is due first.
     fn next_change(&self) -> Option<Change> {
-        if is_chosen(Mutant::SuccessorFirst) {
+        if is_active(Mutant::SuccessorFirst) {
             return self.wiped_voter().or_else(|| self.joining_voter()).or_else(|| self.departing_voter());
         }
         self.wiped_voter().or_else(|| self.departing_voter()).or_else(|| self.joining_voter())
@@ -280,11 +282,11 @@
     /// A voter that is silent or ends, where the others and those who wait for a vote are enough.
     fn departing_voter(&self) -> Option<Change> {
         let voters = &self.replica.state().voters;
-        let silence = |voter: &VoterId| self.replica.silence_of(*voter, self.now).unwrap_or_default();
+        let silence = |voter: &VoterId| self.replica.unresponsive_for(*voter, self.now).unwrap_or_default();
         let silent = voters
             .iter()
             .filter(|voter| silence(voter) >= self.membership.patience(**voter))
-            .filter(|_| !is_chosen(Mutant::SilentStays))
+            .filter(|_| !is_active(Mutant::SilentStays))
             .max_by_key(|voter| silence(voter))
             .map(|voter| Change::Silent(*voter));
         let leaves = |voter: &&VoterId| {
@@ -304,7 +306,8 @@
         let joiners: Vec<VoterId> = self.caught_up().collect();
         let after: Vec<&VoterId> = voters.iter().filter(|other| **other != voter).chain(&joiners).collect();
         let zones = self.membership.zones(after.iter().copied());
-        self.start.survive.is_borne_by(&zones) || (!self.bears_losses() && after.len() >= voters.len())
+        self.options.fault_tolerance.is_borne_by(&zones)
+            || (!self.bears_losses() && after.len() >= voters.len())
     }
 
     /// Those who wait for a vote and know enough of the log.
@@ -313,17 +316,17 @@
         let has_vote = |ip: Ipv4Addr| state.voters.iter().any(|voter| voter.ip == ip);
         self.membership
             .asking()
-            .filter(move |(voter, index)| !has_vote(voter.ip) && index + CAUGHT_UP >= state.index)
+            .filter(move |(voter, index)| !has_vote(voter.ip) && *index + CAUGHT_UP >= state.index)
             .map(|(voter, _)| voter)
     }
 
     fn joining_voter(&self) -> Option<Change> {
         let voters = &self.replica.state().voters;
         let may_be_silent = |voter: &VoterId| {
-            let silence = self.replica.silence_of(*voter, self.now).unwrap_or_default();
+            let silence = self.replica.unresponsive_for(*voter, self.now).unwrap_or_default();
             (SUSPECT..self.membership.patience(*voter)).contains(&silence)
         };
-        if voters.iter().any(may_be_silent) && !is_chosen(Mutant::SuccessorFirst) {
+        if voters.iter().any(may_be_silent) && !is_active(Mutant::SuccessorFirst) {
             return None;
         }
         let first = self.caught_up().next();
@@ -333,18 +336,18 @@
     /// A machine of the core without a vote asks the leader for one; while it knows no leader, others of the core who leads.
     /// One that is about to end never asks.
     pub(crate) fn ask_for_vote(&mut self) {
-        let member = &self.start.member;
+        let member = &self.options.node;
         let (me, disk, now) = (member.ip, member.disk, self.now);
         let leader = self.leader().map(|(_, ip)| ip);
-        let waits = !self.replica.votes() || leader.is_none();
-        let is_of_core = member.counted && disk != 0 && !self.membership.leaves;
+        let waits = !self.replica.is_voter() || leader.is_none();
+        let is_of_core = member.is_core && disk.is_some() && !self.membership.leaves;
         if !is_of_core || !waits || now < self.membership.asked + ASK_EVERY {
             return;
         }
         self.membership.asked = now;
         self.membership.turn += 1;
         if let Some(ip) = leader {
-            return self.send(ip, PeerMessage::Join(disk, self.replica.state().index));
+            return self.send(ip, PeerMessage::JoinRequest(disk, self.replica.state().index));
         }
         let others: Vec<Ipv4Addr> = self.core().into_iter().filter(|ip| *ip != me).collect();
         let turn = self.membership.turn % others.len().max(1);
@@ -354,8 +357,8 @@
     }
 
     /// A machine asks for a vote: it is told what it lacks, or who leads.
-    pub(crate) fn join_asked_by(&mut self, from: Ipv4Addr, disk: u64, index: LogIndex) {
-        if !self.replica.leads() {
+    pub(crate) fn join_asked_by(&mut self, from: Ipv4Addr, disk: DiskId, index: LogIndex) {
+        if !self.replica.is_leader() {
             return self.gossip_to(from, false);
         }
         self.membership.asked_by(self.now, from, disk, index);
@@ -371,7 +374,7 @@
 
     /// Whether this machine, which is about to end, may: it has no vote, or all that it knows is known to enough others.
     pub fn is_released(&self) -> bool {
-        self.membership.is_released || self.start.member.disk == 0 || !self.start.member.counted
+        self.membership.is_released || self.options.node.disk.is_none() || !self.options.node.is_core
     }
 
     pub(crate) fn keep_leaving(&mut self) {
@@ -386,22 +389,22 @@
         self.membership.asked = self.now;
         let index = self.replica.state().index;
         match self.leader() {
-            Some((_, ip)) if ip != self.start.member.ip => {
-                self.send(ip, PeerMessage::Leaving(self.start.member.disk, index));
+            Some((_, ip)) if ip != self.options.node.ip => {
+                self.send(ip, PeerMessage::LeaveRequest(self.options.node.disk, index));
             }
             _ => {}
         }
     }
 
     /// A voter says that it ends, and how far it knows the log.
-    pub(crate) fn left_by(&mut self, from: Ipv4Addr, disk: u64, index: LogIndex) {
-        if !self.replica.leads() {
+    pub(crate) fn left_by(&mut self, from: Ipv4Addr, disk: DiskId, index: LogIndex) {
+        if !self.replica.is_leader() {
             return;
         }
         let leaver = VoterId { ip: from, disk };
         self.membership.leavers.insert(from, Leaver { disk, at: self.now });
-        if is_chosen(Mutant::ReleasedUnasked) {
-            self.send(from, PeerMessage::Released);
+        if is_active(Mutant::ReleasedUnasked) {
+            self.send(from, PeerMessage::LeaveGranted);
         }
         let voters = self.replica.state().voters.clone();
         let has_vote = voters.contains(&leaver);
@@ -410,7 +413,7 @@
         }
         let others: BTreeSet<VoterId> = voters.into_iter().filter(|voter| *voter != leaver).collect();
         if self.replica.is_known_to_majority_of(&others, index) {
-            self.send(from, PeerMessage::Released);
+            self.send(from, PeerMessage::LeaveGranted);
         }
     }
 
--- a/crates/brassport-control-plane/src/peer_message.rs
+++ b/crates/brassport-control-plane/src/peer_message.rs
@@ -1,75 +1,119 @@
-//! What the processes of the gateway say to one another. Variants are tuples, as their names would weigh more than what
-//! they say.
+//! Messages between the nodes of the cluster. On the wire, variants have names of one letter and structs are rows: names
+//! would weigh more than what they stand for.
 
 use crate::backends::{Backend, RANGES};
 use crate::ring_position::Rank;
-use crate::snapshots::{Chunk, SnapshotId};
-use brassport_config_store::consensus::{Chosen, LogIndex, Message, Term};
-use brassport_quota::{Loan, Use};
-use brassport_transport::views::{Aged, Member};
+use crate::snapshots::{SnapshotChunk, SnapshotId};
+use brassport_config_store::consensus::{CommittedEntry, Message};
+use brassport_quota::{QuotaGrant, UsageReport};
+use brassport_transport::peer_sampling::{AgedRecord, PeerRecord};
+use brassport_types::{DiskId, Incarnation, LogIndex, Term};
 use serde::{Deserialize, Serialize};
+use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 use std::net::Ipv4Addr;
 
-/// Who leads, under which term, and how many milliseconds ago it was heard.
-pub type LeaderTold = (Term, Ipv4Addr, u32);
+/// A message with its sender.
+#[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
+pub struct Envelope {
+    /// The sender's address.
+    pub from: Ipv4Addr,
+    /// The incarnation of the sender's process.
+    pub incarnation: Incarnation,
+    /// The message.
+    pub message: PeerMessage,
+}
 
-/// One thing said.
+/// A message from one node to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A door tells of itself: its log index, the digest of its table, who leads, some members, and
-    /// whether it wants the same back.
+    /// One side of a gossip exchange.
     #[serde(rename = "h")]
-    Gossip(Member, LogIndex, u64, Option<LeaderTold>, Vec<Aged>, bool),
-    /// Between voters; the number of the sender's disk.
+    Gossip(Gossip),
+    /// A message between voters, with the sender's disk.
     #[serde(rename = "c")]
-    Consensus(u64, Message),
-    /// The entries behind this index, please.
+    Consensus(DiskId, Message),
+    /// Asks for the entries behind this index.
     #[serde(rename = "f")]
-    Fetch(LogIndex),
-    /// Entries that are chosen, from an index on.
+    FetchEntries(LogIndex),
+    /// Committed entries, one behind the other.
     #[serde(rename = "n")]
-    Entries(Vec<Chosen>),
-    /// A part of a snapshot, as the entries are no longer kept, or are too long.
+    Entries(Vec<CommittedEntry>),
+    /// A chunk of a snapshot, as the entries are no longer kept, or are too long.
     #[serde(rename = "s")]
-    Snapshot(Chunk),
-    /// More of a snapshot, please, from this byte on.
+    SnapshotChunk(SnapshotChunk),
+    /// Asks for the chunk of a snapshot at this byte offset.
     #[serde(rename = "k")]
-    FetchSnapshot(SnapshotId, u64),
-    /// The digests of a table's ranges: what differs, please.
+    FetchSnapshotChunk(SnapshotId, u64),
+    /// The digests of the sender's table of backends, by range: asks for the records of those that differ.
     #[serde(rename = "r")]
-    Ranges([u32; RANGES]),
-    /// Records of backends; with a number, an answer is wanted.
+    TableDigests([u32; RANGES]),
+    /// Records of backends; with a number, a confirmation is wanted.
     #[serde(rename = "b")]
-    Backends(Vec<Backend>, Option<u64>),
-    /// Records under this number were taken in, by one that knows the log up to this index.
+    BackendRecords(Vec<Backend>, Option<u64>),
+    /// The records with this number were merged, by a node that knows the log up to this index.
     #[serde(rename = "a")]
-    Confirmed(u64, LogIndex),
-    /// Begin the log: only one machine is ever told.
+    RecordsConfirmed(u64, LogIndex),
+    /// Begin the log with this number of quota shares. Only one machine is ever told to.
     #[serde(rename = "g")]
     Bootstrap(u32),
-    /// A machine of the core wants a vote; the number of its disk, and how far it knows the log.
+    /// A core machine asks the leader for a vote; its disk, and how far it knows the log.
     #[serde(rename = "j")]
-    Join(u64, LogIndex),
-    /// A voter is about to end; the number of its disk, and how far it knows the log.
+    JoinRequest(DiskId, LogIndex),
+    /// A voter is about to shut down; its disk, and how far it knows the log.
     #[serde(rename = "e")]
-    Leaving(u64, LogIndex),
-    /// To one that is about to end: it may.
+    LeaveRequest(DiskId, LogIndex),
+    /// The answer to [`LeaveRequest`](PeerMessage::LeaveRequest): the voter may shut down.
     #[serde(rename = "d")]
-    Released,
-    /// A door's counts, to the leader: number, counts.
+    LeaveGranted,
+    /// A node's usage counts, to the leader, with the number of the report.
     #[serde(rename = "u")]
-    Used(u32, Vec<Use>),
-    /// What is lent upon a report: term, number, loans.
+    UsageReport(u32, Vec<UsageReport>),
+    /// The answer to a usage report.
     #[serde(rename = "l")]
-    Lent(Term, u32, Vec<Loan>),
-    /// A door of this zone asks the leader for its rank among the doors there.
+    QuotaGrant(GrantResponse),
+    /// A node of this zone asks the leader for its rank there.
     #[serde(rename = "p")]
-    AskRank(String),
-    /// The rank of the door that is told: term, rank.
+    RankRequest(String),
+    /// The answer to [`RankRequest`](PeerMessage::RankRequest), with the leader's term.
     #[serde(rename = "q")]
-    Rank(Term, Rank),
+    RankResponse(Term, Rank),
 }
 
-/// A message with its sender: address and life.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Envelope(pub Ipv4Addr, pub u64, pub PeerMessage);
+/// What a node tells in a gossip exchange.
+#[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
+pub struct Gossip {
+    /// The sender.
+    pub sender: PeerRecord,
+    /// How far it knows the log.
+    pub index: LogIndex,
+    /// The digest of its table of backends.
+    pub table_digest: u64,
+    /// The leader that it knows.
+    pub leader: Option<LeaderHint>,
+    /// A sample of its partial view.
+    pub peers: Vec<AgedRecord>,
+    /// Whether the receiver is to answer with its own side of the exchange.
+    pub wants_reply: bool,
+}
+
+/// Who leads, as a node knows it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
+pub struct LeaderHint {
+    /// The leader's term.
+    pub term: Term,
+    /// The leader's address.
+    pub ip: Ipv4Addr,
+    /// Milliseconds since the leader was heard.
+    pub age_ms: u32,
+}
+
+/// What the leader grants upon a usage report.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
+pub struct GrantResponse {
+    /// The leader's term.
+    pub term: Term,
+    /// The number of the report that is answered.
+    pub report: u32,
+    /// The grants, one for each tenant reported.
+    pub grants: Vec<QuotaGrant>,
+}
--- a/crates/brassport-control-plane/src/ring_position.rs
+++ b/crates/brassport-control-plane/src/ring_position.rs
@@ -6,7 +6,7 @@
 //! learns them anew, and meanwhile each door keeps the one it has. Before a door is told one it estimates its position
 //! from its partial view.
 
-use crate::control::Control;
+use crate::control::ControlPlane;
 use crate::peer_message::PeerMessage;
 use crate::Millis;
 use brassport_config_store::consensus::Term;
@@ -74,7 +74,7 @@
     asked: Option<Millis>,
 }
 
-impl Control {
+impl ControlPlane {
     /// The position on the ring of backends, from 0 up to 1.
     pub fn ring_position(&self) -> f64 {
         self.own_rank.told.map_or_else(|| self.estimated_rank(), |(_, rank)| rank).position()
@@ -82,8 +82,8 @@
 
     /// The rank in the partial view, which is a draw from all doors.
     fn estimated_rank(&self) -> Rank {
-        let me = &self.start.member;
-        let of_zone = || self.views.members().filter(|member| member.zone == me.zone);
+        let me = &self.options.node;
+        let of_zone = || self.views.peers().filter(|member| member.zone == me.zone);
         let before = of_zone().filter(|member| member.ip < me.ip).count();
         Rank { before: before as u16, doors: of_zone().count() as u16 + 1 }
     }
@@ -96,26 +96,28 @@
         }
         let Some((_, leader)) = self.leader() else { return };
         self.own_rank.asked = Some(self.now);
-        let zone = self.start.member.zone.clone();
-        if leader == self.start.member.ip {
+        let zone = self.options.node.zone.clone();
+        if leader == self.options.node.ip {
             self.rank_asked_by(leader, zone);
         } else {
-            self.send(leader, PeerMessage::AskRank(zone));
+            self.send(leader, PeerMessage::RankRequest(zone));
         }
     }
 
     /// A door asks for its rank; one that leads answers.
     pub(crate) fn rank_asked_by(&mut self, door: Ipv4Addr, zone: String) {
-        let Some((term, _)) = self.replica.leader(self.now).filter(|_| self.replica.leads()) else { return };
+        let Some((term, _)) = self.replica.leader(self.now).filter(|_| self.replica.is_leader()) else {
+            return;
+        };
         self.ranks.note(self.now, door, zone);
-        if !self.replica.has_led(self.now, SETTLED) {
+        if !self.replica.has_led_for(self.now, SETTLED) {
             return;
         }
         let Some(rank) = self.ranks.rank(door) else { return };
-        if door == self.start.member.ip {
+        if door == self.options.node.ip {
             self.rank_told(term, rank);
         } else {
-            self.send(door, PeerMessage::Rank(term, rank));
+            self.send(door, PeerMessage::RankResponse(term, rank));
         }
     }
 
--- a/crates/brassport-control-plane/src/snapshots.rs
+++ b/crates/brassport-control-plane/src/snapshots.rs
@@ -4,11 +4,11 @@
 //! another, from whoever has the same snapshot: if one source falls silent another goes on where it ended. It takes the
 //! state in only when all bytes are there and have the digest.
 
-use crate::control::Control;
+use crate::control::ControlPlane;
 use crate::peer_message::PeerMessage;
 use crate::Millis;
-use brassport_config_store::consensus::mutants::{is_chosen, Mutant};
-use brassport_config_store::consensus::{LogIndex, State};
+use brassport_config_store::consensus::mutants::{is_active, Mutant};
+use brassport_config_store::consensus::{LogIndex, ReplicatedState};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::net::Ipv4Addr;
@@ -37,7 +37,7 @@
 
 /// A part of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Chunk {
+pub struct SnapshotChunk {
     /// Of which snapshot.
     #[serde(rename = "i")]
     pub id: SnapshotId,
@@ -94,18 +94,18 @@
 }
 
 impl Source {
-    fn of(state: &State, now: Millis) -> Source {
+    fn of(state: &ReplicatedState, now: Millis) -> Source {
         let mut bytes = Vec::new();
         // A vector takes all that is written to it.
         let _ = ciborium::into_writer(state, &mut bytes);
         Source { id: SnapshotId { index: state.index, digest: digest(&bytes) }, bytes, used: now }
     }
 
-    fn chunk(&self, offset: u64) -> Option<Chunk> {
+    fn chunk(&self, offset: u64) -> Option<SnapshotChunk> {
         let from = usize::try_from(offset).ok().filter(|from| *from < self.bytes.len())?;
         let to = (from + CHUNK).min(self.bytes.len());
         let bytes = self.bytes[from..to].to_vec();
-        Some(Chunk { id: self.id, total: self.bytes.len() as u64, offset, bytes })
+        Some(SnapshotChunk { id: self.id, total: self.bytes.len() as u64, offset, bytes })
     }
 }
 
@@ -122,21 +122,21 @@
 }
 
 impl Download {
-    fn begin(from: Ipv4Addr, first: &Chunk, now: Millis) -> Download {
+    fn begin(from: Ipv4Addr, first: &SnapshotChunk, now: Millis) -> Download {
         let (id, total) = (first.id, first.total);
         Download { id, total, bytes: Vec::new(), from, came: now, asked: now }
     }
 
-    fn is_whole(&self) -> bool {
+    fn scope(&self) -> bool {
         self.bytes.len() as u64 >= self.total
     }
 
     /// The state, if the bytes have the digest and are one.
-    fn state(&self) -> Result<State, String> {
-        if digest(&self.bytes) != self.id.digest && !is_chosen(Mutant::SnapshotUnchecked) {
+    fn state(&self) -> Result<ReplicatedState, String> {
+        if digest(&self.bytes) != self.id.digest && !is_active(Mutant::SnapshotUnchecked) {
             return Err("its bytes have another digest".to_owned());
         }
-        let state: State =
+        let state: ReplicatedState =
             ciborium::from_reader(&self.bytes[..]).map_err(|error| format!("it can't be read: {error}"))?;
         if state.index == self.id.index {
             Ok(state)
@@ -176,13 +176,13 @@
     }
 }
 
-impl Control {
+impl ControlPlane {
     /// Sends the first chunk of a snapshot to a machine that knows the log up to this index.
     pub(crate) fn offer_snapshot(&mut self, to: Ipv4Addr, index: LogIndex) {
         self.renew_source(index);
         let first = self.snapshots.source.as_ref().and_then(|source| source.chunk(0));
         if let Some(chunk) = first {
-            self.send(to, PeerMessage::Snapshot(chunk));
+            self.send(to, PeerMessage::SnapshotChunk(chunk));
         }
     }
 
@@ -204,16 +204,16 @@
 
     /// A machine wants more of a snapshot: of another one than this machine has, it is offered what there is.
     pub(crate) fn continue_snapshot(&mut self, to: Ipv4Addr, id: SnapshotId, offset: u64) {
-        self.renew_source(id.index.saturating_sub(1));
+        self.renew_source(id.index.previous());
         let source = self.snapshots.source.as_ref().filter(|source| source.id == id);
         match source.and_then(|source| source.chunk(offset)) {
-            Some(chunk) => self.send(to, PeerMessage::Snapshot(chunk)),
-            None => self.offer_snapshot(to, id.index.saturating_sub(1)),
+            Some(chunk) => self.send(to, PeerMessage::SnapshotChunk(chunk)),
+            None => self.offer_snapshot(to, id.index.previous()),
         }
     }
 
     /// A part of a snapshot came.
-    pub(crate) fn receive_chunk(&mut self, from: Ipv4Addr, chunk: Chunk) {
+    pub(crate) fn receive_chunk(&mut self, from: Ipv4Addr, chunk: SnapshotChunk) {
         if chunk.id.index <= self.replica.state().index || chunk.total > MOST_BYTES {
             return;
         }
@@ -231,7 +231,7 @@
         }
         download.bytes.extend_from_slice(&chunk.bytes);
         (download.from, download.came) = (from, now);
-        if download.is_whole() {
+        if download.scope() {
             self.finish_download();
         } else {
             self.ask_for_chunk(from);
@@ -261,7 +261,7 @@
     fn ask_for_chunk(&mut self, from: Ipv4Addr) {
         let Some(download) = &mut self.snapshots.download else { return };
         download.asked = self.now;
-        let message = PeerMessage::FetchSnapshot(download.id, download.bytes.len() as u64);
+        let message = PeerMessage::FetchSnapshotChunk(download.id, download.bytes.len() as u64);
         self.send(from, message);
     }
 
--- a/crates/brassport-control-plane/tests/mutants.rs
+++ b/crates/brassport-control-plane/tests/mutants.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use brassport_config_store::consensus::mutants::{choose, Mutant};
+use brassport_config_store::consensus::mutants::{activate, Mutant};
 use std::path::Path;
 use test_case::test_case;
 use world::script;
@@ -34,9 +34,9 @@
 fn a_scenario_finds_it(mutant: Mutant, name: &str) {
     let text = scenario(name);
     assert_eq!(broken(&text), Vec::<String>::new(), "without the fault");
-    choose(Some(mutant));
+    activate(Some(mutant));
     let found = broken(&text);
-    choose(None);
+    activate(None);
     println!("{mutant:?}: {found:?}");
     assert!(!found.is_empty(), "{mutant:?} was not found");
 }
@@ -50,9 +50,9 @@
         "without the fault: {:?}",
         broken(&text(sound.first().copied().unwrap_or_default()))
     );
-    choose(Some(mutant));
+    activate(Some(mutant));
     let found: Vec<u64> = (0..120).filter(|seed| !broken(&text(*seed)).is_empty()).collect();
-    choose(None);
+    activate(None);
     println!("{mutant:?}: seeds {found:?}");
     assert!(!found.is_empty(), "{mutant:?} was not found");
 }
@@ -61,7 +61,7 @@
 fn a_snapshot_with_other_bytes_finds_it() {
     let installed = world::spoilt_snapshot_is_installed;
     assert!(!installed(), "without the fault");
-    choose(Some(Mutant::SnapshotUnchecked));
+    activate(Some(Mutant::SnapshotUnchecked));
     assert!(installed());
-    choose(None);
+    activate(None);
 }
--- a/crates/brassport-control-plane/tests/survive.rs
+++ b/crates/brassport-control-plane/tests/survive.rs
@@ -1,6 +1,6 @@
 //! Which sets of voters bear what may be lost at once.
 
-use brassport_control_plane::Survive;
+use brassport_control_plane::FaultTolerance;
 use test_case::test_case;
 
 fn zones(names: &str) -> Vec<Option<&str>> {
@@ -13,7 +13,7 @@
 #[test_case(2, "a b c d", false; "and not two")]
 #[test_case(2, "a b c d e", true; "five bear two")]
 fn machines(machines: usize, names: &str, is_borne: bool) {
-    assert_eq!(Survive::machines(machines).is_borne_by(&zones(names)), is_borne);
+    assert_eq!(FaultTolerance::machines(machines).is_borne_by(&zones(names)), is_borne);
 }
 
 #[test_case("a a b b c c", true; "a third stands in each")]
@@ -21,7 +21,7 @@
 #[test_case("a a a b c", false; "most stand in one")]
 #[test_case("a ? b", true; "one whose zone is not known stands alone")]
 fn a_zone(names: &str, is_borne: bool) {
-    let survive = Survive { zones: 1, ..Survive::default() };
+    let survive = FaultTolerance { zones: 1, ..FaultTolerance::default() };
     assert_eq!(survive.is_borne_by(&zones(names)), is_borne);
 }
 
@@ -29,7 +29,7 @@
 fn a_region_is_all_of_its_zones() {
     let region_of = [("a", "north"), ("b", "north"), ("c", "south"), ("d", "east")];
     let region_of = region_of.map(|(zone, region)| (zone.to_owned(), region.to_owned())).into();
-    let survive = Survive { regions: 1, region_of, ..Survive::default() };
+    let survive = FaultTolerance { regions: 1, region_of, ..FaultTolerance::default() };
     assert!(!survive.is_borne_by(&zones("a b c")));
     assert!(survive.is_borne_by(&zones("a c d")));
 }
--- a/crates/brassport-control-plane/tests/world/callers.rs
+++ b/crates/brassport-control-plane/tests/world/callers.rs
@@ -3,7 +3,7 @@
 
 use super::script::{Ask, Flaw, Millis};
 use super::{machine, Step, World, BEAT, CALLER};
-use brassport_config_store::consensus::OrderDigest;
+use brassport_config_store::consensus::RequestDigest;
 use brassport_control_plane::call::{Call, Reply};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -17,15 +17,15 @@
 
 #[derive(Clone)]
 pub struct Put {
-    pub is_whole: bool,
+    pub scope: bool,
     pub version: u32,
-    pub built_on: u32,
+    pub base_version: u32,
     pub body: Arc<Vec<u8>>,
 }
 
 impl Put {
-    pub fn digest(&self) -> OrderDigest {
-        OrderDigest::of(self.is_whole, self.built_on, &self.body)
+    pub fn digest(&self) -> RequestDigest {
+        RequestDigest::of(self.scope, self.base_version, &self.body)
     }
 }
 
@@ -90,7 +90,7 @@
 
 impl World {
     pub fn ask(&mut self, ask: &Ask, via: Option<usize>, once: bool, name: &str) -> Result<(), String> {
-        let built_on = match ask {
+        let base_version = match ask {
             Ask::Next => {
                 let door = self.any_door(None);
                 Some(self.judge.version(door))
@@ -101,13 +101,18 @@
             _ => None,
         };
         let version = self.callers.highest + 1;
-        let next =
-            built_on.map(|built_on| Ask::Put { is_whole: true, version, built_on, flaw: None, routes: 2 });
+        let next = base_version.map(|base_version| Ask::Put {
+            scope: true,
+            version,
+            base_version,
+            flaw: None,
+            routes: 2,
+        });
         let what = match next.as_ref().unwrap_or(ask) {
-            Ask::Put { is_whole, version, built_on, flaw, routes } => {
+            Ask::Put { scope, version, base_version, flaw, routes } => {
                 self.callers.highest = self.callers.highest.max(*version);
-                let body = Arc::new(body(*is_whole, *version, *flaw, *routes, name));
-                What::Put(Put { is_whole: *is_whole, version: *version, built_on: *built_on, body })
+                let body = Arc::new(body(*scope, *version, *flaw, *routes, name));
+                What::Put(Put { scope: *scope, version: *version, base_version: *base_version, body })
             }
             Ask::Repeat(of) => {
                 What::Put(self.callers.put(of).ok_or_else(|| format!("{of} is no put that was sent"))?)
@@ -195,7 +200,7 @@
         if started.len() > 1 {
             started.retain(|one| Some(*one) != last);
         }
-        let drawn = self.draw(started.len() as u64) as usize;
+        let drawn = self.sample(started.len() as u64) as usize;
         started.get(drawn).copied().unwrap_or_default()
     }
 
@@ -224,9 +229,9 @@
         let call = match &session.what {
             What::Put(put) => {
                 patience += put.body.len() as u64 / 50;
-                let path = if put.is_whole { "/Config.Replace" } else { "/Config.Change" };
-                let built_on = format!("{:08x}", put.built_on);
-                Call::decode("POST", path, Some(&built_on), put.body.to_vec())
+                let path = if put.scope { "/Config.Replace" } else { "/Config.Change" };
+                let base_version = format!("{:08x}", put.base_version);
+                Call::decode("POST", path, Some(&base_version), put.body.to_vec())
             }
             What::Read => Call::decode("GET", "/Config.Read", None, Vec::new()),
             What::SignOff(id) => Call::decode("POST", &format!("/Servers.SignOff/{id}"), None, Vec::new()),
@@ -251,7 +256,7 @@
         let Some(index) = self.callers.tries.get(&number).copied() else { return };
         // An answer that is lost on its way: the caller goes on once its patience is over.
         let is_order = matches!(self.callers.sessions[index].what, What::Put(_));
-        if reply.is_some() && is_order && self.draw(100) < self.answers_lost {
+        if reply.is_some() && is_order && self.sample(100) < self.answers_lost {
             return;
         }
         self.callers.tries.remove(&number);
@@ -264,13 +269,13 @@
                 200
             }
             Some(Reply::Invalid(_)) => 400,
-            Some(Reply::Outdated) => 412,
-            Some(Reply::At(ip)) if session.hops < 2 && !session.once => {
+            Some(Reply::VersionConflict) => 412,
+            Some(Reply::Redirect(ip)) if session.hops < 2 && !session.once => {
                 session.hops += 1;
                 return self.try_at(index, machine(ip));
             }
-            Some(Reply::NotNow(_)) => 503,
-            Some(Reply::At(_)) => 307,
+            Some(Reply::Unavailable(_)) => 503,
+            Some(Reply::Redirect(_)) => 307,
             None => 0,
         };
         let patience = match &session.what {
@@ -293,7 +298,7 @@
         let name = session.name.clone();
         match (session.what.clone(), code) {
             (What::Put(put), 200) => {
-                self.judge.acknowledge(&name, (put.version, put.digest(), put.built_on), now);
+                self.judge.acknowledge(&name, (put.version, put.digest(), put.base_version), now);
             }
             (What::Put(put), 400 | 412) => self.judge.refuse(&name, put.digest(), now),
             (What::Empty(id) | What::SignOff(id), 200) => self.judge.end_known(&id, now),
@@ -314,7 +319,7 @@
 }
 
 /// A configuration; each name gives another.
-fn body(is_whole: bool, version: u32, flaw: Option<Flaw>, routes: usize, name: &str) -> Vec<u8> {
+fn body(scope: bool, version: u32, flaw: Option<Flaw>, routes: usize, name: &str) -> Vec<u8> {
     let route = |number: usize| {
         let unknown = flaw == Some(Flaw::UnknownService) && number == 0;
         let index = if flaw == Some(Flaw::PrefixTwice) { 0 } else { number };
@@ -333,7 +338,7 @@
     ]);
     let services = json!([{"name": "svc", "healthPath": "/health", "maxConnections": 100, "protocol": "h1", "tls": false}]);
     let version = format!("{version:08x}");
-    let whole = match is_whole {
+    let whole = match scope {
         true => json!({
             "version": version, "note": name, "services": services, "limits": {}, "customers": customers,
             "hosts": hosts
--- a/crates/brassport-control-plane/tests/world/judge.rs
+++ b/crates/brassport-control-plane/tests/world/judge.rs
@@ -5,8 +5,8 @@
 //! machine of the core that reaches more than half of it), and that of the core for `inTouchS` = 3 s.
 
 use super::script::Millis;
-use brassport_config_store::consensus::{Chosen, Entry, LogIndex, OrderDigest, State};
-use brassport_control_plane::backends::{Backend, Stage};
+use brassport_config_store::consensus::{CommittedEntry, Entry, LogIndex, ReplicatedState, RequestDigest};
+use brassport_control_plane::backends::{Backend, BackendState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -18,8 +18,8 @@
 #[derive(Default)]
 struct Seen {
     runs: bool,
-    state: Option<Arc<State>>,
-    backends: BTreeMap<String, Stage>,
+    state: Option<Arc<ReplicatedState>>,
+    backends: BTreeMap<String, BackendState>,
     /// When its own trouble was over.
     trouble: Millis,
     /// What was complained of already.
@@ -28,13 +28,13 @@
 
 pub struct Judge {
     seen: Vec<Seen>,
-    states: BTreeMap<LogIndex, Arc<State>>,
+    states: BTreeMap<LogIndex, Arc<ReplicatedState>>,
     entries: BTreeMap<LogIndex, Entry>,
     core_trouble: Millis,
     /// Acknowledged: version, digest, the version below, when.
-    pub acknowledged: Vec<(u32, OrderDigest, u32, Millis)>,
-    refused: BTreeMap<OrderDigest, String>,
-    in_force: BTreeSet<OrderDigest>,
+    pub acknowledged: Vec<(u32, RequestDigest, u32, Millis)>,
+    refused: BTreeMap<RequestDigest, String>,
+    in_force: BTreeSet<RequestDigest>,
     ends: Vec<(String, Millis)>,
     /// When each machine first went by a version, or one above it.
     goes_by: BTreeMap<(usize, u32), Millis>,
@@ -91,7 +91,7 @@
     }
 
     /// The newest state that any machine went by.
-    pub fn newest(&self) -> Option<Arc<State>> {
+    pub fn newest(&self) -> Option<Arc<ReplicatedState>> {
         self.states.values().next_back().cloned()
     }
 
@@ -115,12 +115,12 @@
         delays
     }
 
-    pub fn stage(&self, one: usize, id: &str) -> Option<Stage> {
+    pub fn stage(&self, one: usize, id: &str) -> Option<BackendState> {
         self.seen[one].backends.get(id).copied()
     }
 
     /// A machine goes by this state from now on.
-    pub fn word(&mut self, one: usize, state: &Arc<State>, now: Millis) {
+    pub fn word(&mut self, one: usize, state: &Arc<ReplicatedState>, now: Millis) {
         if let Some(before) = &self.seen[one].state {
             if before.version() > state.version() || before.index > state.index {
                 let (from, to) = ((before.index, before.version()), (state.index, state.version()));
@@ -152,8 +152,8 @@
     }
 
     /// A machine tells that these entries are chosen.
-    pub fn chosen(&mut self, one: usize, entries: &[Chosen], now: Millis) {
-        for Chosen { index, entry } in entries {
+    pub fn chosen(&mut self, one: usize, entries: &[CommittedEntry], now: Millis) {
+        for CommittedEntry { index, entry } in entries {
             let known = self.entries.entry(*index).or_insert_with(|| entry.clone());
             if known != entry {
                 let told = format!("machine {one} tells another entry at index {index}");
@@ -163,7 +163,7 @@
     }
 
     pub fn backend(&mut self, one: usize, backend: Backend) {
-        self.seen[one].backends.insert(backend.id, backend.stage);
+        self.seen[one].backends.insert(backend.id, backend.state);
     }
 
     pub fn dropped(&mut self, one: usize, id: &str) {
@@ -173,22 +173,23 @@
     pub fn acknowledge(
         &mut self,
         name: &str,
-        (version, digest, built_on): (u32, OrderDigest, u32),
+        (version, digest, base_version): (u32, RequestDigest, u32),
         now: Millis,
     ) {
-        let other = self.acknowledged.iter().find(|(_, other, on, _)| *on == built_on && *other != digest);
+        let other =
+            self.acknowledged.iter().find(|(_, other, on, _)| *on == base_version && *other != digest);
         if let Some((other, ..)) = other {
             let told =
-                format!("{name} (v{version}) and v{other} on top of v{built_on} are both acknowledged");
+                format!("{name} (v{version}) and v{other} on top of v{base_version} are both acknowledged");
             self.breaks(now, told);
         }
         if let Some(refused) = self.refused.get(&digest).cloned() {
             self.breaks(now, format!("{name} is acknowledged and was refused as {refused}"));
         }
-        self.acknowledged.push((version, digest, built_on, now));
+        self.acknowledged.push((version, digest, base_version, now));
     }
 
-    pub fn refuse(&mut self, name: &str, digest: OrderDigest, now: Millis) {
+    pub fn refuse(&mut self, name: &str, digest: RequestDigest, now: Millis) {
         if self.in_force.contains(&digest) {
             self.breaks(now, format!("{name} is refused and was in force"));
         }
@@ -223,8 +224,8 @@
                 faults.push(format!("machine {one} is in touch and does not have v{word}"));
             }
             for id in &ends {
-                let stage = self.stage(one, id);
-                if matches!(stage, Some(Stage::Ready | Stage::Silent)) {
+                let stage = self.state(one, id);
+                if matches!(stage, Some(BackendState::Ready | BackendState::Unresponsive)) {
                     faults.push(format!("machine {one} is in touch and takes {id} for {stage:?}"));
                 }
             }
@@ -237,7 +238,7 @@
     }
 
     /// At the end: nothing acknowledged is lost.
-    pub fn at_end(&mut self, newest: &State, now: Millis) {
+    pub fn at_end(&mut self, newest: &ReplicatedState, now: Millis) {
         for (version, digest, ..) in self.acknowledged.clone() {
             let is_there = newest.taken.get(&version) == Some(&digest);
             // Of old versions nothing is remembered.
@@ -248,7 +249,7 @@
     }
 }
 
-fn differ(one: &State, other: &State) -> String {
-    let told = |state: &State| format!("v{} voters {:?}", state.version(), state.voters);
+fn differ(one: &ReplicatedState, other: &ReplicatedState) -> String {
+    let told = |state: &ReplicatedState| format!("v{} voters {:?}", state.version(), state.voters);
     format!("{} and {}", told(one), told(other))
 }
--- a/crates/brassport-control-plane/tests/world/mod.rs
+++ b/crates/brassport-control-plane/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A whole control plane on simulated time: machines with a `Control` each, their disks, the network between them, and
+//! A whole control plane on simulated time: machines with a `ControlPlane` each, their disks, the network between them, and
 //! whoever calls. All is drawn from one seed, so each run repeats exactly. Nothing here sleeps or opens a socket.
 
 // The scenarios and the seeds each use a part.
@@ -9,11 +9,15 @@
 pub mod play;
 pub mod script;
 
-use brassport_config_store::consensus::{Chosen, Entry, Message, Record, Recovered, State};
+use brassport_config_store::consensus::{
+    CommittedEntry, DurableState, Entry, Message, Record, ReplicatedState,
+};
 use brassport_control_plane::call::{Call, Reply};
 use brassport_control_plane::peer_message::{Envelope, PeerMessage};
-use brassport_control_plane::{Action, Chunk, Control, Event, SnapshotId, Start, Survive};
-use brassport_transport::views::Member;
+use brassport_control_plane::{
+    Action, ControlPlane, Event, FaultTolerance, SnapshotChunk, SnapshotId, Start,
+};
+use brassport_transport::peer_sampling::PeerRecord;
 use callers::Callers;
 use judge::Judge;
 use oorandom::Rand64;
@@ -55,7 +59,7 @@
 pub struct Store {
     /// Drawn when it is opened empty.
     number: Option<u64>,
-    pub kept: Recovered,
+    pub kept: DurableState,
     /// Whether it stands on a gap until all is written anew.
     torn: bool,
     pending: VecDeque<(u64, Record)>,
@@ -66,7 +70,7 @@
 
 impl Store {
     fn empty() -> Store {
-        let kept = Recovered { promised: (0, 0), state: State::nothing(), open: None };
+        let kept = DurableState { promised: (0, 0), state: ReplicatedState::empty(), open: None };
         Store {
             number: None,
             kept,
@@ -80,7 +84,7 @@
 }
 
 pub struct Machine {
-    pub control: Option<Control>,
+    pub control: Option<ControlPlane>,
     /// How often it was started.
     pub life: u64,
     born: Millis,
@@ -134,12 +138,12 @@
 
 /// Whether a machine takes in a snapshot of which a byte was changed on its way, so that it still can be read.
 pub fn spoilt_snapshot_is_installed() -> bool {
-    let member = Member { ip: ip(0), life: 1, zone: "a".to_owned(), disk: 0, counted: false };
-    let survive = Survive::machines(1);
+    let member = PeerRecord { ip: ip(0), life: 1, zone: "a".to_owned(), disk: 0, counted: false };
+    let survive = FaultTolerance::machines(1);
     let start = Start { member, seeds: vec![ip(1)], first_start: false, survive, beat_ms: BEAT, seed: 1 };
-    let mut control = Control::new(start, 0);
+    let mut control = ControlPlane::new(start, 0);
     let bytes = |slots: u32| {
-        let state = State { index: 9, slots, ..State::nothing() };
+        let state = ReplicatedState { index: 9, slots, ..ReplicatedState::empty() };
         let mut bytes = Vec::new();
         ciborium::into_writer(&state, &mut bytes).expect("a state can be written");
         bytes
@@ -149,8 +153,8 @@
         Sha256::digest(&sound).iter().take(16).fold(0, |all, byte| all << 8 | u128::from(*byte));
     let id = SnapshotId { index: 9, digest };
     let total = spoilt.len() as u64;
-    let chunk = Chunk { id, total, offset: 0, bytes: spoilt };
-    control.handle(10, Event::PeerMessage(Envelope(ip(1), 1, PeerMessage::Snapshot(chunk))));
+    let chunk = SnapshotChunk { id, total, offset: 0, bytes: spoilt };
+    control.handle(10, Event::PeerMessage(Envelope(ip(1), 1, PeerMessage::SnapshotChunk(chunk))));
     control.state().index == 9
 }
 
@@ -246,7 +250,7 @@
     /// What a machine tells those who run it.
     pub fn status(&self, one: usize) -> serde_json::Value {
         let control = self.machines[one].control.as_ref();
-        control.map_or(serde_json::Value::Null, Control::status)
+        control.map_or(serde_json::Value::Null, ControlPlane::status)
     }
 
     /// Whether enough is broken.
@@ -268,7 +272,7 @@
             Step::Tick(one, life) => {
                 if self.lives(one, life) {
                     self.handle(one, Event::Tick);
-                    let wait = TICK + self.draw(6);
+                    let wait = TICK + self.sample(6);
                     self.at(wait, Step::Tick(one, life));
                 }
             }
@@ -311,14 +315,14 @@
         if self.machines[one].control.is_some() {
             return;
         }
-        let seed = self.draw(u64::MAX);
+        let seed = self.sample(u64::MAX);
         let machine = &mut self.machines[one];
         machine.life += 1;
         machine.born = self.now;
         machine.store.busy = self.now;
         machine.frozen_until = 0;
         let life = machine.life;
-        let member = Member {
+        let member = PeerRecord {
             ip: ip(one),
             life: life << 8 | one as u64,
             zone: machine.zone.clone(),
@@ -329,17 +333,17 @@
             member,
             seeds: machine.seeds.iter().map(|seed| ip(*seed)).collect(),
             first_start,
-            survive: Survive::machines(self.setup.survive.unwrap_or((self.setup.disks - 1) / 2)),
+            survive: FaultTolerance::machines(self.setup.survive.unwrap_or((self.setup.disks - 1) / 2)),
             beat_ms: BEAT,
             seed,
         };
-        machine.control = Some(Control::new(start, 0));
+        machine.control = Some(ControlPlane::new(start, 0));
         let counted = machine.counted;
         self.judge.begins(one, counted, self.now);
-        let wait = 1 + self.draw(TICK);
+        let wait = 1 + self.sample(TICK);
         self.at(wait, Step::Tick(one, life));
         if counted {
-            let wait = self.setup.sync + self.draw(4);
+            let wait = self.setup.sync + self.sample(4);
             self.at(wait, Step::Open(one, life));
         }
     }
@@ -356,7 +360,7 @@
         // What was on its way to the disk is there up to some record.
         let hangs = self.now < machine.store.hangs_until;
         for (_, record) in pending {
-            if hangs || self.draw(2) == 0 || !keep(&mut self.machines[one].store, record) {
+            if hangs || self.sample(2) == 0 || !keep(&mut self.machines[one].store, record) {
                 break;
             }
         }
@@ -380,7 +384,7 @@
         if !self.lives(one, life) {
             return;
         }
-        let may = self.machines[one].control.as_ref().is_some_and(Control::is_released);
+        let may = self.machines[one].control.as_ref().is_some_and(ControlPlane::is_released);
         if (may && self.now >= since + soonest) || self.now >= since + GRACE {
             self.ended.push((one, self.now - since));
             self.kill(one);
@@ -413,7 +417,7 @@
             if self.machines[one].store.full {
                 return self.at(500, Step::Open(one, life));
             }
-            self.machines[one].store.number = Some(self.draw(u64::MAX) | 1);
+            self.machines[one].store.number = Some(self.sample(u64::MAX) | 1);
         }
         let store = &self.machines[one].store;
         let event = Event::Disk(store.number.unwrap_or(1), store.kept.clone());
@@ -442,7 +446,7 @@
             match action {
                 Action::Send(to, message) => self.send(one, machine(to), message),
                 Action::Write(number, record) => {
-                    let wait = self.setup.sync + self.draw(3);
+                    let wait = self.setup.sync + self.sample(3);
                     let store = &mut self.machines[one].store;
                     store.busy = store.busy.max(self.now) + wait;
                     store.pending.push_back((number, record));
@@ -475,7 +479,7 @@
             return;
         }
         let same = self.machines[from].zone == self.machines[to].zone;
-        let mut delay = if same { 1 } else { self.setup.apart } + self.draw(2);
+        let mut delay = if same { 1 } else { self.setup.apart } + self.sample(2);
         if let Some(mbit) = self.setup.mbit {
             let bytes = size(&message);
             let free = &mut self.machines[from].sends_free;
@@ -486,11 +490,11 @@
             delay += self.machines[from].lag.1;
         }
         let envelope = Envelope(ip(from), self.machines[from].life << 8 | from as u64, message);
-        if self.draw(100) < self.repeats.0 {
-            let late = 1 + self.draw(self.repeats.1);
+        if self.sample(100) < self.repeats.0 {
+            let late = 1 + self.sample(self.repeats.1);
             self.at(delay + late, Step::Arrive(to, envelope.clone()));
         }
-        if self.draw(100) >= self.loss {
+        if self.sample(100) >= self.loss {
             self.at(delay, Step::Arrive(to, envelope));
         }
     }
@@ -578,14 +582,14 @@
 
 /// What a store does with a record. Whether it is kept.
 fn keep(store: &mut Store, record: Record) -> bool {
-    let gap = store.torn && !matches!(record, Record::Whole(_));
+    let gap = store.torn && !matches!(record, Record::Snapshot(_));
     store.torn = store.full || gap;
     if store.torn {
         return false;
     }
     let kept = &mut store.kept;
     // What stands before another was chosen when that was accepted.
-    let catch_up = |kept: &mut Recovered, index: u64| {
+    let catch_up = |kept: &mut DurableState, index: u64| {
         while kept.state.index + 1 < index {
             let Some((_, before)) = kept.open.take() else { break };
             kept.state.apply(&before);
@@ -598,12 +602,12 @@
             catch_up(kept, index);
             kept.open = Some((term, entry));
         }
-        Record::Chosen(Chosen { index, entry }) => {
+        Record::Committed(CommittedEntry { index, entry }) => {
             catch_up(kept, index);
             kept.open = None;
             kept.state.apply(&entry);
         }
-        Record::Whole(whole) => *kept = whole,
+        Record::Snapshot(whole) => *kept = whole,
     }
     true
 }
@@ -616,10 +620,10 @@
     };
     let bytes = match message {
         PeerMessage::Entries(entries) => entries.iter().map(|chosen| of(&chosen.entry)).sum(),
-        PeerMessage::Snapshot(chunk) => chunk.bytes.len(),
+        PeerMessage::SnapshotChunk(chunk) => chunk.bytes.len(),
         PeerMessage::Consensus(_, Message::Accept { entry, .. }) => of(entry),
         PeerMessage::Consensus(_, Message::Promise { open: Some((_, entry)), .. }) => of(entry),
-        PeerMessage::Backends(records, _) => 150 * records.len(),
+        PeerMessage::BackendRecords(records, _) => 150 * records.len(),
         _ => 300,
     };
     bytes as u64 + 60
--- a/crates/brassport-control-plane/tests/world/play.rs
+++ b/crates/brassport-control-plane/tests/world/play.rs
@@ -3,8 +3,8 @@
 use super::callers::What;
 use super::script::{Cut, Disk, Expect, Millis, Statement, When};
 use super::{ip, Step, World};
-use brassport_config_store::consensus::State;
-use brassport_control_plane::backends::Stage;
+use brassport_config_store::consensus::ReplicatedState;
+use brassport_control_plane::backends::BackendState;
 use serde_json::Value;
 
 /// After the last line, unless the scenario says how long it lasts.
@@ -50,13 +50,13 @@
     fn kept_by(&self, name: &str) -> usize {
         let Some(put) = self.callers.put(name) else { return 0 };
         let holds = |entry: &brassport_config_store::consensus::Entry| match entry {
-            brassport_config_store::consensus::Entry::Replace { body, built_on }
-            | brassport_config_store::consensus::Entry::Change { body, built_on } => {
-                *body == put.body && *built_on == put.built_on
+            brassport_config_store::consensus::Entry::Replace { body, base_version }
+            | brassport_config_store::consensus::Entry::Change { body, base_version } => {
+                *body == put.body && *base_version == put.base_version
             }
             _ => false,
         };
-        let has = |kept: &brassport_config_store::consensus::Recovered| {
+        let has = |kept: &brassport_config_store::consensus::DurableState| {
             kept.state.taken.values().any(|taken| *taken == put.digest())
                 || kept.open.as_ref().is_some_and(|(_, entry)| holds(entry))
         };
@@ -251,10 +251,10 @@
             Expect::Knows(who, id, stages) => {
                 for one in self.all(who)? {
                     let stage = match self.judge.stage(one, id) {
-                        Some(Stage::Ready) => "ready",
-                        Some(Stage::Silent) => "silent",
-                        Some(Stage::Emptying) => "emptying",
-                        Some(Stage::Gone) => "gone",
+                        Some(BackendState::Ready) => "ready",
+                        Some(BackendState::Unresponsive) => "silent",
+                        Some(BackendState::Draining) => "emptying",
+                        Some(BackendState::Terminated) => "gone",
                         None => "nothing",
                     };
                     if self.runs(one) && !stages.iter().any(|expected| expected == stage) {
@@ -327,8 +327,8 @@
             }
         }
         let kept = self.machines.iter().map(|machine| &machine.store.kept.state);
-        let newest: Option<State> = kept.max_by_key(|state| state.index).cloned();
-        let known = self.judge.newest().map(|state| State::clone(&state));
+        let newest: Option<ReplicatedState> = kept.max_by_key(|state| state.index).cloned();
+        let known = self.judge.newest().map(|state| ReplicatedState::clone(&state));
         if let Some(newest) = newest.into_iter().chain(known).max_by_key(|state| state.index) {
             self.judge.at_end(&newest, self.now);
         }
--- a/crates/brassport-control-plane/tests/world/script.rs
+++ b/crates/brassport-control-plane/tests/world/script.rs
@@ -69,9 +69,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Ask {
     Put {
-        is_whole: bool,
+        scope: bool,
         version: u32,
-        built_on: u32,
+        base_version: u32,
         flaw: Option<Flaw>,
         routes: usize,
     },
@@ -203,7 +203,7 @@
         self.fail(&format!("`{word}`"))
     }
 
-    fn parsed<T>(&mut self, expected: &str, parse: impl Fn(&str) -> Option<T>) -> Read<T> {
+    fn configuration<T>(&mut self, expected: &str, parse: impl Fn(&str) -> Option<T>) -> Read<T> {
         match self.peek().and_then(parse) {
             Some(value) => {
                 self.at += 1;
@@ -465,7 +465,7 @@
         verb @ ("put" | "change") => {
             let version = words.version()?;
             words.want("on")?;
-            let built_on = words.number()? as u32;
+            let base_version = words.number()? as u32;
             let (mut flaw, mut routes) = (None, 2);
             if words.take("but") {
                 let flaws = "`cut-off`, `key-twice`, `prefix-twice` or `unknown-service`";
@@ -480,7 +480,7 @@
                 routes = words.number()? as usize;
                 words.want("routes")?;
             }
-            Ask::Put { is_whole: verb == "put", version, built_on, flaw, routes }
+            Ask::Put { scope: verb == "put", version, base_version, flaw, routes }
         }
         "repeats" => Ask::Repeat(words.next("the name of a call")?.to_owned()),
         "next" => Ask::Next,
--- a/crates/brassport-data-plane/src/front.rs
+++ b/crates/brassport-data-plane/src/front.rs
@@ -1,6 +1,6 @@
 //! One request of a client: its route, its tenant, its service; then it is the door's.
 
-use crate::service::Platform;
+use crate::service::DataPlane;
 use crate::shares::NOBODY;
 use crate::wire::{CUSTOMER, EXPECT_SERVER, TIME_LEFT, TRY_ID};
 use brassport_config_store::configuration::Route;
@@ -16,6 +16,7 @@
 use brassport_proxy::door::Answer as Verdict;
 use brassport_proxy::network::Network;
 use brassport_proxy::shutdown::{Phase, Shutdown};
+use brassport_types::{fnv1a_32, TenantId};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
@@ -57,7 +58,7 @@
 
 /// The clients' side of a door.
 struct Front<C: Clock, N: Network> {
-    platform: Rc<Platform<C, N>>,
+    data_plane: Rc<DataPlane<C, N>>,
     shutdown: Rc<Shutdown>,
     connections: Rc<Connections<C>>,
     date: DateHeader,
@@ -66,12 +67,12 @@
 /// Serves clients until the shutdown closes the door, then returns once every connection has ended.
 pub async fn serve<C: Clock, N: Network>(
     listener: N::Listener,
-    platform: Rc<Platform<C, N>>,
+    data_plane: Rc<DataPlane<C, N>>,
     shutdown: Rc<Shutdown>,
 ) {
-    let (descriptors, in_all) = (platform.descriptors.clone(), platform.descriptors.available_permits());
-    let connections = Rc::new(Connections::new(platform.clock.clone()));
-    let front = Rc::new(Front { platform, shutdown, connections, date: DateHeader::default() });
+    let (descriptors, in_all) = (data_plane.descriptors.clone(), data_plane.descriptors.available_permits());
+    let connections = Rc::new(Connections::new(data_plane.clock.clone()));
+    let front = Rc::new(Front { data_plane, shutdown, connections, date: DateHeader::default() });
     // Nobody hands clients over here: the sender is kept, so that the queue stays open and empty.
     let (_nobody, adopted) = mpsc::unbounded_channel();
     clients::serve(Rc::new(listener), front, descriptors, in_all, adopted).await;
@@ -83,7 +84,7 @@
     type Life = ();
 
     fn clock(&self) -> &C {
-        &self.platform.clock
+        &self.data_plane.clock
     }
 
     fn connections(&self) -> &Rc<Connections<C>> {
@@ -97,7 +98,7 @@
     fn begin(&self, _: &Request<Incoming>) {}
 
     async fn answer(&self, request: Request<Incoming>, client: &ClientConnection<C>, (): &()) -> Answered {
-        self.platform.answer(request, client).await
+        self.data_plane.answer(request, client).await
     }
 
     fn turn_away(&self) -> Response<Answer> {
@@ -109,7 +110,7 @@
     fn passed((): &(), _: bool) {}
 
     fn shed_idle(&self) -> bool {
-        self.platform.shed_idle()
+        self.data_plane.shed_idle()
     }
 
     fn serves(&self) -> bool {
@@ -124,7 +125,7 @@
 /// What a request is answered with, or last answered with on its connection.
 pub type Answered = Result<Response<Answer>, Response<Answer>>;
 
-impl<C: Clock, N: Network> Platform<C, N> {
+impl<C: Clock, N: Network> DataPlane<C, N> {
     /// Answers a request; an error if its connection must not be used again.
     ///
     /// # Errors
@@ -201,7 +202,7 @@
             return Err(text(StatusCode::UNAUTHORIZED, "the key is not known").into());
         }
         let id = field(&TRY_ID).map(str::trim).filter(|id| !id.is_empty() && id.len() <= ID_LIMIT);
-        let give_up = Duration::try_from_secs_f64(route.give_up_s).unwrap_or(MARGIN);
+        let give_up = Duration::try_from_secs_f64(route.timeout_s).unwrap_or(MARGIN);
         let left = field(&TIME_LEFT)
             .and_then(|text| text.trim().parse::<f64>().ok())
             .and_then(|millis| Duration::try_from_secs_f64(millis.max(0.0) / 1000.0).ok());
@@ -237,7 +238,7 @@
         let Some(service) = self.service(&service) else {
             return come_back(StatusCode::SERVICE_UNAVAILABLE, NOT_YET);
         };
-        let tenant = asked.tenant.as_deref().map_or(NOBODY, brassport_quota::tenant_id);
+        let tenant = asked.tenant.as_deref().map_or(NOBODY, TenantId::of_name);
         let (class, plan) = {
             let terms = service.terms.borrow();
             (terms.class(route), asked.tenant.as_deref().map_or(0, |name| terms.plan(name)))
@@ -252,7 +253,7 @@
         let spread = self.shares.slots().max(1);
         let request = brassport_policy::Request {
             id: 0,
-            customer: u64::from(tenant),
+            customer: u64::from(tenant.0),
             plan,
             class,
             units: 1.0,
@@ -300,7 +301,7 @@
 /// The service of a route that a try goes to: by its id, so that a split is kept over many.
 fn target<'a>(route: &'a Route, id: &str) -> &'a str {
     let all: u64 = route.targets.iter().map(|(_, weight)| u64::from(*weight)).sum();
-    let mut point = u64::from(brassport_quota::tenant_id(id)).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
+    let mut point = u64::from(fnv1a_32(id)).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
     point = (point * all.max(1)) >> 32;
     for (name, weight) in &route.targets {
         if point < u64::from(*weight) {
--- a/crates/brassport-data-plane/src/lib.rs
+++ b/crates/brassport-data-plane/src/lib.rs
@@ -14,4 +14,4 @@
 pub mod terms;
 pub mod wire;
 
-pub use service::{Options, Platform};
+pub use service::{DataPlane, Options};
--- a/crates/brassport-data-plane/src/service.rs
+++ b/crates/brassport-data-plane/src/service.rs
@@ -4,17 +4,18 @@
 use crate::metrics::RequestCounters;
 use crate::shares::{Readings, Shares};
 use crate::terms::{Place, Terms, COLD_FOR};
-use crate::wire::Wire;
-use brassport_config_store::configuration::{Index, Limits};
-use brassport_config_store::consensus::State;
-use brassport_control_plane::backends::{Backend, Stage};
+use crate::wire::BackendProtocol;
+use brassport_config_store::configuration::{Limits, RouteTable};
+use brassport_config_store::consensus::ReplicatedState;
+use brassport_control_plane::backends::{Backend, BackendState};
 use brassport_policy::{Event, Lifecycle, ListKind, ServerEntry, ServerId, Settings, Tuning};
 use brassport_proxy::backends::Backends;
 use brassport_proxy::clock::Clock;
 use brassport_proxy::door::{Door, Host};
 use brassport_proxy::network::Network;
 use brassport_proxy::protocol::AttemptCounts;
-use brassport_quota::{Limit, Loan, Use};
+use brassport_quota::{QuotaGrant, RateLimit, UsageReport};
+use brassport_types::{fnv1a_32, TenantId, Term};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -62,7 +63,7 @@
     pub backends: Rc<Backends<C, N>>,
     pub terms: RefCell<Terms>,
     settings: RefCell<Settings>,
-    wire: Rc<Wire>,
+    wire: Rc<BackendProtocol>,
     counters: Rc<RequestCounters>,
     /// What the control plane told of each, the number that stands for it, and the state the module was told.
     listed: RefCell<BTreeMap<String, Listed>>,
@@ -77,15 +78,15 @@
 }
 
 /// The data plane of one machine.
-pub struct Platform<C: Clock, N: Network> {
+pub struct DataPlane<C: Clock, N: Network> {
     pub(crate) clock: C,
     network: N,
     options: Options,
     pub(crate) shares: Rc<Shares<C>>,
     services: RefCell<BTreeMap<String, Rc<Service<C, N>>>>,
-    pub(crate) index: RefCell<Rc<Index>>,
+    pub(crate) index: RefCell<Rc<RouteTable>>,
     pub(crate) limits: RefCell<Limits>,
-    state: RefCell<Option<Arc<State>>>,
+    state: RefCell<Option<Arc<ReplicatedState>>>,
     /// Backends of services that no configuration names yet.
     early: RefCell<BTreeMap<String, Backend>>,
     /// Where this door stands among all, from 0 up to 1.
@@ -96,8 +97,8 @@
 }
 
 /// Which of the doors one at this position is.
-fn ordinal(ring_position: f64, state: &State) -> u32 {
-    (ring_position * f64::from(state.slots)) as u32
+fn ordinal(ring_position: f64, state: &ReplicatedState) -> u32 {
+    (ring_position * f64::from(state.quota_shares)) as u32
 }
 
 /// What a backend works at for a client that waits is seen to its end, and not given up for another.
@@ -106,16 +107,16 @@
     Settings { tuning, ..settings }
 }
 
-impl<C: Clock, N: Network> Platform<C, N> {
+impl<C: Clock, N: Network> DataPlane<C, N> {
     /// A data plane that knows nothing yet.
-    pub fn new(clock: C, network: N, options: Options) -> Rc<Platform<C, N>> {
+    pub fn new(clock: C, network: N, options: Options) -> Rc<DataPlane<C, N>> {
         let descriptors = Arc::new(Semaphore::new(options.descriptors));
-        Rc::new(Platform {
+        Rc::new(DataPlane {
             shares: Shares::new(clock.clone()),
             clock,
             network,
             services: RefCell::default(),
-            index: RefCell::new(Rc::new(Index::new(&Default::default()))),
+            index: RefCell::new(Rc::new(RouteTable::new(&Default::default()))),
             limits: RefCell::default(),
             state: RefCell::default(),
             early: RefCell::default(),
@@ -163,40 +164,40 @@
     }
 
     /// The state of the log from now on. Older ones are passed over: this door never goes back.
-    pub fn apply_state(self: &Rc<Self>, state: &Arc<State>) {
+    pub fn apply_state(self: &Rc<Self>, state: &Arc<ReplicatedState>) {
         let before = self.state.borrow().clone();
         if before.as_ref().is_some_and(|before| before.index >= state.index) {
             return;
         }
         self.state.replace(Some(state.clone()));
         let same = before.is_some_and(|before| {
-            Arc::ptr_eq(&before.document, &state.document) && before.slots == state.slots
+            Arc::ptr_eq(&before.document, &state.document) && before.quota_shares == state.quota_shares
         });
         if same {
             return;
         }
-        let configuration = state.document.parsed();
-        self.index.replace(Rc::new(Index::new(configuration)));
+        let configuration = state.document.configuration();
+        self.index.replace(Rc::new(RouteTable::new(configuration)));
         self.limits.replace(configuration.limits.clone());
         self.has_keys.set(configuration.has_keys);
         let limits = configuration.tenants.values().map(|tenant| {
-            let limit = Limit { rate: tenant.rate_per_s, burst: tenant.burst };
-            (brassport_quota::tenant_id(&tenant.name), limit)
+            let limit = RateLimit { rate_per_s: tenant.rate_per_s, burst: tenant.burst };
+            (TenantId::of_name(&tenant.name), limit)
         });
-        self.shares.settle(limits.collect(), state.slots);
+        self.shares.settle(limits.collect(), state.quota_shares);
         self.settle_services(state);
     }
 
     /// Tells the services' decision modules what follows for them from a state, and from where this door stands.
-    fn settle_services(self: &Rc<Self>, state: &Arc<State>) {
-        let configuration = state.document.parsed();
+    fn settle_services(self: &Rc<Self>, state: &Arc<ReplicatedState>) {
+        let configuration = state.document.configuration();
         let place = Place {
-            doors: state.slots,
+            doors: state.quota_shares,
             ordinal: ordinal(self.ring_position.get(), state),
             zone: self.zone_index(&self.options.zone),
             drain_ms: self.options.drain_ms,
             retry_share: RETRY_PART * self.options.retry.0,
-            retries: (FREE_PART * self.options.retry.1 / f64::from(state.slots.max(1))).max(1.0),
+            retries: (FREE_PART * self.options.retry.1 / f64::from(state.quota_shares.max(1))).max(1.0),
         };
         for name in configuration.services.keys() {
             let known = self.services.borrow().get(name).cloned();
@@ -214,10 +215,10 @@
         }
     }
 
-    fn open_service(self: &Rc<Self>, name: &str, state: &State, place: Place) {
+    fn open_service(self: &Rc<Self>, name: &str, state: &ReplicatedState, place: Place) {
         let mut terms = Terms::default();
-        let settings = terms.settle(name, state.document.parsed(), place);
-        let wire = Rc::new(Wire::default());
+        let settings = terms.settle(name, state.document.configuration(), place);
+        let wire = Rc::new(BackendProtocol::default());
         let backends = Rc::new(Backends::new(
             self.clock.clone(),
             self.network.clone(),
@@ -236,7 +237,7 @@
             released: Box::new(|_| {}),
             clock_before: None,
         };
-        let seed = self.options.seed ^ u64::from(brassport_quota::tenant_id(name));
+        let seed = self.options.seed ^ u64::from(fnv1a_32(name));
         let door = match Door::new(self.clock.clone(), settings.clone(), seed, host, backends.clone()) {
             Ok(door) => door,
             // The check of configurations lets no such figure pass.
@@ -274,7 +275,7 @@
     pub fn backend(&self, backend: &Backend) {
         match self.service(&backend.service) {
             Some(service) => service.hear(backend, |zone| self.zone_index(zone)),
-            None if backend.stage == Stage::Gone => {
+            None if backend.state == BackendState::Terminated => {
                 self.early.borrow_mut().remove(&backend.id);
             }
             None => {
@@ -290,7 +291,9 @@
         for service in services {
             let known = service.listed.borrow().get(id).map(|listed| listed.backend.clone());
             if let Some(backend) = known {
-                service.hear(&Backend { stage: Stage::Gone, ..backend }, |zone| self.zone_index(zone));
+                service.hear(&Backend { state: BackendState::Terminated, ..backend }, |zone| {
+                    self.zone_index(zone)
+                });
             }
         }
     }
@@ -301,13 +304,13 @@
     }
 
     /// The next report to the lender.
-    pub fn report(&self) -> (u32, Vec<Use>) {
+    pub fn report(&self) -> (u32, Vec<UsageReport>) {
         self.shares.report()
     }
 
     /// What was lent upon one.
-    pub fn lent(&self, epoch: (u64, u64), number: u32, loans: &[Loan]) {
-        self.shares.lent(epoch, number, loans);
+    pub fn apply_grants(&self, term: Term, number: u32, loans: &[QuotaGrant]) {
+        self.shares.apply_grants(term, number, loans);
     }
 
     /// Looks after what answers told of backends, now and then.
@@ -359,7 +362,7 @@
         {
             let listed = &mut *self.listed.borrow_mut();
             let number = || {
-                let mut id = brassport_quota::tenant_id(&backend.id);
+                let mut id = fnv1a_32(&backend.id);
                 while listed.values().any(|other| other.id == id) {
                     id = id.wrapping_add(1);
                 }
@@ -373,7 +376,7 @@
                     let backend = backend.clone();
                     listed.insert(backend.id.clone(), Listed { id, backend, told, displaced });
                 }
-                None if backend.stage == Stage::Gone => return,
+                None if backend.state == BackendState::Terminated => return,
                 None => {
                     let id = number();
                     let backend = backend.clone();
@@ -390,16 +393,16 @@
         let mut entries = Vec::new();
         let listed = &mut *self.listed.borrow_mut();
         let count =
-            |stage| listed.values().filter(|one| one.backend.stage == stage && !one.displaced).count();
+            |stage| listed.values().filter(|one| one.backend.state == stage && !one.displaced).count();
         // With most of them silent it is the beats that do not come through.
-        let trusts = count(Stage::Silent) <= count(Stage::Ready);
+        let trusts = count(BackendState::Unresponsive) <= count(BackendState::Ready);
         for one in listed.values_mut() {
-            let lifecycle = match one.backend.stage {
+            let lifecycle = match one.backend.state {
                 _ if one.displaced => Lifecycle::Gone,
-                Stage::Ready => Lifecycle::Ready,
-                Stage::Silent if !trusts => Lifecycle::Ready,
-                Stage::Silent | Stage::Emptying => Lifecycle::Draining,
-                Stage::Gone => Lifecycle::Gone,
+                BackendState::Ready => Lifecycle::Ready,
+                BackendState::Unresponsive if !trusts => Lifecycle::Ready,
+                BackendState::Unresponsive | BackendState::Draining => Lifecycle::Draining,
+                BackendState::Terminated => Lifecycle::Gone,
             };
             let at = SocketAddr::from(one.backend.address);
             if one.told == Some((lifecycle, at)) {
@@ -413,7 +416,7 @@
             } else {
                 self.backends.put(id, &one.backend.id, at, lifecycle == Lifecycle::Ready);
             }
-            let warming = f64::from(one.backend.warming_ms).min(COLD_FOR);
+            let warming = f64::from(one.backend.warmup_left_ms).min(COLD_FOR);
             let launched = (is_new && warming > 0.0).then_some(now - (COLD_FOR - warming));
             entries.push(ServerEntry {
                 id,
--- a/crates/brassport-data-plane/src/shares.rs
+++ b/crates/brassport-data-plane/src/shares.rs
@@ -4,14 +4,15 @@
 use brassport_policy::{CustomerId, Millis, Settings};
 use brassport_proxy::clock::Clock;
 use brassport_proxy::door::Meter;
-use brassport_quota::{Borrower, Limit, Loan, TenantId, Use, PERIOD};
+use brassport_quota::{Borrower, QuotaGrant, RateLimit, TenantId, UsageReport, PERIOD};
+use brassport_types::Term;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Instant;
 
 /// Stands for requests without a tenant.
-pub const NOBODY: TenantId = 0;
+pub const NOBODY: TenantId = TenantId::NONE;
 
 /// Limits of all tenants at this door.
 #[derive(Debug)]
@@ -19,7 +20,7 @@
     clock: C,
     start: Instant,
     borrower: RefCell<Borrower>,
-    limits: RefCell<HashMap<TenantId, Limit>>,
+    limits: RefCell<HashMap<TenantId, RateLimit>>,
     slots: Cell<u32>,
 }
 
@@ -42,7 +43,7 @@
     }
 
     /// Other limits hold from now on.
-    pub fn settle(&self, limits: HashMap<TenantId, Limit>, slots: u32) {
+    pub fn settle(&self, limits: HashMap<TenantId, RateLimit>, slots: u32) {
         self.limits.replace(limits);
         self.slots.set(slots.max(1));
     }
@@ -61,8 +62,9 @@
     pub fn is_over(&self, tenant: TenantId) -> bool {
         let (limit, now) = (self.limit(tenant), self.now());
         let borrower = self.borrower.borrow();
-        let much = borrower.reading(now, tenant).is_some_and(|sent| f64::from(sent) >= 0.8 * limit.rate);
-        limit.rate > 0.0 && (much || borrower.refused_lately(now, tenant))
+        let much =
+            borrower.reading(now, tenant).is_some_and(|sent| f64::from(sent) >= 0.8 * limit.rate_per_s);
+        limit.rate_per_s > 0.0 && (much || borrower.refused_lately(now, tenant))
     }
 
     /// Whether some tenant has little left here.
@@ -71,17 +73,17 @@
     }
 
     /// The next report to the lender.
-    pub fn report(&self) -> (u32, Vec<Use>) {
+    pub fn report(&self) -> (u32, Vec<UsageReport>) {
         self.borrower.borrow_mut().report(self.now())
     }
 
     /// Takes in what was lent.
-    pub fn lent(&self, epoch: (u64, u64), number: u32, loans: &[Loan]) {
-        self.borrower.borrow_mut().lent(self.now(), epoch, number, loans);
+    pub fn apply_grants(&self, term: Term, number: u32, loans: &[QuotaGrant]) {
+        self.borrower.borrow_mut().apply_grants(self.now(), term, number, loans);
     }
 
-    fn limit(&self, tenant: TenantId) -> Limit {
-        self.limits.borrow().get(&tenant).copied().unwrap_or(Limit { rate: 0.0, burst: 0.0 })
+    fn limit(&self, tenant: TenantId) -> RateLimit {
+        self.limits.borrow().get(&tenant).copied().unwrap_or(RateLimit { rate_per_s: 0.0, burst: 0.0 })
     }
 
     /// Counts an attempt that goes out whatever is left.
@@ -106,7 +108,7 @@
 
 /// The tenant that a customer of the module stands for.
 pub(crate) fn tenant(customer: CustomerId) -> TenantId {
-    u32::try_from(customer).unwrap_or(NOBODY)
+    u32::try_from(customer).map_or(NOBODY, TenantId)
 }
 
 /// The reading of the doors' counts as the module's meter.
--- a/crates/brassport-data-plane/src/terms.rs
+++ b/crates/brassport-data-plane/src/terms.rs
@@ -1,6 +1,6 @@
 //! The decision module's settings for one service, from the operator's configuration.
 
-use brassport_config_store::configuration::{Configuration, Kind, Route};
+use brassport_config_store::configuration::{Configuration, Idempotency, Route};
 use brassport_policy::{Class, Effect, Plan, Settings, Tuning};
 use std::collections::HashMap;
 
@@ -25,7 +25,7 @@
 /// What makes requests alike for the module.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ClassKey {
-    kind: Kind,
+    kind: Idempotency,
     goal_ms: f64,
     give_up_ms: f64,
     rank: u32,
@@ -36,8 +36,8 @@
     pub fn of(route: &Route) -> ClassKey {
         ClassKey {
             kind: route.kind,
-            goal_ms: route.goal_s * 1000.0,
-            give_up_ms: route.give_up_s * 1000.0,
+            goal_ms: route.latency_target_s * 1000.0,
+            give_up_ms: route.timeout_s * 1000.0,
             rank: route.rank,
         }
     }
@@ -49,8 +49,8 @@
             deadline: self.give_up_ms.max(self.goal_ms),
             late_share: LATE,
             effect: match self.kind {
-                Kind::Safe => Effect::Free,
-                Kind::Unsafe => Effect::Once,
+                Idempotency::Safe => Effect::Free,
+                Idempotency::Unsafe => Effect::Once,
             },
         }
     }
@@ -88,7 +88,7 @@
     pub fn settle(&mut self, service: &str, configuration: &Configuration, place: Place) -> Settings {
         // One route that wants fewer tries has them, and so have all others of its service.
         let of_it = |route: &&Route| route.targets.iter().any(|(name, _)| name == service);
-        let tries = configuration.routes.iter().filter(of_it).map(|route| route.tries).min();
+        let tries = configuration.routes.iter().filter(of_it).map(|route| route.max_attempts).min();
         for route in &configuration.routes {
             if route.targets.iter().any(|(name, _)| name == service) {
                 let key = ClassKey::of(route);
--- a/crates/brassport-data-plane/src/wire.rs
+++ b/crates/brassport-data-plane/src/wire.rs
@@ -23,19 +23,19 @@
 
 /// The protocol of the gateway's backends.
 #[derive(Debug, Default)]
-pub struct Wire {
+pub struct BackendProtocol {
     /// Backends in whose place another one answered.
     displaced: RefCell<Vec<String>>,
 }
 
-impl Wire {
+impl BackendProtocol {
     /// Backends in whose place another one answered since this was asked last.
     pub fn displaced(&self) -> Vec<String> {
         self.displaced.take()
     }
 }
 
-impl Protocol for Wire {
+impl Protocol for BackendProtocol {
     fn address(&self, headers: &mut HeaderMap, left: Duration, backend: &str) {
         if let Ok(left) = HeaderValue::from_str(&left.as_millis().to_string()) {
             headers.insert(TIME_LEFT, left);
--- a/crates/brassport-data-plane/tests/wire.rs
+++ b/crates/brassport-data-plane/tests/wire.rs
@@ -1,7 +1,7 @@
 //! What the head of a backend's answer says of an attempt: which answers are the client's, which prove that nothing ran, and
 //! which connection is of no use any more.
 
-use brassport_data_plane::wire::Wire;
+use brassport_data_plane::wire::BackendProtocol;
 use brassport_policy::Outcome;
 use brassport_proxy::protocol::{Judged, Protocol};
 use hyper::header::{HeaderMap, HeaderValue};
@@ -26,7 +26,7 @@
 }
 
 fn judge(status: u16, headers: &[(&'static str, &'static str)]) -> Judged {
-    Wire::default().judge(&asked(), &answer(status, headers))
+    BackendProtocol::default().judge(&asked(), &answer(status, headers))
 }
 
 const ID: (&str, &str) = ("x-try-id", "9c41");
@@ -54,7 +54,7 @@
 
 #[test]
 fn whoever_answers_421_shows_that_the_life_that_was_meant_is_over() {
-    let wire = Wire::default();
+    let wire = BackendProtocol::default();
     wire.judge(&asked(), &answer(421, &[ID]));
     assert_eq!(wire.displaced(), ["i-7f3a"]);
     assert!(wire.displaced().is_empty(), "told once");
@@ -70,7 +70,7 @@
 #[test]
 fn an_attempt_says_what_is_left_and_whom_it_means() {
     let mut headers = asked();
-    Wire::default().address(&mut headers, Duration::from_micros(1_499_900), "i-0001");
+    BackendProtocol::default().address(&mut headers, Duration::from_micros(1_499_900), "i-0001");
     assert_eq!(headers["x-time-left-ms"], "1499");
     assert_eq!(headers["x-expect-server"], "i-0001");
 }
--- a/crates/brassport-gateway/src/command.rs
+++ b/crates/brassport-gateway/src/command.rs
@@ -3,7 +3,9 @@
 use crate::run;
 use crate::settings::Settings;
 use brassport_config_store::configuration::{difference, Document};
+use brassport_config_store::consensus::AcceptedEntry;
 use brassport_config_store::store::Store;
+use brassport_types::DiskId;
 use gumdrop::Options;
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
@@ -126,7 +128,7 @@
         }
         Verb::CheckConfiguration(File { file }) => {
             let document = document(&named(file)?)?;
-            let parsed = document.parsed();
+            let parsed = document.configuration();
             println!(
                 "sound: version {}, {} routes, {} services, {} tenants",
                 document.version(),
@@ -143,7 +145,7 @@
                     "two files are wanted"
                 ));
             };
-            for line in difference(document(older)?.parsed(), document(newer)?.parsed()) {
+            for line in difference(document(older)?.configuration(), document(newer)?.configuration()) {
                 println!("{line}");
             }
             Ok(())
@@ -173,21 +175,21 @@
         }
         Verb::Store(File { file }) => {
             let folder = named(file)?;
-            if !folder.join(brassport_config_store::store::FILE).is_file() {
+            if !folder.join(brassport_config_store::store::FILE_NAME).is_file() {
                 return Err(miette::miette!(
                     help = "name the data folder",
                     "{}: no store is there",
                     folder.display()
                 ));
             }
-            let (store, found) = Store::open(&folder, 0)?;
-            println!("disk {:016x}, promised {:?}", store.disk(), found.promised);
+            let (store, found) = Store::open(&folder, DiskId::NONE)?;
+            println!("disk {}, promised {}", store.disk(), found.promised);
             println!("index {}, version {:08x}", found.state.index, found.state.version());
             for voter in &found.state.voters {
-                println!("voter {} with disk {:016x}", voter.ip, voter.disk);
+                println!("voter {} with disk {}", voter.ip, voter.disk);
             }
-            if let Some((term, _)) = found.open {
-                println!("index {} is open, accepted under {term:?}", found.state.index + 1);
+            if let Some(AcceptedEntry { term, .. }) = found.accepted {
+                println!("index {} is open, accepted under {term}", found.state.index + 1);
             }
             Ok(())
         }
--- a/crates/brassport-gateway/src/disk.rs
+++ b/crates/brassport-gateway/src/disk.rs
@@ -1,7 +1,8 @@
 //! The disk's thread: the one owner of a voter's store. A disk that hangs holds up this thread and nobody else.
 
-use brassport_config_store::consensus::{Record, Recovered, State};
+use brassport_config_store::consensus::{DurableState, Record};
 use brassport_config_store::store::Store;
+use brassport_types::DiskId;
 use std::path::PathBuf;
 use std::sync::mpsc as std_mpsc;
 use tokio::sync::mpsc;
@@ -10,7 +11,7 @@
 #[derive(Debug)]
 pub enum Told {
     /// It is open: its number, and what was found.
-    Open(u64, Recovered),
+    Open(DiskId, DurableState),
     /// A write is synced, or failed.
     Written(u64, bool),
 }
@@ -25,10 +26,9 @@
 
 impl Disk {
     /// Opens the store in a folder, or keeps all in memory.
-    pub fn open(folder: Option<PathBuf>, new_disk: u64, told: mpsc::UnboundedSender<Told>) -> Disk {
+    pub fn open(folder: Option<PathBuf>, new_disk: DiskId, told: mpsc::UnboundedSender<Told>) -> Disk {
         let Some(folder) = folder else {
-            let nothing = Recovered { promised: (0, 0), state: State::nothing(), open: None };
-            let _ = told.send(Told::Open(new_disk, nothing));
+            let _ = told.send(Told::Open(new_disk, DurableState::empty()));
             return Disk::Memory(told);
         };
         let (jobs, waiting) = std_mpsc::channel();
@@ -48,7 +48,7 @@
 
 fn keep(
     folder: PathBuf,
-    new_disk: u64,
+    new_disk: DiskId,
     told: &mpsc::UnboundedSender<Told>,
     waiting: &std_mpsc::Receiver<(u64, Record)>,
 ) {
@@ -66,7 +66,7 @@
     };
     let mut refuses = false;
     while let Ok((number, record)) = waiting.recv() {
-        let kept = store.keep(&record);
+        let kept = store.append(&record);
         // Said once, not at each record.
         match &kept {
             Err(fault) if !refuses => log::error!("a record was not kept: {fault}"),
--- a/crates/brassport-gateway/src/listeners.rs
+++ b/crates/brassport-gateway/src/listeners.rs
@@ -1,6 +1,6 @@
 //! The listeners for backends and operators (`control`) and for the platform (`ready`).
 
-use brassport_control_plane::call::{Call, Fault, Reply};
+use brassport_control_plane::call::{Call, DecodeError, Reply};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{HeaderValue, CONTENT_TYPE, LOCATION, RETRY_AFTER};
@@ -66,7 +66,7 @@
 }
 
 #[derive(Clone)]
-struct Control {
+struct ControlPlane {
     calls: mpsc::UnboundedSender<Called>,
     port: u16,
 }
@@ -74,10 +74,10 @@
 /// Serves backends and operators for good.
 pub async fn control(listener: TcpListener, calls: mpsc::UnboundedSender<Called>) {
     let port = listener.local_addr().map_or(0, |at| at.port());
-    serve(listener, Control { calls, port }).await;
+    serve(listener, ControlPlane { calls, port }).await;
 }
 
-impl Answers for Control {
+impl Answers for ControlPlane {
     async fn answer(self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
         let body = match timeout(PATIENCE, Limited::new(body, MOST).collect()).await {
@@ -89,10 +89,10 @@
             Ok(Err(_)) => return text(StatusCode::BAD_REQUEST, "the body did not come whole"),
             Err(_) => return text(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
         };
-        let built_on = head.headers.get("x-built-on").and_then(|value| value.to_str().ok());
-        let call = match Call::decode(head.method.as_str(), head.uri.path(), built_on, body) {
+        let base_version = head.headers.get("x-built-on").and_then(|value| value.to_str().ok());
+        let call = match Call::decode(head.method.as_str(), head.uri.path(), base_version, body) {
             Ok(call) => call,
-            Err(Fault::Unknown) => return text(StatusCode::NOT_FOUND, "there is no such call"),
+            Err(DecodeError::UnknownCall) => return text(StatusCode::NOT_FOUND, "there is no such call"),
             Err(fault) => return text(StatusCode::BAD_REQUEST, &fault.to_string()),
         };
         let (to, reply) = oneshot::channel();
@@ -106,7 +106,7 @@
                 response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
                 response
             }
-            Ok(Ok(Reply::At(ip))) => {
+            Ok(Ok(Reply::Redirect(ip))) => {
                 let mut response = text(StatusCode::TEMPORARY_REDIRECT, "another machine does this");
                 if let Ok(at) =
                     HeaderValue::from_str(&format!("http://{ip}:{}{}", self.port, head.uri.path()))
@@ -116,8 +116,10 @@
                 response
             }
             Ok(Ok(Reply::Invalid(why))) => text(StatusCode::BAD_REQUEST, &why),
-            Ok(Ok(Reply::Outdated)) => text(StatusCode::PRECONDITION_FAILED, "another version is in place"),
-            Ok(Ok(Reply::NotNow(why))) => not_now(why),
+            Ok(Ok(Reply::VersionConflict)) => {
+                text(StatusCode::PRECONDITION_FAILED, "another version is in place")
+            }
+            Ok(Ok(Reply::Unavailable(why))) => not_now(why),
             _ => not_now("no answer in time"),
         }
     }
--- a/crates/brassport-gateway/src/run.rs
+++ b/crates/brassport-gateway/src/run.rs
@@ -5,15 +5,16 @@
 use crate::listeners::{self, Called};
 use crate::settings::{Settings, VARIABLE};
 use brassport_control_plane::call::Reply;
-use brassport_control_plane::peer_message::Envelope;
-use brassport_control_plane::{Action, Control, Event, Start};
-use brassport_data_plane::{Options, Platform};
+use brassport_control_plane::peer_message::{Envelope, GrantResponse};
+use brassport_control_plane::{self as control_plane, Action, ControlPlane, Event};
+use brassport_data_plane::{DataPlane, Options};
 use brassport_proxy::clock::SystemClock;
 use brassport_proxy::network::Tcp;
 use brassport_proxy::shutdown::{Phase, Shutdown};
 use brassport_transport::frame;
 use brassport_transport::links::Links;
-use brassport_transport::views::Member;
+use brassport_transport::peer_sampling::PeerRecord;
+use brassport_types::{DiskId, Incarnation};
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
@@ -62,11 +63,11 @@
 /// The owner of the control state, and where its actions go.
 struct Owner {
     start: Instant,
-    control: Control,
-    me: (Ipv4Addr, u64),
+    control: ControlPlane,
+    me: (Ipv4Addr, Incarnation),
     links: Rc<Links>,
     disk: Disk,
-    platform: Rc<Platform<SystemClock, Tcp>>,
+    data_plane: Rc<DataPlane<SystemClock, Tcp>>,
     calls: HashMap<u64, oneshot::Sender<Reply>>,
     last_call: u64,
 }
@@ -77,33 +78,35 @@
         for action in self.control.handle(now, event) {
             match action {
                 Action::Send(to, message) => {
-                    let envelope = Envelope(self.me.0, self.me.1, message);
+                    let envelope = Envelope { from: self.me.0, incarnation: self.me.1, message };
                     self.links.send(to, frame::encode(&envelope));
                 }
-                Action::Write(number, record) => self.disk.keep(number, record),
-                Action::Reply(number, reply) => {
+                Action::Persist(number, record) => self.disk.keep(number, record),
+                Action::Respond(number, reply) => {
                     if let Some(to) = self.calls.remove(&number) {
                         // Who called may have given up.
                         let _ = to.send(reply);
                     }
                 }
-                Action::Configuration(state) => {
-                    self.platform.set_ring_position(self.control.ring_position());
-                    self.platform.apply_state(&state);
+                Action::StateAdvanced(state) => {
+                    self.data_plane.set_ring_position(self.control.ring_position());
+                    self.data_plane.apply_state(&state);
+                }
+                Action::BackendChanged(backend) => self.data_plane.backend(&backend),
+                Action::BackendExpired(id) => self.data_plane.dropped(&id),
+                Action::QuotaGranted(GrantResponse { term, report, grants }) => {
+                    self.data_plane.apply_grants(term, report, &grants);
                 }
-                Action::Backend(backend) => self.platform.backend(&backend),
-                Action::Dropped(id) => self.platform.dropped(&id),
-                Action::Lent(term, number, loans) => self.platform.lent(term, number, &loans),
             }
         }
     }
 
     /// Tells the lender what tenants use here.
     fn report(&mut self) {
-        self.platform.set_ring_position(self.control.ring_position());
-        let (number, used) = self.platform.report();
+        self.data_plane.set_ring_position(self.control.ring_position());
+        let (number, used) = self.data_plane.report();
         if !used.is_empty() {
-            self.handle(Event::Used(number, used));
+            self.handle(Event::UsageReported(number, used));
         }
     }
 
@@ -119,8 +122,8 @@
 
     fn told(&mut self, told: Told) {
         match told {
-            Told::Open(disk, found) => self.handle(Event::Disk(disk, found)),
-            Told::Written(number, synced) => self.handle(Event::Written(number, synced)),
+            Told::Open(disk, found) => self.handle(Event::StoreOpened(disk, found)),
+            Told::Written(number, synced) => self.handle(Event::Persisted(number, synced)),
         }
     }
 
@@ -139,7 +142,7 @@
     let mut terminate = signal(SignalKind::terminate()).map_err(failed("signals"))?;
     let mut hangup = signal(SignalKind::hangup()).map_err(failed("signals"))?;
     let start = Instant::now();
-    let (life, seed) = (drawn(), drawn());
+    let (incarnation, seed) = (Incarnation(drawn()), drawn());
     let (inbound, mut frames) = mpsc::unbounded_channel();
     let links = Links::open(settings.ip, settings.port, settings.reached_at.clone(), inbound)
         .await
@@ -147,7 +150,7 @@
     let (tells, mut told) = mpsc::unbounded_channel();
     // Who may vote is a matter of the machine: those whose loss counts.
     let disk = match settings.counted {
-        true => Disk::open(settings.data_folder.clone(), drawn(), tells.clone()),
+        true => Disk::open(settings.data_folder.clone(), DiskId(drawn()), tells.clone()),
         false => Disk::Memory(tells.clone()),
     };
     let options = Options {
@@ -158,16 +161,21 @@
         retry: (settings.bound("retryRatio", 0.1), settings.bound("retryExtra", 10.0)),
         seed,
     };
-    let platform = Platform::new(SystemClock, Tcp, options);
-    let member =
-        Member { ip: settings.ip, life, zone: settings.zone.clone(), disk: 0, counted: settings.counted };
-    let mut control = Control::new(
-        Start {
-            member,
+    let data_plane = DataPlane::new(SystemClock, Tcp, options);
+    let node = PeerRecord {
+        ip: settings.ip,
+        incarnation,
+        zone: settings.zone.clone(),
+        disk: DiskId::NONE,
+        is_core: settings.counted,
+    };
+    let mut control = ControlPlane::new(
+        control_plane::Options {
+            node,
             seeds: settings.seeds.clone(),
             first_start: settings.first_start,
-            survive: settings.survive.clone(),
-            beat_ms: (settings.report_every_s * 1000.0) as u64,
+            fault_tolerance: settings.survive.clone(),
+            heartbeat_interval_ms: (settings.report_every_s * 1000.0) as u64,
             seed,
         },
         0,
@@ -178,10 +186,10 @@
     let mut owner = Owner {
         start,
         control,
-        me: (settings.ip, life),
+        me: (settings.ip, incarnation),
         links,
         disk,
-        platform: platform.clone(),
+        data_plane: data_plane.clone(),
         calls: HashMap::new(),
         last_call: 0,
     };
@@ -193,22 +201,22 @@
     }
     if let Some(at) = settings.ready {
         let listener = listeners::bind(at).map_err(failed("the platform's port"))?;
-        let (platform, shutdown) = (platform.clone(), shutdown.clone());
-        let is_ready = move || shutdown.phase() == Phase::Serving && platform.is_ready();
+        let (data_plane, shutdown) = (data_plane.clone(), shutdown.clone());
+        let is_ready = move || shutdown.phase() == Phase::Serving && data_plane.is_ready();
         spawn_local(listeners::ready(listener, is_ready));
     }
     if let Some(port) = metrics_port {
         let listener = listeners::bind(SocketAddrV4::new(settings.ip, port));
         let listener = listener.map_err(failed("the metrics' port"))?;
-        let platform = platform.clone();
-        spawn_local(listeners::metrics(listener, move || platform.metrics()));
+        let data_plane = data_plane.clone();
+        spawn_local(listeners::metrics(listener, move || data_plane.metrics()));
     }
     let mut serving = match settings.front {
         Some(at) => {
             let listener = listeners::bind(at).map_err(failed("the clients' port"))?;
             Some(spawn_local(brassport_data_plane::front::serve(
                 listener,
-                platform.clone(),
+                data_plane.clone(),
                 shutdown.clone(),
             )))
         }
@@ -228,8 +236,8 @@
                 log::info!("told to end");
                 ending = Some(Instant::now());
                 shutdown.advance(Phase::Leaving);
-                platform.leave();
-                owner.handle(Event::Leave);
+                data_plane.leave();
+                owner.handle(Event::Shutdown);
             }
             _ = hangup.recv() => reread(&file, &mut current, &mut owner),
             Some(it) = told.recv() => owner.told(it),
@@ -237,8 +245,8 @@
             Some(call) = calls.recv() => owner.call(call),
             _ = tick.tick() => {
                 owner.handle(Event::Tick);
-                platform.tend();
-                if platform.is_urgent() {
+                data_plane.tend();
+                if data_plane.is_urgent() {
                     report.reset();
                     owner.report();
                 }
@@ -255,7 +263,7 @@
                 return Ok(());
             }
             if since.elapsed() >= grace.saturating_sub(LAST_WORDS) {
-                platform.fail_all();
+                data_plane.fail_all();
                 if let Some(serving) = &mut serving {
                     let _ = tokio::time::timeout(LAST_WORDS / 2, serving).await;
                 }
@@ -271,7 +279,7 @@
         Ok(settings) if settings != *current => {
             if settings.seeds != current.seeds {
                 log::info!("other seeds: {:?}", settings.seeds);
-                owner.handle(Event::Seeds(settings.seeds.clone()));
+                owner.handle(Event::SeedsChanged(settings.seeds.clone()));
             }
             *current = settings;
         }
--- a/crates/brassport-gateway/src/settings.rs
+++ b/crates/brassport-gateway/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file: what a process is told at its start. Fields that are not known are passed over.
 
-use brassport_control_plane::Survive;
+use brassport_control_plane::FaultTolerance;
 use schematic::{Config, ConfigLoader};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -66,7 +66,7 @@
     /// Between two beats of a backend, in seconds.
     pub report_every_s: f64,
     /// What may be lost at once.
-    pub survive: Survive,
+    pub survive: FaultTolerance,
     /// The rules' figures by name.
     pub bounds: BTreeMap<String, f64>,
     /// Other doors that are reached from here at another address than their own, as behind a translation of addresses.
@@ -187,7 +187,7 @@
     Ok(Settings {
         node: layout.node,
         ip,
-        survive: Survive {
+        survive: FaultTolerance {
             machines: survive("machines"),
             zones: survive("zones"),
             regions: survive("regions"),
--- a/crates/brassport-quota/src/borrower.rs
+++ b/crates/brassport-quota/src/borrower.rs
@@ -1,7 +1,7 @@
 //! A door's side: for each tenant a bucket that fills at its base, and requests that it has ahead.
 
-use crate::mutants::{is_chosen, Mutant};
-use crate::{Limit, Loan, Millis, TenantId, Use, BASE, PATIENCE, PERIOD};
+use crate::mutants::{is_active, Mutant};
+use crate::{Millis, QuotaGrant, RateLimit, TenantId, Term, UsageReport, BASE, PATIENCE, PERIOD};
 use std::collections::BTreeMap;
 
 /// A tenant that did nothing here for so long is forgotten.
@@ -36,15 +36,15 @@
     refused: Option<Millis>,
     comes_back: f64,
     /// What the lender was told last.
-    told: Option<Use>,
+    told: Option<UsageReport>,
 }
 
 /// What this door counts and holds.
 #[derive(Debug, Default)]
 pub struct Borrower {
     accounts: BTreeMap<TenantId, Account>,
-    /// The highest epoch that lent here; lower ones are refused.
-    epoch: (u64, u64),
+    /// The highest term that granted here; lower ones are rejected.
+    term: Term,
     /// When each of the latest reports went out, by number.
     asked: BTreeMap<u32, Millis>,
     last: u32,
@@ -71,14 +71,20 @@
     ///
     /// # Errors
     /// The share is used up.
-    pub fn take(&mut self, now: Millis, tenant: TenantId, limit: Limit, slots: u32) -> Result<(), Millis> {
+    pub fn take(
+        &mut self,
+        now: Millis,
+        tenant: TenantId,
+        limit: RateLimit,
+        slots: u32,
+    ) -> Result<(), Millis> {
         let has_lender = self.heard.is_some_and(|at| now < at + HEARD);
         let account = self.account(now, tenant);
-        if limit.rate <= 0.0 {
+        if limit.rate_per_s <= 0.0 {
             account.sent += 1;
             return Ok(());
         }
-        let slots = if is_chosen(Mutant::WholeBase) { 1 } else { slots };
+        let slots = if is_active(Mutant::WholeBase) { 1 } else { slots };
         let depth = limit.base_depth(slots);
         // A start has half of what it may hold: what an earlier life spent is not known.
         let filled = account.filled.get_or_insert_with(|| {
@@ -87,7 +93,7 @@
         });
         let seconds = now.saturating_sub(*filled) as f64 / 1000.0;
         *filled = now;
-        let base = BASE * limit.rate / f64::from(slots.max(1));
+        let base = BASE * limit.rate_per_s / f64::from(slots.max(1));
         account.store = (account.store + base * seconds).min(depth);
         // A lower limit holds for what is ahead too.
         let most = limit.ahead(slots);
@@ -111,7 +117,7 @@
         }
         account.refused = Some(now);
         let first = now as f64 + wait.clamp(1.0, if has_lender { SOON } else { NO_LENDER } as f64);
-        let apart = APART * 1000.0 * f64::from(slots.max(1)) / limit.rate;
+        let apart = APART * 1000.0 * f64::from(slots.max(1)) / limit.rate_per_s;
         let after_the_last = account.comes_back + apart;
         account.comes_back = first.max(after_the_last).min(now as f64 + LONGEST);
         let advice = (account.comes_back - now as f64).max(1.0) as Millis;
@@ -144,7 +150,7 @@
     }
 
     /// The next report to the lender, with its number.
-    pub fn report(&mut self, now: Millis) -> (u32, Vec<Use>) {
+    pub fn report(&mut self, now: Millis) -> (u32, Vec<UsageReport>) {
         self.urgent = false;
         self.accounts.retain(|_, account| now <= account.seen + IDLE);
         self.last = self.last.wrapping_add(1);
@@ -154,9 +160,14 @@
         }
         let mut used = Vec::new();
         for (tenant, account) in &mut self.accounts {
-            let told = Use(*tenant, account.offered, account.sent, account.wanted as u16);
+            let told = UsageReport {
+                tenant: *tenant,
+                offered: account.offered,
+                sent: account.sent,
+                wanted: account.wanted as u16,
+            };
             // What is as it was told needs no words.
-            if account.told != Some(told) || told.wanted() > 0 {
+            if account.told != Some(told) || told.wanted > 0 {
                 account.told = Some(told);
                 used.push(told);
             }
@@ -165,13 +176,13 @@
     }
 
     /// Takes in what was lent upon a report: once, in time, and under no lower epoch than before.
-    pub fn lent(&mut self, now: Millis, epoch: (u64, u64), number: u32, loans: &[Loan]) {
+    pub fn apply_grants(&mut self, now: Millis, term: Term, number: u32, grants: &[QuotaGrant]) {
         let Some(asked) = self.asked.remove(&number) else { return };
-        if epoch < self.epoch || now >= asked + PATIENCE {
+        if term < self.term || now >= asked + PATIENCE {
             return;
         }
-        (self.epoch, self.heard) = (epoch, Some(now));
-        for Loan(tenant, ahead, sent) in loans {
+        (self.term, self.heard) = (term, Some(now));
+        for QuotaGrant { tenant, requests: ahead, sent_by_all: sent } in grants {
             let Some(account) = self.accounts.get_mut(tenant) else { continue };
             account.ahead += f64::from(*ahead);
             account.wanted = (account.wanted - f64::from(*ahead)).max(0.0);
--- a/crates/brassport-quota/src/lender.rs
+++ b/crates/brassport-quota/src/lender.rs
@@ -1,7 +1,7 @@
 //! The lender's side: a store for each tenant, out of which doors get requests ahead, and the reading of each period.
 
-use crate::mutants::{is_chosen, Mutant};
-use crate::{Limit, Loan, Millis, TenantId, Use, LENT, PERIOD, STORE_DEPTH};
+use crate::mutants::{is_active, Mutant};
+use crate::{Incarnation, Millis, QuotaGrant, RateLimit, TenantId, UsageReport, LENT, PERIOD, STORE_DEPTH};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -13,7 +13,7 @@
 
 #[derive(Debug)]
 struct Door {
-    life: u64,
+    incarnation: Incarnation,
     heard: Millis,
     /// Requests of each tenant that it had sent on.
     sent: BTreeMap<TenantId, u64>,
@@ -58,29 +58,30 @@
     pub fn lend(
         &mut self,
         now: Millis,
-        (ip, life): (Ipv4Addr, u64),
-        used: &[Use],
-        limit: impl Fn(TenantId) -> Option<Limit>,
-    ) -> Vec<Loan> {
+        (ip, incarnation): (Ipv4Addr, Incarnation),
+        used: &[UsageReport],
+        limit: impl Fn(TenantId) -> Option<RateLimit>,
+    ) -> Vec<QuotaGrant> {
         let Some(since) = self.since else { return Vec::new() };
         self.roll(now);
         // Of a door that was not known what it did before is not of this period.
         let is_new = !self.doors.contains_key(&ip);
-        let door = self.doors.entry(ip).or_insert_with(|| Door { life, heard: now, sent: BTreeMap::new() });
-        if door.life != life {
-            (door.life, door.sent) = (life, BTreeMap::new());
+        let door =
+            self.doors.entry(ip).or_insert_with(|| Door { incarnation, heard: now, sent: BTreeMap::new() });
+        if door.incarnation != incarnation {
+            (door.incarnation, door.sent) = (incarnation, BTreeMap::new());
         }
         door.heard = now;
         let mut loans = Vec::with_capacity(used.len());
         for told in used {
-            let Some(limit) = limit(told.tenant()).filter(|limit| limit.rate > 0.0) else { continue };
-            let before = std::mem::replace(door.sent.entry(told.tenant()).or_default(), told.sent());
-            let sent = told.sent().saturating_sub(before) as u32;
-            let tenant = self.tenants.entry(told.tenant()).or_insert_with(|| Tenant {
-                store: if is_chosen(Mutant::FullStore) {
+            let Some(limit) = limit(told.tenant).filter(|limit| limit.rate_per_s > 0.0) else { continue };
+            let before = std::mem::replace(door.sent.entry(told.tenant).or_default(), told.sent);
+            let sent = told.sent.saturating_sub(before) as u32;
+            let tenant = self.tenants.entry(told.tenant).or_insert_with(|| Tenant {
+                store: if is_active(Mutant::FullStore) {
                     STORE_DEPTH * limit.depth()
                 } else {
-                    -TAKE_OVER * LENT * limit.rate
+                    -TAKE_OVER * LENT * limit.rate_per_s
                 },
                 filled: since,
                 now_sent: 0,
@@ -88,11 +89,12 @@
             });
             tenant.now_sent += if is_new { 0 } else { sent };
             let seconds = now.saturating_sub(tenant.filled) as f64 / 1000.0;
-            tenant.store = (tenant.store + LENT * limit.rate * seconds).min(STORE_DEPTH * limit.depth());
+            tenant.store =
+                (tenant.store + LENT * limit.rate_per_s * seconds).min(STORE_DEPTH * limit.depth());
             tenant.filled = now;
-            let ahead = f64::from(told.wanted()).min(tenant.store.floor()).max(0.0);
-            tenant.store -= if is_chosen(Mutant::LentTwice) { 0.0 } else { ahead };
-            loans.push(Loan(told.tenant(), ahead as u16, tenant.sent));
+            let ahead = f64::from(told.wanted).min(tenant.store.floor()).max(0.0);
+            tenant.store -= if is_active(Mutant::LentTwice) { 0.0 } else { ahead };
+            loans.push(QuotaGrant { tenant: told.tenant, requests: ahead as u16, sent_by_all: tenant.sent });
         }
         loans
     }
--- a/crates/brassport-quota/src/lib.rs
+++ b/crates/brassport-quota/src/lib.rs
@@ -9,11 +9,11 @@
 //! No I/O; time is an argument.
 //!
 //! ```
-//! use brassport_quota::{Borrower, Limit};
+//! use brassport_quota::{Borrower, RateLimit, TenantId};
 //! let mut door = Borrower::default();
-//! let limit = Limit { rate: 100.0, burst: 100.0 };
+//! let limit = RateLimit { rate_per_s: 100.0, burst: 100.0 };
 //! // Alone with nothing ahead, one of ten doors has its base.
-//! assert!(door.take(0, 7, limit, 10).is_ok());
+//! assert!(door.take(0, TenantId(7), limit, 10).is_ok());
 //! ```
 #![forbid(unsafe_code)]
 
@@ -24,13 +24,9 @@
 pub use borrower::Borrower;
 pub use lender::Lender;
 
+pub use brassport_types::{Incarnation, Millis, TenantId, Term};
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds of the steady clock.
-pub type Millis = u64;
-/// Stands for a tenant: a hash of its name.
-pub type TenantId = u32;
-
 /// Parts of a tenant's rate: what doors hold for good, and what the lender's store fills at. The rule allows a tenth above
 /// the limit, and what is held never lies quite where it is used.
 pub const BASE: f64 = 0.5;
@@ -49,14 +45,14 @@
 
 /// A tenant's limit over all doors.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Limit {
+pub struct RateLimit {
     /// Requests a second; 0: no limit.
-    pub rate: f64,
+    pub rate_per_s: f64,
     /// On top of that, at once.
     pub burst: f64,
 }
 
-impl Limit {
+impl RateLimit {
     /// What may be made at once, beside the rate: the rule's own slack included.
     pub(crate) fn depth(&self) -> f64 {
         self.burst + FREE
@@ -73,34 +69,56 @@
     }
 }
 
-/// A door's counts of one tenant since its start: requests that came, those sent on, and how many it asks for.
+/// A node's counts of one tenant since its start, and how many requests it asks to have granted ahead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Use(pub TenantId, pub u64, pub u64, pub u16);
-
-impl Use {
+#[serde(from = "UsageRow", into = "UsageRow")]
+pub struct UsageReport {
     /// The tenant.
-    pub fn tenant(&self) -> TenantId {
-        self.0
-    }
+    pub tenant: TenantId,
     /// Requests that came.
-    pub fn offered(&self) -> u64 {
-        self.1
-    }
-    /// Requests that were sent on.
-    pub fn sent(&self) -> u64 {
-        self.2
+    pub offered: u64,
+    /// Requests that were forwarded.
+    pub sent: u64,
+    /// Requests that it wants granted ahead.
+    pub wanted: u16,
+}
+
+type UsageRow = (TenantId, u64, u64, u16);
+
+impl From<UsageRow> for UsageReport {
+    fn from((tenant, offered, sent, wanted): UsageRow) -> UsageReport {
+        UsageReport { tenant, offered, sent, wanted }
     }
-    /// Requests that it would have ahead.
-    pub fn wanted(&self) -> u16 {
-        self.3
+}
+
+impl From<UsageReport> for UsageRow {
+    fn from(report: UsageReport) -> UsageRow {
+        (report.tenant, report.offered, report.sent, report.wanted)
     }
 }
 
-/// So many requests a door may make of a tenant's limit, and what all doors together sent in the last whole period.
+/// Requests of a tenant's limit that a node is granted ahead, with the reading that goes along.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Loan(pub TenantId, pub u16, pub u32);
+#[serde(from = "GrantRow", into = "GrantRow")]
+pub struct QuotaGrant {
+    /// The tenant.
+    pub tenant: TenantId,
+    /// Requests granted.
+    pub requests: u16,
+    /// What all nodes together sent in the last complete meter period.
+    pub sent_by_all: u32,
+}
+
+type GrantRow = (TenantId, u16, u32);
 
-/// The hash of a tenant's name (FNV-1a): the same on every machine.
-pub fn tenant_id(name: &str) -> TenantId {
-    name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
+impl From<GrantRow> for QuotaGrant {
+    fn from((tenant, requests, sent_by_all): GrantRow) -> QuotaGrant {
+        QuotaGrant { tenant, requests, sent_by_all }
+    }
+}
+
+impl From<QuotaGrant> for GrantRow {
+    fn from(grant: QuotaGrant) -> GrantRow {
+        (grant.tenant, grant.requests, grant.sent_by_all)
+    }
 }
--- a/crates/brassport-quota/src/mutants.rs
+++ b/crates/brassport-quota/src/mutants.rs
@@ -26,21 +26,21 @@
     }
 
     /// Lets one fault into this thread, or none.
-    pub fn choose(mutant: Option<Mutant>) {
+    pub fn activate(mutant: Option<Mutant>) {
         CHOSEN.set(mutant.map_or(0, |mutant| mutant as u8));
     }
 
-    pub(crate) fn is_chosen(mutant: Mutant) -> bool {
+    pub(crate) fn is_active(mutant: Mutant) -> bool {
         CHOSEN.get() == mutant as u8
     }
 }
 
 #[cfg(feature = "mutants")]
-pub use chosen::choose;
+pub use chosen::activate;
 #[cfg(feature = "mutants")]
-pub(crate) use chosen::is_chosen;
+pub(crate) use chosen::is_active;
 
 #[cfg(not(feature = "mutants"))]
-pub(crate) const fn is_chosen(_: Mutant) -> bool {
+pub(crate) const fn is_active(_: Mutant) -> bool {
     false
 }
--- a/crates/brassport-quota/tests/advice.rs
+++ b/crates/brassport-quota/tests/advice.rs
@@ -1,8 +1,8 @@
 //! What a door advises those whom it refuses: each to come later than the one before, so that they don't all come at once.
 
-use brassport_quota::{Borrower, Limit};
+use brassport_quota::{Borrower, RateLimit};
 
-const LIMIT: Limit = Limit { rate: 100.0, burst: 50.0 };
+const LIMIT: RateLimit = RateLimit { rate_per_s: 100.0, burst: 50.0 };
 const SLOTS: u32 = 10;
 
 /// What so many requests at one moment are advised, those that pass left out.
--- a/crates/brassport-quota/tests/common/mod.rs
+++ b/crates/brassport-quota/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //! does not know it for a while, tenants that send many times their usual on some doors or on all. All runs that pass a door
 //! are judged by the rule: in no window of five seconds more than the limit, its slack included.
 
-use brassport_quota::{Borrower, Lender, Limit, Loan, Use};
+use brassport_quota::{Borrower, Lender, QuotaGrant, RateLimit, UsageReport};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -17,8 +17,8 @@
 enum Step {
     Request(usize),
     Report(usize),
-    Used(usize, usize, u64, u32, Vec<Use>),
-    Lent(usize, u64, (u64, u64), u32, Vec<Loan>),
+    Used(usize, usize, u64, u32, Vec<UsageReport>),
+    Lent(usize, u64, (u64, u64), u32, Vec<QuotaGrant>),
     Fault,
 }
 
@@ -31,7 +31,7 @@
     /// Each lender, its epoch, and until when it lends.
     lenders: Vec<(Lender, u64, u64)>,
     cut: Vec<bool>,
-    limit: Limit,
+    limit: RateLimit,
     busy: Vec<f64>,
     passed: Vec<u64>,
     offered: u64,
@@ -53,7 +53,7 @@
     let mut rng = Rand64::new(u128::from(seed));
     let doors = 2 + rng.rand_range(0..14_u64) as usize;
     let rate = 15.0 + rng.rand_range(0..200_u64) as f64;
-    let limit = Limit { rate, burst: rate * (0.5 + rng.rand_float()) };
+    let limit = RateLimit { rate_per_s: rate, burst: rate * (0.5 + rng.rand_float()) };
     let mut world = World {
         now: 0,
         rng,
@@ -195,7 +195,7 @@
 
     fn judge(&self) -> (f64, f64) {
         let seconds = WINDOW as f64 / 1000.0;
-        let allowed = (self.limit.rate * seconds + self.limit.burst) * 1.1 + 20.0;
+        let allowed = (self.limit.rate_per_s * seconds + self.limit.burst) * 1.1 + 20.0;
         let mut worst = 0;
         let mut first = 0;
         for (last, at) in self.passed.iter().enumerate() {
@@ -204,7 +204,7 @@
             }
             worst = worst.max(last + 1 - first);
         }
-        let owed = (self.offered as f64).min(self.limit.rate * LONG as f64 / 1000.0);
+        let owed = (self.offered as f64).min(self.limit.rate_per_s * LONG as f64 / 1000.0);
         (worst as f64 / allowed, self.passed.len() as f64 / owed.max(1.0))
     }
 }
--- a/crates/brassport-quota/tests/mutants.rs
+++ b/crates/brassport-quota/tests/mutants.rs
@@ -3,18 +3,18 @@
 
 mod common;
 
-use brassport_quota::mutants::{choose, ALL};
+use brassport_quota::mutants::{activate, ALL};
 
 #[test]
 fn every_mutant_breaks_the_bound() {
     let mut missed = Vec::new();
     for mutant in ALL {
-        choose(Some(mutant));
+        activate(Some(mutant));
         match (0..2_000).find(|seed| common::play(*seed).0 > 1.0) {
             Some(seed) => println!("{mutant:?}: seed {seed}"),
             None => missed.push(mutant),
         }
-        choose(None);
+        activate(None);
     }
     assert!(missed.is_empty(), "not found: {missed:?}");
 }
--- a/crates/brassport-transport/src/frame.rs
+++ b/crates/brassport-transport/src/frame.rs
@@ -3,7 +3,7 @@
 use serde::{de::DeserializeOwned, Serialize};
 
 /// Most bytes of a frame: a whole state of a large site has some hundred kilobytes.
-pub const LIMIT: usize = 16 << 20;
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
 /// A value's bytes.
 pub fn encode(value: &impl Serialize) -> Vec<u8> {
--- a/crates/brassport-transport/src/lib.rs
+++ b/crates/brassport-transport/src/lib.rs
@@ -1,5 +1,5 @@
 //! What the processes of the gateway say to one another: frames in CBOR ([`frame`]), links that carry them
-//! ([`links`]), and partial views of who is there ([`views`]).
+//! ([`links`]), and partial views of who is there ([`peer_sampling`]).
 //!
 //! A message is lost, late or repeated as the network pleases: whoever needs an answer asks again. Nothing here
 //! decides; the crates above say what is sent.
@@ -13,4 +13,4 @@
 
 pub mod frame;
 pub mod links;
-pub mod views;
+pub mod peer_sampling;
--- a/crates/brassport-transport/src/links.rs
+++ b/crates/brassport-transport/src/links.rs
@@ -2,7 +2,7 @@
 //!
 //! A frame that can't be sent is dropped. Every machine uses the same port.
 
-use crate::frame::LIMIT;
+use crate::frame::MAX_FRAME_BYTES;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -143,7 +143,7 @@
     loop {
         // Longer than the other side keeps an idle connection.
         let Ok(Ok(length)) = timeout(2 * IDLE, stream.read_u32()).await else { return };
-        if length as usize > LIMIT {
+        if length as usize > MAX_FRAME_BYTES {
             return;
         }
         let mut frame = vec![0; length as usize];
--- /dev/null
+++ b/crates/brassport-types/tests/it/log_position.rs
@@ -0,0 +1,35 @@
+//! Terms and log indexes.
+
+use brassport_types::{DiskId, LogIndex, Term};
+
+fn cbor(value: &impl serde::Serialize) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    ciborium::into_writer(value, &mut bytes).expect("a vector takes all that is written to it");
+    bytes
+}
+
+#[test]
+fn a_term_is_a_row_of_its_number_and_its_disk() {
+    let term = Term::new(3, DiskId(900));
+    assert_eq!(cbor(&term), cbor(&(3_u64, 900_u64)));
+    assert_eq!(ciborium::from_reader::<Term, _>(&cbor(&(3_u64, 900_u64))[..]).expect("it is a term"), term);
+}
+
+#[test]
+fn terms_are_ordered_by_number_and_then_by_disk() {
+    assert!(Term::new(2, DiskId(1)) > Term::new(1, DiskId(9)));
+    assert!(Term::new(2, DiskId(9)) > Term::new(2, DiskId(1)));
+    assert!(Term::ZERO < Term::new(0, DiskId(1)));
+}
+
+#[test]
+fn an_index_is_a_plain_number_on_the_wire() {
+    assert_eq!(cbor(&LogIndex(64)), cbor(&64_u64));
+}
+
+#[test]
+fn the_distance_between_indexes_never_goes_below_zero() {
+    assert_eq!(LogIndex(7).saturating_sub(LogIndex(3)), 4);
+    assert_eq!(LogIndex(3).saturating_sub(LogIndex(7)), 0);
+    assert_eq!(LogIndex(7) - LogIndex(3), 4);
+}
--- /dev/null
+++ b/crates/brassport-types/tests/it/main.rs
@@ -0,0 +1,4 @@
+//! The shared identifiers: their order, and their form on the wire.
+
+mod ids;
+mod log_position;
