--- a/crates/brassport-data-plane/tests/golden.rs
+++ b/crates/brassport-data-plane/tests/golden.rs
@@ -4,17 +4,18 @@
 #[path = "../../brassport-transport/tests/common/fixture.rs"]
 mod fixture;
 
-use brassport_config_store::consensus::{Entry, State, VoterId};
-use brassport_control_plane::backends::{Backend, Stage};
+use brassport_config_store::consensus::{Entry, ReplicatedState, VoterId};
+use brassport_control_plane::backends::{Backend, BackendState};
 use brassport_data_plane::metrics::{RequestCounters, ABANDONED_AFTER_MS};
-use brassport_data_plane::wire::{Wire, CUSTOMER, EXPECT_SERVER, TIME_LEFT, TRY_ID};
-use brassport_data_plane::{front, Options, Platform};
+use brassport_data_plane::wire::{BackendProtocol, CUSTOMER, EXPECT_SERVER, TIME_LEFT, TRY_ID};
+use brassport_data_plane::{front, DataPlane, Options};
 use brassport_policy::{Figures, Outcome};
 use brassport_proxy::clock::SystemClock;
 use brassport_proxy::hooks::Verdict;
 use brassport_proxy::network::Tcp;
 use brassport_proxy::protocol::Protocol;
 use brassport_proxy::shutdown::Shutdown;
+use brassport_types::DiskId;
 use hyper::header::{HeaderMap, HeaderValue};
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -111,7 +112,7 @@
 fn headers_have_the_same_names() {
     let mut headers = HeaderMap::new();
     headers.insert("x-expect-server", HeaderValue::from_static("another"));
-    Wire::default().address(&mut headers, Duration::from_micros(1_499_900), "i-0001");
+    BackendProtocol::default().address(&mut headers, Duration::from_micros(1_499_900), "i-0001");
     let mut lines: Vec<String> =
         headers.iter().map(|(name, value)| format!("{name}: {}", value.to_str().expect("text"))).collect();
     lines.sort();
@@ -215,34 +216,34 @@
         retry: (0.1, 10.0),
         seed: 5,
     };
-    let platform = Platform::new(SystemClock, Tcp, options);
+    let data_plane = DataPlane::new(SystemClock, Tcp, options);
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
     let at = listener.local_addr().expect("it has one");
-    spawn_local(front::serve(listener, platform.clone(), Rc::new(Shutdown::default())));
+    spawn_local(front::serve(listener, data_plane.clone(), Rc::new(Shutdown::default())));
     let mut answers = Vec::new();
     let early = exchange(at, &request("GET /", "", "")).await;
     let found = early.to_lowercase().contains("retry-after: 0.600");
     assert!(found, "the advice before there is a configuration is 600 ms: {early}");
     answers.push(("no configuration yet".to_owned(), steady(&early, &[at.port()])));
-    let mut state = State::genesis(vec![VoterId { ip: Ipv4Addr::LOCALHOST, disk: 1 }], 1);
+    let mut state = ReplicatedState::genesis(vec![VoterId { ip: Ipv4Addr::LOCALHOST, disk: DiskId(1) }], 1);
     let body = Arc::new(CONFIGURATION.as_bytes().to_vec());
-    state.apply(&Entry::Replace { built_on: 0, body });
+    state.apply(&Entry::Replace { base_version: 0, body });
     assert_eq!(state.version(), 1, "the configuration is sound");
-    platform.apply_state(&Arc::new(state));
+    data_plane.apply_state(&Arc::new(state));
     let behind = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
     let port = behind.local_addr().expect("it has one").port();
     let sent = Sent::default();
     spawn_local(backend(behind, sent.clone()));
-    platform.backend(&Backend {
+    data_plane.backend(&Backend {
         id: "i-7f3a".to_owned(),
         service: "search".to_owned(),
         address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, port),
         zone: "a".to_owned(),
         version: String::new(),
         capacity: 8,
-        stage: Stage::Ready,
-        count: 1,
-        warming_ms: 0,
+        state: BackendState::Ready,
+        call_count: 1,
+        warmup_left_ms: 0,
         age_ms: 0,
     });
     const KEY: &str = "Authorization: Bearer k1\r\nX-Try-Id: 9c41\r\nX-Time-Left-Ms: 4000\r\n";
--- a/crates/brassport-gateway/tests/golden.rs
+++ b/crates/brassport-gateway/tests/golden.rs
@@ -4,7 +4,8 @@
 #[path = "../../brassport-transport/tests/common/fixture.rs"]
 mod fixture;
 
-use brassport_config_store::store::FILE as STORE_FILE;
+use brassport_config_store::consensus::{ChangeScope, ConfigurationRequest};
+use brassport_config_store::store::FILE_NAME;
 use brassport_control_plane::call::{Call, Reply};
 use brassport_gateway::listeners::{self, Called};
 use brassport_gateway::settings::{Fault, Settings};
@@ -136,20 +137,20 @@
 fn name_of(reply: &Reply) -> &'static str {
     match reply {
         Reply::Done(_) => "done",
-        Reply::At(_) => "at",
+        Reply::Redirect(_) => "at",
         Reply::Invalid(_) => "invalid",
-        Reply::Outdated => "outdated",
-        Reply::NotNow(_) => "not now",
+        Reply::VersionConflict => "outdated",
+        Reply::Unavailable(_) => "not now",
     }
 }
 
 fn replies() -> [Reply; 5] {
     [
         Reply::Done(Arc::new(br#"{"version":"00000001"}"#.to_vec())),
-        Reply::At(Ipv4Addr::new(10, 0, 2, 9)),
+        Reply::Redirect(Ipv4Addr::new(10, 0, 2, 9)),
         Reply::Invalid("version: is missing (add the field)".to_owned()),
-        Reply::Outdated,
-        Reply::NotNow("nobody leads"),
+        Reply::VersionConflict,
+        Reply::Unavailable("nobody leads"),
     ]
 }
 
@@ -168,7 +169,8 @@
         spawn_local(async move {
             while let Some((call, to)) = called.recv().await {
                 let body = Arc::new(b"{}".to_vec());
-                assert_eq!(call, Call::Put { is_whole: true, built_on: 31, body });
+                let request = ConfigurationRequest { scope: ChangeScope::Full, base_version: 31, body };
+                assert_eq!(call, Call::Configure(request));
                 let _ = to.send(reply.clone());
             }
         });
@@ -289,7 +291,7 @@
         std::fs::write(folder.join(file), text).expect("written");
     }
     let store = Path::new(PACKAGE).join("../brassport-config-store/tests/golden/store-2.sqlite");
-    std::fs::copy(store, folder.join("data").join(STORE_FILE)).expect("the fixture is there");
+    std::fs::copy(store, folder.join("data").join(FILE_NAME)).expect("the fixture is there");
     let cases = [
         ("check", run_on(&folder, "check", &["settings.yaml"])),
         ("check-configuration", run_on(&folder, "check-configuration", &["older.json"])),
