--- /dev/null
+++ b/crates/brassport-gateway/src/listeners/metrics.rs
@@ -0,0 +1,29 @@
+//! The metrics page, in the Prometheus text format.
+
+use super::{serve, text, Handler};
+use http_body_util::Full;
+use hyper::body::{Bytes, Incoming};
+use hyper::header::{HeaderValue, CONTENT_TYPE};
+use hyper::{Request, Response, StatusCode};
+use tokio::net::TcpListener;
+
+const PATH: &str = "/metrics";
+
+/// Serves `GET /metrics` with the text that `page` returns at that moment.
+pub async fn metrics(listener: TcpListener, page: impl Fn() -> String + Clone + 'static) {
+    serve(listener, Metrics(page)).await;
+}
+
+#[derive(Clone)]
+struct Metrics<F>(F);
+
+impl<F: Fn() -> String + Clone + 'static> Handler for Metrics<F> {
+    async fn handle(self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+        if request.uri().path() != PATH {
+            return text(StatusCode::NOT_FOUND, "only /metrics is here");
+        }
+        let mut response = Response::new(Full::new(Bytes::from((self.0)())));
+        response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; version=0.0.4"));
+        response
+    }
+}
--- /dev/null
+++ b/crates/brassport-gateway/src/settings/error.rs
@@ -0,0 +1,123 @@
+//! What is wrong with a settings file.
+
+use std::error::Error;
+use std::fmt;
+use std::io;
+use std::path::PathBuf;
+
+/// One problem of a settings file.
+#[derive(Debug)]
+pub enum Problem {
+    /// The file can't be read.
+    Io(io::Error),
+    /// The text is no YAML, or a field has another type.
+    Malformed(Box<schematic::ConfigError>),
+    /// `ip` is no address.
+    Ip(String),
+    /// An entry of `listenOn` is no address with a port.
+    Listener {
+        /// The entry's name.
+        name: &'static str,
+        /// What the file says.
+        text: String,
+    },
+    /// An entry of `seeds` is no address with a port.
+    Seed {
+        /// Its index in the list.
+        index: usize,
+        /// What the file says.
+        text: String,
+    },
+    /// `internalPorts` is empty.
+    NoInternalPort,
+    /// An entry of `bounds` is not `name=value`.
+    Bound {
+        /// Its index in the list.
+        index: usize,
+        /// What the file says.
+        text: String,
+    },
+    /// An entry of `reachedAt` is not a pair of addresses.
+    ReachedAt {
+        /// The node's own address, as the file has it.
+        node: String,
+        /// Where it is reached, as the file has it.
+        address: String,
+    },
+}
+
+impl fmt::Display for Problem {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Problem::Io(error) => error.fmt(f),
+            Problem::Malformed(error) => write_chain(f, error.as_ref()),
+            Problem::Ip(text) => write!(f, "ip: {text:?} is no IPv4 address"),
+            Problem::Listener { name, text } => {
+                write!(f, "listenOn.{name}: {text:?} is no address with a port, as 10.0.0.1:8080")
+            }
+            Problem::Seed { index, text } => {
+                write!(f, "seeds[{index}]: {text:?} is no address with a port")
+            }
+            Problem::NoInternalPort => {
+                f.write_str("internalPorts: the first port for the doors' own talk is missing")
+            }
+            Problem::Bound { index, text } => write!(f, "bounds[{index}]: {text:?} is not name=value"),
+            Problem::ReachedAt { node, address } => {
+                write!(f, "reachedAt: {node:?}: {address:?} are not two IPv4 addresses")
+            }
+        }
+    }
+}
+
+impl Error for Problem {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            Problem::Io(error) => Some(error),
+            Problem::Malformed(error) => Some(error.as_ref()),
+            _ => None,
+        }
+    }
+}
+
+/// An error with those behind it: the innermost names the line.
+fn write_chain(f: &mut fmt::Formatter<'_>, error: &dyn Error) -> fmt::Result {
+    write!(f, "{error}")?;
+    let mut source = error.source();
+    while let Some(error) = source {
+        write!(f, ": {error}")?;
+        source = error.source();
+    }
+    Ok(())
+}
+
+/// Settings that can't be used: a file with all its problems.
+#[derive(Debug, miette::Diagnostic)]
+#[diagnostic(help("the file is YAML, as DEPLOY says; its path stands in BRASSPORT_CONFIG; `brassport-gateway check` reads it without starting"))]
+pub struct SettingsError {
+    /// The file.
+    pub file: PathBuf,
+    /// What is wrong, each with its field, or the line where the file can't be read.
+    pub problems: Vec<Problem>,
+}
+
+impl fmt::Display for SettingsError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let problems: Vec<String> = self.problems.iter().map(Problem::to_string).collect();
+        write!(f, "{}: {}", self.file.display(), problems.join("; "))
+    }
+}
+
+impl Error for SettingsError {}
+
+/// The environment names no settings file.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, miette::Diagnostic)]
+#[diagnostic(help("set it to the path of the settings file"))]
+pub struct NoSettingsFile;
+
+impl fmt::Display for NoSettingsFile {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{} is not set", super::FILE_VARIABLE)
+    }
+}
+
+impl Error for NoSettingsFile {}
--- a/crates/brassport-gateway/src/status.rs
+++ b/crates/brassport-gateway/src/status.rs
@@ -1,56 +1,157 @@
-//! Asks a running door what it knows of the system.
+//! The client of a running node's `GET /Status`: the request, a typed reading of the answer, and its text for people.
 
-use serde_json::Value;
+use serde::Deserialize;
+use std::fmt;
 use std::io::{self, Read, Write};
 use std::net::{TcpStream, ToSocketAddrs};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(3);
+/// For the connection, and for each read: a node answers within milliseconds or not at all.
+const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The door's own words, JSON.
-pub fn ask(address: &str) -> io::Result<String> {
-    let unknown = || io::Error::new(io::ErrorKind::InvalidInput, "no address with a port");
-    let at = address.to_socket_addrs().map_err(|_| unknown())?.next().ok_or_else(unknown)?;
-    let mut stream = TcpStream::connect_timeout(&at, PATIENCE)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+/// Why there is no status.
+#[derive(Debug)]
+pub enum StatusError {
+    /// The address can't be resolved, or has no port.
+    InvalidAddress,
+    /// There was no exchange.
+    Io(io::Error),
+    /// The answer was not a success.
+    Rejected,
+}
+
+impl fmt::Display for StatusError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            StatusError::InvalidAddress => f.write_str("no address with a port"),
+            StatusError::Io(error) => error.fmt(f),
+            StatusError::Rejected => f.write_str("this is no door of the gateway, or it can't answer now"),
+        }
+    }
+}
+
+impl std::error::Error for StatusError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            StatusError::Io(error) => Some(error),
+            StatusError::InvalidAddress | StatusError::Rejected => None,
+        }
+    }
+}
+
+impl From<io::Error> for StatusError {
+    fn from(error: io::Error) -> StatusError {
+        StatusError::Io(error)
+    }
+}
+
+/// Fetches the status of the node whose control listener is at `address`: the body as it came, JSON.
+///
+/// # Errors
+/// The address is invalid, the exchange failed, or the answer was not a success.
+pub fn fetch(address: &str) -> Result<String, StatusError> {
+    let mut resolved = address.to_socket_addrs().map_err(|_| StatusError::InvalidAddress)?;
+    let at = resolved.next().ok_or(StatusError::InvalidAddress)?;
+    let mut stream = TcpStream::connect_timeout(&at, TIMEOUT)?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
     write!(stream, "GET /Status HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n")?;
     let mut text = String::new();
     stream.read_to_string(&mut text)?;
     match text.split_once("\r\n\r\n") {
         Some((head, body)) if head.starts_with("HTTP/1.1 200") => Ok(body.to_owned()),
-        _ => Err(io::Error::other("this is no door of the gateway, or it can't answer now")),
+        _ => Err(StatusError::Rejected),
     }
 }
 
-/// The same for people: a line for the door, and one for each that lags behind it.
-pub fn told(address: &str, text: &str) -> String {
-    let Ok(told) = serde_json::from_str::<Value>(text) else { return format!("{address}: {text}") };
-    let word = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
-    let leader = match &told["leader"] {
-        Value::Null => "nobody leads".to_owned(),
-        leader => format!("{} leads under term {}", word(&leader["ip"]), leader["term"]),
-    };
-    let voters: Vec<String> =
-        told["voters"].as_array().into_iter().flatten().map(|voter| word(&voter["ip"])).collect();
-    let mut lines = format!(
-        "{address}: zone {}, version {} at index {}; {leader}; voters {}; backends {} ready, {} silent, {} emptying",
-        word(&told["zone"]),
-        word(&told["version"]),
-        told["index"],
-        voters.join(", "),
-        told["backends"]["ready"],
-        told["backends"]["silent"],
-        told["backends"]["emptying"],
-    );
-    for door in told["doors"].as_array().into_iter().flatten() {
-        if door["behind"].as_u64().is_some_and(|behind| behind > 0) {
-            lines.push_str(&format!(
-                "\n  {} is {} indexes behind, heard {} ms ago",
-                word(&door["ip"]),
-                door["behind"],
-                door["heardMsAgo"]
-            ));
+/// The status of one node. A field that a node of another release leaves out is printed as `null`.
+#[derive(Debug, Deserialize)]
+pub struct NodeStatus {
+    zone: Option<String>,
+    version: Option<String>,
+    index: Option<u64>,
+    leader: Option<LeaderStatus>,
+    #[serde(default)]
+    voters: Vec<VoterStatus>,
+    /// The other nodes, as this one has heard of them.
+    #[serde(default, rename = "doors")]
+    peers: Vec<PeerStatus>,
+    #[serde(default)]
+    backends: BackendCounts,
+}
+
+#[derive(Debug, Deserialize)]
+struct LeaderStatus {
+    ip: Option<String>,
+    term: Option<u64>,
+}
+
+#[derive(Debug, Deserialize)]
+struct VoterStatus {
+    ip: Option<String>,
+}
+
+#[derive(Debug, Deserialize)]
+struct PeerStatus {
+    ip: Option<String>,
+    /// By how many indexes its replica is behind this node's.
+    behind: Option<u64>,
+    #[serde(rename = "heardMsAgo")]
+    heard_ms_ago: Option<u64>,
+}
+
+#[derive(Debug, Default, Deserialize)]
+struct BackendCounts {
+    ready: Option<u64>,
+    #[serde(rename = "silent")]
+    unresponsive: Option<u64>,
+    #[serde(rename = "emptying")]
+    draining: Option<u64>,
+}
+
+/// A value, or `null`.
+struct OrNull<T>(T);
+
+impl<T: fmt::Display> fmt::Display for OrNull<&Option<T>> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            Some(value) => value.fmt(f),
+            None => f.write_str("null"),
         }
     }
-    lines
+}
+
+impl fmt::Display for NodeStatus {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let (zone, version, index) = (OrNull(&self.zone), OrNull(&self.version), OrNull(&self.index));
+        write!(f, "zone {zone}, version {version} at index {index}; ")?;
+        match &self.leader {
+            None => f.write_str("nobody leads")?,
+            Some(LeaderStatus { ip, term }) => {
+                write!(f, "{} leads under term {}", OrNull(ip), OrNull(term))?;
+            }
+        }
+        let voters: Vec<String> = self.voters.iter().map(|voter| OrNull(&voter.ip).to_string()).collect();
+        let BackendCounts { ready, unresponsive, draining } = &self.backends;
+        write!(
+            f,
+            "; voters {}; backends {} ready, {} silent, {} emptying",
+            voters.join(", "),
+            OrNull(ready),
+            OrNull(unresponsive),
+            OrNull(draining)
+        )?;
+        self.peers.iter().filter(|peer| peer.behind.is_some_and(|behind| behind > 0)).try_for_each(|peer| {
+            let (ip, behind, heard) = (OrNull(&peer.ip), OrNull(&peer.behind), OrNull(&peer.heard_ms_ago));
+            write!(f, "\n  {ip} is {behind} indexes behind, heard {heard} ms ago")
+        })
+    }
+}
+
+/// The status for people: a line for the node, and one for each node that lags behind it. What can't be read is printed as
+/// it came.
+pub fn describe(address: &str, body: &str) -> String {
+    match serde_json::from_str::<NodeStatus>(body) {
+        Ok(status) => format!("{address}: {status}"),
+        Err(_) => format!("{address}: {body}"),
+    }
 }
--- /dev/null
+++ b/crates/brassport-gateway/tests/it/listeners.rs
@@ -0,0 +1,96 @@
+//! What the control, readiness and metrics listeners respond, byte by byte, against the fixtures `control` and
+//! `ready_and_metrics`.
+
+use crate::common::{exchange, listener, malformed, request, run, PACKAGE};
+use crate::fixture;
+use brassport_config_store::consensus::{ChangeScope, ConfigurationRequest};
+use brassport_control_plane::call::{Call, Reply};
+use brassport_gateway::listeners::{self, PendingCall};
+use std::net::Ipv4Addr;
+use std::sync::Arc;
+use tokio::sync::mpsc::unbounded_channel;
+use tokio::task::spawn_local;
+
+/// The kind of a reply; one that is new does not compile here until [`replies`] has it too.
+fn name_of(reply: &Reply) -> &'static str {
+    match reply {
+        Reply::Done(_) => "done",
+        Reply::Redirect(_) => "at",
+        Reply::Invalid(_) => "invalid",
+        Reply::VersionConflict => "outdated",
+        Reply::Unavailable(_) => "not now",
+    }
+}
+
+fn replies() -> [Reply; 5] {
+    [
+        Reply::Done(Arc::new(br#"{"version":"00000001"}"#.to_vec())),
+        Reply::Redirect(Ipv4Addr::new(10, 0, 2, 9)),
+        Reply::Invalid("version: is missing (add the field)".to_owned()),
+        Reply::VersionConflict,
+        Reply::Unavailable("nobody leads"),
+    ]
+}
+
+async fn control() -> Vec<(String, String)> {
+    let mut cases = Vec::new();
+    for reply in replies() {
+        let (listener, at) = listener();
+        let (calls, mut pending) = unbounded_channel::<PendingCall>();
+        spawn_local(listeners::control(listener, calls));
+        let name = name_of(&reply).to_owned();
+        spawn_local(async move {
+            while let Some(PendingCall { call, reply_to }) = pending.recv().await {
+                let body = Arc::new(b"{}".to_vec());
+                let request = ConfigurationRequest { scope: ChangeScope::Full, base_version: 31, body };
+                assert_eq!(call, Call::Configure(request));
+                let _ = reply_to.send(reply.clone());
+            }
+        });
+        let put = request("POST /Config.Replace?x=1", "X-Built-On: 0000001F\r\n", "{}");
+        cases.push((format!("reply {name}"), exchange(at, &put).await));
+    }
+    let (listener, at) = listener();
+    let (calls, pending) = unbounded_channel::<PendingCall>();
+    drop(pending);
+    spawn_local(listeners::control(listener, calls));
+    let requests = [
+        ("unknown call", request("GET /Config.Replace", "", "")),
+        ("unknown path", request("POST /", "", "")),
+        ("malformed call", request("POST /Config.Replace", "", "{}")),
+        ("malformed beat", request("POST /Servers.CheckIn/i-1", "", "{}")),
+        ("too long", request("POST /Config.Replace", "X-Built-On: 0\r\n", &"x".repeat((24 << 20) + 1))),
+        ("bad body", malformed("Transfer-Encoding: chunked\r\n", "zz\r\n")),
+        ("does not come", malformed("Content-Length: 5\r\n", "ab")),
+        ("it ends", request("GET /Config.Read", "", "")),
+    ];
+    for (name, text) in requests {
+        cases.push((name.to_owned(), exchange(at, &text).await));
+    }
+    cases
+}
+
+#[test]
+fn control_responses_have_pinned_bytes() {
+    fixture::check(PACKAGE, "control", &run(control()));
+}
+
+async fn ready_and_metrics() -> Vec<(String, String)> {
+    let mut cases = Vec::new();
+    for (name, is_ready) in [("ready", true), ("not ready", false)] {
+        let (listener, at) = listener();
+        spawn_local(listeners::ready(listener, move || is_ready));
+        cases.push((name.to_owned(), exchange(at, &request("GET /ready", "", "")).await));
+        cases.push((format!("{name}, other path"), exchange(at, &request("GET /", "", "")).await));
+    }
+    let (listener, at) = listener();
+    spawn_local(listeners::metrics(listener, || "brassport_x 1\n".to_owned()));
+    cases.push(("metrics".to_owned(), exchange(at, &request("GET /metrics", "", "")).await));
+    cases.push(("metrics, other path".to_owned(), exchange(at, &request("GET /", "", "")).await));
+    cases
+}
+
+#[test]
+fn readiness_and_metrics_responses_have_pinned_bytes() {
+    fixture::check(PACKAGE, "ready_and_metrics", &run(ready_and_metrics()));
+}
--- /dev/null
+++ b/crates/brassport-gateway/tests/it/verbs.rs
@@ -0,0 +1,45 @@
+//! The verbs that work on files: exit code, output and errors, against the fixture `files`.
+
+use crate::common::{PACKAGE, SETTINGS};
+use crate::fixture;
+use brassport_config_store::store::FILE_NAME;
+use std::path::Path;
+use std::process::Command;
+
+/// Runs the program on files of a folder: exit code, output and errors; the folder as `FOLDER`.
+fn run_on(folder: &Path, verb: &str, files: &[&str]) -> String {
+    let files = files.iter().map(|file| folder.join(file));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_brassport-gateway"));
+    let output = command.arg(verb).args(files).output().expect("it runs");
+    let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
+    let (out, err) = (text(&output.stdout), text(&output.stderr));
+    let text = format!("code {:?}\nout {out}err {err}", output.status.code());
+    text.replace(&folder.display().to_string(), "FOLDER")
+}
+
+#[test]
+fn verbs_on_files_print_pinned_texts() {
+    let folder = std::env::temp_dir().join(format!("brassport-gateway-golden-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir_all(folder.join("data")).expect("a folder");
+    let older = r#"{"version":"00000001","services":[{"name":"a"}],"hosts":[]}"#;
+    let newer = r#"{"version":"00000002","services":[{"name":"b"}],"hosts":[]}"#;
+    let files =
+        [("settings.yaml", SETTINGS), ("older.json", older), ("newer.json", newer), ("bad.json", "{}")];
+    for (file, text) in files {
+        std::fs::write(folder.join(file), text).expect("written");
+    }
+    let store = Path::new(PACKAGE).join("../brassport-config-store/tests/golden/store-2.sqlite");
+    std::fs::copy(store, folder.join("data").join(FILE_NAME)).expect("the fixture is there");
+    let cases = [
+        ("check", run_on(&folder, "check", &["settings.yaml"])),
+        ("check-configuration", run_on(&folder, "check-configuration", &["older.json"])),
+        ("check-configuration of a bad one", run_on(&folder, "check-configuration", &["bad.json"])),
+        ("difference", run_on(&folder, "difference", &["older.json", "newer.json"])),
+        ("difference of one", run_on(&folder, "difference", &["older.json"])),
+        ("store", run_on(&folder, "store", &["data"])),
+        ("no store", run_on(&folder, "store", &["."])),
+    ];
+    let _ = std::fs::remove_dir_all(&folder);
+    fixture::check(PACKAGE, "files", &cases.map(|(name, text)| (name.to_owned(), text)));
+}
