--- a/crates/brassport-gateway/src/logging.rs
+++ b/crates/brassport-gateway/src/logging.rs
@@ -5,6 +5,8 @@
 
 /// Names the level: `error`, `warn`, `info` or `debug`.
 pub const LEVEL_VARIABLE: &str = "BRASSPORT_GATEWAY_LOG";
+/// The name of [`LEVEL_VARIABLE`] in earlier releases; read where the present one is not set.
+pub const FORMER_LEVEL_VARIABLE: &str = "JUNCTION_LOG";
 
 /// The log could not be set up, as a process has only one.
 #[derive(Debug, miette::Diagnostic)]
@@ -24,7 +26,8 @@
 
 /// The level that an environment asks for, read through `variable`; `info` where it names none, or no level that exists.
 pub fn level(variable: impl Fn(&str) -> Option<String>) -> LevelFilter {
-    variable(LEVEL_VARIABLE).and_then(|text| text.parse().ok()).unwrap_or(LevelFilter::Info)
+    let text = variable(LEVEL_VARIABLE).or_else(|| variable(FORMER_LEVEL_VARIABLE));
+    text.and_then(|text| text.parse().ok()).unwrap_or(LevelFilter::Info)
 }
 
 /// Sets up the log of this process.
