--- /dev/null
+++ b/crates/brassport-data-plane/src/downstream/server.rs
@@ -0,0 +1,88 @@
+//! The clients' listener and connections.
+
+use super::rejection::Rejection;
+use super::ResponseOrLast;
+use crate::data_plane::DataPlane;
+use brassport_proxy::bodies::Answer;
+use brassport_proxy::clients::{self, Service};
+use brassport_proxy::clock::Clock;
+use brassport_proxy::connections::{ClientConnection, Connections};
+use brassport_proxy::date::DateHeader;
+use brassport_proxy::network::Network;
+use brassport_proxy::shutdown::{Phase, Shutdown};
+use hyper::body::Incoming;
+use hyper::{Request, Response, StatusCode};
+use std::rc::Rc;
+use tokio::sync::mpsc;
+
+/// The downstream side of a node.
+struct Downstream<C: Clock, N: Network> {
+    data_plane: Rc<DataPlane<C, N>>,
+    shutdown: Rc<Shutdown>,
+    connections: Rc<Connections<C>>,
+    date: DateHeader,
+}
+
+/// Serves clients until the shutdown's phase is [`Phase::Closing`], then returns once every connection has ended.
+pub async fn serve<C: Clock, N: Network>(
+    listener: N::Listener,
+    data_plane: Rc<DataPlane<C, N>>,
+    shutdown: Rc<Shutdown>,
+) {
+    let descriptors = data_plane.resources.descriptors.clone();
+    let total = descriptors.available_permits();
+    let connections = Rc::new(Connections::new(data_plane.resources.clock.clone()));
+    let downstream = Rc::new(Downstream { data_plane, shutdown, connections, date: DateHeader::default() });
+    // No other process hands over its connections here. The sender is kept: a closed queue would read as one that did.
+    let (_sender, adopted) = mpsc::unbounded_channel();
+    clients::serve(Rc::new(listener), downstream, descriptors, total, adopted).await;
+}
+
+impl<C: Clock, N: Network> Service for Downstream<C, N> {
+    type Clock = C;
+    type Network = N;
+    type Life = ();
+
+    fn clock(&self) -> &C {
+        &self.data_plane.resources.clock
+    }
+
+    fn connections(&self) -> &Rc<Connections<C>> {
+        &self.connections
+    }
+
+    fn date(&self) -> &DateHeader {
+        &self.date
+    }
+
+    fn begin(&self, _: &Request<Incoming>) {}
+
+    async fn answer(
+        &self,
+        request: Request<Incoming>,
+        client: &ClientConnection<C>,
+        (): &(),
+    ) -> ResponseOrLast {
+        self.data_plane.respond(request, client).await
+    }
+
+    fn turn_away(&self) -> Response<Answer> {
+        Rejection::NoConnection.into_response()
+    }
+
+    fn answered((): &(), _: StatusCode) {}
+
+    fn passed((): &(), _: bool) {}
+
+    fn shed_idle(&self) -> bool {
+        self.data_plane.close_idle_connection()
+    }
+
+    fn serves(&self) -> bool {
+        self.shutdown.phase() == Phase::Serving
+    }
+
+    async fn closing(&self) {
+        self.shutdown.closing().await;
+    }
+}
--- a/crates/brassport-data-plane/src/metrics.rs
+++ b/crates/brassport-data-plane/src/metrics.rs
@@ -1,14 +1,17 @@
-//! Counters of what becomes of requests and of their attempts, and their text for operators.
+//! Counters of one service's requests and attempts at this node, and their text for operators.
+//!
+//! The labels and names are public: `brassport_requests_total{service, verdict}`,
+//! `brassport_attempts_total{service, outcome}`, and a line `brassport_NAME{service}` for each other figure.
 
 use brassport_policy::{Figures, Outcome};
 use brassport_proxy::hooks::Verdict;
 use std::cell::Cell;
 use std::fmt::Write;
 
-/// Work that goes on for longer than this behind its client's leaving, in milliseconds, counts as abandoned.
+/// An attempt that runs for longer than this after its client has left, in milliseconds, counts as abandoned.
 pub const ABANDONED_AFTER_MS: u64 = 500;
 
-/// A counter that only grows.
+/// A counter that only increases.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
@@ -24,30 +27,30 @@
     }
 }
 
-/// Counters of one service's requests at this door.
+/// Counters of one service.
 #[derive(Debug, Default)]
 pub struct RequestCounters {
-    /// Answered by a backend.
+    /// Requests with a backend's response.
     pub served: Counter,
-    /// Refused by this door.
-    pub refused: Counter,
-    /// Ended without an answer of a backend.
+    /// Requests that the policy or a quota rejected.
+    pub rejected: Counter,
+    /// Requests that ended without a backend's response.
     pub failed: Counter,
-    /// Left by their clients before they had an answer.
-    pub left: Counter,
-    /// First attempts that found their tenant's share of the quota empty.
-    pub no_share: Counter,
+    /// Requests whose clients left before they had a response.
+    pub client_left: Counter,
+    /// First attempts that found their tenant's quota exhausted.
+    pub quota_exhausted: Counter,
     /// Attempts that ended, by their outcome.
     outcomes: [Counter; OUTCOMES.len()],
-    /// Attempts that were out when their client left, and were called off or never sent.
-    pub called_off: Counter,
-    /// Attempts that were out when their client left, and ended by themselves.
-    pub ran_on: Counter,
-    /// Of `ran_on`: those that ended more than [`ABANDONED_AFTER_MS`] behind their client's leaving.
+    /// Attempts in flight when their client left that were cancelled or never sent.
+    pub cancelled_after_client_left: Counter,
+    /// Attempts in flight when their client left that ended by themselves.
+    pub completed_after_client_left: Counter,
+    /// Of `completed_after_client_left`: those that ended more than [`ABANDONED_AFTER_MS`] after it.
     pub abandoned: Counter,
 }
 
-/// All outcomes of attempts with their labels.
+/// All outcomes of attempts with their labels, in the order of the page.
 const OUTCOMES: [(Outcome, &str); 8] = [
     (Outcome::Ok, "ok"),
     (Outcome::Error, "error"),
@@ -60,19 +63,19 @@
 ];
 
 impl RequestCounters {
-    /// A request has its one answer, or nobody waits for it any more.
-    pub fn answered(&self, verdict: Verdict) {
+    /// A request has its response, or its client has left.
+    pub fn record_verdict(&self, verdict: Verdict) {
         match verdict {
             Verdict::Served => &self.served,
-            Verdict::Refused(_) => &self.refused,
+            Verdict::Refused(_) => &self.rejected,
             Verdict::Failed => &self.failed,
-            Verdict::Left => &self.left,
+            Verdict::Left => &self.client_left,
         }
         .increment();
     }
 
-    /// An attempt ended, so many milliseconds behind its client's leaving if the client has left.
-    pub fn attempt_ended(&self, outcome: Outcome, since_client_left_ms: Option<u64>) {
+    /// An attempt ended; if its client had left, so many milliseconds before.
+    pub fn record_attempt(&self, outcome: Outcome, since_client_left_ms: Option<u64>) {
         for ((listed, _), counter) in OUTCOMES.iter().zip(&self.outcomes) {
             if *listed == outcome {
                 counter.increment();
@@ -80,9 +83,9 @@
         }
         match (outcome, since_client_left_ms) {
             (_, None) => {}
-            (Outcome::Cancelled | Outcome::Moot, Some(_)) => self.called_off.increment(),
+            (Outcome::Cancelled | Outcome::Moot, Some(_)) => self.cancelled_after_client_left.increment(),
             (_, Some(since)) => {
-                self.ran_on.increment();
+                self.completed_after_client_left.increment();
                 if since > ABANDONED_AFTER_MS {
                     self.abandoned.increment();
                 }
@@ -90,44 +93,42 @@
         }
     }
 
-    /// Appends the counters, and what the decision module shows of itself, as lines of the Prometheus text format.
+    /// Appends the counters, and the policy's figures, as lines of the Prometheus text format.
     pub fn write(&self, service: &str, figures: &Figures, text: &mut String) {
         let verdicts = [
             ("served", &self.served),
-            ("refused", &self.refused),
+            ("refused", &self.rejected),
             ("failed", &self.failed),
-            ("client_left", &self.left),
+            ("client_left", &self.client_left),
         ];
         for (verdict, counter) in verdicts {
-            let _ = writeln!(
-                text,
-                "brassport_requests_total{{service=\"{service}\",verdict=\"{verdict}\"}} {}",
-                counter.get()
-            );
+            let labels = format!("service=\"{service}\",verdict=\"{verdict}\"");
+            let _ = writeln!(text, "brassport_requests_total{{{labels}}} {}", counter.get());
         }
         for ((_, outcome), counter) in OUTCOMES.iter().zip(&self.outcomes) {
-            let _ = writeln!(
-                text,
-                "brassport_attempts_total{{service=\"{service}\",outcome=\"{outcome}\"}} {}",
-                counter.get()
-            );
+            let labels = format!("service=\"{service}\",outcome=\"{outcome}\"");
+            let _ = writeln!(text, "brassport_attempts_total{{{labels}}} {}", counter.get());
         }
-        let totals = [
-            ("attempts_called_off_after_client_left_total", self.called_off.get()),
-            ("attempts_run_on_after_client_left_total", self.ran_on.get()),
+        for (name, total) in self.totals(figures) {
+            let _ = writeln!(text, "brassport_{name}{{service=\"{service}\"}} {total}");
+        }
+        let _ = writeln!(text, "brassport_room_limit{{service=\"{service}\"}} {:.2}", figures.room_limit);
+        let _ = writeln!(text, "brassport_room_part{{service=\"{service}\"}} {:.3}", figures.room_part);
+    }
+
+    /// The figures without labels of their own, by name.
+    fn totals(&self, figures: &Figures) -> [(&'static str, u64); 10] {
+        [
+            ("attempts_called_off_after_client_left_total", self.cancelled_after_client_left.get()),
+            ("attempts_run_on_after_client_left_total", self.completed_after_client_left.get()),
             ("attempts_abandoned_total", self.abandoned.get()),
-            ("refused_no_share_total", self.no_share.get()),
+            ("refused_no_share_total", self.quota_exhausted.get()),
             ("refused_no_room_total", figures.no_room),
             ("refused_no_backend_total", figures.no_server),
             ("backends_known", figures.known as u64),
             ("backends_ready", figures.ready as u64),
             ("backends_ejected", figures.ejected as u64),
             ("attempts_in_flight", figures.in_flight as u64),
-        ];
-        for (name, total) in totals {
-            let _ = writeln!(text, "brassport_{name}{{service=\"{service}\"}} {total}");
-        }
-        let _ = writeln!(text, "brassport_room_limit{{service=\"{service}\"}} {:.2}", figures.room_limit);
-        let _ = writeln!(text, "brassport_room_part{{service=\"{service}\"}} {:.3}", figures.room_part);
+        ]
     }
 }
--- /dev/null
+++ b/crates/brassport-data-plane/tests/it/downstream.rs
@@ -0,0 +1,148 @@
+//! Requests through all phases over sockets: what clients get and what backends are sent, byte by byte, against the fixture
+//! `front`. Times that differ from run to run stand there as `#`.
+
+use crate::sockets::{backend, exchange, request, steady, Sent};
+use crate::{fixture, PACKAGE};
+use brassport_config_store::consensus::{Entry, ReplicatedState, VoterId};
+use brassport_control_plane::backends::{Backend, BackendState};
+use brassport_data_plane::{downstream, DataPlane, Options, RetryBudget};
+use brassport_proxy::clock::SystemClock;
+use brassport_proxy::network::Tcp;
+use brassport_proxy::shutdown::Shutdown;
+use brassport_types::DiskId;
+use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::net::TcpListener;
+use tokio::task::{spawn_local, LocalSet};
+
+const CONFIGURATION: &str = r#"{"version":"00000001","services":[{"name":"search"},{"name":"none"}],
+ "limits":{"maxBodyBytes":64},
+ "customers":[{"name":"acme","keys":["k1"]},{"name":"tight","keys":["k2"],"ratePerS":0.001,"burst":0}],
+ "hosts":[{"host":"shop.example","paths":[
+  {"name":"all","pathStart":"/","kind":"safe","giveUpS":5,"service":"search","tries":1},
+  {"name":"open","pathStart":"/open/","kind":"unsafe","giveUpS":5,"service":"search","tries":1,"public":true},
+  {"name":"silent","pathStart":"/silent/","giveUpS":0.5,"service":"search","tries":1},
+  {"name":"none","pathStart":"/none/","giveUpS":0.2,"service":"none","public":true}]}]}"#;
+
+type Cases = Vec<(String, String)>;
+
+const KEY: &str = "Authorization: Bearer k1\r\nX-Try-Id: 9c41\r\nX-Time-Left-Ms: 4000\r\n";
+const TIGHT: &str = "Authorization: Bearer k2\r\nX-Time-Left-Ms: 400\r\n";
+
+fn requests() -> Vec<(&'static str, String)> {
+    let own = format!("{KEY}X-Customer: spoof\r\nX-Expect-Server: spoof\r\nX-More: kept\r\nTE: trailers\r\n");
+    let long = "x".repeat(65);
+    [
+        ("served", request("GET /a?b=c", &own, "")),
+        ("served with a body", request("POST /a", KEY, "words")),
+        ("public route", request("GET /open/a", "X-Try-Id: 9c42\r\n", "")),
+        ("a backend's 404", request("GET /404", KEY, "")),
+        ("a backend's 500", request("GET /500", KEY, "")),
+        ("unknown key", request("GET /", "Authorization: Bearer no\r\n", "")),
+        ("no key", request("GET /", "", "")),
+        ("unknown host", request("GET /", KEY, "").replace("shop", "other")),
+        ("header twice", request("GET /", &format!("{KEY}X-Try-Id: again\r\n"), "")),
+        ("too long", request("POST /a", KEY, &long)),
+        ("two lengths", request("POST /a", &format!("{KEY}Transfer-Encoding: chunked\r\n"), "0\r\n\r\n")),
+        (
+            "broken body",
+            request("POST /a", &format!("{KEY}Transfer-Encoding: chunked\r\n"), "").to_owned() + "zz\r\n",
+        ),
+        ("no backend", request("GET /none/", "", "")),
+        ("no answer of a backend", request("GET /silent/", KEY, "")),
+    ]
+    .map(|(name, text)| (name, text.to_owned()))
+    .to_vec()
+}
+
+fn open_data_plane() -> Rc<DataPlane<SystemClock, Tcp>> {
+    let options = Options {
+        zone: "a".to_owned(),
+        zones: vec!["a".to_owned()],
+        descriptors: 64,
+        drain_ms: 2_000.0,
+        retry_budget: RetryBudget { ratio: 0.1, burst: 10.0 },
+        seed: 5,
+    };
+    DataPlane::new(SystemClock, Tcp, options)
+}
+
+fn configured_state() -> ReplicatedState {
+    let mut state = ReplicatedState::genesis(vec![VoterId { ip: Ipv4Addr::LOCALHOST, disk: DiskId(1) }], 1);
+    let body = Arc::new(CONFIGURATION.as_bytes().to_vec());
+    state.apply(&Entry::Replace { base_version: 0, body });
+    assert_eq!(state.version(), 1, "the configuration is sound");
+    state
+}
+
+fn backend_at(port: u16) -> Backend {
+    Backend {
+        id: "i-7f3a".to_owned(),
+        service: "search".to_owned(),
+        address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, port),
+        zone: "a".to_owned(),
+        version: String::new(),
+        capacity: 8,
+        state: BackendState::Ready,
+        call_count: 1,
+        warmup_left_ms: 0,
+        age_ms: 0,
+    }
+}
+
+async fn listen() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
+    let at = listener.local_addr().expect("it has one");
+    (listener, at)
+}
+
+/// The rejection before there is a configuration, whose advice is no figure that varies.
+async fn unconfigured(at: SocketAddr) -> String {
+    let early = exchange(at, &request("GET /", "", "")).await;
+    let found = early.to_lowercase().contains("retry-after: 0.600");
+    assert!(found, "the advice before there is a configuration is 600 ms: {early}");
+    early
+}
+
+/// The response to a tenant beyond its limit. Some requests are served first, as the rule has a slack.
+async fn beyond_the_limit(at: SocketAddr) -> String {
+    let mut over = String::new();
+    for _ in 0..40 {
+        over = exchange(at, &request("GET /", TIGHT, "")).await;
+        if over.starts_with("HTTP/1.1 429") {
+            break;
+        }
+    }
+    over
+}
+
+/// What clients got, and then what the backend was sent.
+async fn play() -> Cases {
+    let data_plane = open_data_plane();
+    let (listener, at) = listen().await;
+    spawn_local(downstream::serve(listener, data_plane.clone(), Rc::new(Shutdown::default())));
+    let port = [at.port()];
+    let mut cases = vec![("no configuration yet".to_owned(), steady(&unconfigured(at).await, &port))];
+    data_plane.apply_state(&Arc::new(configured_state()));
+    let (behind, backend_address) = listen().await;
+    let sent = Sent::default();
+    spawn_local(backend(behind, sent.clone()));
+    data_plane.update_backend(&backend_at(backend_address.port()));
+    for (name, text) in requests() {
+        cases.push((name.to_owned(), steady(&exchange(at, &text).await, &port)));
+    }
+    let attempts = sent.take();
+    cases.push(("beyond the tenant's limit".to_owned(), steady(&beyond_the_limit(at).await, &port)));
+    for (number, text) in attempts.iter().enumerate() {
+        cases.push((format!("attempt {number}"), steady(text, &[backend_address.port()])));
+    }
+    cases
+}
+
+#[test]
+fn responses_and_attempts_have_pinned_bytes() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let cases = LocalSet::new().block_on(&runtime, play());
+    fixture::check(PACKAGE, "front", &cases);
+}
--- /dev/null
+++ b/crates/brassport-data-plane/tests/it/endpoints.rs
@@ -0,0 +1,104 @@
+//! The endpoint list: which changes of a service's backends the policy is notified of.
+
+use brassport_control_plane::backends::{Backend, BackendState};
+use brassport_data_plane::endpoints::{EndpointChange, EndpointList, Novelty};
+use brassport_policy::Lifecycle;
+use std::net::{Ipv4Addr, SocketAddrV4};
+
+fn backend(id: &str, state: BackendState) -> Backend {
+    Backend {
+        id: id.to_owned(),
+        service: "search".to_owned(),
+        address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 8_000),
+        zone: "a".to_owned(),
+        version: String::new(),
+        capacity: 8,
+        state,
+        call_count: 1,
+        warmup_left_ms: 0,
+        age_ms: 0,
+    }
+}
+
+/// A list of these backends, whose changes were taken.
+fn list(backends: &[(&str, BackendState)]) -> EndpointList {
+    let mut list = EndpointList::default();
+    backends.iter().for_each(|(id, state)| list.update(&backend(id, *state)));
+    list.take_changes();
+    list
+}
+
+fn lifecycles(changes: &[EndpointChange]) -> Vec<(&str, Lifecycle)> {
+    changes.iter().map(|change| (change.backend.id.as_str(), change.lifecycle)).collect()
+}
+
+#[test]
+fn a_change_is_notified_once() {
+    let mut list = EndpointList::default();
+    list.update(&backend("i-1", BackendState::Ready));
+    let changes = list.take_changes();
+    assert_eq!((changes.len(), changes[0].novelty), (1, Novelty::New));
+    list.update(&Backend { call_count: 2, ..backend("i-1", BackendState::Ready) });
+    assert!(list.take_changes().is_empty(), "a heartbeat changes nothing");
+    list.update(&backend("i-1", BackendState::Draining));
+    let changes = list.take_changes();
+    assert_eq!(lifecycles(&changes), [("i-1", Lifecycle::Draining)]);
+    assert_eq!(changes[0].novelty, Novelty::Existing);
+}
+
+#[test]
+fn a_terminated_backend_is_forgotten_and_new_when_it_comes_back() {
+    let mut list = list(&[("i-1", BackendState::Ready)]);
+    list.update(&backend("i-1", BackendState::Terminated));
+    assert_eq!(lifecycles(&list.take_changes()), [("i-1", Lifecycle::Gone)]);
+    list.update(&backend("i-1", BackendState::Terminated));
+    assert!(list.take_changes().is_empty(), "it was never listed");
+    list.update(&backend("i-1", BackendState::Ready));
+    assert_eq!(list.take_changes()[0].novelty, Novelty::New);
+}
+
+#[test]
+fn an_expired_backend_is_removed() {
+    let mut list = list(&[("i-1", BackendState::Ready)]);
+    list.expire("i-2");
+    assert!(list.take_changes().is_empty());
+    list.expire("i-1");
+    assert_eq!(lifecycles(&list.take_changes()), [("i-1", Lifecycle::Gone)]);
+}
+
+#[test]
+fn a_displaced_backend_stays_removed_whatever_its_late_heartbeats_say() {
+    let mut list = list(&[("i-1", BackendState::Ready)]);
+    list.mark_displaced("i-1");
+    assert_eq!(lifecycles(&list.take_changes()), [("i-1", Lifecycle::Gone)]);
+    list.update(&Backend { call_count: 9, ..backend("i-1", BackendState::Ready) });
+    assert!(list.take_changes().is_empty());
+}
+
+#[test]
+fn unresponsive_backends_drain_while_most_are_ready() {
+    let mut list = list(&[("i-1", BackendState::Ready), ("i-2", BackendState::Ready)]);
+    list.update(&backend("i-2", BackendState::Unresponsive));
+    assert_eq!(lifecycles(&list.take_changes()), [("i-2", Lifecycle::Draining)]);
+}
+
+#[test]
+fn missing_heartbeats_are_distrusted_once_most_backends_miss_them() {
+    let ready = BackendState::Ready;
+    let mut list = list(&[("i-1", ready), ("i-2", ready), ("i-3", ready)]);
+    list.update(&backend("i-2", BackendState::Unresponsive));
+    assert_eq!(lifecycles(&list.take_changes()), [("i-2", Lifecycle::Draining)]);
+    list.update(&backend("i-3", BackendState::Unresponsive));
+    assert_eq!(lifecycles(&list.take_changes()), [("i-2", Lifecycle::Ready)], "both are served again");
+}
+
+#[test]
+fn ids_with_the_same_hash_have_different_numbers() {
+    // A number is the id's FNV-1a hash in 32 bits: these two collide.
+    let mut list = EndpointList::default();
+    list.update(&backend("costarring", BackendState::Ready));
+    list.update(&backend("liquid", BackendState::Ready));
+    let numbers: Vec<u32> = list.take_changes().iter().map(|change| change.server).collect();
+    assert_eq!(numbers.len(), 2);
+    assert_eq!(numbers[1], numbers[0].wrapping_add(1));
+}
--- /dev/null
+++ b/crates/brassport-data-plane/tests/it/metrics.rs
@@ -0,0 +1,97 @@
+//! The metrics page, line by line, against the fixture `metrics`.
+
+use crate::{fixture, PACKAGE};
+use brassport_data_plane::metrics::{RequestCounters, ABANDONED_AFTER_MS};
+use brassport_policy::{Figures, Outcome};
+use brassport_proxy::hooks::Verdict;
+
+/// The name of an outcome; one that is new does not compile here until it is in [`OUTCOMES`] too.
+fn name_of(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Ok => "ok",
+        Outcome::Error => "error",
+        Outcome::Full => "full",
+        Outcome::TimedOut => "timed out",
+        Outcome::NoConnection => "no connection",
+        Outcome::Reset => "reset",
+        Outcome::Cancelled => "cancelled",
+        Outcome::Moot => "moot",
+    }
+}
+
+const OUTCOMES: [Outcome; 8] = [
+    Outcome::Ok,
+    Outcome::Error,
+    Outcome::Full,
+    Outcome::TimedOut,
+    Outcome::NoConnection,
+    Outcome::Reset,
+    Outcome::Cancelled,
+    Outcome::Moot,
+];
+
+const NO_FIGURES: Figures = Figures {
+    known: 0,
+    ready: 0,
+    ejected: 0,
+    in_flight: 0,
+    room_limit: 0.0,
+    room_part: 0.0,
+    no_room: 0,
+    no_server: 0,
+};
+
+const FIGURES: Figures = Figures {
+    known: 9,
+    ready: 8,
+    ejected: 7,
+    in_flight: 6,
+    room_limit: 12.345,
+    room_part: 0.98765,
+    no_room: 5,
+    no_server: 4,
+};
+
+fn page(counters: &RequestCounters, figures: &Figures) -> String {
+    let mut text = String::new();
+    counters.write("search", figures, &mut text);
+    text
+}
+
+/// Counters of which each has another count, so that no two can change places.
+fn counters_with_distinct_counts() -> RequestCounters {
+    let counters = RequestCounters::default();
+    let verdicts = [Verdict::Served, Verdict::Refused(0.0), Verdict::Failed, Verdict::Left];
+    for (times, verdict) in (11..).zip(verdicts) {
+        (0..times).for_each(|_| counters.record_verdict(verdict));
+    }
+    for (times, outcome) in (21..).zip(OUTCOMES) {
+        (0..times).for_each(|_| counters.record_attempt(outcome, None));
+    }
+    (0..31).for_each(|_| counters.quota_exhausted.increment());
+    for outcome in OUTCOMES {
+        counters.record_attempt(outcome, Some(ABANDONED_AFTER_MS));
+        counters.record_attempt(outcome, Some(ABANDONED_AFTER_MS + 1));
+    }
+    counters
+}
+
+/// The lines that one attempt changes.
+fn lines_of_one(outcome: Outcome) -> String {
+    let counters = RequestCounters::default();
+    counters.record_attempt(outcome, Some(0));
+    let counted = |line: &&str| line.ends_with(" 1");
+    let lines: Vec<String> =
+        page(&counters, &NO_FIGURES).lines().filter(counted).map(str::to_owned).collect();
+    lines.join("\n")
+}
+
+#[test]
+fn the_metrics_page_has_pinned_lines() {
+    let mut cases = vec![("nothing yet".to_owned(), page(&RequestCounters::default(), &NO_FIGURES))];
+    cases.push(("all counts".to_owned(), page(&counters_with_distinct_counts(), &FIGURES)));
+    for outcome in OUTCOMES {
+        cases.push((format!("one {}", name_of(outcome)), lines_of_one(outcome)));
+    }
+    fixture::check(PACKAGE, "metrics", &cases);
+}
--- a/crates/brassport-gateway/src/node/build.rs
+++ b/crates/brassport-gateway/src/node/build.rs
@@ -9,7 +9,7 @@
 use crate::settings::{ListenOn, Settings};
 use crate::store_thread::{StoreEvent, StoreHandle};
 use brassport_control_plane::{self as control_plane, ControlPlane};
-use brassport_data_plane::{self as data_plane, front, DataPlane};
+use brassport_data_plane::{self as data_plane, downstream, DataPlane, RetryBudget};
 use brassport_proxy::clock::SystemClock;
 use brassport_proxy::network::Tcp;
 use brassport_proxy::shutdown::{Phase, Shutdown};
@@ -105,7 +105,10 @@
         zones: settings.zones.clone(),
         descriptors: settings.open_files.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DESCRIPTORS),
         drain_ms: settings.bound("drainS", 2.0) * 1000.0,
-        retry: (settings.bound("retryRatio", 0.1), settings.bound("retryExtra", 10.0)),
+        retry_budget: RetryBudget {
+            ratio: settings.bound("retryRatio", 0.1),
+            burst: settings.bound("retryExtra", 10.0),
+        },
         seed,
     }
 }
@@ -166,8 +169,9 @@
 
     fn open_downstream(&self, at: ListenOn) -> Result<Option<JoinHandle<()>>, StartError> {
         let listener = bind(at.downstream, StartStep::DownstreamListener)?;
-        Ok(listener
-            .map(|listener| spawn_local(front::serve(listener, self.data_plane.clone(), self.phase.clone()))))
+        Ok(listener.map(|listener| {
+            spawn_local(downstream::serve(listener, self.data_plane.clone(), self.phase.clone()))
+        }))
     }
 }
 
--- a/crates/brassport-gateway/src/node/control_host.rs
+++ b/crates/brassport-gateway/src/node/control_host.rs
@@ -77,8 +77,8 @@
                 self.data_plane.set_ring_position(self.control.ring_position());
                 self.data_plane.apply_state(&state);
             }
-            Action::BackendChanged(backend) => self.data_plane.backend(&backend),
-            Action::BackendExpired(id) => self.data_plane.dropped(&id),
+            Action::BackendChanged(backend) => self.data_plane.update_backend(&backend),
+            Action::BackendExpired(id) => self.data_plane.expire_backend(&id),
             Action::QuotaGranted(response) => {
                 self.data_plane.apply_grants(response.term, response.report, &response.grants);
             }
@@ -102,7 +102,7 @@
     /// Reports to the lender what tenants use here.
     pub(super) fn report_usage(&mut self) {
         self.data_plane.set_ring_position(self.control.ring_position());
-        let (number, usage) = self.data_plane.report();
+        let (number, usage) = self.data_plane.report_usage();
         if !usage.is_empty() {
             self.handle(Event::UsageReported(number, usage));
         }
--- a/crates/brassport-gateway/src/node/mod.rs
+++ b/crates/brassport-gateway/src/node/mod.rs
@@ -97,7 +97,7 @@
         log::info!("shutdown started grace_ms={}", self.shutdown.grace().as_millis());
         self.shutdown.start(Instant::now());
         self.phase.advance(Phase::Leaving);
-        self.data_plane.leave();
+        self.data_plane.begin_shutdown();
         self.control.handle(Event::Shutdown);
     }
 
@@ -110,9 +110,9 @@
 
     fn on_tick(&mut self) {
         self.control.handle(Event::Tick);
-        self.data_plane.tend();
+        self.data_plane.remove_displaced_backends();
         // A tenant that is about to use up its share can't wait for the next report.
-        if self.data_plane.is_urgent() {
+        if self.data_plane.is_quota_urgent() {
             self.inputs.postpone_usage_report();
             self.control.report_usage();
         }
@@ -155,7 +155,7 @@
     /// Answers what is in flight with an error, and gives the responses the time to go out.
     async fn fail_in_flight(&mut self) {
         log::warn!("shutdown deadline reached in_flight={}", self.data_plane.in_flight());
-        self.data_plane.fail_all();
+        self.data_plane.fail_in_flight();
         if let Some(downstream) = &mut self.downstream {
             let _ = timeout(FINAL_RESPONSES / 2, downstream).await;
         }
