--- a/crates/brassport-gateway/tests/it/main.rs
+++ b/crates/brassport-gateway/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's tests, one binary: settings, listeners, verbs, the log's level and the graceful shutdown.
+//! The gateway's tests, one binary: settings, listeners, verbs, the log's level, the graceful shutdown, and the process.
 #![forbid(unsafe_code)]
 
 mod common;
@@ -6,6 +6,7 @@
 mod fixture;
 mod listeners;
 mod logging;
+mod process;
 mod settings;
 mod shutdown;
 mod status;
