--- a/crates/brassport-data-plane/src/backend_protocol.rs
+++ b/crates/brassport-data-plane/src/backend_protocol.rs
@@ -61,7 +61,7 @@
         match response.status {
             StatusCode::MISDIRECTED_REQUEST => self.misdirected(request, verdict),
             _ if response.headers.contains_key(NOT_RUN) => verdict.withhold(Outcome::Full),
-            // Guards against bytes that are not the backend's: its own are sealed, and it is asked for no coding.
+            // Guards against bytes that are not the backend's: a backend seals its responses, and no coding is requested of it.
             status if status.is_success() => {
                 if response.headers.contains_key(SEAL) && !response.headers.contains_key(CONTENT_ENCODING) {
                     verdict.forward(Outcome::Ok)
--- a/crates/brassport-data-plane/src/downstream/admission.rs
+++ b/crates/brassport-data-plane/src/downstream/admission.rs
@@ -1,4 +1,4 @@
-//! Phases 4 and 5: admission by the service's policy, which makes the attempts, and the response.
+//! Phase 4: admission by the service's policy, which makes the attempts.
 
 use super::authorize::AuthorizedRequest;
 use super::body::OutgoingBody;
@@ -10,24 +10,18 @@
 use brassport_policy::Request;
 use brassport_proxy::answers::pass_on;
 use brassport_proxy::backends::{Carried, Message};
-use brassport_proxy::bodies::Answer;
 use brassport_proxy::clock::Clock;
-use brassport_proxy::door::{Answer as Outcome, Ticket};
+use brassport_proxy::door::Ticket;
 use brassport_proxy::network::Network;
 use brassport_types::TenantId;
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
-use hyper::Response;
-
-/// A node that started so lately learns of more backends from one moment to the next: while it has no capacity, it advises
-/// to wait for so long at most.
-const STARTING_UP_MS: brassport_quota::Millis = 1_500;
-const STARTING_UP_RETRY_AFTER_MS: f64 = 300.0;
 
 /// A request that the policy has admitted.
 pub(super) struct AdmittedRequest<C: Clock, N: Network> {
-    ticket: Ticket<C, N>,
-    tenant: TenantId,
+    /// Stands for the client: dropped before there is an answer, it cancels the attempts.
+    pub(super) ticket: Ticket<C, N>,
+    pub(super) tenant: TenantId,
 }
 
 impl<C: Clock, N: Network> DataPlane<C, N> {
@@ -69,30 +63,6 @@
             repeat: false,
         }
     }
-
-    /// The response to an admitted request, once the policy has one.
-    pub(super) async fn response(&self, admitted: AdmittedRequest<C, N>) -> Response<Answer> {
-        match admitted.ticket.answer().await {
-            Outcome::Served(response) => forward(response),
-            Outcome::Refused(retry_after_ms) => {
-                self.rejected(admitted.tenant, retry_after_ms).into_response()
-            }
-            Outcome::Failed => Rejection::NoResponse.into_response(),
-        }
-    }
-
-    /// Beyond the tenant's limit, or without capacity: neither has run.
-    fn rejected(&self, tenant: TenantId, retry_after_ms: f64) -> Rejection {
-        let quotas = &self.resources.quotas;
-        let is_starting_up = quotas.now() < STARTING_UP_MS;
-        let retry_after_ms =
-            if is_starting_up { retry_after_ms.min(STARTING_UP_RETRY_AFTER_MS) } else { retry_after_ms };
-        if quotas.is_exhausted(tenant) {
-            Rejection::QuotaExhausted { retry_after_ms }
-        } else {
-            Rejection::NoCapacity { retry_after_ms }
-        }
-    }
 }
 
 /// The request as it goes on to a backend.
@@ -104,12 +74,3 @@
     let uri = head.uri.path_and_query().and_then(|target| target.as_str().parse().ok());
     Message { method: head.method, uri: uri.unwrap_or_default(), headers, body }
 }
-
-/// A backend's response as it goes on to the client.
-fn forward(response: Response<Answer>) -> Response<Answer> {
-    let (head, body) = response.into_parts();
-    let mut response = Response::new(body);
-    *response.status_mut() = head.status;
-    *response.headers_mut() = pass_on(head.headers, &GATEWAY_HEADERS, &PROTECTED_HEADERS);
-    response
-}
--- a/crates/brassport-data-plane/src/downstream/mod.rs
+++ b/crates/brassport-data-plane/src/downstream/mod.rs
@@ -13,6 +13,7 @@
 mod authorize;
 mod body;
 mod rejection;
+mod response;
 mod route;
 mod server;
 
@@ -66,7 +67,7 @@
             Ok(admitted) => self.response(admitted).await,
             Err(rejection) => rejection.into_response(),
         };
-        // The rest of the request may still come: what follows on the connection could not be told from it.
+        // The rest of the request may still come: what follows on the connection could not be distinguished from it.
         if progress.is_none_or(|progress| progress.whole().is_some()) {
             Ok(response)
         } else {
--- a/crates/brassport-data-plane/src/policy_settings.rs
+++ b/crates/brassport-data-plane/src/policy_settings.rs
@@ -4,7 +4,7 @@
 use brassport_policy::{Class, Effect, Plan, Settings, Tuning};
 use std::collections::HashMap;
 
-/// The longest slow start of a backend, in milliseconds; it begins at [`SLOW_START_FROM`] of the capacity.
+/// The longest slow start of a backend, in milliseconds; it begins at half of the capacity.
 pub const MAX_SLOW_START_MS: f64 = 3_000.0;
 const SLOW_START_FROM: f64 = 0.5;
 /// Longest advice on waiting, in milliseconds.
--- a/crates/brassport-data-plane/src/tenant_quotas.rs
+++ b/crates/brassport-data-plane/src/tenant_quotas.rs
@@ -73,7 +73,7 @@
         limit.rate_per_s > 0.0 && (is_near || borrower.refused_lately(now, tenant))
     }
 
-    /// Whether some tenant has little left here: the lender is to be asked without delay.
+    /// Whether some tenant has little left here: its usage is to be reported without delay.
     pub fn is_urgent(&self) -> bool {
         self.borrower.borrow().is_urgent()
     }
--- a/crates/brassport-gateway/src/command/verbs.rs
+++ b/crates/brassport-gateway/src/command/verbs.rs
@@ -19,7 +19,7 @@
     Json,
 }
 
-/// `run`: a node, until it is asked to end.
+/// `run`: a node, until SIGTERM.
 pub(super) fn run(metrics_port: Option<u16>) -> miette::Result<()> {
     logging::init()?;
     let file = file_from_environment()?;
--- a/crates/brassport-gateway/src/lib.rs
+++ b/crates/brassport-gateway/src/lib.rs
@@ -1,5 +1,5 @@
 //! The gateway's program: it reads its settings, opens what a node owns, and runs the node's event loop until the process
-//! is asked to end.
+//! is terminated.
 //!
 //! - [`command`]: the command line, one function a verb;
 //! - [`settings`]: the settings file, read and checked;
--- a/crates/brassport-gateway/src/listeners/mod.rs
+++ b/crates/brassport-gateway/src/listeners/mod.rs
@@ -67,7 +67,7 @@
     let mut builder = http1::Builder::new();
     builder.max_buf_size(READ_BUFFER_BYTES).auto_date_header(false);
     builder.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT);
-    // A client that breaks off has nobody to be told of it.
+    // An error is the client's: it has left, or sent what is no HTTP.
     let _ = builder.serve_connection(TokioIo::new(stream), service).await;
 }
 
--- a/crates/brassport-gateway/src/node/mod.rs
+++ b/crates/brassport-gateway/src/node/mod.rs
@@ -39,7 +39,7 @@
     pub metrics_port: Option<u16>,
 }
 
-/// Runs a node on this thread until it is asked to end (SIGTERM) and has ended gracefully.
+/// Runs a node on this thread until SIGTERM has shut it down gracefully.
 ///
 /// # Errors
 /// It can't start.
--- a/crates/brassport-gateway/src/node/shutdown.rs
+++ b/crates/brassport-gateway/src/node/shutdown.rs
@@ -52,7 +52,7 @@
 pub enum Step {
     /// Nothing until the next event.
     Wait,
-    /// Accept no more connections, then ask again.
+    /// Accept no more connections, then call [`GracefulShutdown::step`] again.
     CloseListeners,
     /// End the process: all is done.
     Exit,
@@ -61,7 +61,7 @@
 }
 
 impl GracefulShutdown {
-    /// One that has not started, with a grace period in seconds (held to 0.5 to 600).
+    /// One that has not started, with a grace period in seconds (clamped to 0.5 to 600).
     pub fn new(grace_s: f64) -> GracefulShutdown {
         let grace = Duration::from_secs_f64(grace_s.clamp(MIN_GRACE_S, MAX_GRACE_S));
         GracefulShutdown { grace, state: State::Serving }
