--- a/crates/brassport-config-store/tests/common/mod.rs
+++ b/crates/brassport-config-store/tests/common/mod.rs
@@ -438,7 +438,11 @@
         }
         let number = 1 << 60;
         if let Some(replica) = &mut self.machines[leader].replica {
-            let actions = replica.submit(now, number, Command::ChangeVoters { voters, quota_shares: state.quota_shares });
+            let actions = replica.submit(
+                now,
+                number,
+                Command::ChangeVoters { voters, quota_shares: state.quota_shares },
+            );
             self.carry_out(leader, actions);
         }
     }
@@ -656,7 +660,11 @@
     });
     let heartbeat = heartbeat.expect("it asks the others");
     let unsure = answers(&asked);
-    let sure = answers(&replica.step(305, id(1), Message::HeartbeatResponse { term, index: LogIndex(1), heartbeat }));
+    let sure = answers(&replica.step(
+        305,
+        id(1),
+        Message::HeartbeatResponse { term, index: LogIndex(1), heartbeat },
+    ));
     [early, held, unsure, sure]
 }
 
--- a/crates/brassport-gateway/src/store_thread.rs
+++ b/crates/brassport-gateway/src/store_thread.rs
@@ -111,7 +111,7 @@
             // Once at each change: a full disk fails every record.
             match &result {
                 Err(error) if !is_failing => {
-                    log::error!("store write failed error={error:?}", error = error.to_string())
+                    log::error!("store write failed error={error:?}", error = error.to_string());
                 }
                 Ok(()) if is_failing => log::warn!("store write recovered"),
                 _ => {}
