--- a/crates/brassport-quota/tests/advice.rs
+++ b/crates/brassport-quota/tests/advice.rs
@@ -1,13 +1,13 @@
 //! What a door advises those whom it refuses: each to come later than the one before, so that they don't all come at once.
 
-use brassport_quota::{Borrower, RateLimit};
+use brassport_quota::{Borrower, RateLimit, TenantId};
 
 const LIMIT: RateLimit = RateLimit { rate_per_s: 100.0, burst: 50.0 };
 const SLOTS: u32 = 10;
 
 /// What so many requests at one moment are advised, those that pass left out.
 fn advice(door: &mut Borrower, now: u64, count: usize) -> Vec<u64> {
-    (0..count).filter_map(|_| door.take(now, 7, LIMIT, SLOTS).err()).collect()
+    (0..count).filter_map(|_| door.take(now, TenantId(7), LIMIT, SLOTS).err()).collect()
 }
 
 #[test]
--- a/crates/brassport-quota/tests/common/mod.rs
+++ b/crates/brassport-quota/tests/common/mod.rs
@@ -2,12 +2,13 @@
 //! does not know it for a while, tenants that send many times their usual on some doors or on all. All runs that pass a door
 //! are judged by the rule: in no window of five seconds more than the limit, its slack included.
 
-use brassport_quota::{Borrower, Lender, QuotaGrant, RateLimit, UsageReport};
+use brassport_quota::{Borrower, Incarnation, Lender, QuotaGrant, RateLimit, TenantId, Term, UsageReport};
+use brassport_types::DiskId;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-const TENANT: u32 = 7;
+const TENANT: TenantId = TenantId(7);
 const WINDOW: u64 = 5_000;
 const LONG: u64 = 30_000;
 /// A lender that no majority answers lends on for so long at the most, and no other begins sooner.
@@ -17,8 +18,8 @@
 enum Step {
     Request(usize),
     Report(usize),
-    Used(usize, usize, u64, u32, Vec<UsageReport>),
-    Lent(usize, u64, (u64, u64), u32, Vec<QuotaGrant>),
+    Used(usize, usize, Incarnation, u32, Vec<UsageReport>),
+    Lent(usize, Incarnation, Term, u32, Vec<QuotaGrant>),
     Fault,
 }
 
@@ -27,7 +28,7 @@
     rng: Rand64,
     queue: BTreeMap<(u64, u64), Step>,
     last: u64,
-    doors: Vec<(Borrower, u64)>,
+    doors: Vec<(Borrower, Incarnation)>,
     /// Each lender, its epoch, and until when it lends.
     lenders: Vec<(Lender, u64, u64)>,
     cut: Vec<bool>,
@@ -59,7 +60,7 @@
         rng,
         queue: BTreeMap::new(),
         last: 0,
-        doors: (0..doors).map(|door| (Borrower::default(), door as u64)).collect(),
+        doors: (0..doors).map(|door| (Borrower::default(), Incarnation(door as u64))).collect(),
         lenders: vec![(Lender::default(), 1, u64::MAX)],
         cut: vec![false; doors],
         limit,
@@ -116,7 +117,7 @@
                 if now < *until {
                     let ip = Ipv4Addr::from(door as u32 + 1);
                     let loans = lender.lend(now, (ip, life), &used, |_| Some(limit));
-                    let epoch = (*epoch, 0);
+                    let epoch = Term::new(*epoch, DiskId::NONE);
                     let wait = 1 + self.draw(8);
                     if self.draw(20) == 0 {
                         // An answer that comes twice.
@@ -130,7 +131,7 @@
             Step::Lent(door, life, epoch, number, loans) => {
                 let (borrower, own) = &mut self.doors[door];
                 if *own == life {
-                    borrower.lent(now, epoch, number, &loans);
+                    borrower.apply_grants(now, epoch, number, &loans);
                 }
             }
             Step::Fault => {
@@ -163,7 +164,7 @@
                 // All at once, the lender too.
                 let now = self.now;
                 for (borrower, life) in &mut self.doors {
-                    (*borrower, *life) = (Borrower::default(), *life + 1_000);
+                    (*borrower, *life) = (Borrower::default(), Incarnation(life.0 + 1_000));
                 }
                 let (_, epoch, until) = self.lenders.last_mut().expect("there is one");
                 *until = now;
@@ -174,7 +175,7 @@
             }
             0 => {
                 // Another life: what it held is gone, and it has its base again.
-                let life = self.doors[door].1 + 1_000;
+                let life = Incarnation(self.doors[door].1 .0 + 1_000);
                 self.doors[door] = (Borrower::default(), life);
             }
             1 => self.cut[door] = true,
--- a/crates/brassport-quota/tests/golden.rs
+++ b/crates/brassport-quota/tests/golden.rs
@@ -6,7 +6,8 @@
 #[path = "../../brassport-transport/tests/common/hex.rs"]
 mod hex;
 
-use brassport_quota::{tenant_id, Borrower, Lender, Limit, Loan, Use};
+use brassport_quota::{Borrower, Incarnation, Lender, QuotaGrant, RateLimit, TenantId, Term, UsageReport};
+use brassport_types::DiskId;
 use hex::hex;
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
@@ -21,13 +22,21 @@
     (name.to_owned(), hex(&bytes))
 }
 
+fn usage(tenant: TenantId, offered: u64, sent: u64, wanted: u16) -> UsageReport {
+    UsageReport { tenant, offered, sent, wanted }
+}
+
+fn grant(tenant: TenantId, requests: u16, sent_by_all: u32) -> QuotaGrant {
+    QuotaGrant { tenant, requests, sent_by_all }
+}
+
 #[test]
 fn counts_and_loans_have_their_bytes() {
     let cases = [
-        encoded("use", &Use(0x811c_9dc5, 100_000, 99_000, 12)),
-        encoded("largest use", &Use(u32::MAX, u64::MAX, u64::MAX, u16::MAX)),
-        encoded("loan", &Loan(0x811c_9dc5, 12, 250)),
-        encoded("largest loan", &Loan(u32::MAX, u16::MAX, u32::MAX)),
+        encoded("use", &usage(TenantId(0x811c_9dc5), 100_000, 99_000, 12)),
+        encoded("largest use", &usage(TenantId(u32::MAX), u64::MAX, u64::MAX, u16::MAX)),
+        encoded("loan", &grant(TenantId(0x811c_9dc5), 12, 250)),
+        encoded("largest loan", &grant(TenantId(u32::MAX), u16::MAX, u32::MAX)),
     ];
     fixture::check(PACKAGE, "messages", &cases);
 }
@@ -36,14 +45,14 @@
 #[test]
 fn tenants_have_their_hashes() {
     let names = ["", "a", "acme", "Acme", "öl", "a name of some length, with spaces"];
-    let cases = names.map(|name| (name.to_owned(), format!("{:08x}", tenant_id(name))));
+    let cases = names.map(|name| (name.to_owned(), format!("{:08x}", TenantId::of_name(name).0)));
     fixture::check(PACKAGE, "tenants", &cases);
 }
 
 /// What a door reports and is lent upon it, by the same steps.
 #[test]
 fn a_report_and_its_loans_have_their_bytes() {
-    let (tenant, limit) = (tenant_id("acme"), Limit { rate: 100.0, burst: 100.0 });
+    let (tenant, limit) = (TenantId::of_name("acme"), RateLimit { rate_per_s: 100.0, burst: 100.0 });
     let (mut door, mut lender) = (Borrower::default(), Lender::default());
     lender.begin(0);
     let mut cases = Vec::new();
@@ -54,8 +63,8 @@
             let _ = door.take(now, tenant, limit, 4);
         }
         let (number, used) = door.report(now);
-        let loans = lender.lend(now, ([10, 0, 0, 1].into(), 1), &used, |_| Some(limit));
-        door.lent(now, (1, 1), number, &loans);
+        let loans = lender.lend(now, ([10, 0, 0, 1].into(), Incarnation(1)), &used, |_| Some(limit));
+        door.apply_grants(now, Term::new(1, DiskId(1)), number, &loans);
         cases.push(encoded(&format!("report {step}"), &used));
         cases.push(encoded(&format!("loans {step}"), &loans));
     }
--- a/crates/brassport-transport/tests/golden.rs
+++ b/crates/brassport-transport/tests/golden.rs
@@ -8,7 +8,8 @@
 
 use brassport_transport::frame;
 use brassport_transport::links::Links;
-use brassport_transport::views::{Aged, Member, Views};
+use brassport_transport::peer_sampling::{AgedRecord, PartialView, PeerRecord};
+use brassport_types::{DiskId, Incarnation};
 use hex::hex;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::BTreeMap;
@@ -31,38 +32,38 @@
     (name.to_owned(), hex(&bytes))
 }
 
-fn member(number: u8) -> Member {
+fn member(number: u8) -> PeerRecord {
     let zone = format!("zone-{number}");
-    Member {
+    PeerRecord {
         ip: [10, 0, 0, number].into(),
-        life: u64::MAX,
+        incarnation: Incarnation(u64::MAX),
         zone,
-        disk: u64::from(number) - 1,
-        counted: number > 1,
+        disk: DiskId(u64::from(number) - 1),
+        is_core: number > 1,
     }
 }
 
 #[test]
 fn frames_have_their_bytes() {
-    let aged: Aged = (member(2), 8_999);
-    let mut views = Views::new(Ipv4Addr::new(10, 0, 0, 9), 5);
+    let aged = AgedRecord { peer: member(2), age_ms: 8_999 };
+    let mut views = PartialView::new(Ipv4Addr::new(10, 0, 0, 9), 5);
     for number in 1..4 {
-        views.hear(1_000, (member(number), 100));
+        views.merge(1_000, AgedRecord { peer: member(number), age_ms: 100 });
     }
-    let swapped = views.swap(1_250, member(1).ip);
+    let swapped = views.sample_for_exchange(1_250, member(1).ip);
     assert_eq!(swapped.len(), 2);
     let cases = [
         framed("member without a disk", &member(1)),
         framed("member with a disk", &member(2)),
         framed("aged", &aged),
         framed("swapped", &swapped),
-        framed("nothing", &None::<Aged>),
+        framed("nothing", &None::<AgedRecord>),
         framed("number", &u64::MAX),
         framed("text", &"zone-a".to_owned()),
     ];
     fixture::check(PACKAGE, "frames", &cases);
-    assert_eq!(frame::decode::<Member>(b"\x01"), None);
-    assert_eq!(frame::LIMIT, 16 << 20);
+    assert_eq!(frame::decode::<PeerRecord>(b"\x01"), None);
+    assert_eq!(frame::MAX_FRAME_BYTES, 16 << 20);
 }
 
 const DOOR: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 1);
