--- a/crates/brassport-quota/src/lender.rs
+++ b/crates/brassport-quota/src/lender.rs
@@ -1,113 +1,144 @@
-//! The lender's side: a store for each tenant, out of which doors get requests ahead, and the reading of each period.
+//! The lender's side: a bucket for each tenant, out of which nodes are granted requests ahead, and the reading of each
+//! meter period.
 
 use crate::mutants::{is_active, Mutant};
-use crate::{Incarnation, Millis, QuotaGrant, RateLimit, TenantId, UsageReport, LENT, PERIOD, STORE_DEPTH};
+use crate::token_bucket::TokenBucket;
+use crate::{Incarnation, Millis, QuotaGrant, RateLimit, TenantId, UsageReport, PERIOD};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// A door that was not heard for so long is none of those that are there.
-const LOST: Millis = 4_000;
-/// A new lender owes so many seconds of the rate: the last one may have lent until it was sure of itself no more, up to
-/// 600 ms behind the last word of a majority, and no new one comes sooner than 360 ms behind that.
-const TAKE_OVER: f64 = 0.3;
+/// A node without a report for so long is not counted as live.
+const NODE_TIMEOUT_MS: Millis = 4_000;
+/// A node without a report for so long is forgotten. Far behind the time-out: a node that is forgotten and comes back has
+/// its next counts left out of the reading.
+const NODE_EXPIRY_MS: Millis = 10 * NODE_TIMEOUT_MS;
+/// A new lender starts with a debt of so many seconds of the rate. The one before may have granted until its lease ran out,
+/// up to 600 ms after its last contact with a majority, and no new one begins sooner than 360 ms after that.
+const TAKEOVER_DEBT_S: f64 = 0.3;
 
+/// What a node reported.
 #[derive(Debug)]
-struct Door {
+struct Node {
     incarnation: Incarnation,
-    heard: Millis,
-    /// Requests of each tenant that it had sent on.
+    last_report: Millis,
+    /// Requests of each tenant that it had forwarded.
     sent: BTreeMap<TenantId, u64>,
 }
 
+impl Node {
+    fn new(now: Millis, incarnation: Incarnation) -> Node {
+        Node { incarnation, last_report: now, sent: BTreeMap::new() }
+    }
+
+    /// Notes that a report came. Another incarnation counts from zero.
+    fn refresh(&mut self, now: Millis, incarnation: Incarnation) {
+        if self.incarnation != incarnation {
+            *self = Node::new(now, incarnation);
+        }
+        self.last_report = now;
+    }
+
+    /// Requests of a tenant that the node forwarded since its report before.
+    fn sent_since_last(&mut self, usage: &UsageReport) -> u32 {
+        let before = std::mem::replace(self.sent.entry(usage.tenant).or_default(), usage.sent);
+        usage.sent.saturating_sub(before) as u32
+    }
+}
+
+/// What the lender has of one tenant.
 #[derive(Debug)]
-struct Tenant {
-    /// Requests that may be lent now.
-    store: f64,
-    filled: Millis,
-    /// Sent in the period that runs, and in the last whole one.
-    now_sent: u32,
-    sent: u32,
+struct TenantBudget {
+    bucket: TokenBucket,
+    sent_this_period: u32,
+    sent_last_period: u32,
 }
 
-/// What the holder of the duty counts and lends.
+impl TenantBudget {
+    fn new(lending_since: Millis, limit: &RateLimit) -> TenantBudget {
+        let tokens = if is_active(Mutant::FullBucketAtTakeover) {
+            limit.lent_depth()
+        } else {
+            limit.lent_debt(TAKEOVER_DEBT_S)
+        };
+        let bucket = TokenBucket::new(tokens, lending_since);
+        TenantBudget { bucket, sent_this_period: 0, sent_last_period: 0 }
+    }
+
+    /// Grants as many of the wanted requests as the bucket has.
+    fn grant(&mut self, now: Millis, wanted: u16, limit: &RateLimit) -> u16 {
+        self.bucket.refill(now, limit.lent_rate_per_s(), limit.lent_depth());
+        let granted = self.bucket.available(f64::from(wanted));
+        self.bucket.debit(if is_active(Mutant::GrantsNotDebited) { 0.0 } else { granted });
+        granted as u16
+    }
+
+    fn end_period(&mut self) {
+        (self.sent_last_period, self.sent_this_period) = (self.sent_this_period, 0);
+    }
+}
+
+/// What the owner of the lender's role counts and grants. Before [`Lender::begin`] and after [`Lender::end`] it grants
+/// nothing.
 #[derive(Debug, Default)]
 pub struct Lender {
-    since: Option<Millis>,
-    doors: BTreeMap<Ipv4Addr, Door>,
-    tenants: BTreeMap<TenantId, Tenant>,
-    period: Millis,
+    lending_since: Option<Millis>,
+    nodes: BTreeMap<Ipv4Addr, Node>,
+    tenants: BTreeMap<TenantId, TenantBudget>,
+    period_start: Millis,
 }
 
 impl Lender {
-    /// Begins to lend; what an earlier lender lent is out.
+    /// Begins to lend, with nothing known of what the lender before granted.
     pub fn begin(&mut self, now: Millis) {
-        *self = Lender { since: Some(now), period: now, ..Lender::default() };
+        *self = Lender { lending_since: Some(now), period_start: now, ..Lender::default() };
     }
 
-    /// Lends no more.
+    /// Lends no more, and forgets all.
     pub fn end(&mut self) {
         *self = Lender::default();
     }
 
-    /// Doors that were heard lately.
+    /// How many nodes have reported lately.
     pub fn doors(&self, now: Millis) -> usize {
-        self.doors.values().filter(|door| now < door.heard + LOST).count()
+        self.nodes.values().filter(|node| now < node.last_report + NODE_TIMEOUT_MS).count()
     }
 
-    /// Takes in a door's report and says what it may have ahead.
+    /// Counts the usage that a node reports, and grants it what it wants as far as the limits allow.
+    ///
+    /// Tenants without a limit get no grant. Not lending, it answers nothing.
     pub fn lend(
         &mut self,
         now: Millis,
         (ip, incarnation): (Ipv4Addr, Incarnation),
-        used: &[UsageReport],
+        usage: &[UsageReport],
         limit: impl Fn(TenantId) -> Option<RateLimit>,
     ) -> Vec<QuotaGrant> {
-        let Some(since) = self.since else { return Vec::new() };
-        self.roll(now);
-        // Of a door that was not known what it did before is not of this period.
-        let is_new = !self.doors.contains_key(&ip);
-        let door =
-            self.doors.entry(ip).or_insert_with(|| Door { incarnation, heard: now, sent: BTreeMap::new() });
-        if door.incarnation != incarnation {
-            (door.incarnation, door.sent) = (incarnation, BTreeMap::new());
+        let Some(lending_since) = self.lending_since else { return Vec::new() };
+        self.end_period_if_over(now);
+        // What an unknown node counted before belongs to no period of this lender.
+        let is_first_report = !self.nodes.contains_key(&ip);
+        let node = self.nodes.entry(ip).or_insert_with(|| Node::new(now, incarnation));
+        node.refresh(now, incarnation);
+        let mut grants = Vec::with_capacity(usage.len());
+        for report in usage {
+            let Some(limit) = limit(report.tenant).filter(RateLimit::is_limited) else { continue };
+            let sent = node.sent_since_last(report);
+            let budget = self.tenants.entry(report.tenant);
+            let budget = budget.or_insert_with(|| TenantBudget::new(lending_since, &limit));
+            budget.sent_this_period += if is_first_report { 0 } else { sent };
+            let requests = budget.grant(now, report.wanted, &limit);
+            grants.push(QuotaGrant { tenant: report.tenant, requests, sent_by_all: budget.sent_last_period });
         }
-        door.heard = now;
-        let mut loans = Vec::with_capacity(used.len());
-        for told in used {
-            let Some(limit) = limit(told.tenant).filter(|limit| limit.rate_per_s > 0.0) else { continue };
-            let before = std::mem::replace(door.sent.entry(told.tenant).or_default(), told.sent);
-            let sent = told.sent.saturating_sub(before) as u32;
-            let tenant = self.tenants.entry(told.tenant).or_insert_with(|| Tenant {
-                store: if is_active(Mutant::FullStore) {
-                    STORE_DEPTH * limit.depth()
-                } else {
-                    -TAKE_OVER * LENT * limit.rate_per_s
-                },
-                filled: since,
-                now_sent: 0,
-                sent: 0,
-            });
-            tenant.now_sent += if is_new { 0 } else { sent };
-            let seconds = now.saturating_sub(tenant.filled) as f64 / 1000.0;
-            tenant.store =
-                (tenant.store + LENT * limit.rate_per_s * seconds).min(STORE_DEPTH * limit.depth());
-            tenant.filled = now;
-            let ahead = f64::from(told.wanted).min(tenant.store.floor()).max(0.0);
-            tenant.store -= if is_active(Mutant::LentTwice) { 0.0 } else { ahead };
-            loans.push(QuotaGrant { tenant: told.tenant, requests: ahead as u16, sent_by_all: tenant.sent });
-        }
-        loans
+        grants
     }
 
-    /// Ends the period that is over, and forgets doors that are gone for good.
-    fn roll(&mut self, now: Millis) {
-        if now < self.period + PERIOD {
+    /// Ends a meter period that is over, and forgets nodes that are gone for good.
+    fn end_period_if_over(&mut self, now: Millis) {
+        if now < self.period_start + PERIOD {
             return;
         }
-        self.period = now;
-        for tenant in self.tenants.values_mut() {
-            (tenant.sent, tenant.now_sent) = (tenant.now_sent, 0);
-        }
-        self.doors.retain(|_, door| now < door.heard + 10 * LOST);
+        self.period_start = now;
+        self.tenants.values_mut().for_each(TenantBudget::end_period);
+        self.nodes.retain(|_, node| now < node.last_report + NODE_EXPIRY_MS);
     }
 }
--- a/crates/brassport-quota/src/lib.rs
+++ b/crates/brassport-quota/src/lib.rs
@@ -1,124 +1,58 @@
-//! Shares of limits. What a tenant may make over all doors is cut in two. A base, of which each door holds an equal part
-//! for good. And a store at the holder of the duty ([`Lender`]), out of which a door ([`Borrower`]) gets a few requests
-//! ahead, by need. A door that hears nothing more has its base; what it got ahead it may use once, whenever that is. So
-//! all doors together never make more than the limit allows, whatever is cut off, killed or stands still: each part of
-//! what may be made at once is counted where it lies.
+//! Shares of tenants' rate limits, so that all nodes of a cluster together keep a limit without asking for each request.
 //!
-//! From the same counts the lender makes the reading of each meter period that the doors' coin is set by.
+//! A limit is divided in two. One part is the base: each node ([`Borrower`]) holds an equal share of it for good, in a token
+//! bucket of its own. The other part is refilled in a bucket at the owner of the lender's role ([`Lender`]), out of which
+//! nodes are granted a few requests ahead, by need. A node that loses contact has its base, and may spend what it was
+//! granted once, whenever that is. So all nodes together never exceed the limit's tolerance, whatever is partitioned, killed
+//! or suspended: each token is counted where it lies.
 //!
-//! No I/O; time is an argument.
+//! From the same reports the lender makes the reading of each meter period, by which nodes set the probability of admission.
+//!
+//! Not for I/O or clocks: messages are plain data that the host carries, and time is an argument. It decides neither who is
+//! the lender nor what is sent to a backend.
 //!
 //! ```
-//! use brassport_quota::{Borrower, RateLimit, TenantId};
-//! let mut door = Borrower::default();
+//! use brassport_quota::{Borrower, Incarnation, Lender, RateLimit, TenantId, Term};
+//!
+//! let tenant = TenantId::of_name("acme");
 //! let limit = RateLimit { rate_per_s: 100.0, burst: 100.0 };
-//! // Alone with nothing ahead, one of ten doors has its base.
-//! assert!(door.take(0, TenantId(7), limit, 10).is_ok());
+//! let (mut node, mut lender) = (Borrower::default(), Lender::default());
+//! lender.begin(0);
+//!
+//! // With nothing granted, one of ten nodes has its base.
+//! assert!(node.take(1_000, tenant, limit, 10).is_ok());
+//!
+//! // It reports, is granted what it wants, and spends that first.
+//! let (number, usage) = node.report(1_000);
+//! let from = ([10, 0, 0, 1].into(), Incarnation(1));
+//! let grants = lender.lend(1_002, from, &usage, |_| Some(limit));
+//! assert!(grants[0].requests > 0);
+//! node.apply_grants(1_004, Term::ZERO, number, &grants);
+//! for _ in 0..grants[0].requests {
+//!     assert!(node.take(1_005, tenant, limit, 10).is_ok());
+//! }
 //! ```
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
+mod account;
 mod borrower;
 mod lender;
+mod messages;
 pub mod mutants;
+mod rate_limit;
+mod retry_advice;
+mod token_bucket;
 
 pub use borrower::Borrower;
 pub use lender::Lender;
+pub use messages::{QuotaGrant, UsageReport};
+pub use rate_limit::RateLimit;
 
 pub use brassport_types::{Incarnation, Millis, TenantId, Term};
-use serde::{Deserialize, Serialize};
 
-/// Parts of a tenant's rate: what doors hold for good, and what the lender's store fills at. The rule allows a tenth above
-/// the limit, and what is held never lies quite where it is used.
-pub const BASE: f64 = 0.5;
-/// See [`BASE`].
-pub const LENT: f64 = 0.54;
-/// Parts of what may be made at once: in the doors' bases, in the lender's store, and ahead at the doors.
-pub(crate) const BASE_DEPTH: f64 = 0.33;
-pub(crate) const STORE_DEPTH: f64 = 0.3;
-pub(crate) const AHEAD_DEPTH: f64 = 0.3;
-/// What the rule allows at once beside the burst.
-const FREE: f64 = 16.0;
-/// An answer of the lender that takes longer is not taken.
-pub const PATIENCE: Millis = 900;
-/// A meter period.
+/// Grants that arrive this long after their report, or later, are ignored, in milliseconds. It bounds how long a grant
+/// may be under way: several periods of the reports, and longer than a lender without a majority goes on (600 ms).
+pub const GRANT_TIMEOUT_MS: Millis = 900;
+/// The meter period, in milliseconds: how often a reading is made.
 pub const PERIOD: Millis = 1_000;
-
-/// A tenant's limit over all doors.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RateLimit {
-    /// Requests a second; 0: no limit.
-    pub rate_per_s: f64,
-    /// On top of that, at once.
-    pub burst: f64,
-}
-
-impl RateLimit {
-    /// What may be made at once, beside the rate: the rule's own slack included.
-    pub(crate) fn depth(&self) -> f64 {
-        self.burst + FREE
-    }
-
-    /// What a door may hold of its base at once.
-    pub(crate) fn base_depth(&self, slots: u32) -> f64 {
-        (BASE_DEPTH * self.depth() / f64::from(slots.max(1))).max(1.0)
-    }
-
-    /// What a door may have ahead.
-    pub(crate) fn ahead(&self, slots: u32) -> f64 {
-        (AHEAD_DEPTH * self.depth() / f64::from(slots.max(1))).max(1.0)
-    }
-}
-
-/// A node's counts of one tenant since its start, and how many requests it asks to have granted ahead.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "UsageRow", into = "UsageRow")]
-pub struct UsageReport {
-    /// The tenant.
-    pub tenant: TenantId,
-    /// Requests that came.
-    pub offered: u64,
-    /// Requests that were forwarded.
-    pub sent: u64,
-    /// Requests that it wants granted ahead.
-    pub wanted: u16,
-}
-
-type UsageRow = (TenantId, u64, u64, u16);
-
-impl From<UsageRow> for UsageReport {
-    fn from((tenant, offered, sent, wanted): UsageRow) -> UsageReport {
-        UsageReport { tenant, offered, sent, wanted }
-    }
-}
-
-impl From<UsageReport> for UsageRow {
-    fn from(report: UsageReport) -> UsageRow {
-        (report.tenant, report.offered, report.sent, report.wanted)
-    }
-}
-
-/// Requests of a tenant's limit that a node is granted ahead, with the reading that goes along.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "GrantRow", into = "GrantRow")]
-pub struct QuotaGrant {
-    /// The tenant.
-    pub tenant: TenantId,
-    /// Requests granted.
-    pub requests: u16,
-    /// What all nodes together sent in the last complete meter period.
-    pub sent_by_all: u32,
-}
-
-type GrantRow = (TenantId, u16, u32);
-
-impl From<GrantRow> for QuotaGrant {
-    fn from((tenant, requests, sent_by_all): GrantRow) -> QuotaGrant {
-        QuotaGrant { tenant, requests, sent_by_all }
-    }
-}
-
-impl From<QuotaGrant> for GrantRow {
-    fn from(grant: QuotaGrant) -> GrantRow {
-        (grant.tenant, grant.requests, grant.sent_by_all)
-    }
-}
