--- a/crates/brassport-types/src/ids.rs
+++ b/crates/brassport-types/src/ids.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number that a voter's disk was given when it was empty. A disk that comes back empty gets another one, and is
-/// another voter: it has forgotten its promises.
+/// The identity of a voter's disk: a random number, assigned when the disk is initialized. A disk that comes back empty gets
+/// another one and is another voter, as what it promised is lost.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct DiskId(pub u64);
@@ -32,8 +32,8 @@
     }
 }
 
-/// One run of a process, from its start to its end: a random number drawn at the start, so that what an earlier run of the
-/// same machine said can be told from what this one says.
+/// One run of a process, from its start to its end: a random number drawn at the start, so that messages of an
+/// earlier run on the same machine are distinguished from those of this one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
--- a/crates/brassport-types/src/lib.rs
+++ b/crates/brassport-types/src/lib.rs
@@ -4,12 +4,12 @@
 //! Each is a newtype, so that one can't stand where another is meant, and each is encoded as the plain number (a [`Term`]
 //! as a row of two), because names of fields would weigh more on the wire than what they hold.
 //!
-//! It is not for types that a single package owns, and not for behaviour.
+//! Not for types that a single package owns, and not for behaviour.
 //!
 //! ```
 //! use brassport_types::{DiskId, LogIndex, Term};
-//! let older = Term { number: 3, disk: DiskId(9) };
-//! let newer = Term { number: 4, disk: DiskId(1) };
+//! let older = Term::new(3, DiskId(9));
+//! let newer = Term::new(4, DiskId(1));
 //! assert!(newer > older);
 //! assert_eq!(LogIndex(7) + 1, LogIndex(8));
 //! ```
--- a/crates/brassport-types/src/log_position.rs
+++ b/crates/brassport-types/src/log_position.rs
@@ -1,11 +1,11 @@
-//! Where an entry stands in the replicated log, and under whose leadership it came there.
+//! Positions in the replicated log, and terms of leadership.
 
 use crate::DiskId;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub};
 
-/// The place of an entry in the replicated log. The first entry has index 1; 0 stands before it.
+/// The position of an entry in the replicated log. The first entry has index 1; 0 stands before it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LogIndex(pub u64);
@@ -25,6 +25,10 @@
 impl Add<u64> for LogIndex {
     type Output = LogIndex;
 
+    /// The index so many entries later.
+    ///
+    /// # Panics
+    /// On overflow, where overflow checks are on.
     fn add(self, entries: u64) -> LogIndex {
         LogIndex(self.0 + entries)
     }
@@ -39,12 +43,17 @@
 impl Sub<LogIndex> for LogIndex {
     type Output = u64;
 
+    /// How many entries this index is ahead of another that is not behind it.
+    ///
+    /// # Panics
+    /// If the other is ahead, where overflow checks are on; see [`LogIndex::saturating_sub`].
     fn sub(self, other: LogIndex) -> u64 {
         self.0 - other.0
     }
 }
 
 impl fmt::Display for LogIndex {
+    /// The plain decimal number.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -62,7 +71,7 @@
 }
 
 impl Term {
-    /// Before any leader.
+    /// The term before any leader.
     pub const ZERO: Term = Term { number: 0, disk: DiskId::NONE };
 
     /// A term by its number and the candidate's disk.
--- a/crates/brassport-types/tests/it/ids.rs
+++ b/crates/brassport-types/tests/it/ids.rs
@@ -1,13 +1,8 @@
 //! Disks, incarnations and tenants.
 
+use crate::cbor;
 use brassport_types::{DiskId, Incarnation, TenantId};
 
-fn cbor(value: &impl serde::Serialize) -> Vec<u8> {
-    let mut bytes = Vec::new();
-    ciborium::into_writer(value, &mut bytes).expect("a vector takes all that is written to it");
-    bytes
-}
-
 #[test]
 fn identifiers_are_encoded_as_plain_numbers() {
     assert_eq!(cbor(&DiskId(77)), cbor(&77_u64));
@@ -24,7 +19,7 @@
 }
 
 #[test]
-fn a_machine_without_a_disk_is_told_by_its_disk_id() {
+fn a_machine_without_a_disk_has_the_disk_id_none() {
     assert!(DiskId::NONE.is_none());
     assert!(DiskId(1).is_some());
     assert_eq!(DiskId(0xab).to_string(), "00000000000000ab");
--- a/crates/brassport-types/tests/it/log_position.rs
+++ b/crates/brassport-types/tests/it/log_position.rs
@@ -1,13 +1,8 @@
 //! Terms and log indexes.
 
+use crate::cbor;
 use brassport_types::{DiskId, LogIndex, Term};
 
-fn cbor(value: &impl serde::Serialize) -> Vec<u8> {
-    let mut bytes = Vec::new();
-    ciborium::into_writer(value, &mut bytes).expect("a vector takes all that is written to it");
-    bytes
-}
-
 #[test]
 fn a_term_is_a_row_of_its_number_and_its_disk() {
     let term = Term::new(3, DiskId(900));
