--- a/crates/brassport-transport/src/links/mod.rs
+++ b/crates/brassport-transport/src/links/mod.rs
@@ -1,155 +1,134 @@
-//! Links to other machines: short frames as datagrams, long ones over a connection that is opened when it is needed.
+//! Links to other machines: short frames are datagrams (UDP), long ones go over a connection (TCP) that is opened on demand
+//! and is used in one direction. On a connection each frame comes behind its length, four bytes in network order.
 //!
-//! A frame that can't be sent is dropped. Every machine uses the same port.
+//! A frame that can't be sent is dropped. All machines use the same port.
+//!
+//! # Tasks and sockets
+//! [`Links`] owns every task and, by them, every socket:
+//!
+//! | task | socket | ends |
+//! | --- | --- | --- |
+//! | datagram receiver | shares the datagram socket with [`Links::send`] | at the first datagram for which nobody receives |
+//! | listener | the listening socket; its readers | with the links |
+//! | reader, one a connection that came in | that connection | at its end, a fault, an oversized length, 12 s without a frame, or when nobody receives |
+//! | writer, one a peer with long frames | the connection to that peer | 6 s without a frame; a failed write closes the connection, and the next frame opens another |
+//!
+//! When the links are dropped, all tasks are aborted; the sockets are closed when the `LocalSet` runs next or ends.
+
+mod listener;
+mod writer;
 
-use crate::frame::MAX_FRAME_BYTES;
 use std::cell::RefCell;
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
+use tokio::net::{TcpSocket, UdpSocket};
 use tokio::sync::mpsc;
-use tokio::task::spawn_local;
-use tokio::time::timeout;
+use tokio::task::JoinSet;
+use writer::{Queues, Writer};
 
-/// Most bytes of a frame that goes as a datagram: it fits into one packet.
-const DATAGRAM: usize = 1200;
-/// How long a connection may take to come up, and a frame to be taken.
-const CONNECT: Duration = Duration::from_millis(600);
-const WRITE: Duration = Duration::from_millis(2000);
-/// A connection without a frame for so long is closed.
-const IDLE: Duration = Duration::from_secs(6);
-/// Frames that wait for one machine's connection; what comes beyond that is dropped.
-const WAITING: usize = 64;
+/// Longest frame that goes as a datagram, in bytes: it fits into one packet of any usual network.
+const MAX_DATAGRAM_BYTES: usize = 1200;
+/// Room for a datagram that comes in, in bytes: the longest that IPv4 has.
+const DATAGRAM_BUFFER_BYTES: usize = 64 * 1024;
+/// Pause after a failed receive, so that a lasting fault does not busy the thread.
+const RECEIVE_BACKOFF: Duration = Duration::from_millis(5);
+/// A writer without a frame for so long closes its connection and ends.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Connections that the system keeps until they are accepted.
+const LISTEN_BACKLOG: u32 = 256;
 
-/// What came: the bytes of a frame.
+/// Where the bytes of frames that came in are sent to.
 pub type Inbound = mpsc::UnboundedSender<Vec<u8>>;
 
-/// All links of this machine.
-pub struct Links {
-    me: Ipv4Addr,
+/// This machine's address, and how others are reached.
+struct Addresses {
+    local: Ipv4Addr,
     port: u16,
-    /// Machines that are reached at another address than their own.
     reached_at: BTreeMap<Ipv4Addr, Ipv4Addr>,
-    datagrams: UdpSocket,
-    writers: RefCell<HashMap<Ipv4Addr, mpsc::Sender<Vec<u8>>>>,
+}
+
+impl Addresses {
+    fn of(&self, peer: Ipv4Addr) -> SocketAddrV4 {
+        SocketAddrV4::new(self.reached_at.get(&peer).copied().unwrap_or(peer), self.port)
+    }
+}
+
+/// All links of this machine. It is the one owner of their tasks and sockets (see the [module](self)).
+pub struct Links {
+    addresses: Rc<Addresses>,
+    datagrams: Rc<UdpSocket>,
+    queues: Rc<Queues>,
+    tasks: RefCell<JoinSet<()>>,
 }
 
 impl Links {
-    /// Opens the links at this machine's address; what comes goes to `inbound`. Machines in `reached_at` are reached at the
-    /// address that stands there.
+    /// Opens the links at this machine's address and port. Frames that come go to `inbound`. Machines in `reached_at` are
+    /// reached at the address that stands there in place of their own.
     ///
     /// # Errors
-    /// The port is not to be had.
+    /// The address and port can't be bound, for datagrams or for connections.
+    ///
+    /// # Panics
+    /// If it is called outside of a [`tokio::task::LocalSet`].
     pub async fn open(
         me: Ipv4Addr,
         port: u16,
         reached_at: BTreeMap<Ipv4Addr, Ipv4Addr>,
         inbound: Inbound,
     ) -> io::Result<Rc<Links>> {
+        let addresses = Rc::new(Addresses { local: me, port, reached_at });
         let at = SocketAddrV4::new(me, port);
-        let datagrams = UdpSocket::bind(at).await?;
+        let datagrams = Rc::new(UdpSocket::bind(at).await?);
         let socket = TcpSocket::new_v4()?;
+        // A process that starts anew must get its port while connections of the one before linger.
         socket.set_reuseaddr(true)?;
         socket.bind(at.into())?;
-        let listener = socket.listen(256)?;
-        let links = Rc::new(Links { me, port, reached_at, datagrams, writers: RefCell::default() });
-        spawn_local(accept(listener, inbound.clone()));
-        spawn_local(receive(links.clone(), inbound));
-        Ok(links)
-    }
-
-    fn address(&self, to: Ipv4Addr) -> SocketAddrV4 {
-        SocketAddrV4::new(self.reached_at.get(&to).copied().unwrap_or(to), self.port)
+        let listener = socket.listen(LISTEN_BACKLOG)?;
+        let mut tasks = JoinSet::new();
+        tasks.spawn_local(listener::accept(listener, inbound.clone()));
+        tasks.spawn_local(receive_datagrams(datagrams.clone(), inbound));
+        Ok(Rc::new(Links { addresses, datagrams, queues: Rc::default(), tasks: RefCell::new(tasks) }))
     }
 
-    /// Sends a frame.
+    /// Sends a frame, or drops it: if the system takes no datagram now, or too many frames wait for the peer's connection.
+    ///
+    /// # Panics
+    /// If it is called outside of a [`tokio::task::LocalSet`].
     pub fn send(self: &Rc<Self>, to: Ipv4Addr, frame: Vec<u8>) {
-        if frame.len() <= DATAGRAM {
+        if frame.len() <= MAX_DATAGRAM_BYTES {
             // A datagram may be lost anyway.
-            let _ = self.datagrams.try_send_to(&frame, self.address(to).into());
+            let _ = self.datagrams.try_send_to(&frame, self.addresses.of(to).into());
             return;
         }
-        let mut writers = self.writers.borrow_mut();
-        let writer = writers.entry(to).or_insert_with(|| {
-            let (writer, frames) = mpsc::channel(WAITING);
-            spawn_local(write(self.clone(), to, frames));
-            writer
-        });
-        if let Err(mpsc::error::TrySendError::Full(_)) = writer.try_send(frame) {
-            log::debug!("link to {to}: too much waits, a frame is dropped");
+        let queue = self.queues.get_or_insert(to, |frames| self.spawn_writer(to, frames));
+        if let Err(mpsc::error::TrySendError::Full(_)) = queue.try_send(frame) {
+            log::debug!("frame dropped, the link's queue is full: peer={to}");
         }
     }
-}
 
-/// Writes one machine's long frames until there are none for a while.
-async fn write(links: Rc<Links>, to: Ipv4Addr, mut frames: mpsc::Receiver<Vec<u8>>) {
-    let mut stream: Option<TcpStream> = None;
-    while let Ok(Some(frame)) = timeout(IDLE, frames.recv()).await {
-        if stream.is_none() {
-            stream = timeout(CONNECT, connect(&links, to)).await.ok().and_then(Result::ok);
-        }
-        let Some(open) = &mut stream else { continue };
-        let sent = timeout(WRITE, async {
-            open.write_all(&(frame.len() as u32).to_be_bytes()).await?;
-            open.write_all(&frame).await
-        });
-        if !matches!(sent.await, Ok(Ok(()))) {
-            stream = None;
-        }
+    fn spawn_writer(&self, to: Ipv4Addr, frames: mpsc::Receiver<Vec<u8>>) {
+        let mut tasks = self.tasks.borrow_mut();
+        // Writers that ended stay in the set until they are joined.
+        while tasks.try_join_next().is_some() {}
+        let writer = Writer::new(to, self.addresses.clone());
+        tasks.spawn_local(writer.run(frames, self.queues.clone()));
     }
-    // Taken off while nothing waits: the next frame opens another.
-    links.writers.borrow_mut().remove(&to);
-}
-
-async fn connect(links: &Links, to: Ipv4Addr) -> io::Result<TcpStream> {
-    let socket = TcpSocket::new_v4()?;
-    socket.bind(SocketAddrV4::new(links.me, 0).into())?;
-    let stream = socket.connect(links.address(to).into()).await?;
-    stream.set_nodelay(true)?;
-    Ok(stream)
 }
 
-async fn receive(links: Rc<Links>, inbound: Inbound) {
-    let mut buffer = vec![0; 64 * 1024];
+async fn receive_datagrams(datagrams: Rc<UdpSocket>, inbound: Inbound) {
+    let mut buffer = vec![0; DATAGRAM_BUFFER_BYTES];
     loop {
-        match links.datagrams.recv_from(&mut buffer).await {
+        match datagrams.recv_from(&mut buffer).await {
             Ok((length, _)) => {
                 if inbound.send(buffer[..length].to_vec()).is_err() {
                     return;
                 }
             }
-            // An error of an earlier send is told here; the socket stands.
-            Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
-        }
-    }
-}
-
-async fn accept(listener: TcpListener, inbound: Inbound) {
-    loop {
-        match listener.accept().await {
-            Ok((stream, _)) => {
-                spawn_local(read(stream, inbound.clone()));
-            }
-            Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
-        }
-    }
-}
-
-async fn read(mut stream: TcpStream, inbound: Inbound) {
-    loop {
-        // Longer than the other side keeps an idle connection.
-        let Ok(Ok(length)) = timeout(2 * IDLE, stream.read_u32()).await else { return };
-        if length as usize > MAX_FRAME_BYTES {
-            return;
-        }
-        let mut frame = vec![0; length as usize];
-        match timeout(IDLE, stream.read_exact(&mut frame)).await {
-            Ok(Ok(_)) if inbound.send(frame).is_ok() => {}
-            _ => return,
+            // The system reports here that an earlier datagram found no receiver; the socket is sound.
+            Err(_) => tokio::time::sleep(RECEIVE_BACKOFF).await,
         }
     }
 }
