--- a/crates/brassport-quota/src/retry_advice.rs
+++ b/crates/brassport-quota/src/retry_advice.rs
@@ -4,7 +4,7 @@
 use crate::rate_limit::NodeShare;
 use crate::Millis;
 
-/// Longest advice where a lender answers: by then it has been asked for more and has answered.
+/// Longest advice where a lender answers: by then a request for more grants is answered.
 const WITH_LENDER_MS: Millis = 60;
 /// Longest advice where no lender was heard of late: another one must take over first.
 const WITHOUT_LENDER_MS: Millis = 450;
--- a/crates/brassport-quota/tests/it/borrower.rs
+++ b/crates/brassport-quota/tests/it/borrower.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_grant_counts_until_its_timeout_alone() {
+fn a_grant_later_than_its_timeout_is_ignored() {
     let (mut node, number) = exhausted(1_000);
     node.apply_grants(1_000 + GRANT_TIMEOUT_MS, TERM, number, &grant(2));
     assert_eq!(node.reading(1_000 + GRANT_TIMEOUT_MS, TENANT), None);
--- a/crates/brassport-quota/tests/it/bound.rs
+++ b/crates/brassport-quota/tests/it/bound.rs
@@ -1,4 +1,4 @@
-//! No window of time exceeds what the rule tolerates, and a tenant gets the most part of what its limit allows.
+//! No window of time exceeds what the rule tolerates, and a tenant gets the greater part of what its limit allows.
 
 use crate::cluster;
 
--- a/crates/brassport-quota/tests/it/retry_advice.rs
+++ b/crates/brassport-quota/tests/it/retry_advice.rs
@@ -1,6 +1,6 @@
 //! When rejected clients are advised to retry: each later than the one before, so that they don't return at one moment.
 
-use brassport_quota::{Borrower, RateLimit, TenantId};
+use brassport_quota::{Borrower, RateLimit, TenantId, Term};
 
 const LIMIT: RateLimit = RateLimit { rate_per_s: 100.0, burst: 50.0 };
 const QUOTA_SHARES: u32 = 10;
@@ -34,3 +34,22 @@
     let waits = advice(&mut node, 5_000, 20);
     assert!(waits.first().is_some_and(|first| *first <= 450), "{waits:?}");
 }
+
+#[test]
+fn the_first_rejected_client_waits_less_while_a_lender_answers() {
+    const NOW: u64 = 100_000;
+    // A share that takes far longer for one request than either advice.
+    let slow = RateLimit { rate_per_s: 1.0, burst: 0.0 };
+    let first_advice = |mut node: Borrower, now: u64| {
+        (0..10).find_map(|_| node.take(now, TenantId(7), slow, QUOTA_SHARES).err()).expect("a rejection")
+    };
+    assert_eq!(first_advice(Borrower::default(), NOW), 450);
+    let with_lender = |answered_at: u64| {
+        let mut node = Borrower::default();
+        let (number, _) = node.report(answered_at);
+        node.apply_grants(answered_at, Term::ZERO, number, &[]);
+        node
+    };
+    assert_eq!(first_advice(with_lender(NOW - 899), NOW), 60);
+    assert_eq!(first_advice(with_lender(NOW - 900), NOW), 450);
+}
