--- a/crates/brassport-lab/src/emulator/world.rs
+++ b/crates/brassport-lab/src/emulator/world.rs
@@ -144,18 +144,18 @@
 
 /// What a customer used, by periods of the meter.
 #[derive(Debug, Clone, Copy, Default)]
-struct UsageReport {
+struct Use {
     period: i64,
     units: f64,
     /// In the periods before, the last first.
     over: [f64; KEPT],
 }
 
-impl UsageReport {
+impl Use {
     fn turn(&mut self, period: i64) {
         while self.period < period {
             if self.period + (KEPT as i64) < period {
-                *self = UsageReport { period: period - KEPT as i64, ..UsageReport::default() };
+                *self = Use { period: period - KEPT as i64, ..Use::default() };
             }
             self.over.rotate_right(1);
             (self.over[0], self.units) = (self.units, 0.0);
@@ -205,7 +205,7 @@
     all: Vec<ServerEntry>,
     tries: Slab<Try>,
     next_id: u64,
-    meter: Vec<UsageReport>,
+    meter: Vec<Use>,
     struck: Vec<u32>,
     cold: BTreeMap<u32, ColdWindow>,
     /// Nodes that drain, and since when each front door knows.
@@ -263,7 +263,7 @@
             all: Vec::new(),
             tries: Slab::new(),
             next_id: 0,
-            meter: vec![UsageReport::default(); site.customers as usize],
+            meter: vec![Use::default(); site.customers as usize],
             struck: order[..struck].to_vec(),
             cold: BTreeMap::new(),
             told_drain: BTreeMap::new(),
@@ -779,7 +779,7 @@
 
     #[test]
     fn the_meter_tells_the_last_period_that_is_over_once_its_delay_has_passed() {
-        let mut used = UsageReport::default();
+        let mut used = Use::default();
         used.count(10.0, 1.0);
         used.count(490.0, 2.0);
         used.count(510.0, 5.0);
--- a/crates/brassport-lab/src/sockets/load.rs
+++ b/crates/brassport-lab/src/sockets/load.rs
@@ -36,7 +36,7 @@
     /// The front doors, in turn.
     pub doors: Vec<SocketAddr>,
     /// Requests a second, first tries only.
-    pub rate_per_s: f64,
+    pub rate: f64,
     /// How long.
     pub length: Duration,
     /// Of this, the first part is not measured.
