--- /dev/null
+++ b/crates/brassport-policy-stats/src/remote_usage.rs
@@ -0,0 +1,79 @@
+//! An estimate of other instances' usage, from readings of a shared meter.
+
+use crate::{ewma_update, Millis};
+use serde::{Deserialize, Serialize};
+
+/// Time constant of the decay of readings.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Decay {
+    /// Rate, units a second, at which the `units` arrive.
+    pub rate_per_s: f64,
+    /// Units after whose arrival a factor of 1/e of a reading is left; no less than so many readings' gaps.
+    pub units: f64,
+}
+
+/// Observed time and the usage in it.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct UsageWindow {
+    /// Observed time, in seconds.
+    pub seconds: f64,
+    /// Units sent to the back end.
+    pub sent: f64,
+    /// Units offered by clients.
+    pub offered: f64,
+}
+
+/// What other instances sent and were offered in the periods that readings cover; readings decay with age.
+#[derive(Debug, Clone, Serialize, Deserialize)]
+#[serde(rename = "Elsewhere")]
+pub struct RemoteUsage {
+    seconds: f64,
+    sent: f64,
+    offered: f64,
+    #[serde(rename = "at")]
+    updated_at: Option<Millis>,
+    #[serde(rename = "gap")]
+    reading_gap_s: f64,
+}
+
+impl RemoteUsage {
+    /// No reading yet; readings are expected so many seconds apart.
+    pub fn new(reading_gap_s: f64) -> RemoteUsage {
+        RemoteUsage { seconds: 0.0, sent: 0.0, offered: 0.0, updated_at: None, reading_gap_s }
+    }
+
+    /// Mean time between readings, in seconds.
+    pub fn reading_gap_s(&self) -> f64 {
+        self.reading_gap_s
+    }
+
+    fn remaining(&self, now: Millis, decay: Decay) -> f64 {
+        let time_constant_s = decay.units * (1.0 / decay.rate_per_s).max(self.reading_gap_s);
+        self.updated_at.map_or(0.0, |at| (-(now - at) / 1000.0 / time_constant_s).exp())
+    }
+
+    /// The readings so far, decayed up to `now`.
+    pub fn decayed(&self, now: Millis, decay: Decay) -> UsageWindow {
+        let left = self.remaining(now, decay);
+        UsageWindow { seconds: self.seconds * left, sent: self.sent * left, offered: self.offered * left }
+    }
+
+    /// The weight (0 to 1) of the readings in an estimate whose prior counts for `prior_units`.
+    pub fn confidence(&self, now: Millis, decay: Decay, prior_units: f64) -> f64 {
+        let seconds = self.decayed(now, decay).seconds;
+        seconds / (prior_units / decay.rate_per_s + seconds)
+    }
+
+    /// Adds a reading of other instances; `gap_weight` (0 to 1) is the weight of the time since the last reading in
+    /// the mean gap.
+    pub fn observe(&mut self, now: Millis, decay: Decay, reading: UsageWindow, gap_weight: f64) {
+        if let Some(at) = self.updated_at {
+            ewma_update(&mut self.reading_gap_s, (now - at) / 1000.0, gap_weight);
+        }
+        let past = self.decayed(now, decay);
+        self.updated_at = Some(now);
+        self.seconds = past.seconds + reading.seconds;
+        self.sent = (past.sent + reading.sent).max(0.0);
+        self.offered = (past.offered + reading.offered).max(0.0);
+    }
+}
--- a/crates/brassport-policy/src/admission.rs
+++ b/crates/brassport-policy/src/admission.rs
@@ -6,7 +6,8 @@
 
 use crate::interface::*;
 use brassport_policy_stats::{
-    chance_of, let_in, Elsewhere, Fading, Flow, History, MeterClock, Returns, Shared, Usual,
+    attempt_probability, eventually_admitted, BucketFlow, CustomerReading, Decay, ExponentialRate,
+    MeterClock, PlanUsage, RemoteUsage, RetryEstimator, SharedTokenBucket, UsageWindow, ValueHistory,
 };
 use serde::{Deserialize, Serialize};
 
@@ -45,9 +46,9 @@
 pub struct Admission {
     period: Millis,
     meter: MeterClock,
-    usual: Vec<Usual>,
+    usual: Vec<PlanUsage>,
     /// How many of those who are refused come again.
-    pub returns: Returns,
+    pub returns: RetryEstimator,
 }
 
 /// What is known of one customer's use of its quota.
@@ -56,14 +57,14 @@
     /// Gateways through which the customer comes.
     spread: f64,
     /// The global token bucket: settled up to where the meter has told, with own sends that it may tell of.
-    store: Shared,
+    store: SharedTokenBucket,
     chance: f64,
     chance_set: Millis,
-    chances: History,
+    chances: ValueHistory,
     /// Units of own requests.
-    heard: Fading,
+    heard: ExponentialRate,
     /// Evidence of the other gateways; readings come at first as an even share of the quota would bring them.
-    others: Elsewhere,
+    others: RemoteUsage,
     /// End of the last period that a reading told of.
     read: Millis,
 }
@@ -73,7 +74,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Terms<'a> {
     plan: &'a Plan,
-    usual: Usual,
+    usual: PlanUsage,
     fear: f64,
     again: f64,
     now: Millis,
@@ -81,13 +82,13 @@
 
 impl Admission {
     pub fn new(settings: &Settings) -> Admission {
-        let (period, usual) = (settings.meter_period, vec![Usual::new(CALM_USE); settings.plans.len()]);
-        Admission { period, meter: MeterClock::new(period), usual, returns: Returns::default() }
+        let (period, usual) = (settings.meter_period, vec![PlanUsage::new(CALM_USE); settings.plans.len()]);
+        Admission { period, meter: MeterClock::new(period), usual, returns: RetryEstimator::default() }
     }
 
     /// Goes on under other settings, of which there are no fewer plans.
     pub fn settle(&mut self, settings: &Settings) {
-        self.usual.resize(settings.plans.len(), Usual::new(CALM_USE));
+        self.usual.resize(settings.plans.len(), PlanUsage::new(CALM_USE));
         if self.period != settings.meter_period {
             (self.period, self.meter) = (settings.meter_period, MeterClock::new(settings.meter_period));
         }
@@ -102,23 +103,26 @@
             return 1.0;
         }
         // Not over less than what a rate is taken over: behind one gateway alone it would come out too low.
-        account.heard.go_on(now, plan.rate, (OWN_UNITS * account.spread).max(RATE_UNITS));
+        account.heard.decay_to(now, plan.rate, (OWN_UNITS * account.spread).max(RATE_UNITS));
         let terms = self.terms((plan, request.plan), at);
-        account.settle(terms, self.meter.reach());
+        account.settle(terms, self.meter.max_age());
         if now >= account.chance_set + self.period {
             account.set_chance(terms, self.period);
         }
         // Counted after the chance is set: that a request came says nothing of how many others did. A further
         // try says nothing at all: it often comes back to the gateway that refused the first.
         match request.repeat {
-            true => self.returns.come_again(),
+            true => self.returns.record_retry(),
             false => {
-                account.heard.amount += request.units;
-                self.usual[request.plan].came(let_in(account.chance, terms.again), SAMPLE / 3.0);
+                account.heard.add(request.units);
+                self.usual[request.plan]
+                    .record_arrival(eventually_admitted(account.chance, terms.again), SAMPLE / 3.0);
             }
         }
         // Guards against sends beyond the quota between two settings of the chance.
-        if account.store.content(now, account.flow(terms)) < account.unseen(terms, self.meter.delay()) {
+        if account.store.level_at(now, account.flow(terms))
+            < account.unseen(terms, self.meter.delay_periods())
+        {
             return CHANCE_FLOOR;
         }
         account.chance
@@ -136,49 +140,56 @@
             return;
         }
         let units = used * plan.rate * period / 1000.0;
-        self.meter.learn(now, units, account.store.sends());
-        let to = self.meter.told(now);
+        self.meter.observe(now, units, account.store.sends());
+        let to = self.meter.covered_until(now);
         if to <= account.read {
             return;
         }
         account.read = to;
         let terms = self.terms((plan, index), (1.0, now));
         let flow = account.flow(terms);
-        account.store.advance(to - period, flow);
-        account.store.read(to, used, flow);
+        account.store.settle_until(to - period, flow);
+        account.store.apply_reading(to, used, flow);
         let elsewhere = units - account.store.sends().between(to - period, to);
         // What is known of it rests on its readings by this part. What it was taken to offer:
-        let known = account.others.known(now, plan.rate, RATE_UNITS, PRIOR_UNITS);
+        let known = account.others.confidence(now, decay(plan), PRIOR_UNITS);
         let offers = account.elsewhere(terms).1 / plan.rate;
         // Other gateways that know no more of it let in as much of it as all do of those who come.
-        let own_part = let_in(account.chances.at(to - period / 2.0).unwrap_or(1.0), terms.again);
-        let part = terms.usual.part(own_part, known);
-        account.others.learn(
-            now,
-            (plan.rate, RATE_UNITS),
-            (period / 1000.0, elsewhere, elsewhere / part),
-            LEARN,
-        );
+        let own_part =
+            eventually_admitted(account.chances.value_at(to - period / 2.0).unwrap_or(1.0), terms.again);
+        let part = terms.usual.remote_admitted_fraction(own_part, known);
+        let reading = UsageWindow { seconds: period / 1000.0, sent: elsewhere, offered: elsewhere / part };
+        account.others.observe(now, decay(plan), reading, LEARN);
         // Own rate by own count: a reading comes here only for a period in which this gateway sent.
         let quotas = elsewhere / (plan.rate * period / 1000.0);
-        let own = account.heard.rate(RATE_UNITS / plan.rate) / plan.rate;
-        self.usual[index].learn((quotas, own, part), SAMPLE * (1.0 - known), offers);
+        let own = account.heard.per_second(RATE_UNITS / plan.rate) / plan.rate;
+        let reading = CustomerReading {
+            remote_sent: quotas,
+            local_offered: own,
+            admitted_fraction: part,
+            estimated_offered: offers,
+        };
+        self.usual[index].observe(reading, SAMPLE * (1.0 - known));
         account.set_chance(self.terms((plan, index), at), period);
     }
 }
 
+fn decay(plan: &Plan) -> Decay {
+    Decay { rate_per_s: plan.rate, units: RATE_UNITS }
+}
+
 impl Account {
     /// A customer that comes here first, to a gateway that has listened since it was `born`.
     pub fn new(plan: &Plan, spread: u32, born: Millis) -> Account {
         let (spread, never) = (f64::from(spread.max(1)), f64::MIN);
         Account {
             spread,
-            store: Shared::new(START_STORE * plan.burst, born),
+            store: SharedTokenBucket::new(START_STORE * plan.burst, born),
             chance: 1.0,
             chance_set: never,
-            chances: History::default(),
-            heard: Fading::new(born),
-            others: Elsewhere::new(spread / plan.rate.max(f64::MIN_POSITIVE)),
+            chances: ValueHistory::default(),
+            heard: ExponentialRate::new(born),
+            others: RemoteUsage::new(spread / plan.rate.max(f64::MIN_POSITIVE)),
             read: never,
         }
     }
@@ -187,7 +198,7 @@
     pub fn sent(&mut self, plan: &Plan, units: f64, now: Millis) {
         // Without a rate nothing reads these, and nothing would take them off again.
         if plan.rate > 0.0 {
-            self.store.sent(now, units);
+            self.store.record_send(now, units);
         }
     }
 
@@ -196,38 +207,43 @@
     fn elsewhere(&self, Terms { plan, usual, fear, now, .. }: Terms) -> (f64, f64) {
         let prior = PRIOR_UNITS / plan.rate;
         // One of n gateways sees one part in n of the time that all see together.
-        let own = self.heard.seconds / (self.spread - 1.0).max(f64::MIN_POSITIVE);
-        let (seconds, sent, offered) = self.others.still(now, plan.rate, RATE_UNITS);
-        let offers = PRIOR_UNITS * fear * usual.offered + offered + self.heard.amount;
+        let own = self.heard.seconds() / (self.spread - 1.0).max(f64::MIN_POSITIVE);
+        let UsageWindow { seconds, sent, offered } = self.others.decayed(now, decay(plan));
+        let offers = PRIOR_UNITS * fear * usual.offered + offered + self.heard.amount();
         ((PRIOR_UNITS * usual.sent + sent) / (prior + seconds), offers / (prior + seconds + own))
     }
 
     /// Units that other gateways have likely sent in a surge of which no reading tells yet: more, the more
     /// periods it takes until one tells.
     fn unseen(&self, Terms { plan, now, .. }: Terms, delay: f64) -> f64 {
-        SURGE * delay * (self.spread - 1.0) * self.store.beyond(now, plan.rate / self.spread)
+        SURGE * delay * (self.spread - 1.0) * self.store.sent_beyond(now, plan.rate / self.spread)
     }
 
     /// What flows in and out of the store: the quota, and what the others likely send.
-    fn flow(&self, terms: Terms) -> Flow {
-        Flow { rate: terms.plan.rate, elsewhere: self.elsewhere(terms).0, size: terms.plan.burst }
+    fn flow(&self, terms: Terms) -> BucketFlow {
+        BucketFlow {
+            rate_per_s: terms.plan.rate,
+            remote_per_s: self.elsewhere(terms).0,
+            capacity: terms.plan.burst,
+        }
     }
 
     /// Settles, and drops, what is too old for a reading to tell of.
     fn settle(&mut self, terms: Terms, reach: Millis) {
         let (keep, flow) = (terms.now - reach, self.flow(terms));
-        self.store.settle(keep, flow);
-        self.chances.drop_before(keep);
+        self.store.discard_before(keep, flow);
+        self.chances.discard_before(keep);
     }
 
     fn set_chance(&mut self, terms: Terms, period: Millis) {
         let (plan, now) = (terms.plan, terms.now);
-        let offered = self.heard.rate(RATE_UNITS / plan.rate) + self.elsewhere(terms).1;
+        let offered = self.heard.per_second(RATE_UNITS / plan.rate) + self.elsewhere(terms).1;
         // The store is let out over some readings, so that the coin, by worth, refuses before it is empty.
         let span = RELEASE * period / 1000.0;
-        let allowed = plan.rate + self.store.content(now, self.flow(terms)) / span.max(self.others.gap());
+        let allowed =
+            plan.rate + self.store.level_at(now, self.flow(terms)) / span.max(self.others.reading_gap_s());
         let part = if offered > allowed { allowed / offered } else { 1.0 };
-        (self.chance, self.chance_set) = (chance_of(part, terms.again).max(CHANCE_FLOOR), now);
-        self.chances.set(now, self.chance);
+        (self.chance, self.chance_set) = (attempt_probability(part, terms.again).max(CHANCE_FLOOR), now);
+        self.chances.record(now, self.chance);
     }
 }
--- a/crates/brassport-policy/src/ceilings.rs
+++ b/crates/brassport-policy/src/ceilings.rs
@@ -5,11 +5,11 @@
 
 /// This gateway's share of one customer's ceiling. It fills from birth on: an earlier life may have spent it.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Ceiling(brassport_policy_stats::Store);
+pub struct Ceiling(brassport_policy_stats::TokenBucket);
 
 impl Ceiling {
     pub fn new(born: Millis) -> Ceiling {
-        Ceiling(brassport_policy_stats::Store::empty(born))
+        Ceiling(brassport_policy_stats::TokenBucket::empty(born))
     }
 
     /// Takes a first attempt's units from the share, or tells how long to wait. Guards against shares below
@@ -26,7 +26,7 @@
         if f64::from(turn) >= holders || place >= set && holders < f64::from(set) {
             return Err(0.0);
         }
-        self.0.fill(now, plan.ceiling_rate / holders, store / holders);
-        self.0.take(request.units).then_some(()).ok_or(settings.max_retry_after)
+        self.0.refill(now, plan.ceiling_rate / holders, store / holders);
+        self.0.try_take(request.units).then_some(()).ok_or(settings.max_retry_after)
     }
 }
--- a/crates/brassport-policy/src/choice.rs
+++ b/crates/brassport-policy/src/choice.rs
@@ -4,7 +4,9 @@
 //! overlap: as many gateways share each server.
 
 use crate::interface::*;
-use brassport_policy_stats::{health, Agenda, Factor, InFlight, Members, Own, Ticket};
+use brassport_policy_stats::{
+    ejection_log_line, AttemptHandle, DecayingFactor, DueQueue, InFlight, TrustedKeyMap, WeightedRing,
+};
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -50,7 +52,7 @@
     out: VecDeque<Millis>,
     /// Time taken against the fleet's mean; it fades to that of the others, so that a server passed over is
     /// tried again.
-    slowness: Factor,
+    slowness: DecayingFactor,
     answered: Millis,
     strikes: u32,
     ejected_until: Millis,
@@ -89,15 +91,15 @@
 /// The servers.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Fleet {
-    pub(crate) servers: Own<ServerId, Server>,
+    pub(crate) servers: TrustedKeyMap<ServerId, Server>,
     /// Those that are ready and warm.
-    warm: Members,
+    warm: WeightedRing,
     /// Those that are ready and cold: how many, and the sum of the moments since when they are.
     cold: (usize, f64),
     /// When each cold one is warm, and at how many choices its next turn is looked at. Lines that its state
     /// does not bear out are old, and passed over.
-    warming: Agenda,
-    turns: Agenda,
+    warming: DueQueue,
+    turns: DueQueue,
     /// Choices so far, each in parts of the fleet's capacity.
     passed: f64,
     #[serde(skip)]
@@ -108,14 +110,14 @@
     /// No server yet; attempts in hand are counted by their age up to the aim of each class.
     pub fn new(classes: &[Class]) -> Fleet {
         let in_flight = InFlight::new(classes.iter().map(|class| class.aim));
-        let (warming, turns) = (Agenda::default(), Agenda::default());
-        let (servers, warm) = (Own::default(), Members::default());
+        let (warming, turns) = (DueQueue::default(), DueQueue::default());
+        let (servers, warm) = (TrustedKeyMap::default(), WeightedRing::default());
         Fleet { servers, warm, cold: (0, 0.0), warming, turns, passed: 0.0, in_flight }
     }
 
     /// Goes on under other settings. Cold servers may be warm sooner or later than they were to be.
     pub fn settle(&mut self, settings: &Settings) {
-        self.in_flight.set_spans(settings.classes.iter().map(|class| class.aim));
+        self.in_flight.set_windows(settings.classes.iter().map(|class| class.aim));
         for (id, server) in &self.servers {
             server.cold.iter().for_each(|cold| self.warming.push(cold.since + settings.cold_for, *id));
         }
@@ -128,7 +130,7 @@
 
     /// Servers that take requests.
     pub fn ready(&self) -> usize {
-        self.warm.row().len() + self.cold.0
+        self.warm.members().len() + self.cold.0
     }
 
     /// Own attempts in hand.
@@ -138,7 +140,7 @@
 
     /// Own attempts in hand that can still be in time for the class.
     pub fn young(&mut self, class: usize, now: Millis) -> f64 {
-        self.in_flight.within(class, now) as f64
+        self.in_flight.count_within(class, now) as f64
     }
 
     /// What a server is.
@@ -147,14 +149,14 @@
     }
 
     /// Notes that a server has all of an attempt. Returns what the attempt's end is told with.
-    pub fn begin(&mut self, now: Millis, at: ServerId) -> Ticket {
+    pub fn begin(&mut self, now: Millis, at: ServerId) -> AttemptHandle {
         self.servers.get_mut(&at).into_iter().for_each(|server| server.out.push_back(now));
-        self.in_flight.begin(now)
+        self.in_flight.start(now)
     }
 
     /// Notes the end of an attempt.
-    pub fn end(&mut self, id: ServerId, sent: Millis, ticket: Ticket) {
-        self.in_flight.end(ticket);
+    pub fn end(&mut self, id: ServerId, sent: Millis, ticket: AttemptHandle) {
+        self.in_flight.finish(ticket);
         let Some(server) = self.servers.get_mut(&id) else { return };
         let place = server.out.iter().position(|at| *at == sent);
         place.and_then(|place| server.out.remove(place));
@@ -167,7 +169,7 @@
     /// long its queue, only where most are cold. Guards against refusals by all when a part starts anew.
     pub fn is_telling(&self, id: ServerId) -> bool {
         let is_warm = |server: &Server| server.cold.is_none();
-        self.cold.0 > self.warm.row().len() || self.servers.get(&id).is_none_or(is_warm)
+        self.cold.0 > self.warm.members().len() || self.servers.get(&id).is_none_or(is_warm)
     }
 
     /// Whether a server holds work of ours and has said nothing for long, or is not there any more.
@@ -184,21 +186,23 @@
         mean: (Millis, Millis),
     ) -> Option<String> {
         let server = self.servers.get_mut(&id)?;
-        server.slowness.go_on(now, FADE * mean.0.max(1.0));
+        server.slowness.decay_to(now, FADE * mean.0.max(1.0));
         let worst = 2.0 * SILENCE;
         let before = server.strikes;
         match end.outcome {
             Outcome::Ok => {
                 (server.strikes, server.ejected_until, server.answered) = (0, 0.0, now);
-                server.slowness.blend((end.time() / mean.1).min(worst), SAMPLE);
+                server.slowness.observe((end.time() / mean.1).min(worst), SAMPLE);
+            }
+            Outcome::Cancelled => {
+                server.slowness.observe_lower_bound((end.time() / mean.1).min(worst), SAMPLE)
             }
-            Outcome::Cancelled => server.slowness.blend_bound((end.time() / mean.1).min(worst), SAMPLE),
             Outcome::Moot => {}
             // Guards against a server that fails some or all of what it gets, at once or late: each failure
             // weighs as a very slow answer, and some in a row eject it. Hurts if the fault is the request's.
             _ => {
                 server.strikes += 1;
-                server.slowness.blend(worst, SAMPLE);
+                server.slowness.observe(worst, SAMPLE);
                 if matches!(end.outcome, Outcome::Full | Outcome::Error) {
                     server.answered = now;
                 }
@@ -208,12 +212,12 @@
             let doublings = (server.strikes - STRIKES).min(4);
             server.ejected_until = now + EJECTED * mean.1 * f64::from(1u32 << doublings);
         }
-        health(id, before >= STRIKES, server.strikes, STRIKES)
+        ejection_log_line(id, before >= STRIKES, server.strikes, STRIKES)
     }
 
     /// Picks the server with the least expected wait, as far as own work and answers tell.
     pub fn choose(&mut self, wanted: &Wanted, rng: &mut Rand64) -> Option<ServerId> {
-        while let Some((_, id)) = self.warming.next(wanted.now) {
+        while let Some((_, id)) = self.warming.pop_due(wanted.now) {
             self.place(id, wanted.settings, wanted.now);
         }
         let (drawn, spare) = self.cold_turn(wanted);
@@ -221,7 +225,7 @@
             return drawn;
         }
         let mut best: [Option<(f64, ServerId)>; 2] = [None, None];
-        let (warm, gateways) = (self.warm.row(), f64::from(wanted.settings.gateways));
+        let (warm, gateways) = (self.warm.members(), f64::from(wanted.settings.gateways));
         let middle = (f64::from(wanted.settings.ordinal) + 0.5) / gateways;
         let least = (LEAST_ARC + self.in_hand()) / warm.len().max(1) as f64;
         let arc = (SHARED / gateways).max(least).min(1.0);
@@ -229,7 +233,7 @@
         for arc in [arc, 1.0] {
             for _ in 0..if all || best[0].is_some() { 0 } else { DRAWN } {
                 let part = (middle + arc * (rng.rand_float() - 0.5)).rem_euclid(1.0);
-                let Some(id) = self.warm.draw(part) else { break };
+                let Some(id) = self.warm.sample(part) else { break };
                 if self.weigh(id, wanted, rng, &mut best) {
                     return Some(id);
                 }
@@ -263,7 +267,7 @@
         };
         let (now, mean) = (wanted.now, wanted.mean);
         let far = if server.entry.zone == wanted.settings.zone { 1.0 } else { wanted.settings.tuning.far };
-        let slowness = server.slowness.get(now, FADE * mean.max(1.0));
+        let slowness = server.slowness.value_at(now, FADE * mean.max(1.0));
         let pace = slowness.max(server.silence(now, mean) / 2.0).max(LEAST_PACE);
         let wait = (server.out.len() as f64 + 1.0) * pace * far / server.entry.size();
         let cost = wait * (1.0 + TIE * rng.rand_float());
@@ -272,7 +276,7 @@
         if rank.is_none_or(|(least, _)| cost < least) {
             *rank = Some((cost, id));
         }
-        !waits && wait * self.warm.mean() <= 1.0
+        !waits && wait * self.warm.mean_weight() <= 1.0
     }
 
     /// Guards against tipping a cold server over: it has turns for its part of the fleet, whatever its
@@ -290,7 +294,7 @@
         let capacity = ready - (1.0 - settings.cold_from) * (count as f64 - ramp);
         self.passed += 1.0 / f64::max(capacity, ready / (COLD_MARGIN * settings.tip_multiple).max(1.0));
         let mut spare = None;
-        while let Some((due, id)) = self.turns.next(self.passed) {
+        while let Some((due, id)) = self.turns.pop_due(self.passed) {
             let Some(server) = self.servers.get_mut(&id) else { continue };
             let will_do = server.may_have(wanted);
             let waits = server.is_ejected(now) || (wanted.tried)(id);
@@ -344,7 +348,7 @@
             self.warming.clear();
         }
         let is_warm = ready && server.cold.is_none();
-        self.warm.set(id, if is_warm { server.entry.size() } else { 0.0 });
+        self.warm.set_weight(id, if is_warm { server.entry.size() } else { 0.0 });
     }
 
     /// Follows the server list. A server that drains or is gone gets nothing from this moment on.
@@ -364,7 +368,7 @@
             let lot = if entry.launched.is_some() { rng.rand_float() } else { 0.0 };
             let server = self.servers.entry(entry.id).or_insert_with(|| Server::new(entry, now, lot));
             if entry.launched.is_some() && entry.launched != server.entry.launched {
-                (server.strikes, server.ejected_until, server.slowness) = (0, 0.0, Factor::new(now));
+                (server.strikes, server.ejected_until, server.slowness) = (0, 0.0, DecayingFactor::new(now));
             }
             server.entry = entry;
         }
@@ -381,7 +385,7 @@
 impl Server {
     fn new(entry: ServerEntry, now: Millis, lot: f64) -> Server {
         let (out, strikes, ejected_until) = (VecDeque::new(), 0, 0.0);
-        let (slowness, cold) = (Factor::new(now), None);
+        let (slowness, cold) = (DecayingFactor::new(now), None);
         Server { entry, out, slowness, answered: now, strikes, ejected_until, lot, cold }
     }
 
--- a/crates/brassport-policy/src/control.rs
+++ b/crates/brassport-policy/src/control.rs
@@ -6,7 +6,10 @@
 use crate::interface::*;
 use crate::life::{Open, PATIENCE};
 use crate::room::Room;
-use brassport_policy_stats::{take_out, Kinds, Known, Own, Rounds, Tally};
+use brassport_policy_stats::{
+    remove_and_shrink, ClassPrior, ClassStatistics, CyclicCursor, RejectionCounts, TrustedKeyMap,
+    UntrustedKeyMap,
+};
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -43,14 +46,14 @@
     rng: Rand64,
     pub(crate) born: Millis,
     pub(crate) now: Millis,
-    pub(crate) customers: Known<CustomerId, Box<Customer>>,
+    pub(crate) customers: UntrustedKeyMap<CustomerId, Box<Customer>>,
     pub(crate) admission: Admission,
-    sweep: Rounds<SWEEP>,
-    pub(crate) tally: Tally,
-    pub(crate) requests: Own<RequestId, Open>,
+    sweep: CyclicCursor<SWEEP>,
+    pub(crate) tally: RejectionCounts,
+    pub(crate) requests: TrustedKeyMap<RequestId, Open>,
     pub(crate) fleet: Fleet,
     /// Recent share of each class in the offered requests, and its answers' mean time.
-    pub(crate) kinds: Kinds,
+    pub(crate) kinds: ClassStatistics,
     pub(crate) room: Room,
     pub(crate) retry_budget: f64,
     /// Whether another gateway has taken this one's place: its ceilings and cold turns are that one's.
@@ -58,8 +61,11 @@
 }
 
 /// The worth of each class, and the time that an answer to it is taken to need before there was one.
-fn kinds(settings: &Settings) -> impl Iterator<Item = (f64, Millis)> + Clone + '_ {
-    settings.classes.iter().map(|class| (class.worth, class.aim / (2.0 * PATIENCE)))
+fn kinds(settings: &Settings) -> impl Iterator<Item = ClassPrior> + Clone + '_ {
+    settings
+        .classes
+        .iter()
+        .map(|class| ClassPrior { value: class.worth, response_ms: class.aim / (2.0 * PATIENCE) })
 }
 
 impl Gateway {
@@ -73,13 +79,13 @@
             rng: Rand64::new(u128::from(seed)),
             born: now,
             now,
-            customers: Known::default(),
+            customers: UntrustedKeyMap::default(),
             admission: Admission::new(&settings),
-            sweep: Rounds::default(),
-            tally: Tally::new(now),
-            requests: Own::default(),
+            sweep: CyclicCursor::default(),
+            tally: RejectionCounts::new(now),
+            requests: TrustedKeyMap::default(),
             fleet: Fleet::new(&settings.classes),
-            kinds: Kinds::new(kinds(&settings)),
+            kinds: ClassStatistics::new(kinds(&settings)),
             room: Room::new(now, settings.tuning.start),
             retry_budget: 1.0,
             retired: false,
@@ -115,7 +121,7 @@
 
     /// Goes on under other settings: what was learned of classes, plans, customers and servers stays.
     fn settle(&mut self, settings: Settings) {
-        self.kinds.set(kinds(&settings));
+        self.kinds.reconfigure(kinds(&settings));
         self.admission.settle(&settings);
         self.fleet.settle(&settings);
         self.settings = settings;
@@ -134,18 +140,20 @@
         let class = self.settings.classes[request.class];
         // A further try with less time left than first tries get shows how long its client has been trying.
         let bounds = (class.deadline, self.settings.tick);
-        let waited = self.kinds.waited(request.class, request.repeat, expires_in, bounds);
+        let waited = self.kinds.elapsed_before_retry(request.class, request.repeat, expires_in, bounds);
         if let Some(open) = self.requests.get_mut(&request.id) {
             open.arrived -= waited;
         }
-        self.kinds.came(request.class, SAMPLE / 2.0);
+        self.kinds.record_arrival(request.class, SAMPLE / 2.0);
         let share = self.quota(&request);
-        let (answer, flight) = (self.kinds.answer(request.class), self.fleet.young(request.class, self.now));
+        let (answer, flight) =
+            (self.kinds.response_ms(request.class), self.fleet.young(request.class, self.now));
         let idle = self.room.idle(self.now, class.aim, self.fleet.in_hand());
         let is_idle = idle.is_some_and(|idle| self.rng.rand_float() < idle);
         let open = if is_idle { 1.0 } else { self.room.open(flight) };
         // The floor shrinks with the room: of thousands of retries a second, a fixed part would feed a jam.
-        let chance = |open: f64| self.kinds.part(share * open, request.class).max(CHANCE_FLOOR * open);
+        let chance =
+            |open: f64| self.kinds.admitted_fraction(share * open, request.class).max(CHANCE_FLOOR * open);
         let (quota, room, coin) = (chance(1.0), chance(open), self.rng.rand_float());
         // Guards against a further try past its aim that takes quota for the worth of a late answer. A long
         // answer time alone is no ground: with nothing sent none would shorten it again.
@@ -154,7 +162,7 @@
             let wait = COME_BACK * self.settings.meter_period * (0.5 + self.rng.rand_float());
             self.refuse(request.id, wait, actions);
         } else if coin >= room * late {
-            self.tally.no_room += 1;
+            self.tally.no_capacity += 1;
             self.refuse(request.id, self.settings.max_retry_after, actions);
         } else {
             self.dispatch(request.id, actions);
@@ -188,19 +196,19 @@
     /// theirs to be full again. Once a second: reports refusals that are not the coin's.
     fn sweep(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
-        let idle = self.sweep.next(&self.customers, |customer| {
+        let idle = self.sweep.next_matching(&self.customers, |customer| {
             let full = self.settings.plans[customer.plan].filling().max(1000.0);
             now >= customer.seen + IDLE_FILLS * full && customer.open == 0 && customer.held.is_empty()
         });
         for id in idle {
-            take_out(&mut self.customers, &id);
+            remove_and_shrink(&mut self.customers, &id);
         }
         actions.extend(self.tally.report(now, self.room.part).into_iter().map(Action::Log));
     }
 
     /// Picks the server with the least expected wait, as far as own work and answers tell.
     pub(crate) fn choose(&mut self, request: RequestId) -> Option<ServerId> {
-        let (settings, now, mean) = (&self.settings, self.now, self.kinds.mean_answer());
+        let (settings, now, mean) = (&self.settings, self.now, self.kinds.mean_response_ms());
         let open = &self.requests[&request];
         let wanted = Wanted {
             settings,
@@ -218,7 +226,7 @@
     pub(crate) fn judge(&mut self, id: ServerId, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let open = &self.requests[&end.request];
         let (class, counted) = (open.request.class, open.attempts[usize::from(end.attempt)].overdue);
-        let (mean, aim) = (self.kinds.answer(class).max(1.0), self.settings.classes[class].aim);
+        let (mean, aim) = (self.kinds.response_ms(class).max(1.0), self.settings.classes[class].aim);
         match end.outcome {
             _ if !self.fleet.is_telling(id) => {}
             Outcome::Ok | Outcome::Full | Outcome::TimedOut if !counted || end.time() > aim => {
@@ -230,10 +238,10 @@
             }
             _ => {}
         }
-        let means = (self.kinds.mean_answer(), mean);
+        let means = (self.kinds.mean_response_ms(), mean);
         actions.extend(self.fleet.judge(self.now, id, end, means).map(Action::Log));
         if end.outcome == Outcome::Ok {
-            self.kinds.answered(class, end.time(), SAMPLE / 5.0);
+            self.kinds.record_response(class, end.time(), SAMPLE / 5.0);
         }
     }
 
--- a/crates/brassport-policy/src/heritage.rs
+++ b/crates/brassport-policy/src/heritage.rs
@@ -5,7 +5,7 @@
 use crate::control::{Customer, Gateway};
 use crate::interface::*;
 use crate::room::Room;
-use brassport_policy_stats::{Kinds, Known};
+use brassport_policy_stats::{ClassStatistics, UntrustedKeyMap};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::io::{self, Write};
@@ -22,9 +22,9 @@
     born: Millis,
     now: Millis,
     retry_budget: f64,
-    customers: Lent<'a, Known<CustomerId, Box<Customer>>>,
+    customers: Lent<'a, UntrustedKeyMap<CustomerId, Box<Customer>>>,
     admission: Lent<'a, Admission>,
-    kinds: Lent<'a, Kinds>,
+    kinds: Lent<'a, ClassStatistics>,
     fleet: Lent<'a, Fleet>,
     room: Lent<'a, Room>,
 }
--- a/crates/brassport-policy/src/life.rs
+++ b/crates/brassport-policy/src/life.rs
@@ -2,7 +2,7 @@
 
 use crate::control::Gateway;
 use crate::interface::*;
-use brassport_policy_stats::Ticket;
+use brassport_policy_stats::AttemptHandle;
 
 /// An attempt out for so many mean answer times may get a further one.
 pub const PATIENCE: f64 = 3.0;
@@ -17,7 +17,7 @@
     pub to: ServerEntry,
     sent: Millis,
     /// Once its server has all of it; until then it is out for nobody.
-    ticket: Option<Ticket>,
+    ticket: Option<AttemptHandle>,
     out: bool,
     pub overdue: bool,
     pub may_have_run: bool,
@@ -135,7 +135,7 @@
         if let Some(customer) = self.customers.get_mut(&open.request.customer) {
             customer.open += 1;
         }
-        let patience = (PATIENCE * self.kinds.answer(open.request.class)).min(USEFUL * open.class.aim);
+        let patience = (PATIENCE * self.kinds.response_ms(open.request.class)).min(USEFUL * open.class.aim);
         actions.push(Action::Timer { at: self.now + patience, token: (id << 2) + REVIEW });
     }
 
@@ -176,7 +176,7 @@
             return;
         }
         let Some(last) = open.attempts.last().filter(|last| last.out) else { return };
-        let (settings, mean) = (&self.settings, self.kinds.mean_answer());
+        let (settings, mean) = (&self.settings, self.kinds.mean_response_ms());
         let may_replace = settings.tuning.replaces_silent && settings.may_cancel;
         let one_at_a_time = open.class.effect == Effect::Free && !settings.may_duplicate && may_replace;
         if self.may_try_again(open) {
@@ -271,7 +271,7 @@
 
     pub(crate) fn refuse(&mut self, id: RequestId, wait: Millis, actions: &mut Vec<Action>) {
         let retry_after = wait.clamp(0.0, self.settings.max_retry_after);
-        self.admission.returns.turn_away();
+        self.admission.returns.record_rejection();
         actions.push(Action::Refuse { request: id, retry_after });
         self.close(id);
     }
--- a/crates/brassport-policy/src/views.rs
+++ b/crates/brassport-policy/src/views.rs
@@ -39,7 +39,7 @@
             in_flight: self.fleet.in_hand() as usize,
             room_limit,
             room_part,
-            no_room: self.tally.total_no_room(),
+            no_room: self.tally.total_no_capacity(),
             no_server: self.tally.total_no_server(),
         }
     }
