--- a/crates/brassport-policy-stats/src/class_statistics.rs
+++ b/crates/brassport-policy-stats/src/class_statistics.rs
@@ -15,7 +15,7 @@
 
 /// Statistics by class index. A class keeps its index; classes may be added.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-#[serde(rename = "Kinds")]
+#[serde(expecting = "struct Kinds")]
 pub struct ClassStatistics {
     /// Moving averages; they add up to 1.
     shares: Vec<f64>,
--- a/crates/brassport-policy-stats/src/decaying_factor.rs
+++ b/crates/brassport-policy-stats/src/decaying_factor.rs
@@ -10,7 +10,7 @@
 
 /// A moving average of a dimensionless factor, which decays back to 1 while no sample comes.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "Factor")]
+#[serde(expecting = "struct Factor")]
 pub struct DecayingFactor {
     value: f64,
     #[serde(rename = "at")]
--- a/crates/brassport-policy-stats/src/due_queue.rs
+++ b/crates/brassport-policy-stats/src/due_queue.rs
@@ -6,7 +6,7 @@
 
 /// A priority queue of identifiers, each due at a value of a monotonic clock or counter.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-#[serde(rename = "Agenda")]
+#[serde(expecting = "struct Agenda")]
 pub struct DueQueue {
     #[serde(rename = "lines")]
     entries: BinaryHeap<Reverse<(u64, u32)>>,
--- a/crates/brassport-policy-stats/src/exponential_rate.rs
+++ b/crates/brassport-policy-stats/src/exponential_rate.rs
@@ -5,7 +5,7 @@
 
 /// An exponentially weighted rate: an amount and the observed time, both of which decay with age.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "Fading")]
+#[serde(expecting = "struct Fading")]
 pub struct ExponentialRate {
     amount: f64,
     seconds: f64,
--- a/crates/brassport-policy-stats/src/lib.rs
+++ b/crates/brassport-policy-stats/src/lib.rs
@@ -21,8 +21,8 @@
 //! | entries by due time | [`DueQueue`] |
 //! | maps by trust in their keys, cyclic scans | [`UntrustedKeyMap`], [`TrustedKeyMap`], [`CyclicCursor`] |
 //!
-//! Several are part of the hand-over text of `brassport-policy`: their serialized names are pinned with
-//! `#[serde(rename)]` and must not change.
+//! Several are part of the hand-over text of `brassport-policy`: their names in it are pinned with `#[serde(rename)]`,
+//! and in its error texts with `#[serde(expecting)]`; both must not change.
 //!
 //! ```
 //! use brassport_policy_stats::{InFlight, TokenBucket};
--- a/crates/brassport-policy-stats/src/plan_usage.rs
+++ b/crates/brassport-policy-stats/src/plan_usage.rs
@@ -25,7 +25,7 @@
 
 /// Typical usage of a plan's customers, in multiples of the quota.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "Usual")]
+#[serde(expecting = "struct Usual")]
 pub struct PlanUsage {
     /// Mean of what is sent to the back end.
     pub sent: f64,
--- a/crates/brassport-policy-stats/src/remote_usage.rs
+++ b/crates/brassport-policy-stats/src/remote_usage.rs
@@ -25,7 +25,7 @@
 
 /// What other instances sent and were offered in the periods that readings cover; readings decay with age.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-#[serde(rename = "Elsewhere")]
+#[serde(expecting = "struct Elsewhere")]
 pub struct RemoteUsage {
     seconds: f64,
     sent: f64,
--- a/crates/brassport-policy-stats/src/retry_estimator.rs
+++ b/crates/brassport-policy-stats/src/retry_estimator.rs
@@ -15,7 +15,7 @@
 /// Estimates the probability that a rejected client retries. What this instance sees is a sample of what all
 /// instances see.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "Returns")]
+#[serde(expecting = "struct Returns")]
 pub struct RetryEstimator {
     #[serde(rename = "turned_away")]
     rejections: f64,
--- a/crates/brassport-policy-stats/src/send_log.rs
+++ b/crates/brassport-policy-stats/src/send_log.rs
@@ -28,7 +28,7 @@
 
 /// Units sent over time. A query costs the logarithm of the number of records.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-#[serde(rename = "Sends")]
+#[serde(expecting = "struct Sends")]
 pub struct SendLog {
     sends: VecDeque<Send>,
     /// The total up to what has been discarded.
--- a/crates/brassport-policy-stats/src/shared_token_bucket.rs
+++ b/crates/brassport-policy-stats/src/shared_token_bucket.rs
@@ -16,7 +16,7 @@
 
 /// The bucket: its level at a settled moment, and this instance's sends that a reading may still cover.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-#[serde(rename = "Shared")]
+#[serde(expecting = "struct Shared")]
 pub struct SharedTokenBucket {
     level: f64,
     #[serde(rename = "told")]
--- a/crates/brassport-policy-stats/src/token_bucket.rs
+++ b/crates/brassport-policy-stats/src/token_bucket.rs
@@ -5,7 +5,7 @@
 
 /// A token bucket whose rate and capacity are given at each refill, as both may be reconfigured.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-#[serde(rename = "Store")]
+#[serde(expecting = "struct Store")]
 pub struct TokenBucket {
     level: f64,
     #[serde(rename = "at")]
--- a/crates/brassport-policy-stats/src/value_history.rs
+++ b/crates/brassport-policy-stats/src/value_history.rs
@@ -6,7 +6,7 @@
 
 /// A figure that is set now and then, with its values at earlier moments.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-#[serde(rename = "History")]
+#[serde(expecting = "struct History")]
 pub struct ValueHistory {
     #[serde(rename = "set")]
     values: VecDeque<(Millis, f64)>,
--- a/crates/brassport-policy-stats/src/weighted_ring.rs
+++ b/crates/brassport-policy-stats/src/weighted_ring.rs
@@ -21,7 +21,7 @@
 /// The ring is cut into arcs, at least as many as members; a Fenwick tree over the arcs' weights finds the arc of a
 /// fraction.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-#[serde(rename = "Members")]
+#[serde(expecting = "struct Members")]
 pub struct WeightedRing {
     /// The members, in no order, and the index of each.
     #[serde(rename = "row")]
--- a/crates/brassport-policy/src/bin/brassport-policy-sim-adapter.rs
+++ b/crates/brassport-policy/src/bin/brassport-policy-sim-adapter.rs
@@ -1,8 +1,12 @@
-//! The adapter: the decision module on the simulator's wire. One [`Gateway`] an instance; it translates,
-//! and decides nothing.
+//! The adapter: runs the decision module behind the simulator's wire on standard input and output, with one
+//! [`Gateway`] per instance. It decides nothing.
+
+#![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
 use brassport_policy::wire::{Batch, Reply, WireError, WireEvent};
 use brassport_policy::{Action, Gateway};
+use std::any::Any;
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
 use std::panic::{self, AssertUnwindSafe};
@@ -40,37 +44,36 @@
     event: WireEvent,
     reply: &mut Reply,
 ) -> Result<(), WireError> {
-    let mut actions: Vec<Action> = Vec::new();
-    let outcome = match event {
+    match event {
         WireEvent::Born { seed, settings } => {
-            match Gateway::new(*settings, seed, clock) {
-                Ok(gateway) => gateways.insert(instance, gateway),
-                Err(error) => return Err(WireError::Malformed(error.to_string())),
-            };
-            Ok(())
-        }
-        WireEvent::Detach => {
-            gateways.remove(&instance);
-            Ok(())
+            let gateway = Gateway::new(*settings, seed, clock);
+            gateways.insert(instance, gateway.map_err(|error| WireError::Malformed(error.to_string()))?);
         }
-        WireEvent::Unused => Ok(()),
+        WireEvent::Detach => drop(gateways.remove(&instance)),
+        WireEvent::Unused => {}
         WireEvent::Event(event) => {
             let Some(gateway) = gateways.get_mut(&instance) else {
-                return Err(WireError::Malformed(format!(
-                    "event for instance {instance}, which is not running"
-                )));
+                let text = format!("event for instance {instance}, which is not running");
+                return Err(WireError::Malformed(text));
             };
-            panic::catch_unwind(AssertUnwindSafe(|| gateway.handle(clock, event, &mut actions)))
-        }
-    };
-    match outcome {
-        Ok(()) => actions.iter().for_each(|action| reply.push(instance, action)),
-        Err(cause) => {
-            gateways.remove(&instance);
-            let text = cause.downcast_ref::<String>().map(String::as_str);
-            let text = text.or_else(|| cause.downcast_ref::<&str>().copied());
-            reply.die(instance, text.unwrap_or("the decision module panicked"));
+            let mut actions: Vec<Action> = Vec::new();
+            let handled =
+                panic::catch_unwind(AssertUnwindSafe(|| gateway.handle(clock, event, &mut actions)));
+            match handled {
+                Ok(()) => actions.iter().for_each(|action| reply.push(instance, action)),
+                Err(cause) => {
+                    // Its state may be inconsistent: the instance counts as crashed.
+                    gateways.remove(&instance);
+                    reply.die(instance, panic_message(&*cause));
+                }
+            }
         }
     }
     Ok(())
 }
+
+fn panic_message(cause: &(dyn Any + Send)) -> &str {
+    let text = cause.downcast_ref::<String>().map(String::as_str);
+    let text = text.or_else(|| cause.downcast_ref::<&str>().copied());
+    text.unwrap_or("the decision module panicked")
+}
--- a/crates/brassport-policy/src/lib.rs
+++ b/crates/brassport-policy/src/lib.rs
@@ -1,16 +1,39 @@
-//! The decisions of a gateway that keeps each customer of a shared back end to its plan.
+//! The decision module of the gateway: admission, load balancing and retries.
 //!
-//! The crate does no I/O. A host feeds one [`Gateway`] with [`Event`]s, each with the host's own
-//! monotonic clock in milliseconds, and carries out the [`Action`]s it gets back, in order. The host owes
-//! the gateway four things:
+//! It decides which request is admitted, which server gets an attempt, whether a failed or slow attempt is
+//! retried, and when a request is rejected, so that each customer of a shared back end is kept to its plan
+//! and the back end is not overloaded. It is not for I/O, connections or time-outs of sockets: a host feeds
+//! one [`Gateway`] with [`Event`]s, each with the host's own monotonic clock in milliseconds, and executes
+//! the [`Action`]s it gets back, in order. For equal settings, seed and events the actions are equal.
+//!
+//! # Requirements on the host
 //!
 //! * **clock**: time never runs backwards between two calls;
-//! * **timers**: each [`Action::Timer`] comes back as one [`Event::Timer`] at or soon after its time;
+//! * **timers**: each [`Action::Timer`] comes back as one [`Event::Timer`] at or shortly after its time;
 //! * **order**: events are handed over in the order in which they happened, and every
 //!   [`Action::Send`] is answered by exactly one [`Event::AttemptEnd`];
 //! * **isolation**: one gateway a process; gateways share nothing and learn of each other from the
 //!   meter alone.
 //!
+//! # The decisions
+//!
+//! * **Quota** (`admission.rs`): per customer, requests are rejected at random with probability 1 - quota /
+//!   offered. The admission probability is set once per meter period from the meter's global reading. Its
+//!   floor is above 0, as without responses no reading would come; classes of low value are rejected first;
+//!   before a first reading a customer is taken for a typical one of its plan, with a share of the quota at
+//!   each of its gateways; customers that are idle until their buckets are full are forgotten.
+//! * **Rate limit** (`rate_limit.rs`): a hard limit, by a token bucket with a share of it at each gateway.
+//! * **Concurrency limit** (`concurrency_limit.rs`): AIMD on late and timely responses; beyond it, early
+//!   rejection.
+//! * **Load balancing** (`load_balancer.rs`, `server.rs`, `slow_start.rs`): least expected wait among sampled
+//!   servers, outlier ejection, and turns for servers in warm-up.
+//! * **Retries** (`request_lifecycle.rs`): only where a second run is safe and a retry budget allows it.
+//!
+//! `policy.rs` puts these together. Everything else in the crate is data: [`interface`], the hand-over state
+//! ([`Gateway::heritage`]), figures for operators, and the simulator's [`wire`].
+//!
+//! # Example
+//!
 //! ```
 //! use brassport_policy::{Action, Class, Effect, Event, Gateway, ListKind, Lifecycle, Plan, Request};
 //! use brassport_policy::{ServerEntry, Settings};
@@ -19,12 +42,10 @@
 //!     classes: vec![Class { worth: 1.0, aim: 500.0, deadline: 2000.0, late_share: 0.0, effect: Effect::Free }],
 //!     plans: vec![Plan { rate: 5.0, burst: 10.0, price: 1.0, ..Plan::default() }],
 //!     ..Settings::default()
-//! };
-//! let mut gateway = Gateway::new(settings, 42, 0.0).expect("the settings make sense");
-//! let mut actions = Vec::new();
-//! let server = ServerEntry { id: 7, zone: 0, cell: 0, share: 1.0, lifecycle: Lifecycle::Ready, launched: None };
-//! gateway.handle(0.0, Event::Servers { kind: ListKind::Full, entries: vec![server] }, &mut actions);
-//! let request = Request {
+//! }; let mut gateway = Gateway::new(settings, 42, 0.0).expect("the settings make sense"); let mut actions =
+//! Vec::new(); let server = ServerEntry { id: 7, zone: 0, cell: 0, share: 1.0, lifecycle: Lifecycle::Ready,
+//! launched: None }; gateway.handle(0.0, Event::Servers { kind: ListKind::Full, entries: vec![server] }, &mut
+//! actions); let request = Request {
 //!     id: 1,
 //!     customer: 99,
 //!     plan: 0,
@@ -39,19 +60,21 @@
 //! assert!(actions.iter().any(|action| matches!(action, Action::Send { request: 1, server: 7, .. })));
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 mod admission;
-mod ceilings;
-mod choice;
-pub mod control;
-mod heritage;
+mod concurrency_limit;
+mod figures;
+mod handover;
 pub mod interface;
-mod life;
-mod room;
-pub mod views;
+mod load_balancer;
+mod policy;
+mod rate_limit;
+mod request_lifecycle;
+mod server;
+mod slow_start;
 pub mod wire;
 
-pub use control::Gateway;
+pub use figures::Figures;
 pub use interface::*;
-pub use views::Figures;
+pub use policy::Gateway;
--- /dev/null
+++ b/crates/brassport-policy/src/wire/event.rs
@@ -0,0 +1,133 @@
+//! Event records.
+
+use super::frame::Record;
+use super::settings::settings;
+use super::{malformed, WireError};
+use crate::interface::*;
+
+/// Size of a line of the server list, in bytes.
+const SERVER_ENTRY_BYTES: usize = 22;
+
+/// A decoded event record.
+#[derive(Debug, Clone, PartialEq)]
+pub enum WireEvent {
+    /// An instance starts.
+    Born {
+        /// Its seed.
+        seed: u64,
+        /// Its settings.
+        settings: Box<Settings>,
+    },
+    /// An instance was killed.
+    Detach,
+    /// An event of the module's interface.
+    Event(Event),
+    /// An event of probes, peers or the counter, which the module does not use.
+    Unused,
+}
+
+fn finite(value: f64, what: &str) -> Result<f64, WireError> {
+    if value.is_finite() {
+        return Ok(value);
+    }
+    malformed(format!("{what} is not a finite number"))
+}
+
+/// Decodes a record; returns its instance and event.
+pub(super) fn decode(bytes: &[u8], tail: &[u8]) -> Result<(u16, WireEvent), WireError> {
+    let record = Record(bytes);
+    let event = match record.u8(0) {
+        16 => WireEvent::Event(Event::AttemptEnd(attempt_end(&record)?)),
+        17 => WireEvent::Event(Event::Timer(record.u64(3))),
+        18 => WireEvent::Event(Event::Request(request(&record)?)),
+        19 => {
+            let text = record.tail(11, 1, tail, "BORN params")?;
+            let Ok(text) = std::str::from_utf8(text) else {
+                return malformed("BORN params are not UTF-8");
+            };
+            WireEvent::Born { seed: record.u64(3), settings: Box::new(settings(text)?) }
+        }
+        20 => WireEvent::Event(servers(&record, tail)?),
+        23 => WireEvent::Detach,
+        24 => WireEvent::Event(Event::Started(record.u64(3))),
+        26 => WireEvent::Event(Event::ClientGone(record.u64(3))),
+        21 => {
+            record.tail(5, 1, tail, "MESSAGE payload")?;
+            WireEvent::Unused
+        }
+        22 | 25 => WireEvent::Unused,
+        other => return malformed(format!("event code {other} is unknown")),
+    };
+    Ok((record.u16(1), event))
+}
+
+fn attempt_end(record: &Record) -> Result<AttemptEnd, WireError> {
+    Ok(AttemptEnd {
+        request: record.u64(3),
+        attempt: record.u8(24),
+        outcome: outcome(record.u16(29))?,
+        elapsed: finite(record.f64(11), "ATTEMPT_END duration")?,
+        finished: record.u8(19) != 0,
+        // Per cent and 1, as 0 stands for no reading.
+        used: record.u16(22).checked_sub(1).map(|percent| f64::from(percent) / 100.0),
+    })
+}
+
+fn request(record: &Record) -> Result<Request, WireError> {
+    Ok(Request {
+        id: record.u64(3),
+        customer: record.u64(19),
+        plan: record.u32(15) as usize,
+        class: usize::from(record.u16(40)),
+        units: finite(record.f32(42), "ACCEPT weight")?,
+        spread: finite(record.f32(11), "ACCEPT spread")?.round() as u32,
+        first: finite(record.f32(36), "ACCEPT setFrom")?.round() as u32,
+        expires_in: finite(record.f64(28), "ACCEPT expiresIn")?,
+        repeat: record.u8(27) & 2 != 0,
+    })
+}
+
+fn servers(record: &Record, tail: &[u8]) -> Result<Event, WireError> {
+    let kind = match record.u8(3) {
+        0 => ListKind::Delta,
+        1 => ListKind::Full,
+        2 => ListKind::Cached,
+        3 => ListKind::Failed,
+        other => return malformed(format!("ROSTER_CHANGE form {other} is unknown")),
+    };
+    let entries = record.tail(12, SERVER_ENTRY_BYTES, tail, "ROSTER_CHANGE hosts")?;
+    let entries = entries.chunks_exact(SERVER_ENTRY_BYTES).map(server_entry).collect::<Result<_, _>>()?;
+    Ok(Event::Servers { kind, entries })
+}
+
+fn server_entry(bytes: &[u8]) -> Result<ServerEntry, WireError> {
+    let record = Record(bytes);
+    let launched = finite(record.f64(14), "launched")?;
+    Ok(ServerEntry {
+        id: record.u32(0),
+        zone: record.u16(4),
+        cell: record.u16(7),
+        share: finite(record.f32(10), "share")?,
+        lifecycle: match record.u8(9) {
+            0 => Lifecycle::Gone,
+            1 => Lifecycle::Ready,
+            2 => Lifecycle::Draining,
+            other => return malformed(format!("lifecycle {other} is unknown")),
+        },
+        launched: (launched != 0.0).then_some(launched),
+    })
+}
+
+fn outcome(code: u16) -> Result<Outcome, WireError> {
+    Ok(match code {
+        100 => Outcome::Ok,
+        301 => Outcome::Error,
+        302 => Outcome::Full,
+        303 => Outcome::TimedOut,
+        304 => Outcome::NoConnection,
+        305 => Outcome::Reset,
+        306 => Outcome::Cancelled,
+        307 => Outcome::Moot,
+        other => return malformed(format!("outcome {other} is unknown")),
+    })
+}
--- /dev/null
+++ b/crates/brassport-policy/src/wire/settings.rs
@@ -0,0 +1,124 @@
+//! Settings of an instance, as lines of `path=value`.
+
+use super::{malformed, WireError};
+use crate::interface::*;
+use std::collections::BTreeMap;
+
+/// Settings as path=value lines.
+struct Params<'a>(BTreeMap<&'a str, &'a str>);
+
+impl<'a> Params<'a> {
+    fn get<T: std::str::FromStr>(&self, path: &str) -> Result<T, WireError> {
+        let Some(text) = self.0.get(path) else {
+            return malformed(format!("required setting {path} is missing"));
+        };
+        match text.parse() {
+            Ok(value) => Ok(value),
+            Err(_) => malformed(format!("setting {path} has the unreadable value '{text}'")),
+        }
+    }
+
+    fn word(&self, path: &str) -> Result<&'a str, WireError> {
+        match self.0.get(path) {
+            Some(text) => Ok(text),
+            None => malformed(format!("required setting {path} is missing")),
+        }
+    }
+
+    /// An object list gives its length under `.count`; its items are looked up one by one.
+    fn list<T>(&self, path: &str, item: impl Fn(&str) -> Result<T, WireError>) -> Result<Vec<T>, WireError> {
+        let count: u16 = self.get(&format!("{path}.count"))?;
+        (0..count).map(|index| item(&format!("{path}.{index}"))).collect()
+    }
+}
+
+/// Reads the settings of an instance; unknown keys are skipped.
+///
+/// # Errors
+/// Names a required key that is missing, unreadable or out of range.
+pub fn settings(text: &str) -> Result<Settings, WireError> {
+    let params = Params(text.lines().filter_map(|line| line.split_once('=')).collect());
+    let classes = params.list("classes", |at| class(&params, at))?;
+    let plans = params.list("plans", |at| plan(&params, at))?;
+    let forwards_advice: bool = params.get("bounds.retryAfter")?;
+    let settings = Settings {
+        gateways: params.get("balancers")?,
+        ordinal: params.get("ordinal")?,
+        zone: params.get("zone")?,
+        classes,
+        plans,
+        max_units: params.get("familyInfo.mostUnits")?,
+        meter_period: params.get("familyInfo.usePeriod")?,
+        max_attempts: params.get("bounds.maxAttempts")?,
+        may_duplicate: params.get("bounds.mayDuplicate")?,
+        may_cancel: params.get("bounds.cancel")?,
+        max_retry_after: if forwards_advice { params.get("bounds.maxRetryAfter")? } else { 0.0 },
+        drain_grace: params.get("rules.stopSendingWithin")?,
+        cold_from: params.get("rules.coldFrom")?,
+        cold_for: params.get("rules.cold")?,
+        tip_multiple: params.get("rules.tipMultiple")?,
+        tip_after: params.get("rules.fall")?,
+        tick: params.get("tick")?,
+        tuning: Tuning::default(),
+        list_on_request: list_on_request(&params)?,
+    };
+    settings.validate().map_err(|error| WireError::Malformed(error.to_string()))?;
+    Ok(settings)
+}
+
+fn list_on_request(params: &Params) -> Result<bool, WireError> {
+    match params.word("registryMode")? {
+        "pushed" => Ok(false),
+        "on_request" => Ok(true),
+        other => malformed(format!("setting registryMode has the unknown value '{other}'")),
+    }
+}
+
+fn class(params: &Params, at: &str) -> Result<Class, WireError> {
+    let field = |name: &str| format!("{at}.{name}");
+    // Read first: of several errors the effect's is the one reported.
+    let effect = effect(params, at)?;
+    Ok(Class {
+        worth: params.get(&field("worth"))?,
+        aim: params.get(&field("slo"))?,
+        deadline: params.get(&field("deadline"))?,
+        late_share: params.get(&field("lateShare"))?,
+        effect,
+    })
+}
+
+fn effect(params: &Params, at: &str) -> Result<Effect, WireError> {
+    match params.word(&format!("{at}.semantics"))? {
+        "free" => Ok(Effect::Free),
+        "single_shot" => Ok(Effect::Once),
+        "guarded" => {
+            let scope = scope(params, at)?;
+            Ok(Effect::Keyed { scope, window: params.get(&format!("{at}.dedupWindow"))? })
+        }
+        other => malformed(format!("setting {at}.semantics has the unknown value '{other}'")),
+    }
+}
+
+fn scope(params: &Params, at: &str) -> Result<Scope, WireError> {
+    match params.word(&format!("{at}.group"))? {
+        "all" => Ok(Scope::All),
+        "zone" => Ok(Scope::Zone),
+        "cell" => Ok(Scope::Cell),
+        other => malformed(format!("setting {at}.group has the unknown value '{other}'")),
+    }
+}
+
+fn plan(params: &Params, at: &str) -> Result<Plan, WireError> {
+    let figure = |name: &str| params.get(&format!("{at}.{name}"));
+    Ok(Plan {
+        rate: figure("unitsPerS")?,
+        burst: figure("storeSize")?,
+        open: params.get(&format!("{at}.concurrency"))?,
+        price: figure("price")?,
+        over_worth: figure("excessWorth")?,
+        over_cost: figure("overrunCost")?,
+        ceiling_rate: figure("neverOverRate")?,
+        ceiling_burst: figure("capDepth")?,
+        ceiling_slack: figure("tolerance")?,
+    })
+}
