--- a/crates/brassport-policy/tests/admission.rs
+++ b/crates/brassport-policy/tests/it/admission.rs
@@ -1,16 +1,14 @@
-//! The ordinary path: the coin and what steers it.
-
-mod common;
+//! Quota admission: the admission probability and what it follows.
 
+use crate::common::*;
 use brassport_policy::*;
-use common::*;
 
 /// Asks at `rate` a second for `seconds`, with the meter telling `used`, and returns how many went out.
 fn ask_for(host: &mut Host, rate: f64, seconds: f64, class: usize, used: f64) -> f64 {
     let mut sent = 0.0;
     for _ in 0..(rate * seconds) as u32 {
         host.now += 1000.0 / rate;
-        let (id, actions) = host.ask(1, 0, class);
+        let (id, actions) = host.submit(1, 0, class);
         if !sends(&actions).is_empty() {
             sent += 1.0;
             host.end(id, 0, Outcome::Ok, Some(used));
@@ -20,7 +18,7 @@
 }
 
 #[test]
-fn a_customer_within_its_quota_is_never_refused() {
+fn a_customer_within_its_quota_is_never_rejected() {
     let mut host = Host::new(settings(), &[server(1)]);
     assert_eq!(ask_for(&mut host, 5.0, 20.0, 0, 0.5), 100.0);
 }
@@ -36,7 +34,7 @@
         host.now += 25.0;
         let period = (host.now / 500.0) as usize;
         let class = classes[step % classes.len()];
-        let (id, actions) = host.ask(1, 0, class);
+        let (id, actions) = host.submit(1, 0, class);
         if !sends(&actions).is_empty() {
             periods[period] += 1.0;
             sent[class] += f64::from(u8::from(host.now > 10_000.0));
@@ -53,13 +51,13 @@
 }
 
 #[test]
-fn behind_a_gateway_that_is_the_only_one_it_gets_no_more() {
+fn the_quota_holds_behind_a_single_gateway() {
     let sent = ask_four_times_the_quota(&[0], 1)[0];
     assert!((150.0..240.0).contains(&sent), "{sent} of 800 sent on, the quota is 200");
 }
 
 #[test]
-fn what_others_send_counts_against_the_quota() {
+fn remote_usage_counts_against_the_quota() {
     let mut host = Host::new(settings(), &[server(1)]);
     ask_for(&mut host, 10.0, 10.0, 0, 4.0);
     let sent = ask_for(&mut host, 10.0, 20.0, 0, 4.0);
@@ -68,7 +66,7 @@
 }
 
 #[test]
-fn the_lowest_worth_is_refused_first() {
+fn the_lowest_value_is_rejected_first() {
     let sent = ask_four_times_the_quota(&[0, 1, 1, 1], 2);
     assert!(sent[0] > 120.0 && sent[1] < 60.0, "{} of 200 of high worth, {} of 600 of low", sent[0], sent[1]);
 }
@@ -79,7 +77,7 @@
     Host::new(Settings { gateways: 50, ..settings() }, &servers)
 }
 
-/// Such a customer asks once, and is answered at once if let in; tells whether it was.
+/// Such a customer submits one request, which is answered at once if admitted; returns whether it was.
 fn let_in(host: &mut Host, id: RequestId, customer: CustomerId, used: Option<f64>) -> bool {
     let (units, expires_in) = (1.0, 4000.0);
     let request =
@@ -93,35 +91,35 @@
 
 /// It asks this one `rate` times a second for `seconds`, and the meter is silent; returns how many went out
 /// of how many in the second half.
-fn ask_one_of_fifty(rate: f64, seconds: f64) -> (f64, f64) {
+fn submit_to_one_of_fifty(rate: f64, seconds: f64) -> (f64, f64) {
     let mut host = one_of_fifty();
-    let (mut sent, mut asked) = (0.0, 0.0);
+    let (mut sent, mut offered) = (0.0, 0.0);
     for id in 1..=(rate * seconds) as u64 {
         host.now += 1000.0 / rate;
         let out = let_in(&mut host, id, 1, None);
         if host.now > seconds * 500.0 {
-            asked += 1.0;
+            offered += 1.0;
             sent += f64::from(u8::from(out));
         }
     }
-    (sent, asked)
+    (sent, offered)
 }
 
 #[test]
-fn without_readings_own_requests_times_the_spread_tell_a_heavy_customer() {
+fn without_readings_local_load_times_the_gateways_reveals_a_heavy_customer() {
     // Its quota is 10 a second over fifty gateways: 0.2 a second here.
-    let (sent, asked) = ask_one_of_fifty(2.0, 400.0);
-    assert!(sent < 0.3 * asked && sent > 0.0, "{sent} of {asked} let in at ten times the quota");
+    let (sent, offered) = submit_to_one_of_fifty(2.0, 400.0);
+    assert!(sent < 0.3 * offered && sent > 0.0, "{sent} of {offered} admitted at ten times the quota");
 }
 
 #[test]
-fn a_customer_seen_here_once_in_many_seconds_is_let_in() {
-    let (sent, asked) = ask_one_of_fifty(0.05, 2000.0);
-    assert!(sent > 0.9 * asked, "{sent} of {asked} let in at a quarter of the quota");
+fn a_customer_that_comes_rarely_is_admitted() {
+    let (sent, offered) = submit_to_one_of_fifty(0.05, 2000.0);
+    assert!(sent > 0.9 * offered, "{sent} of {offered} admitted at a quarter of the quota");
 }
 
 /// A gateway of fifty that has met 400 customers who ask for so many times their quota. The other gateways are like it:
-/// readings tell of as large a part of that as is let in here.
+/// readings tell of as large a part of that as is admitted here.
 fn one_that_knows_its_plan(load: f64) -> Host {
     let mut host = one_of_fifty();
     let mut part = 1.0;
@@ -136,7 +134,7 @@
 /// Late answers to customers without a quota, until there is hardly any room.
 fn fill_the_servers(host: &mut Host) {
     for _ in 0..15 {
-        let (request, actions) = host.ask(9_999, 3, 0);
+        let (request, actions) = host.submit(9_999, 3, 0);
         host.now += 200.0;
         assert!(!sends(&actions).is_empty(), "little is in hand");
         let (attempt, outcome, elapsed, finished, used) = (0, Outcome::Ok, 900.0, true, None);
@@ -144,9 +142,9 @@
     }
 }
 
-/// How many of 200 customers who come here for the first time, class by class in turn, the coin refuses: these are told
-/// to come back within a meter period, those for whom there is no room later.
-fn refused_by_the_coin(host: &mut Host, classes: &[usize]) -> Vec<usize> {
+/// How many of 200 new customers, class by class in turn, are rejected over quota: these are advised
+/// to retry within a meter period, those without capacity later.
+fn over_quota_by_class(host: &mut Host, classes: &[usize]) -> Vec<usize> {
     let mut refused = vec![0; 3];
     for customer in 1001..=1200u64 {
         host.now += 5.0;
@@ -174,8 +172,8 @@
 }
 
 #[test]
-fn what_customers_of_a_plan_are_first_found_to_use_bears_on_the_next_one() {
-    let next_ones = |used| 200 - refused_by_the_coin(&mut one_that_knows_its_plan(used), &[0])[0];
+fn typical_usage_of_a_plan_applies_to_its_next_customer() {
+    let next_ones = |used| 200 - over_quota_by_class(&mut one_that_knows_its_plan(used), &[0])[0];
     let (calm, full, heavy) = (next_ones(0.2), next_ones(1.0), next_ones(4.0));
     assert!(calm > 195, "{calm} of 200 let in where the others are calm");
     assert!(full > 180, "{full} of 200 let in where the others use their quota and no more");
@@ -183,25 +181,25 @@
 }
 
 #[test]
-fn where_the_servers_have_no_room_those_who_are_little_known_go_first() {
-    let roomy = refused_by_the_coin(&mut one_that_knows_its_plan(2.5), &[0])[0];
+fn without_capacity_customers_without_readings_are_rejected_first() {
+    let roomy = over_quota_by_class(&mut one_that_knows_its_plan(2.5), &[0])[0];
     let mut host = one_that_knows_its_plan(2.5);
     fill_the_servers(&mut host);
-    let short = refused_by_the_coin(&mut host, &[0])[0];
+    let short = over_quota_by_class(&mut host, &[0])[0];
     assert!(
         roomy < 60 && short > roomy + 30,
         "{roomy} of 200 refused by the coin with room, {short} without"
     );
 }
 
-/// What the lowest class is let in of, as a function of the load of customers nobody has met: all while the plan's
+/// What the lowest class is admitted of, as a function of the load of customers nobody has met: all while the plan's
 /// customers ask for little more than their quotas and leave their stores, less the more they ask for.
 #[test]
 fn the_lowest_class_gets_what_the_highest_leaves_of_the_quota() {
     let parts: Vec<[f64; 2]> = [0.3, 0.8, 1.3, 2.0, 4.0]
         .into_iter()
         .map(|used| {
-            let refused = refused_by_the_coin(&mut one_that_knows_its_plan(used), &[0, 1]);
+            let refused = over_quota_by_class(&mut one_that_knows_its_plan(used), &[0, 1]);
             [0, 1].map(|class| 1.0 - refused[class] as f64 / 100.0)
         })
         .collect();
@@ -216,20 +214,20 @@
 }
 
 #[test]
-fn a_retry_that_comes_past_its_aim_takes_no_quota() {
+fn a_retry_past_its_latency_target_takes_no_quota() {
     let mut host = Host::new(settings(), &[server(1)]);
     for _ in 0..3 {
         host.now += 500.0;
-        let (id, _) = host.ask(1, 0, 0);
+        let (id, _) = host.submit(1, 0, 0);
         host.end(id, 0, Outcome::Ok, Some(0.5));
     }
-    // First tries have 4 s; one with 2.9 s left has been at it for longer than the wanted second.
-    assert!(refused(&host.ask_again(1, 0, 2900.0)));
-    assert!(!refused(&host.ask_again(1, 0, 3900.0)));
+    // First attempts have 4 s; one with 2.9 s left has tried for longer than the latency target of a second.
+    assert!(refused(&host.submit_retry(1, 0, 2900.0)));
+    assert!(!refused(&host.submit_retry(1, 0, 3900.0)));
 }
 
 #[test]
-fn a_reading_that_is_no_number_changes_nothing() {
+fn a_reading_that_is_not_finite_is_ignored() {
     let mut host = Host::new(settings(), &[server(1)]);
     assert_eq!(ask_for(&mut host, 5.0, 5.0, 0, f64::NAN), 25.0);
     ask_for(&mut host, 10.0, 10.0, 0, 4.0);
@@ -239,7 +237,7 @@
 }
 
 #[test]
-fn a_surge_is_taken_to_come_in_through_the_other_gateways_too() {
+fn a_surge_is_assumed_at_the_other_gateways_too() {
     // Two gateways share a quota of 5 units a second with a burst of 10; no reading has come yet.
     let sent = |spread: u32| {
         let mut host = Host::new(settings(), &[server(1)]);
@@ -270,12 +268,12 @@
 }
 
 #[test]
-fn whom_the_coin_refuses_is_told_when_to_come_back() {
+fn a_client_over_its_quota_is_advised_when_to_retry() {
     let mut host = Host::new(settings(), &[server(1)]);
     let mut waits = Vec::new();
     for id in 1..=400 {
         host.now += 5.0;
-        for action in host.ask(1, 0, 0).1 {
+        for action in host.submit(1, 0, 0).1 {
             match action {
                 Action::Refuse { retry_after, .. } => waits.push(retry_after),
                 Action::Send { request, .. } => drop(host.end(request, 0, Outcome::Ok, Some(4.0))),
@@ -286,11 +284,11 @@
     }
     assert!(waits.iter().all(|wait| (50.0..=500.0).contains(wait)), "{waits:?}");
     let spread = waits.iter().copied().fold(0.0, f64::max) - waits.iter().copied().fold(500.0, f64::min);
-    assert!(spread > 50.0, "all are told the same");
+    assert!(spread > 50.0, "all get the same advice");
 }
 
 #[test]
-fn customers_who_come_rarely_are_not_taken_for_heavy_ones_by_the_periods_in_which_they_came() {
+fn rare_customers_are_not_estimated_as_heavy_by_their_active_periods() {
     // Each asks once in two thousand seconds or less, of a quota of four in that time. A reading that comes behind the
     // half second in which it did tells of a thousand times its quota, as it seems.
     let mut settings = settings();
@@ -298,13 +296,13 @@
     settings.plans = vec![Plan { rate: 0.002, burst: 2.0, price: 1.0, over_cost: 1.0, ..Plan::default() }];
     let mut host = Host::new(settings, &(0..20).map(server).collect::<Vec<_>>());
     host.spread = 3;
-    let (mut sent, mut asked) = (0, 0);
+    let (mut sent, mut offered) = (0, 0);
     for number in 0..12_000u64 {
         host.now = 1000.0 + number as f64 * 200.0;
-        let (id, actions) = host.ask(number % 10_000, 0, 0);
+        let (id, actions) = host.submit(number % 10_000, 0, 0);
         let goes = actions.iter().any(|action| matches!(action, Action::Send { .. }));
         if number >= 6000 {
-            (sent, asked) = (sent + u32::from(goes), asked + 1);
+            (sent, offered) = (sent + u32::from(goes), offered + 1);
         }
         if goes {
             let period = |now: f64| (now / 500.0).floor();
@@ -315,12 +313,12 @@
         }
         host.actions.clear();
     }
-    assert!(sent > 9 * asked / 10, "{sent} of {asked} were sent on");
+    assert!(sent > 9 * offered / 10, "{sent} of {offered} were sent on");
 }
 
 #[test]
-fn a_customer_that_comes_here_late_has_used_its_store_as_its_plans_customers_do() {
-    // How many of fifty who come here a minute behind many of their plan are let in twice at once.
+fn a_customer_that_comes_late_has_used_its_burst_as_its_plan_does() {
+    // How many of fifty that come a minute after many of their plan are admitted twice at once.
     let twice = |used: f64| {
         let mut host = one_of_fifty();
         let mut twice = 0;
@@ -351,11 +349,11 @@
 }
 
 #[test]
-fn a_further_try_does_not_make_a_calm_customer_a_heavy_one() {
+fn retries_do_not_make_a_light_customer_a_heavy_one() {
     // It asks for three fifths of its share of the quota here, and each request comes back three times, as it was
     // refused by others.
     let mut host = one_of_fifty();
-    let (mut sent, mut asked) = (0, 0);
+    let (mut sent, mut offered) = (0, 0);
     for step in 0..1600u64 {
         host.now += 2083.0;
         let (repeat, units, expires_in) = (step % 4 > 0, 1.0, 4000.0);
@@ -375,8 +373,8 @@
             host.end(step, 0, Outcome::Ok, None);
         }
         if step >= 800 && !repeat {
-            (sent, asked) = (sent + u32::from(out), asked + 1);
+            (sent, offered) = (sent + u32::from(out), offered + 1);
         }
     }
-    assert!(sent > 9 * asked / 10, "{sent} of {asked} first tries let in");
+    assert!(sent > 9 * offered / 10, "{sent} of {offered} first attempts admitted");
 }
--- a/crates/brassport-policy/tests/client_gone.rs
+++ b/crates/brassport-policy/tests/it/client_disconnect.rs
@@ -1,9 +1,7 @@
 //! What becomes of the attempts of a request whose client has left.
 
-mod common;
-
+use crate::common::*;
 use brassport_policy::*;
-use common::*;
 use test_case::test_case;
 
 /// Classes of [`settings`]: free of effects, once, keyed.
@@ -23,9 +21,9 @@
 
 #[test_case(Outcome::Cancelled; "cut off at its server")]
 #[test_case(Outcome::Moot; "never sent")]
-fn work_without_an_effect_is_called_off_and_nothing_follows(outcome: Outcome) {
+fn idempotent_attempts_are_cancelled_and_nothing_follows(outcome: Outcome) {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
-    let (id, first) = host.ask(1, UNLIMITED, FREE);
+    let (id, first) = host.submit(1, UNLIMITED, FREE);
     assert_eq!(sends(&first).len(), 1);
     assert_eq!(cancels(&host.event(Event::ClientGone(id))), [(id, 0)]);
     let after = host.end(id, 0, outcome, None);
@@ -36,27 +34,27 @@
 
 #[test_case(ONCE; "once")]
 #[test_case(KEYED; "keyed")]
-fn work_with_an_effect_runs_to_its_end(class: usize) {
+fn attempts_with_an_effect_run_to_their_end(class: usize) {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
-    let (id, _) = host.ask(1, UNLIMITED, class);
+    let (id, _) = host.submit(1, UNLIMITED, class);
     assert!(cancels(&host.event(Event::ClientGone(id))).is_empty());
     assert!(sends(&host.end(id, 0, Outcome::Full, None)).is_empty(), "nobody waits for another attempt");
 }
 
 #[test]
-fn nothing_is_called_off_where_that_is_not_allowed() {
+fn nothing_is_cancelled_where_that_is_not_allowed() {
     let settings = Settings { may_cancel: false, ..settings() };
     let mut host = Host::new(settings, &[server(1)]);
-    let (id, _) = host.ask(1, UNLIMITED, FREE);
+    let (id, _) = host.submit(1, UNLIMITED, FREE);
     assert!(cancels(&host.event(Event::ClientGone(id))).is_empty());
 }
 
 #[test]
-fn a_gateway_that_gives_up_no_silent_server_still_calls_off_what_nobody_waits_for() {
+fn cancellation_on_disconnect_does_not_depend_on_replacing_hung_servers() {
     let tuning = Tuning { replaces_silent: false, ..settings().tuning };
     let settings = Settings { tuning, ..settings() };
     let mut host = Host::new(settings, &[server(1), server(2)]);
-    let (id, _) = host.ask(1, UNLIMITED, FREE);
+    let (id, _) = host.submit(1, UNLIMITED, FREE);
     let silent = host.run_timers(900.0);
     assert!(cancels(&silent).is_empty(), "the only attempt is seen to its end: {silent:?}");
     assert_eq!(cancels(&host.event(Event::ClientGone(id))), [(id, 0)]);
@@ -66,7 +64,7 @@
 fn to_the_first(host: &mut Host, requests: usize, ends: [(Outcome, Millis); 2]) -> usize {
     let mut to_first = 0;
     for _ in 0..requests {
-        let (request, actions) = host.ask(1, UNLIMITED, FREE);
+        let (request, actions) = host.submit(1, UNLIMITED, FREE);
         let server = sends(&actions)[0];
         let (outcome, elapsed) = ends[server as usize - 1];
         if outcome == Outcome::Cancelled {
@@ -81,7 +79,7 @@
 }
 
 #[test]
-fn clients_that_leave_early_make_no_server_look_fast() {
+fn disconnects_do_not_lower_a_servers_measured_pace() {
     const AS_EVER: (Outcome, Millis) = (Outcome::Ok, 50.0);
     let mut host = Host::new(settings(), &[server(1), server(2)]);
     to_the_first(&mut host, 1000, [AS_EVER; 2]);
--- a/crates/brassport-policy/tests/common/mod.rs
+++ b/crates/brassport-policy/tests/it/common/mod.rs
@@ -1,8 +1,11 @@
-//! A host for the tests: it drives the public interface and keeps what came out.
+//! A host for the tests: it drives the public interface and records the actions.
 #![allow(dead_code)]
 
+pub mod instance;
+
 use brassport_policy::*;
 
+/// A host with a clock, the actions it got, and the next request.
 pub struct Host {
     pub gateway: Gateway,
     pub now: Millis,
@@ -69,14 +72,14 @@
         actions
     }
 
-    pub fn ask(&mut self, customer: CustomerId, plan: usize, class: usize) -> (RequestId, Vec<Action>) {
+    pub fn submit(&mut self, customer: CustomerId, plan: usize, class: usize) -> (RequestId, Vec<Action>) {
         let id = self.next;
         self.next += 1;
         (id, self.request(customer, plan, class, 4000.0, false, id))
     }
 
-    /// A client's further try with so much of its time left.
-    pub fn ask_again(&mut self, customer: CustomerId, class: usize, expires_in: Millis) -> Vec<Action> {
+    /// Submits a client's retry with so much of its time left.
+    pub fn submit_retry(&mut self, customer: CustomerId, class: usize, expires_in: Millis) -> Vec<Action> {
         let id = self.next;
         self.next += 1;
         self.request(customer, 0, class, expires_in, true, id)
--- /dev/null
+++ b/crates/brassport-policy/tests/it/golden/mod.rs
@@ -0,0 +1,202 @@
+//! Golden bytes: what this crate writes and reads must not change by a byte. Each case is built in code, encoded and
+//! compared with a fixture in `tests/golden`; what can be decoded is decoded from the fixture and encoded again.
+//! `GOLDEN_WRITE=1` writes the fixtures anew, and fails.
+
+mod adapter;
+mod handover;
+mod settings;
+mod wire;
+
+use brassport_policy::wire::EVENT;
+use brassport_policy::*;
+use std::path::Path;
+
+/// The fixture of this name, which the text must equal.
+fn golden(name: &str, text: &str) -> String {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    if std::env::var("GOLDEN_WRITE").is_ok_and(|value| value == "1") {
+        std::fs::write(&path, text).expect("the fixture can be written");
+        panic!("wrote {name}: run again without GOLDEN_WRITE");
+    }
+    let fixture = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("fixture {name}: {error}"));
+    for (number, (is, was)) in text.lines().zip(fixture.lines()).enumerate() {
+        assert_eq!(is, was, "{name}, line {}", number + 1);
+    }
+    assert_eq!(text, fixture, "{name}");
+    fixture
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits = (0..text.len()).step_by(2);
+    digits.map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal")).collect()
+}
+
+/// One line for each case.
+fn lines<T: AsRef<str>>(cases: &[(String, T)]) -> String {
+    cases.iter().map(|(name, value)| format!("{name}: {}\n", value.as_ref())).collect()
+}
+
+/// What stands in a fixture behind the name.
+fn case<'a>(fixture: &'a str, name: &str) -> &'a str {
+    let line = fixture.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
+    line.unwrap_or_else(|| panic!("no case {name}"))
+}
+
+fn sample_settings() -> Settings {
+    let class = |worth, effect| Class { worth, aim: 800.0, deadline: 4000.0, late_share: 0.25, effect };
+    let plan = Plan { rate: 20.0, burst: 40.0, price: 1.0, over_cost: 0.5, ..Plan::default() };
+    Settings {
+        gateways: 3,
+        ordinal: 1,
+        zone: 2,
+        classes: vec![
+            class(3.0, Effect::Free),
+            class(1.0, Effect::Once),
+            class(2.0, Effect::Keyed { scope: Scope::All, window: 1500.0 }),
+            class(2.0, Effect::Keyed { scope: Scope::Zone, window: 1500.0 }),
+            class(2.0, Effect::Keyed { scope: Scope::Cell, window: 1500.0 }),
+        ],
+        plans: vec![
+            plan,
+            Plan { ceiling_rate: 10.0, ceiling_burst: 12.5, ceiling_slack: 2.0, over_worth: 0.125, ..plan },
+            Plan { open: 1, ..plan },
+            Plan::default(),
+        ],
+        max_units: 4.0,
+        meter_period: 500.0,
+        max_attempts: 3,
+        may_duplicate: true,
+        may_cancel: true,
+        max_retry_after: 700.0,
+        drain_grace: 500.0,
+        cold_from: 0.25,
+        cold_for: 18_000.0,
+        tip_multiple: 2.0,
+        tip_after: 3000.0,
+        tick: 4.0,
+        list_on_request: true,
+        tuning: Tuning { far: 1.5, replaces_silent: false, ..Tuning::default() },
+    }
+}
+
+/// All there are; whoever adds one is made to add it here.
+const OUTCOMES: [Outcome; 8] = [
+    Outcome::Ok,
+    Outcome::Error,
+    Outcome::Full,
+    Outcome::TimedOut,
+    Outcome::NoConnection,
+    Outcome::Reset,
+    Outcome::Cancelled,
+    Outcome::Moot,
+];
+
+fn outcome_code(outcome: Outcome) -> u16 {
+    match outcome {
+        Outcome::Ok => 100,
+        Outcome::Error => 301,
+        Outcome::Full => 302,
+        Outcome::TimedOut => 303,
+        Outcome::NoConnection => 304,
+        Outcome::Reset => 305,
+        Outcome::Cancelled => 306,
+        Outcome::Moot => 307,
+    }
+}
+
+const LIFECYCLES: [Lifecycle; 3] = [Lifecycle::Gone, Lifecycle::Ready, Lifecycle::Draining];
+
+fn lifecycle_code(lifecycle: Lifecycle) -> u8 {
+    match lifecycle {
+        Lifecycle::Gone => 0,
+        Lifecycle::Ready => 1,
+        Lifecycle::Draining => 2,
+    }
+}
+
+const LISTS: [ListKind; 4] = [ListKind::Delta, ListKind::Full, ListKind::Cached, ListKind::Failed];
+
+fn list_code(kind: ListKind) -> u8 {
+    match kind {
+        ListKind::Delta => 0,
+        ListKind::Full => 1,
+        ListKind::Cached => 2,
+        ListKind::Failed => 3,
+    }
+}
+
+fn server(id: ServerId, lifecycle: Lifecycle, launched: Option<Millis>) -> ServerEntry {
+    ServerEntry { id, zone: (id % 3) as u16, cell: (id % 2) as u16, share: 1.0, lifecycle, launched }
+}
+
+fn request(id: RequestId, plan: usize, class: usize) -> Request {
+    Request {
+        id,
+        customer: 100 + id % 7,
+        plan,
+        class,
+        units: 1.0,
+        spread: 2,
+        first: 1,
+        expires_in: 4000.0,
+        repeat: id % 5 == 0,
+    }
+}
+
+/// An event record under construction: code, instance, then fields at their positions.
+#[derive(Clone)]
+struct Record([u8; EVENT]);
+
+impl Record {
+    fn new(code: u8) -> Record {
+        Record([0; EVENT]).put(0, &[code]).put(1, &3u16.to_be_bytes())
+    }
+    fn put(mut self, at: usize, bytes: &[u8]) -> Record {
+        self.0[at..at + bytes.len()].copy_from_slice(bytes);
+        self
+    }
+}
+
+fn frame(clock: f64, records: &[Record], tail: &[u8]) -> Vec<u8> {
+    let mut body = (records.len() as u32).to_be_bytes().to_vec();
+    records.iter().for_each(|record| body.extend(record.0));
+    body.extend(tail);
+    let mut frame = clock.to_be_bytes().to_vec();
+    frame.extend((body.len() as u32).to_be_bytes());
+    frame.extend(body);
+    frame
+}
+
+const TEXT: &str = "balancers=3 ordinal=1 zone=2 classes.count=5 classes.0.semantics=free classes.0.worth=3.0 \
+    classes.0.slo=800.0 classes.0.deadline=4000.0 classes.0.lateShare=0.25 classes.1.semantics=single_shot \
+    classes.1.worth=1.0 classes.1.slo=800.0 classes.1.deadline=4000.0 classes.1.lateShare=0.25 \
+    classes.2.semantics=guarded classes.2.group=all classes.2.dedupWindow=1500.0 classes.2.worth=2.0 \
+    classes.2.slo=800.0 classes.2.deadline=4000.0 classes.2.lateShare=0.25 classes.3.semantics=guarded \
+    classes.3.group=zone classes.3.dedupWindow=1500.0 classes.3.worth=2.0 classes.3.slo=800.0 \
+    classes.3.deadline=4000.0 classes.3.lateShare=0.25 classes.4.semantics=guarded classes.4.group=cell \
+    classes.4.dedupWindow=1500.0 classes.4.worth=2.0 classes.4.slo=800.0 classes.4.deadline=4000.0 \
+    classes.4.lateShare=0.25 plans.count=1 plans.0.unitsPerS=20.0 plans.0.storeSize=40.0 plans.0.concurrency=7 \
+    plans.0.price=1.0 plans.0.excessWorth=0.125 plans.0.overrunCost=0.5 plans.0.neverOverRate=10.0 \
+    plans.0.capDepth=12.5 plans.0.tolerance=2.0 familyInfo.mostUnits=4 familyInfo.usePeriod=500.0 \
+    bounds.maxAttempts=3 bounds.mayDuplicate=true bounds.cancel=true bounds.retryAfter=true \
+    bounds.maxRetryAfter=700.0 rules.stopSendingWithin=500.0 rules.coldFrom=0.25 rules.cold=18000.0 \
+    rules.tipMultiple=2.0 rules.fall=3000.0 tick=4.0 registryMode=on_request some.new.key=whatever";
+
+fn settings_text() -> String {
+    TEXT.split_whitespace().collect::<Vec<_>>().join("\n")
+}
+
+fn entry_bytes(entry: &ServerEntry) -> Vec<u8> {
+    let mut bytes = entry.id.to_be_bytes().to_vec();
+    bytes.extend(entry.zone.to_be_bytes());
+    bytes.push(0);
+    bytes.extend(entry.cell.to_be_bytes());
+    bytes.push(lifecycle_code(entry.lifecycle));
+    bytes.extend((entry.share as f32).to_be_bytes());
+    bytes.extend(entry.launched.unwrap_or(0.0).to_be_bytes());
+    bytes
+}
--- /dev/null
+++ b/crates/brassport-policy/tests/it/golden/settings.rs
@@ -0,0 +1,100 @@
+//! Settings of the wire, and the errors of settings that are missing, unreadable or out of range.
+
+use super::*;
+use brassport_policy::wire::settings;
+
+#[test]
+fn valid_settings_decode_as_before() {
+    let read = settings(&settings_text()).expect("sound");
+    let plain = settings(
+        &settings_text()
+            .replace("registryMode=on_request", "registryMode=pushed")
+            .replace("retryAfter=true\nbounds.maxRetryAfter=700.0", "retryAfter=false"),
+    );
+    let write = |settings: &Settings| serde_json::to_string(settings).expect("JSON");
+    let cases = [
+        ("read".to_string(), write(&read)),
+        ("read, pushed and without advice".to_string(), write(&plain.expect("sound"))),
+        ("default".to_string(), write(&Settings::default())),
+        ("sample".to_string(), write(&sample_settings())),
+    ];
+    let fixture = golden("settings.txt", &lines(&cases));
+    for ((name, _), value) in cases.iter().zip([Some(read), None, Some(Settings::default()), None]) {
+        let text = case(&fixture, name);
+        let decoded: Settings = serde_json::from_str(text).expect("sound");
+        assert_eq!(write(&decoded), text, "{name}");
+        assert!(value.is_none_or(|value| value == decoded), "{name}");
+    }
+}
+
+#[test]
+fn errors_of_missing_or_unreadable_settings_are_unchanged() {
+    let text = settings_text();
+    let mut reported = Vec::new();
+    for line in text.lines().filter(|line| !line.starts_with("some.")) {
+        let key = line.split('=').next().expect("a key");
+        let without: Vec<_> = text.lines().filter(|other| *other != line).collect();
+        let broken = text.replace(line, &format!("{key}=?"));
+        for (how, text) in [("missing", without.join("\n")), ("unreadable", broken)] {
+            let error = settings(&text).expect_err(key);
+            reported.push((format!("{key} {how}"), error.to_string()));
+        }
+    }
+    golden("settings-unreadable.txt", &lines(&reported));
+}
+
+/// One change of settings.
+type Change = fn(&mut Settings, f64);
+
+#[test]
+fn errors_of_settings_out_of_range_are_unchanged() {
+    let changes: [Change; 28] = [
+        |settings, value| settings.max_units = value,
+        |settings, value| settings.meter_period = value,
+        |settings, value| settings.max_retry_after = value,
+        |settings, value| settings.drain_grace = value,
+        |settings, value| settings.cold_from = value,
+        |settings, value| settings.cold_for = value,
+        |settings, value| settings.tip_multiple = value,
+        |settings, value| settings.tip_after = value,
+        |settings, value| settings.tick = value,
+        |settings, value| settings.tuning.far = value,
+        |settings, value| settings.tuning.late = value,
+        |settings, value| settings.tuning.start = value,
+        |settings, value| settings.tuning.retry_share = value,
+        |settings, value| settings.tuning.retries = value,
+        |settings, value| settings.classes[1].worth = value,
+        |settings, value| settings.classes[1].aim = value,
+        |settings, value| settings.classes[1].deadline = value,
+        |settings, value| settings.classes[1].late_share = value,
+        |settings, value| settings.classes[1].effect = Effect::Keyed { scope: Scope::All, window: value },
+        |settings, value| settings.plans[1].rate = value,
+        |settings, value| settings.plans[1].burst = value,
+        |settings, value| settings.plans[1].price = value,
+        |settings, value| settings.plans[1].over_worth = value,
+        |settings, value| settings.plans[1].over_cost = value,
+        |settings, value| settings.plans[1].ceiling_rate = value,
+        |settings, value| settings.plans[1].ceiling_burst = value,
+        |settings, value| settings.plans[1].ceiling_slack = value,
+        |settings, value| {
+            settings.plans[1].rate = 0.0;
+            settings.plans[1].burst = value;
+        },
+    ];
+    let verdict = |settings: Settings| match Gateway::new(settings, 1, 0.0) {
+        Ok(_) => "taken".to_string(),
+        Err(error) => format!("{error}; field {}", error.field),
+    };
+    let mut reported = vec![
+        ("gateways".to_string(), verdict(Settings { gateways: 0, ..sample_settings() })),
+        ("attempts".to_string(), verdict(Settings { max_attempts: 0, ..sample_settings() })),
+    ];
+    for (number, change) in changes.iter().enumerate() {
+        for value in [f64::NAN, -1.0, 0.0, 1e12, 2e12] {
+            let mut settings = sample_settings();
+            change(&mut settings, value);
+            reported.push((format!("figure {number} as {value}"), verdict(settings)));
+        }
+    }
+    golden("settings-senseless.txt", &lines(&reported));
+}
--- /dev/null
+++ b/crates/brassport-policy/tests/it/golden/wire.rs
@@ -0,0 +1,143 @@
+//! Event and action records of the simulator's wire.
+
+use super::*;
+use brassport_policy::wire::{Batch, Reply, WireEvent};
+
+/// Each kind of record with what it means.
+fn records() -> Vec<(String, Vec<u8>, WireEvent)> {
+    let (id, one) = (0x0102_0304_0506_0708u64, [Record::new(17)]);
+    let whole = |record: Record| frame(1.5, &[record], &[]);
+    let with_id = |code: u8| whole(Record::new(code).put(3, &id.to_be_bytes()));
+    let mut cases = vec![
+        ("timer".to_string(), with_id(17), WireEvent::Event(Event::Timer(id))),
+        ("started".to_string(), with_id(24), WireEvent::Event(Event::Started(id))),
+        ("client gone".to_string(), with_id(26), WireEvent::Event(Event::ClientGone(id))),
+        ("timer without token".to_string(), frame(1.5, &one, &[]), WireEvent::Event(Event::Timer(0))),
+        ("detach".to_string(), whole(Record::new(23)), WireEvent::Detach),
+    ];
+    for code in [21, 22, 25] {
+        cases.push((format!("unused {code}"), whole(Record::new(code)), WireEvent::Unused));
+    }
+    for repeat in [false, true] {
+        let record = Record::new(18)
+            .put(3, &id.to_be_bytes())
+            .put(11, &2f32.to_be_bytes())
+            .put(15, &1u32.to_be_bytes())
+            .put(19, &12345u64.to_be_bytes())
+            .put(27, &[if repeat { 6 } else { 5 }])
+            .put(28, &1250.5f64.to_be_bytes())
+            .put(36, &1f32.to_be_bytes())
+            .put(40, &4u16.to_be_bytes())
+            .put(42, &1.5f32.to_be_bytes());
+        let request = Request {
+            id,
+            customer: 12345,
+            plan: 1,
+            class: 4,
+            units: 1.5,
+            spread: 2,
+            first: 1,
+            expires_in: 1250.5,
+            repeat,
+        };
+        let event = WireEvent::Event(Event::Request(request));
+        cases.push((format!("accept, repeat {repeat}"), whole(record), event));
+    }
+    for outcome in OUTCOMES {
+        for (code, used) in [(0u16, None), (1, Some(0.0)), (251, Some(2.5))] {
+            let record = Record::new(16)
+                .put(3, &id.to_be_bytes())
+                .put(11, &33.5f64.to_be_bytes())
+                .put(19, &[u8::from(code > 0)])
+                .put(22, &code.to_be_bytes())
+                .put(24, &[2])
+                .put(29, &outcome_code(outcome).to_be_bytes());
+            let end =
+                AttemptEnd { request: id, attempt: 2, outcome, elapsed: 33.5, finished: code > 0, used };
+            let name = format!("attempt end {}, use {code}", outcome_code(outcome));
+            cases.push((name, whole(record), WireEvent::Event(Event::AttemptEnd(end))));
+        }
+    }
+    for kind in LISTS {
+        let entries: Vec<_> = LIFECYCLES
+            .iter()
+            .map(|state| ServerEntry {
+                share: 1.25,
+                ..server(0x2c01, *state, (kind == ListKind::Full).then_some(640.5))
+            })
+            .collect();
+        let mut tail = vec![0xee];
+        entries.iter().for_each(|entry| tail.extend(entry_bytes(entry)));
+        let record = Record::new(20).put(3, &[list_code(kind)]).put(12, &1u32.to_be_bytes());
+        let record = record.put(16, &(entries.len() as u32).to_be_bytes());
+        let event = WireEvent::Event(Event::Servers { kind, entries });
+        cases.push((format!("servers {}", list_code(kind)), frame(1.5, &[record], &tail), event));
+    }
+    let text = settings_text();
+    let born = Record::new(19).put(3, &5u64.to_be_bytes()).put(15, &(text.len() as u32).to_be_bytes());
+    let settings = Box::new(Settings {
+        plans: vec![Plan { open: 7, ..sample_settings().plans[1] }],
+        tuning: Tuning::default(),
+        ..sample_settings()
+    });
+    cases.push(("born".into(), frame(1.5, &[born], text.as_bytes()), WireEvent::Born { seed: 5, settings }));
+    cases
+}
+
+#[test]
+fn each_event_record_decodes_as_before() {
+    let cases = records();
+    let written: Vec<_> = cases.iter().map(|(name, bytes, _)| (name.clone(), hex(bytes))).collect();
+    let fixture = golden("wire-events.hex", &lines(&written));
+    for (name, _, event) in cases {
+        let bytes = unhex(case(&fixture, &name));
+        let batch = Batch::read(&mut &bytes[..]).expect("sound").expect("not at the end");
+        assert_eq!((batch.clock, batch.count), (1.5, 1), "{name}");
+        assert_eq!(batch.event(0).expect("sound"), (3, event), "{name}");
+    }
+}
+
+/// Each action; whoever adds one is made to add it here.
+fn actions() -> Vec<Action> {
+    let all = vec![
+        Action::Send { request: 9, server: 7, expire_at: Some(2.5) },
+        Action::Send { request: 9, server: 0x0102_0304, expire_at: None },
+        Action::Refuse { request: 9, retry_after: 8.25 },
+        Action::Fail(1 << 61),
+        Action::Cancel { request: 9, attempt: 1 },
+        Action::Timer { at: 4.5, token: 11 },
+        Action::FollowServers,
+        Action::Log("a line für staff".into()),
+    ];
+    let place = |action: &Action| match action {
+        Action::Send { .. } => 0,
+        Action::Refuse { .. } => 1,
+        Action::Fail(_) => 2,
+        Action::Cancel { .. } => 3,
+        Action::Timer { .. } => 4,
+        Action::FollowServers => 5,
+        Action::Log(_) => 6,
+    };
+    let places: std::collections::BTreeSet<_> = all.iter().map(place).collect();
+    assert_eq!(places.len(), 7);
+    all
+}
+
+#[test]
+fn each_action_record_encodes_as_before() {
+    let mut cases = vec![("nothing".to_string(), hex(&Reply::default().into_bytes()))];
+    let mut together = Reply::default();
+    for (number, action) in actions().iter().enumerate() {
+        let mut reply = Reply::default();
+        reply.push(0x0103, action);
+        cases.push((format!("action {number}"), hex(&reply.into_bytes())));
+        together.push(3, action);
+    }
+    let mut dying = Reply::default();
+    dying.die(4, "cde");
+    cases.push(("died".into(), hex(&dying.into_bytes())));
+    together.die(4, "the last");
+    together.push(5, &Action::Log("and one more".into()));
+    cases.push(("all in one".into(), hex(&together.into_bytes())));
+    golden("wire-actions.hex", &lines(&cases));
+}
--- a/crates/brassport-policy/tests/heritage.rs
+++ b/crates/brassport-policy/tests/it/handover.rs
@@ -1,11 +1,9 @@
 //! One gateway goes on in another's place.
 
-mod common;
-
 use brassport_policy::*;
 use proptest::prelude::*;
 
-const MOST: usize = 1 << 20;
+const MAX_BYTES: usize = 1 << 20;
 
 fn settings() -> Settings {
     let class = |effect| Class { worth: 1.0, aim: 1000.0, deadline: 4000.0, late_share: 0.0, effect };
@@ -73,15 +71,15 @@
 }
 
 fn successor_of(old: &mut Gateway, now: Millis, out: Vec<CustomerId>) -> Gateway {
-    let learned = old.heritage(MOST);
+    let learned = old.heritage(MAX_BYTES);
     handle(old, now, Event::HandOver);
     let mut new = gateway();
     assert_eq!(handle(&mut new, now, Event::Inherit { learned, out }), []);
     new
 }
 
-/// Requests of a customer with a ceiling, one each 20 ms from `from` on, let in by either of the two.
-fn let_in(gateways: &mut [&mut Gateway], from: Millis, count: u64, first: RequestId) -> usize {
+/// Requests of a customer with a rate limit, one each 20 ms from `from` on, admitted by either of the two.
+fn admitted(gateways: &mut [&mut Gateway], from: Millis, count: u64, first: RequestId) -> usize {
     let mut sent = 0;
     for n in 0..count {
         let now = from + 20.0 * n as f64;
@@ -97,14 +95,14 @@
 }
 
 #[test]
-fn a_ceiling_is_spent_by_one_of_the_two_however_the_change_falls() {
+fn a_rate_limit_is_spent_by_one_of_the_two_gateways() {
     for steps_before in [0, 10, 30, 60] {
         let mut old = gateway();
         handle(&mut old, 0.0, servers(0, 4));
-        let before = let_in(&mut [&mut old], 2000.0, steps_before, 1);
+        let before = admitted(&mut [&mut old], 2000.0, steps_before, 1);
         let at = 2000.0 + 20.0 * steps_before as f64;
         let mut new = successor_of(&mut old, at, Vec::new());
-        let after = let_in(&mut [&mut old, &mut new], at, 100 - steps_before, 1000);
+        let after = admitted(&mut [&mut old, &mut new], at, 100 - steps_before, 1000);
         // Ten at once, and ten a second over two seconds.
         assert!(before + after <= 31, "{before} and {after}");
         assert!(before + after >= 20, "{before} and {after}: it is not lost either");
@@ -112,22 +110,22 @@
 }
 
 #[test]
-fn a_gateway_that_takes_back_has_no_more_than_comes_from_then_on() {
+fn after_a_failed_handover_rate_limits_start_empty() {
     let mut old = gateway();
     handle(&mut old, 0.0, servers(0, 4));
-    let before = let_in(&mut [&mut old], 1900.0, 5, 1);
+    let before = admitted(&mut [&mut old], 1900.0, 5, 1);
     let mut new = successor_of(&mut old, 2000.0, Vec::new());
-    let spent = let_in(&mut [&mut new], 2000.0, 20, 10);
+    let spent = admitted(&mut [&mut new], 2000.0, 20, 10);
     drop(new);
     handle(&mut old, 2400.0, Event::TakeBack);
-    let after = let_in(&mut [&mut old], 2400.0, 30, 1000);
+    let after = admitted(&mut [&mut old], 2400.0, 30, 1000);
     // Ten at once, and ten a second over 1.1 s.
     assert!(before > 0 && spent > 0 && after > 0, "{before}, {spent}, {after}");
     assert!(before + spent + after <= 22, "{before}, {spent}, {after}");
 }
 
 #[test]
-fn a_cold_server_gets_nothing_from_the_one_that_handed_over() {
+fn a_retired_gateway_sends_nothing_to_servers_in_warm_up() {
     let mut old = gateway();
     handle(&mut old, 0.0, servers(3, 1));
     let mut new = successor_of(&mut old, 100.0, Vec::new());
@@ -146,7 +144,7 @@
 }
 
 #[test]
-fn attempts_out_with_the_other_count_until_they_end_there() {
+fn attempts_in_flight_at_the_predecessor_count_until_they_end() {
     let mut old = gateway();
     handle(&mut old, 0.0, servers(0, 4));
     for id in [1, 2] {
@@ -163,7 +161,7 @@
 }
 
 #[test]
-fn a_server_that_was_ejected_stays_so() {
+fn an_ejected_server_stays_ejected() {
     let mut old = gateway();
     handle(&mut old, 0.0, servers(0, 1));
     for id in 1..9 {
@@ -181,10 +179,10 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_no_heritage_and_the_gateway_begins_anew() {
+fn an_unusable_state_is_not_applied_and_the_gateway_starts_without() {
     let mut old = gateway();
     handle(&mut old, 0.0, servers(1, 3));
-    let sound = old.heritage(MOST);
+    let sound = old.heritage(MAX_BYTES);
     let other_form = sound.replacen("\"form\":", "\"form\":9", 1);
     assert!(sound != other_form);
     assert_eq!(old.heritage(sound.len() - 1), "", "half of it is of no use");
@@ -201,7 +199,7 @@
 proptest! {
     /// Whatever happened before, the text is read, and what it says is what the new one would say again.
     #[test]
-    fn the_text_of_any_state_is_read_and_says_the_same_again(
+    fn any_state_round_trips(
         seed in any::<u64>(),
         steps in prop::collection::vec((0u8..6, 1u16..400, 0u64..5), 1..120),
     ) {
@@ -213,8 +211,8 @@
             now += f64::from(time);
             if what < 4 {
                 id += 1;
-                let asked = request(id, customer, usize::from(what % 2));
-                if sent_to(&handle(&mut old, now, Event::Request(asked))).is_some() {
+                let offered = request(id, customer, usize::from(what % 2));
+                if sent_to(&handle(&mut old, now, Event::Request(offered))).is_some() {
                     open.push(id);
                 }
             } else if let Some(done) = open.pop() {
@@ -227,11 +225,11 @@
         for done in open {
             handle(&mut old, now, end(done));
         }
-        let learned = old.heritage(MOST);
+        let learned = old.heritage(MAX_BYTES);
         let mut new = gateway();
         let said = handle(&mut new, now, Event::Inherit { learned: learned.clone(), out: Vec::new() });
         prop_assert_eq!(said, []);
-        // Settling under the same settings adds lines to an agenda and changes nothing else.
+        // Settling under the same settings adds entries to a queue and changes nothing else.
         let without = |text: &str| {
             let mut value: serde_json::Value = serde_json::from_str(text).expect("JSON");
             value["now"] = serde_json::Value::Null;
@@ -242,6 +240,6 @@
             }
             value
         };
-        prop_assert!(without(&new.heritage(MOST)) == without(&learned));
+        prop_assert!(without(&new.heritage(MAX_BYTES)) == without(&learned));
     }
 }
--- a/crates/brassport-policy/tests/invariants.rs
+++ b/crates/brassport-policy/tests/it/invariants.rs
@@ -1,18 +1,16 @@
 //! Invariants under generated sequences of events, with a fixed seed.
 
-mod common;
-
+use crate::common::{sends, server, settings, Host};
 use brassport_policy::*;
-use common::{sends, server, settings, Host};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
 use std::collections::BTreeMap;
 
 #[derive(Debug, Clone)]
 enum Step {
-    Ask { customer: u64, plan: usize, class: usize, units: f64, expires_in: f64 },
+    Submit { customer: u64, plan: usize, class: usize, units: f64, expires_in: f64 },
     End { pick: usize, outcome: usize, used: Option<f64> },
-    Leave { pick: usize },
+    Disconnect { pick: usize },
     List { kind: ListKind, servers: Vec<(ServerId, Lifecycle)> },
     Wait { time: f64 },
     Noise { id: u64, attempt: u8, token: u64 },
@@ -39,12 +37,18 @@
     ];
     let state = prop_oneof![Just(Lifecycle::Ready), Just(Lifecycle::Draining), Just(Lifecycle::Gone)];
     let ask = (0..4u64, 0..5usize, 0..4usize, 0.0..2.0, prop_oneof![Just(4000.0), 0.0..4000.0]).prop_map(
-        |(customer, plan, class, units, expires_in)| Step::Ask { customer, plan, class, units, expires_in },
+        |(customer, plan, class, units, expires_in)| Step::Submit {
+            customer,
+            plan,
+            class,
+            units,
+            expires_in,
+        },
     );
     let step = prop_oneof![
         6 => ask,
         5 => (any::<usize>(), 0..OUTCOMES.len(), used).prop_map(|(pick, outcome, used)| Step::End { pick, outcome, used }),
-        1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
+        1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
         1 => (kinds, prop::collection::vec((1..6u32, state), 0..5))
             .prop_map(|(kind, servers)| Step::List { kind, servers }),
         4 => (0.0..400.0).prop_map(|time| Step::Wait { time }),
@@ -54,7 +58,7 @@
 }
 
 /// What a host knows of one request.
-struct Known {
+struct Expected {
     plan: usize,
     class: usize,
     customer: u64,
@@ -70,7 +74,7 @@
     gateway: Gateway,
     settings: Settings,
     now: f64,
-    requests: BTreeMap<u64, Known>,
+    requests: BTreeMap<u64, Expected>,
     listed: BTreeMap<ServerId, Lifecycle>,
     timers: Vec<(f64, u64)>,
     out: Vec<(u64, u8)>,
@@ -196,12 +200,12 @@
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Ask { customer, plan, class, units, expires_in } => {
+            Step::Submit { customer, plan, class, units, expires_in } => {
                 let id = self.requests.len() as u64 + 1;
                 let deadline = self.now + expires_in;
                 let attempts = Vec::new();
                 let known =
-                    Known { plan, class, customer, units, deadline, answers: 0, over: false, attempts };
+                    Expected { plan, class, customer, units, deadline, answers: 0, over: false, attempts };
                 self.requests.insert(id, known);
                 let repeat = id % 3 == 0;
                 let request =
@@ -228,7 +232,7 @@
                     used,
                 }));
             }
-            Step::Leave { pick } if !self.requests.is_empty() => {
+            Step::Disconnect { pick } if !self.requests.is_empty() => {
                 let id = (pick % self.requests.len()) as u64 + 1;
                 if let Some(known) = self.requests.get_mut(&id) {
                     known.over = true;
@@ -251,7 +255,7 @@
                     self.event(Event::AttemptEnd(noise));
                 }
             }
-            Step::End { .. } | Step::Leave { .. } => {}
+            Step::End { .. } | Step::Disconnect { .. } => {}
         }
     }
 }
@@ -266,7 +270,7 @@
 }
 
 #[test]
-fn the_rules_hold_under_any_sequence_of_events() {
+fn the_invariants_hold_for_any_sequence_of_events() {
     let config =
         Config { cases: 400, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
@@ -329,7 +333,7 @@
         for _ in 0..requests {
             host.now += 20.0;
             for plan in [0, 3] {
-                let (id, actions) = host.ask(plan as u64, plan, 0);
+                let (id, actions) = host.submit(plan as u64, plan, 0);
                 if !sends(&actions).is_empty() {
                     host.end(id, 0, Outcome::Ok, Some(0.5));
                 }
--- a/crates/brassport-policy/tests/choice_model.rs
+++ b/crates/brassport-policy/tests/it/load_balancer_model.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// What the plain walk knows, and the module that it is held against.
+/// A plain model, and the module that is compared with it.
 struct Model {
     gateway: Gateway,
     effect: Effect,
@@ -114,7 +114,7 @@
         self.tell(Event::Servers { kind, entries });
     }
 
-    fn ask(&mut self) {
+    fn submit(&mut self) {
         self.next += 1;
         let request = Request {
             id: self.next,
@@ -234,7 +234,7 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Ask(u8),
+    Submit(u8),
     End(usize, Outcome, u16),
     Pass(u16),
     Change(Vec<(u32, u8)>),
@@ -264,7 +264,7 @@
         1 => Just(Outcome::NoConnection),
     ];
     let step = prop_oneof![
-        8 => (1u8..12).prop_map(Step::Ask),
+        8 => (1u8..12).prop_map(Step::Submit),
         8 => (any::<usize>(), outcome, 1u16..400).prop_map(|(which, outcome, time)| Step::End(which, outcome, time)),
         4 => (0u16..300).prop_map(Step::Pass),
         1 => prop::collection::vec((0u32..400, any::<u8>()), 1..20).prop_map(Step::Change),
@@ -275,7 +275,7 @@
 
 proptest! {
     #[test]
-    fn a_choice_keeps_what_must_be_kept_and_makes_no_longer_a_wait_than_is_meant(
+    fn choices_keep_the_invariants_and_the_bound_on_the_expected_wait(
         nodes in prop_oneof![1u32..8, 8u32..40, 40u32..400],
         seed in any::<u64>(),
         repeats in 0u8..3,
@@ -288,7 +288,7 @@
         model.list(ListKind::Full, (0..nodes).map(warm).collect());
         for step in steps {
             match step {
-                Step::Ask(times) => (0..times).for_each(|_| model.ask()),
+                Step::Submit(times) => (0..times).for_each(|_| model.submit()),
                 Step::End(which, outcome, time) => model.end(which, outcome, f64::from(time)),
                 Step::Pass(time) => model.now += f64::from(time),
                 Step::Change(changes) => {
@@ -308,12 +308,12 @@
 
 /// Keeps the property from holding for want of choices.
 #[test]
-fn the_model_sees_choices_in_great_fleets_that_are_busy() {
+fn the_model_covers_choices_in_large_busy_fleets() {
     let mut model = Model::new(3, Effect::Free);
     let line = |id| ServerEntry { lifecycle: Lifecycle::Ready, launched: None, ..entry(id, 32, 0.0) };
     model.list(ListKind::Full, (0..200).map(line).collect());
     for number in 0..4000 {
-        model.ask();
+        model.submit();
         if number > 300 {
             model.end(number, Outcome::Ok, 40.0);
         }
--- a/crates/brassport-policy/tests/health.rs
+++ b/crates/brassport-policy/tests/it/outlier_detection.rs
@@ -1,9 +1,7 @@
 //! Servers that fail, hang or slow down, as one gateway can see them.
 
-mod common;
-
+use crate::common::*;
 use brassport_policy::*;
-use common::*;
 use std::collections::BTreeMap;
 
 /// Asks every 20 ms for a while, with some requests in hand at a time; `answer` tells for a server and
@@ -26,7 +24,7 @@
     let mut hand = std::collections::VecDeque::new();
     for _ in 0..rounds {
         host.now += 20.0;
-        let (id, actions) = host.ask(1, 3, 1);
+        let (id, actions) = host.submit(1, 3, 1);
         for target in sends(&actions) {
             *sent.entry(target).or_insert(0) += 1;
             if let Some(outcome) = answer(target, sent[&target]) {
@@ -47,7 +45,7 @@
 }
 
 #[test]
-fn a_hung_server_soon_gets_nothing_new() {
+fn a_hung_server_gets_no_new_attempts() {
     let servers: Vec<_> = (1..=3).map(server).collect();
     let mut host = Host::new(Settings { gateways: 1, ..settings() }, &servers);
     run_with(&mut host, 40, 9, |_, _| Some(Outcome::Ok));
@@ -56,14 +54,14 @@
 }
 
 #[test]
-fn a_server_that_fails_at_once_draws_no_load() {
+fn a_server_that_fails_fast_attracts_no_load() {
     let sent =
         run(&mut fleet(), 600, |server, _| Some(if server == 1 { Outcome::Error } else { Outcome::Ok }));
     assert!(sent[&1] < 40, "{sent:?}");
 }
 
 #[test]
-fn a_server_that_fails_half_of_its_work_gets_less() {
+fn a_server_that_fails_half_of_its_attempts_gets_fewer() {
     let flaky = |server, n: usize| Some(if server == 1 && n % 2 == 0 { Outcome::Error } else { Outcome::Ok });
     let sent = run(&mut fleet(), 600, flaky);
     let others = sent.values().sum::<usize>() - sent[&1];
@@ -71,10 +69,10 @@
 }
 
 #[test]
-fn a_fleet_that_looks_bad_as_a_whole_is_not_ejected() {
+fn a_fleet_that_is_slow_as_a_whole_is_not_ejected() {
     let mut host = fleet();
     run(&mut host, 60, |_, _| Some(Outcome::Error));
-    let (_, actions) = host.ask(1, 3, 1);
+    let (_, actions) = host.submit(1, 3, 1);
     assert_eq!(sends(&actions).len(), 1);
 }
 
@@ -90,23 +88,23 @@
 }
 
 #[test]
-fn without_any_server_requests_are_refused() {
+fn requests_are_rejected_without_a_server() {
     let mut host = Host::new(settings(), &[]);
-    assert!(refused(&host.ask(1, 3, 1).1));
+    assert!(refused(&host.submit(1, 3, 1).1));
 }
 
 #[test]
-fn a_server_that_was_bad_for_a_while_is_used_again() {
+fn a_server_that_recovered_is_used_again() {
     let mut host = fleet();
     run(&mut host, 300, |server, n| Some(if server == 1 && n < 40 { Outcome::Error } else { Outcome::Ok }));
     let sent = run(&mut host, 3000, |_, _| Some(Outcome::Ok));
     assert!(sent[&1] > 100, "{sent:?}");
 }
 
-/// Guards a cold server against runs of turns: drawn each by itself they came, in one day of several thousand, often
+/// Guards a server in warm-up against runs of turns: drawn independently they came, in one day of several thousand, often
 /// enough within its span to tip it over.
 #[test]
-fn a_cold_server_gets_its_part_of_the_fleet_in_every_span_and_never_a_run_of_turns() {
+fn a_server_in_warm_up_gets_its_share_in_every_interval_and_no_run_of_turns() {
     let settings = settings();
     for seed in 0..20 {
         let mut servers: Vec<_> = (1..=6).map(server).collect();
@@ -118,7 +116,7 @@
         for _ in 0..480 {
             host.now += 20.0;
             let warmth = settings.cold_from + (1.0 - settings.cold_from) * host.now / settings.cold_for;
-            let (id, actions) = host.ask(1, 3, 1);
+            let (id, actions) = host.submit(1, 3, 1);
             let sent = sends(&actions).iter().filter(|target| **target == 6).count();
             turns.push((warmth / (5.0 + warmth), sent as f64));
             host.end(id, 0, Outcome::Ok, None);
@@ -134,8 +132,8 @@
     }
 }
 
-/// The attempts that were called off, by request.
-fn called_off(actions: &[Action]) -> Vec<(RequestId, u8)> {
+/// The attempts that were cancelled, by request.
+fn cancelled(actions: &[Action]) -> Vec<(RequestId, u8)> {
     let one = |action: &Action| match action {
         Action::Cancel { request, attempt } => Some((*request, *attempt)),
         _ => None,
@@ -144,14 +142,14 @@
 }
 
 #[test]
-fn of_many_attempts_that_are_silent_at_once_only_those_are_given_up_that_go_again() {
+fn of_many_hung_attempts_only_those_with_a_retry_are_cancelled() {
     let servers: Vec<_> = (1..=20).map(server).collect();
     let mut host = Host::new(settings(), &servers);
-    // Answers take 50 ms; ten requests are then out at as many servers, and all of these fall silent.
+    // Responses take 50 ms; ten requests are then in flight at as many servers, and all of these hang.
     let mut out = Vec::new();
     for n in 0..30 {
         host.now += if n < 20 { 50.0 } else { 0.0 };
-        let (id, actions) = host.ask(1, 3, 0);
+        let (id, actions) = host.submit(1, 3, 0);
         if sends(&actions).is_empty() {
             continue;
         }
@@ -165,10 +163,10 @@
     let mut again = 0;
     while host.now < until {
         let next = host.now + 20.0;
-        // A door tells of the ends behind all that one turn called off.
-        for (id, attempt) in called_off(&host.run_timers(next)) {
+        // A host reports the ends after all that one turn cancelled.
+        for (id, attempt) in cancelled(&host.run_timers(next)) {
             let actions = host.end(id, attempt, Outcome::Cancelled, None);
-            assert!(!failed(&actions) && !refused(&actions), "{id} was given up for nothing");
+            assert!(!failed(&actions) && !refused(&actions), "{id} was cancelled in vain");
             assert_eq!(sends(&actions).len(), 1, "{id} goes again");
             again += 1;
         }
@@ -178,12 +176,12 @@
     // Each first attempt adds to the budget: those that still wait go again in their turn.
     let before = again;
     for _ in 0..10 {
-        let (id, actions) = host.ask(1, 3, 0);
+        let (id, actions) = host.submit(1, 3, 0);
         if !sends(&actions).is_empty() {
             host.end(id, 0, Outcome::Ok, None);
         }
         let next = host.now + 20.0;
-        for (id, attempt) in called_off(&host.run_timers(next)) {
+        for (id, attempt) in cancelled(&host.run_timers(next)) {
             let actions = host.end(id, attempt, Outcome::Cancelled, None);
             again += sends(&actions).len();
         }
--- a/crates/brassport-policy/tests/overload.rs
+++ b/crates/brassport-policy/tests/it/overload.rs
@@ -1,13 +1,11 @@
 //! Overload within the quotas.
 
-mod common;
-
+use crate::common::*;
 use brassport_policy::*;
-use common::*;
 
 /// Asks `count` times at once and returns how many went out and how many were refused.
 fn burst(host: &mut Host, count: usize, class: usize) -> (usize, usize) {
-    let replies: Vec<_> = (0..count).map(|_| host.ask(1, 3, class).1).collect();
+    let replies: Vec<_> = (0..count).map(|_| host.submit(1, 3, class).1).collect();
     let out = replies.iter().filter(|actions| !sends(actions).is_empty()).count();
     (out, replies.iter().filter(|actions| refused(actions)).count())
 }
@@ -30,7 +28,7 @@
             answer(host, id, elapsed);
         }
         let class = classes[step % classes.len()];
-        let (id, actions) = host.ask(1, 3, class);
+        let (id, actions) = host.submit(1, 3, class);
         if !sends(&actions).is_empty() {
             out[class] += usize::from(host.now > half);
             hand.push_back((id, host.now + elapsed));
@@ -44,21 +42,21 @@
 }
 
 #[test]
-fn overload_ends_in_early_refusals() {
+fn overload_leads_to_early_rejections() {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
     let out = answered_after(&mut host, &[0], 900.0, 20.0)[0];
     assert!(out > 0 && out < 100, "{out} of 1000 let in though all answers are late");
 }
 
 #[test]
-fn low_worth_is_refused_before_high_worth() {
+fn low_value_is_rejected_before_high_value() {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
     let out = answered_after(&mut host, &[0, 1], 900.0, 20.0);
     assert!(out[0] > 2 * out[1], "{out:?} of high and low worth let in");
 }
 
 #[test]
-fn a_surge_is_bounded_before_its_late_answers_are_in() {
+fn a_surge_is_limited_before_its_late_responses_arrive() {
     let servers: Vec<_> = (1..=4).map(server).collect();
     let mut host = Host::new(settings(), &servers);
     answered_after(&mut host, &[0], 50.0, 5.0);
@@ -67,13 +65,13 @@
 }
 
 #[test]
-fn with_full_queues_few_of_thousands_of_retries_are_let_in() {
+fn with_full_queues_few_of_thousands_of_retries_are_admitted() {
     let servers: Vec<_> = (1..=4).map(server).collect();
     let mut host = Host::new(Settings { max_attempts: 1, ..settings() }, &servers);
     let mut out = 0;
     for step in 0..20_000 {
         host.now += 1.0;
-        let (id, actions) = host.ask(1, 3, 0);
+        let (id, actions) = host.submit(1, 3, 0);
         if !sends(&actions).is_empty() {
             out += u32::from(step > 10_000);
             host.end(id, 0, Outcome::Full, None);
@@ -83,11 +81,11 @@
 }
 
 #[test]
-fn a_surge_that_has_passed_does_not_keep_the_door_closed() {
+fn the_limit_recovers_after_a_surge() {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
     let mut taken = Vec::new();
     for _ in 0..30 {
-        let (id, actions) = host.ask(1, 3, 1);
+        let (id, actions) = host.submit(1, 3, 1);
         if !sends(&actions).is_empty() {
             taken.push(id);
         }
@@ -99,7 +97,7 @@
     let mut out = 0;
     for _ in 0..50 {
         host.now += 100.0;
-        let (id, actions) = host.ask(1, 3, 0);
+        let (id, actions) = host.submit(1, 3, 0);
         out += sends(&actions).len();
         host.end(id, 0, Outcome::Ok, None);
     }
@@ -121,7 +119,7 @@
         if random.rand_range(0..10) > 0 {
             continue;
         }
-        let (id, actions) = host.ask(1, 3, class);
+        let (id, actions) = host.submit(1, 3, class);
         if !sends(&actions).is_empty() {
             let elapsed = if random.rand_range(0..every) == 0 { slow } else { random.rand_range(20..80) };
             hand.insert((now + elapsed, id), elapsed);
@@ -131,9 +129,9 @@
 }
 
 /// One in three is what is borne. A late one was counted when it was overdue and once more at its end: one answer in
-/// five that takes its time, as work of very different sizes brings, shut the door to half, and to low worth whole.
+/// five that takes its time, as work of very different sizes brings, lowered the limit to half, and rejected low value completely.
 #[test]
-fn a_late_answer_counts_once() {
+fn a_late_response_counts_once() {
     for class in [0, 1] {
         let room = room_with_one_late_in(4, 605, class);
         assert!(room > 0.9, "room for {room} with one late answer in four of class {class}");
@@ -142,7 +140,7 @@
     }
 }
 
-/// The share that there is room for after some seconds in which servers up to `last` are cold and late, and the others
+/// The capacity after some seconds in which servers up to `last` are warming up and late, and the others
 /// answer soon.
 fn room_with_late_cold_ones(servers: u32, last: u32) -> f64 {
     let cold = |id| ServerEntry { launched: (id <= last).then_some(0.0), ..server(id) };
@@ -157,7 +155,7 @@
             let (id, elapsed) = due.remove();
             answer(&mut host, id, elapsed);
         }
-        let (id, actions) = host.ask(1, 3, 0);
+        let (id, actions) = host.submit(1, 3, 0);
         if let Some(to) = sends(&actions).first() {
             let elapsed = if *to <= last { 900.0 } else { 30.0 };
             hand.insert((step + elapsed as u64 / 10, id), (id, elapsed));
@@ -167,19 +165,19 @@
 }
 
 #[test]
-fn cold_servers_that_are_late_shut_no_door_to_the_others() {
+fn late_servers_in_warm_up_do_not_lower_the_limit() {
     let room = room_with_late_cold_ones(40, 19);
     assert!(room > 0.9, "room for {room} with 21 servers that answer soon");
-    // Where most are cold there is nobody else who could tell.
+    // Where most are warming up no others show the capacity.
     let room = room_with_late_cold_ones(40, 40);
     assert!(room < 0.5, "room for {room} with nothing but late servers");
 }
 
 #[test]
-fn long_answers_alone_do_not_shut_the_door() {
+fn long_responses_alone_do_not_close_the_limit() {
     let servers: Vec<_> = (1..=8).map(server).collect();
     let mut host = Host::new(settings(), &servers);
-    // 2.5 s in a jam are learned as the time of an answer; every new try would be past its aim of 1 s.
+    // 2.5 s in an overload are learned as the response time; every new attempt would be past its target of 1 s.
     answered_after(&mut host, &[0], 2500.0, 60.0);
     host.now += 5000.0;
     // Two gateways, eight servers: an own part of eight attempts makes no queue.
--- a/crates/brassport-policy/tests/settings.rs
+++ b/crates/brassport-policy/tests/it/reconfiguration.rs
@@ -1,6 +1,4 @@
-//! Other settings while the gateway runs.
-
-mod common;
+//! New settings while the gateway runs.
 
 use brassport_policy::*;
 
@@ -83,7 +81,7 @@
 }
 
 #[test]
-fn fewer_attempts_hold_at_once_and_more_only_for_who_comes_then() {
+fn fewer_attempts_apply_at_once_and_more_to_new_requests() {
     let mut gateway = gateway(settings(&[Effect::Free], 3));
     handle(&mut gateway, 1.0, Event::Request(request(1, 0)));
     handle(&mut gateway, 2.0, Event::Settings(Box::new(settings(&[Effect::Free], 1))));
@@ -94,7 +92,7 @@
 }
 
 #[test]
-fn a_class_that_appears_is_served_and_settings_without_one_that_is_known_are_passed_over() {
+fn an_added_class_is_served_and_settings_that_drop_one_are_ignored() {
     let mut gateway = gateway(settings(&[Effect::Free], 3));
     let refused = [Action::Refuse { request: 1, retry_after: 0.0 }];
     assert_eq!(handle(&mut gateway, 1.0, Event::Request(request(1, 1))), refused);
@@ -105,7 +103,7 @@
     assert_eq!(handle(&mut gateway, 6.0, end(2, 0, Outcome::Reset)), [Action::Fail(2)]);
 }
 
-/// Units of 60 requests a second over 2 s that are let in, to a customer whose ceiling is 10 units and 10 a second.
+/// Units of 60 requests a second over 2 s that are admitted, of a customer whose rate limit is 10 units and 10 a second.
 fn let_in(change: impl Fn(&mut Gateway, Millis)) -> usize {
     let mut ceiling = settings(&[Effect::Free], 1);
     let plan = &mut ceiling.plans[0];
@@ -125,7 +123,7 @@
 }
 
 #[test]
-fn a_ceiling_is_not_filled_anew_by_settings_however_often_they_come() {
+fn new_settings_do_not_refill_a_rate_limit() {
     let mut same = settings(&[Effect::Free], 1);
     let plan = &mut same.plans[0];
     (plan.ceiling_rate, plan.ceiling_burst) = (10.0, 10.0);
--- a/crates/brassport-policy/tests/rules.rs
+++ b/crates/brassport-policy/tests/it/rules.rs
@@ -1,72 +1,70 @@
 //! The five rules, each driven through the public interface.
 
-mod common;
-
+use crate::common::*;
 use brassport_policy::*;
-use common::*;
 
 #[test]
-fn a_request_without_an_answer_is_failed_before_its_client_gives_up() {
+fn a_request_without_a_response_fails_before_its_client_times_out() {
     let mut host = Host::new(settings(), &[server(1)]);
-    let (_, actions) = host.ask(1, 3, 1);
+    let (_, actions) = host.submit(1, 3, 1);
     assert_eq!(sends(&actions), [1]);
     let actions = host.run_timers(4000.0);
     assert!(failed(&actions) && !refused(&actions));
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_neither_sent_again_nor_refused() {
+fn an_unsafe_request_that_may_have_run_is_neither_retried_nor_rejected() {
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
         let mut host = Host::new(settings(), &[server(1), server(2)]);
-        let (id, _) = host.ask(1, 3, 1);
+        let (id, _) = host.submit(1, 3, 1);
         let actions = host.end(id, 0, outcome, None);
         assert!(sends(&actions).is_empty() && !refused(&actions) && failed(&actions), "{outcome:?}");
     }
 }
 
 #[test]
-fn an_unsafe_request_known_not_to_have_run_is_sent_to_another_server() {
+fn an_unsafe_request_that_never_ran_is_retried_at_another_server() {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
-    let (id, first) = host.ask(1, 3, 1);
+    let (id, first) = host.submit(1, 3, 1);
     let again = sends(&host.end(id, 0, Outcome::Full, None));
     assert_eq!(again.len(), 1);
     assert_ne!(again, sends(&first));
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_stays_in_its_group_and_window() {
+fn a_keyed_request_that_may_have_run_is_retried_in_its_scope_and_window() {
     let far = ServerEntry { zone: 1, ..server(2) };
     let mut host = Host::new(settings(), &[server(1), far]);
-    let (id, first) = host.ask(1, 3, 2);
+    let (id, first) = host.submit(1, 3, 2);
     assert_eq!(sends(&first), [1]);
     let again = sends(&host.end(id, 0, Outcome::Reset, None));
     assert!(again.iter().all(|server| *server == 1), "left the zone: {again:?}");
-    let (id, _) = host.ask(1, 3, 2);
+    let (id, _) = host.submit(1, 3, 2);
     host.now += 1600.0;
     assert!(sends(&host.end(id, 0, Outcome::Reset, None)).is_empty(), "sent again after the window");
 }
 
 #[test]
-fn a_draining_server_gets_nothing_from_the_moment_it_is_told() {
+fn a_server_gets_nothing_once_it_is_listed_as_draining() {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
     let entries = vec![ServerEntry { lifecycle: Lifecycle::Draining, ..server(1) }];
     host.event(Event::Servers { kind: ListKind::Delta, entries });
     for _ in 0..50 {
-        let (id, actions) = host.ask(1, 3, 0);
+        let (id, actions) = host.submit(1, 3, 0);
         assert_eq!(sends(&actions), [2]);
         host.end(id, 0, Outcome::Ok, None);
     }
 }
 
 #[test]
-fn a_cold_server_gets_less_than_its_ramp_allows_in_any_window() {
+fn a_server_in_warm_up_gets_less_than_its_ramp_allows_in_any_window() {
     let cold = ServerEntry { launched: Some(0.0), ..server(9) };
     let mut host = Host::new(settings(), &[server(1), server(2), server(3), cold]);
     let (mut to_cold, mut to_warm) = (0, 0);
     let mut in_hand = std::collections::VecDeque::new();
     for _ in 0..300 {
         host.now += 10.0;
-        let (id, actions) = host.ask(1, 3, 0);
+        let (id, actions) = host.submit(1, 3, 0);
         for target in sends(&actions) {
             if target == 9 {
                 to_cold += 1;
@@ -75,7 +73,7 @@
             }
         }
         if sends(&actions) == [9] {
-            // The cold one answers at once and looks better than the busy warm ones.
+            // The one in warm-up responds at once and seems better than the busy warm ones.
             host.end(id, 0, Outcome::Ok, None);
             continue;
         }
@@ -94,26 +92,26 @@
 }
 
 #[test]
-fn the_share_of_a_ceiling_fills_from_birth_and_is_never_overdrawn() {
+fn a_rate_limit_share_fills_from_the_start_and_is_never_exceeded() {
     let mut host = Host::new(settings(), &[server(1)]);
     let mut sent = 0.0;
     for step in 1..=4000 {
         host.now = f64::from(step) * 2.0;
-        let (id, actions) = host.ask(1, 1, 0);
+        let (id, actions) = host.submit(1, 1, 0);
         if !sends(&actions).is_empty() {
             sent += 1.0;
             host.end(id, 0, Outcome::Ok, Some(0.1));
         }
-        // Half of the ceiling's 20 units a second, for a spread of two.
+        // Half of the rate limit's 20 units a second, for a spread of two.
         assert!(sent <= 10.0 * host.now / 1000.0, "{sent} sent after {} ms", host.now);
     }
     assert!(sent > 50.0);
 }
 
 #[test]
-fn a_request_handed_over_twice_is_sent_and_answered_once() {
+fn a_request_submitted_twice_is_sent_and_answered_once() {
     let mut host = Host::new(settings(), &[server(1), server(2), server(3), server(4)]);
-    let (id, first) = host.ask(1, 3, 1);
+    let (id, first) = host.submit(1, 3, 1);
     let request = Request {
         id,
         customer: 1,
@@ -134,18 +132,18 @@
 }
 
 #[test]
-fn requests_beyond_the_open_cap_wait_for_an_attempt_to_end() {
+fn requests_beyond_the_concurrency_quota_are_queued_until_an_attempt_ends() {
     let mut host = Host::new(settings(), &[server(1), server(2), server(3), server(4), server(5)]);
-    let (first, _) = host.ask(1, 2, 0);
-    host.ask(1, 2, 0);
-    let (third, actions) = host.ask(1, 2, 0);
+    let (first, _) = host.submit(1, 2, 0);
+    host.submit(1, 2, 0);
+    let (third, actions) = host.submit(1, 2, 0);
     assert!(sends(&actions).is_empty() && !refused(&actions));
     let actions = host.end(first, 0, Outcome::Ok, None);
     assert!(actions.iter().any(|action| matches!(action, Action::Send { request, .. } if *request == third)));
 }
 
 #[test]
-fn settings_without_sense_are_named() {
+fn settings_out_of_range_are_named() {
     let broken: [(&str, Settings); 4] = [
         ("gateways", Settings { gateways: 0, ..settings() }),
         ("max_attempts", Settings { max_attempts: 0, ..settings() }),
@@ -157,8 +155,8 @@
     }
 }
 
-/// Two hundred gateways, each with five requests in hand for a fleet of ten of which `cold` just started;
-/// returns how many went to cold servers and to warm ones.
+/// Two hundred gateways, each with five requests for a fleet of ten of which `cold` just started;
+/// returns how many went to servers in warm-up and to warm ones.
 fn sends_of_two_hundred(cold: u32) -> (usize, usize) {
     let fleet: Vec<_> =
         (0..10).map(|id| ServerEntry { launched: (id < cold).then_some(100.0), ..server(id) }).collect();
@@ -182,25 +180,25 @@
 }
 
 #[test]
-fn hundreds_of_gateways_together_send_a_cold_server_the_part_that_it_is_warm() {
+fn hundreds_of_gateways_together_send_a_server_its_share_in_warm_up() {
     let (cold, warm) = sends_of_two_hundred(1);
     // At a quarter of its capacity; twice that would tip it over.
     assert!(cold > 0 && (cold as f64) < 0.4 * warm as f64 / 9.0, "{cold} to the cold one, {warm} to nine");
 }
 
 #[test]
-fn a_fleet_all_cold_gets_a_part_and_the_rest_is_refused() {
+fn a_fleet_in_warm_up_gets_a_part_and_the_rest_is_rejected() {
     let (_, usual) = sends_of_two_hundred(0);
     let (cold, _) = sends_of_two_hundred(10);
     // The servers do a quarter of what they do warm, and tip over at half.
     assert!(cold > usual / 5 && cold < usual / 2, "{cold} sent to a cold fleet, {usual} to a warm one");
 }
 
-/// Sends of one customer over a set of so many gateways from number `first` on, which hold a ceiling of 70.4 units, 16 a
+/// Sends of one customer over a set of so many gateways from number `first` on, which share a rate limit of 70.4 units, 16 a
 /// second, together: all at once after a minute in which nothing came, then four a second at each gateway for ten
 /// seconds. Each request is of so many `units`, the most that one may have.
 fn sends_beside(gateways: u32, (first, set): (u32, u32), units: f64) -> (f64, f64) {
-    let mut doors: Vec<Gateway> = (0..set)
+    let mut instances: Vec<Gateway> = (0..set)
         .map(|place| {
             let ordinal = (first + place) % gateways;
             let class =
@@ -218,17 +216,18 @@
                 max_units: units,
                 ..Settings::default()
             };
-            let mut door = Gateway::new(settings, u64::from(ordinal), 0.0).expect("the settings make sense");
+            let mut instance =
+                Gateway::new(settings, u64::from(ordinal), 0.0).expect("the settings make sense");
             let entries = (0..4).map(server).collect();
-            door.handle(0.0, Event::Servers { kind: ListKind::Full, entries }, &mut Vec::new());
-            door
+            instance.handle(0.0, Event::Servers { kind: ListKind::Full, entries }, &mut Vec::new());
+            instance
         })
         .collect();
     let (mut at_once, mut later, mut id) = (0.0, 0.0, 0);
     for round in 0..44u32 {
         // Four at each gateway at once, then one at each in turns of a quarter of a second.
         let now = 60_000.0 + f64::from(round.saturating_sub(3)) * 250.0;
-        for door in &mut doors {
+        for instance in &mut instances {
             id += 1;
             let request = Request {
                 id,
@@ -242,7 +241,7 @@
                 repeat: false,
             };
             let mut actions = Vec::new();
-            door.handle(now, Event::Request(request), &mut actions);
+            instance.handle(now, Event::Request(request), &mut actions);
             let sent = actions.iter().filter(|action| matches!(action, Action::Send { .. })).count() as f64;
             *(if round < 4 { &mut at_once } else { &mut later }) += sent * units;
         }
@@ -251,7 +250,7 @@
 }
 
 #[test]
-fn a_ceiling_is_kept_and_of_use_over_more_gateways_than_it_has_units() {
+fn a_rate_limit_holds_and_is_usable_with_more_gateways_than_units() {
     let all = [1, 10, 70, 71, 100, 200, 1000].map(|gateways| (gateways, (0, gateways), 1.0));
     // Sets that are a part of all gateways, also round their end, and requests of several units.
     let parts = [(350, (0, 71), 1.0), (350, (300, 175), 1.0), (350, (349, 349), 1.0), (100, (90, 40), 4.0)];
--- a/crates/brassport-policy/tests/uploads.rs
+++ b/crates/brassport-policy/tests/it/uploads.rs
@@ -1,4 +1,4 @@
-//! Requests whose bodies are still coming when they are sent on.
+//! Requests that are forwarded while their bodies are still coming.
 
 use brassport_policy::*;
 
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn its_time_begins_with_its_last_byte() {
+fn the_deadline_begins_with_the_last_byte() {
     let mut gateway = gateway(0);
     let (sent, timers) = handle(&mut gateway, 100.0, Event::Upload(request(1)));
     assert!(matches!(sent[..], [Action::Send { request: 1, .. }]));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn it_has_one_attempt_whatever_becomes_of_that() {
+fn an_upload_has_one_attempt_whatever_its_outcome() {
     for (outcome, whole, answer) in [
         (Outcome::Full, false, Action::Refuse { request: 1, retry_after: 0.0 }),
         (Outcome::NoConnection, false, Action::Refuse { request: 1, retry_after: 0.0 }),
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn it_counts_as_out_from_its_last_byte_on() {
+fn an_upload_is_in_flight_from_its_last_byte_on() {
     let mut gateway = gateway(1);
     handle(&mut gateway, 100.0, Event::Upload(request(1)));
     let (sent, _) = handle(&mut gateway, 200.0, Event::Request(request(2)));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn one_that_never_came_whole_frees_no_place_of_another() {
+fn an_incomplete_upload_releases_no_slot_of_another_request() {
     let mut gateway = gateway(1);
     handle(&mut gateway, 100.0, Event::Upload(request(1)));
     handle(&mut gateway, 200.0, Event::Request(request(2)));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn slow_bodies_press_nobody() {
+fn slow_uploads_do_not_lower_the_limit() {
     let mut gateway = gateway(0);
     let before = gateway.room();
     for id in 1..200 {
--- a/crates/brassport-policy/tests/wire.rs
+++ b/crates/brassport-policy/tests/it/wire.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn settings_are_read_and_unknown_keys_skipped() {
+fn settings_are_decoded_and_unknown_keys_skipped() {
     let read = settings(&params()).expect("readable");
     assert_eq!((read.gateways, read.ordinal, read.max_attempts, read.may_duplicate), (2, 1, 3, true));
     assert_eq!(read.classes[1].effect, Effect::Keyed { scope: Scope::Cell, window: 900.0 });
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn accept_is_decoded() {
+fn a_request_is_decoded() {
     let record = Rec::new(18, 3)
         .put(3, &77u64.to_be_bytes())
         .put(11, &2f32.to_be_bytes())
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn broken_frames_are_named_and_nothing_panics() {
+fn malformed_frames_are_errors_and_nothing_panics() {
     let whole = frame(1.0, &[Rec::new(17, 3)], &[]);
     for cut in 1..whole.len() {
         assert!(read(&whole[..cut]).is_err(), "cut after {cut} bytes");
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn the_adapter_answers_each_batch_and_ends_with_its_input() {
+fn the_adapter_replies_to_each_batch_and_exits_at_the_end_of_input() {
     let mut input = frame(0.0, &[], &[]);
     let text = params();
     let born = Rec::new(19, 3).put(15, &(text.len() as u32).to_be_bytes());
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn the_adapter_tells_what_is_wrong_and_exits_non_zero() {
+fn the_adapter_reports_errors_and_exits_non_zero() {
     for (input, word) in [
         (frame(0.0, &[], &[])[..7].to_vec(), "cut short"),
         (frame(0.0, &[Rec::new(99, 3)], &[]), "99"),
--- a/crates/brassport-policy/tests/memory.rs
+++ b/crates/brassport-policy/tests/memory.rs
@@ -1,5 +1,5 @@
-//! What the module keeps for each node, customer and open request, and that it gives it back. Alone in its process, as
-//! the count is the process's.
+//! Memory of each server, customer and open request, and that it is returned. A binary of its own, as the allocations
+//! that are counted are the process's.
 
 use brassport_policy::{
     Action, AttemptEnd, Class, Effect, Event, Gateway, Lifecycle, ListKind, Millis, Outcome, Plan, Request,
@@ -15,7 +15,7 @@
 const CUSTOMERS: u64 = 200_000;
 const OPEN: u64 = 20_000;
 
-struct Door {
+struct Instance {
     gateway: Gateway,
     actions: Vec<Action>,
     now: Millis,
@@ -23,8 +23,8 @@
     sent: Vec<u64>,
 }
 
-impl Door {
-    fn ask(&mut self, customer: u64) {
+impl Instance {
+    fn submit(&mut self, customer: u64) {
         self.next += 1;
         let request = Request {
             id: self.next,
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn memory_is_so_much_for_each_and_is_given_back() {
+fn memory_per_entry_is_bounded_and_is_returned() {
     let settings = Settings {
         gateways: 3,
         classes: vec![Class {
@@ -79,43 +79,43 @@
     };
     let gateway = Gateway::new(settings, 1, 0.0).expect("the settings make sense");
     let room = (Vec::with_capacity(16), Vec::with_capacity(OPEN as usize * 2));
-    let mut door = Door { gateway, actions: room.0, now: 1.0, next: 0, sent: room.1 };
+    let mut instance = Instance { gateway, actions: room.0, now: 1.0, next: 0, sent: room.1 };
     let empty = used();
     let line =
         |id| ServerEntry { id, zone: 0, cell: 0, share: 1.0, lifecycle: Lifecycle::Ready, launched: None };
     let entries: Vec<ServerEntry> = (0..NODES).map(line).collect();
-    door.gateway.handle(1.0, Event::Servers { kind: ListKind::Full, entries }, &mut door.actions);
-    door.actions.clear();
+    instance.gateway.handle(1.0, Event::Servers { kind: ListKind::Full, entries }, &mut instance.actions);
+    instance.actions.clear();
     let with_nodes = used();
     let node = (with_nodes - empty) / f64::from(NODES);
 
     // Two customers without a quota, so that it is the requests that are counted.
     for number in 0..OPEN {
-        door.now += 0.01;
-        door.ask(CUSTOMERS + number % 2);
+        instance.now += 0.01;
+        instance.submit(CUSTOMERS + number % 2);
     }
-    let open = door.sent.len();
+    let open = instance.sent.len();
     let request = (used() - with_nodes) / open as f64;
     assert!(open > OPEN as usize / 3, "only {open} of {OPEN} were let in");
-    door.now += 20.0;
-    door.answer();
-    door.sent.reserve(OPEN as usize * 2);
+    instance.now += 20.0;
+    instance.answer();
+    instance.sent.reserve(OPEN as usize * 2);
 
     let before = used();
     for number in 0..CUSTOMERS {
-        door.now += 0.2;
-        door.ask(number);
-        door.answer();
-        door.sent.reserve(8);
+        instance.now += 0.2;
+        instance.submit(number);
+        instance.answer();
+        instance.sent.reserve(8);
     }
     let customer = (used() - before) / CUSTOMERS as f64;
 
     // All but one are idle for longer than their stores take to fill; each of its requests looks at four.
-    door.now += 30.0 * 5000.0;
+    instance.now += 30.0 * 5000.0;
     for _ in 0..CUSTOMERS {
-        door.now += 1.0;
-        door.ask(7);
-        door.answer();
+        instance.now += 1.0;
+        instance.submit(7);
+        instance.answer();
     }
     let left = (used() - before) / (customer * CUSTOMERS as f64);
     println!(
