--- a/crates/brassport-policy/tests/it/golden/adapter.rs
+++ b/crates/brassport-policy/tests/it/golden/adapter.rs
@@ -17,31 +17,50 @@
     (output.status.code(), output.stdout, String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
-#[test]
-fn the_adapters_replies_are_unchanged() {
+fn accept(id: u64, class: u16) -> Record {
+    Record::new(18)
+        .put(3, &id.to_be_bytes())
+        .put(11, &1f32.to_be_bytes())
+        .put(19, &77u64.to_be_bytes())
+        .put(28, &2000f64.to_be_bytes())
+        .put(40, &class.to_be_bytes())
+        .put(42, &1f32.to_be_bytes())
+}
+
+fn attempt_end(id: u64, outcome: Outcome, finished: bool) -> Record {
+    Record::new(16)
+        .put(3, &id.to_be_bytes())
+        .put(11, &20f64.to_be_bytes())
+        .put(19, &[u8::from(finished)])
+        .put(22, &41u16.to_be_bytes())
+        .put(29, &outcome_code(outcome).to_be_bytes())
+}
+
+fn list(kind: ListKind, count: u32) -> Record {
+    Record::new(20).put(3, &[list_code(kind)]).put(16, &count.to_be_bytes())
+}
+
+/// The end of an attempt of each class with each outcome.
+fn attempt_ends() -> Vec<(String, Vec<u8>)> {
+    let mut batches = Vec::new();
+    for (place, outcome) in OUTCOMES.into_iter().enumerate() {
+        for class in [0u16, 1, 2, 3, 4] {
+            let id = 100 + 10 * place as u64 + u64::from(class);
+            let now = 5.0 * id as f64;
+            let records = [accept(id, class), attempt_end(id, outcome, outcome == Outcome::Ok)];
+            batches
+                .push((format!("class {class} ends {}", outcome_code(outcome)), frame(now, &records, &[])));
+        }
+    }
+    batches
+}
+
+/// The input, a batch for each case.
+fn batches() -> Vec<(String, Vec<u8>)> {
     let text = settings_text();
     let born = Record::new(19).put(3, &5u64.to_be_bytes()).put(15, &(text.len() as u32).to_be_bytes());
     let entries: Vec<_> = (1..4).map(|id| server(id, Lifecycle::Ready, None)).collect();
     let tail: Vec<u8> = entries.iter().flat_map(entry_bytes).collect();
-    let list =
-        |kind: ListKind, count: u32| Record::new(20).put(3, &[list_code(kind)]).put(16, &count.to_be_bytes());
-    let accept = |id: u64, class: u16| {
-        Record::new(18)
-            .put(3, &id.to_be_bytes())
-            .put(11, &1f32.to_be_bytes())
-            .put(19, &77u64.to_be_bytes())
-            .put(28, &2000f64.to_be_bytes())
-            .put(40, &class.to_be_bytes())
-            .put(42, &1f32.to_be_bytes())
-    };
-    let end = |id: u64, outcome: Outcome, finished: bool| {
-        Record::new(16)
-            .put(3, &id.to_be_bytes())
-            .put(11, &20f64.to_be_bytes())
-            .put(19, &[u8::from(finished)])
-            .put(22, &41u16.to_be_bytes())
-            .put(29, &outcome_code(outcome).to_be_bytes())
-    };
     let with_id = |code: u8, id: u64| Record::new(code).put(3, &id.to_be_bytes());
     let mut batches = vec![
         ("an empty batch".to_string(), frame(0.0, &[], &[])),
@@ -52,15 +71,7 @@
         ("a full list".into(), frame(5.0, &[list(ListKind::Full, 3)], &tail)),
         ("a list's timer".into(), frame(6.0, &[with_id(17, 2)], &[])),
     ];
-    for (place, outcome) in OUTCOMES.into_iter().enumerate() {
-        for class in [0u16, 1, 2, 3, 4] {
-            let id = 100 + 10 * place as u64 + u64::from(class);
-            let now = 5.0 * id as f64;
-            let records = [accept(id, class), end(id, outcome, outcome == Outcome::Ok)];
-            batches
-                .push((format!("class {class} ends {}", outcome_code(outcome)), frame(now, &records, &[])));
-        }
-    }
+    batches.extend(attempt_ends());
     batches.extend([
         ("a request that starts".into(), frame(2000.0, &[accept(300, 0), with_id(24, 300)], &[])),
         ("a client that goes".into(), frame(2100.0, &[accept(301, 0), with_id(26, 301)], &[])),
@@ -71,6 +82,12 @@
         ("unused".into(), frame(5200.0, &[Record::new(21), Record::new(22), Record::new(25)], &[])),
         ("detach".into(), frame(5300.0, &[Record::new(23)], &[])),
     ]);
+    batches
+}
+
+#[test]
+fn the_adapters_replies_are_unchanged() {
+    let batches = batches();
     let input: Vec<u8> = batches.iter().flat_map(|(_, bytes)| bytes.clone()).collect();
     let (code, output, error) = adapter(&input);
     assert_eq!((code, error.as_str()), (Some(0), ""));
@@ -87,8 +104,18 @@
     golden("adapter.hex", &lines(&cases));
 }
 
-#[test]
-fn the_adapters_errors_are_unchanged() {
+/// A list of one server, whose byte at `from`, or figure that begins there, is set to `code`.
+fn strange_list(code: u8, from: u32) -> Vec<u8> {
+    let mut tail = entry_bytes(&server(1, Lifecycle::Ready, None));
+    tail[from as usize] = code;
+    if from >= 10 {
+        tail[from as usize..from as usize + 4].fill(code);
+    }
+    frame(0.0, &[Record::new(20).put(16, &1u32.to_be_bytes())], &tail)
+}
+
+/// Input that is malformed in each way.
+fn malformed_input() -> Vec<(&'static str, Vec<u8>)> {
     let reference = |code: u8, at: usize| frame(0.0, &[Record::new(code).put(at, &[0xff; 8])], &[]);
     let put = |code: u8, at: usize, bytes: &[u8]| frame(0.0, &[Record::new(code).put(at, bytes)], &[]);
     let (nan, text) = (f64::NAN.to_be_bytes(), "balancers=0");
@@ -99,15 +126,7 @@
     let mut crowded = frame(0.0, &[Record::new(17)], &[]);
     crowded[12..16].copy_from_slice(&2u32.to_be_bytes());
     let born = |tail: &[u8]| frame(0.0, &[Record::new(19).put(15, &(tail.len() as u32).to_be_bytes())], tail);
-    let strange = |code: u8, from: u32| {
-        let mut tail = entry_bytes(&server(1, Lifecycle::Ready, None));
-        tail[from as usize] = code;
-        if from >= 10 {
-            tail[from as usize..from as usize + 4].fill(code);
-        }
-        frame(0.0, &[Record::new(20).put(16, &1u32.to_be_bytes())], &tail)
-    };
-    let cases = [
+    vec![
         ("a short head", frame(0.0, &[], &[])[..7].to_vec()),
         ("a short frame", frame(0.0, &[], &[])[..14].to_vec()),
         ("no clock", frame(f64::NAN, &[], &[])),
@@ -125,17 +144,21 @@
         ("a list outside", reference(20, 12)),
         ("a message outside", reference(21, 5)),
         ("settings outside", reference(19, 11)),
-        ("an unknown lifecycle", strange(3, 9)),
-        ("no share", strange(0xff, 10)),
-        ("no launch", strange(0xff, 14)),
+        ("an unknown lifecycle", strange_list(3, 9)),
+        ("no share", strange_list(0xff, 10)),
+        ("no launch", strange_list(0xff, 14)),
         ("settings that are no text", born(&[0xff, 0xfe])),
         ("no settings", born(&[])),
         ("senseless settings", born(settings_text().replacen("balancers=3", text, 1).as_bytes())),
-    ];
-    let reported = cases.map(|(name, input)| {
+    ]
+}
+
+#[test]
+fn the_adapters_errors_are_unchanged() {
+    let reported = malformed_input().into_iter().map(|(name, input)| {
         let (code, output, error) = adapter(&input);
         assert_eq!((code, output.len()), (Some(1), 0), "{name}");
         (name.to_string(), error.trim_end_matches('\n').to_string())
     });
-    golden("adapter-refused.txt", &lines(&reported));
+    golden("adapter-refused.txt", &lines(&reported.collect::<Vec<_>>()));
 }
--- a/crates/brassport-policy/tests/it/golden/settings.rs
+++ b/crates/brassport-policy/tests/it/golden/settings.rs
@@ -46,41 +46,43 @@
 /// One change of settings.
 type Change = fn(&mut Settings, f64);
 
+/// A change of each figure.
+const CHANGES: [Change; 28] = [
+    |settings, value| settings.max_units = value,
+    |settings, value| settings.meter_period = value,
+    |settings, value| settings.max_retry_after = value,
+    |settings, value| settings.drain_grace = value,
+    |settings, value| settings.cold_from = value,
+    |settings, value| settings.cold_for = value,
+    |settings, value| settings.tip_multiple = value,
+    |settings, value| settings.tip_after = value,
+    |settings, value| settings.tick = value,
+    |settings, value| settings.tuning.far = value,
+    |settings, value| settings.tuning.late = value,
+    |settings, value| settings.tuning.start = value,
+    |settings, value| settings.tuning.retry_share = value,
+    |settings, value| settings.tuning.retries = value,
+    |settings, value| settings.classes[1].worth = value,
+    |settings, value| settings.classes[1].aim = value,
+    |settings, value| settings.classes[1].deadline = value,
+    |settings, value| settings.classes[1].late_share = value,
+    |settings, value| settings.classes[1].effect = Effect::Keyed { scope: Scope::All, window: value },
+    |settings, value| settings.plans[1].rate = value,
+    |settings, value| settings.plans[1].burst = value,
+    |settings, value| settings.plans[1].price = value,
+    |settings, value| settings.plans[1].over_worth = value,
+    |settings, value| settings.plans[1].over_cost = value,
+    |settings, value| settings.plans[1].ceiling_rate = value,
+    |settings, value| settings.plans[1].ceiling_burst = value,
+    |settings, value| settings.plans[1].ceiling_slack = value,
+    |settings, value| {
+        settings.plans[1].rate = 0.0;
+        settings.plans[1].burst = value;
+    },
+];
+
 #[test]
 fn errors_of_settings_out_of_range_are_unchanged() {
-    let changes: [Change; 28] = [
-        |settings, value| settings.max_units = value,
-        |settings, value| settings.meter_period = value,
-        |settings, value| settings.max_retry_after = value,
-        |settings, value| settings.drain_grace = value,
-        |settings, value| settings.cold_from = value,
-        |settings, value| settings.cold_for = value,
-        |settings, value| settings.tip_multiple = value,
-        |settings, value| settings.tip_after = value,
-        |settings, value| settings.tick = value,
-        |settings, value| settings.tuning.far = value,
-        |settings, value| settings.tuning.late = value,
-        |settings, value| settings.tuning.start = value,
-        |settings, value| settings.tuning.retry_share = value,
-        |settings, value| settings.tuning.retries = value,
-        |settings, value| settings.classes[1].worth = value,
-        |settings, value| settings.classes[1].aim = value,
-        |settings, value| settings.classes[1].deadline = value,
-        |settings, value| settings.classes[1].late_share = value,
-        |settings, value| settings.classes[1].effect = Effect::Keyed { scope: Scope::All, window: value },
-        |settings, value| settings.plans[1].rate = value,
-        |settings, value| settings.plans[1].burst = value,
-        |settings, value| settings.plans[1].price = value,
-        |settings, value| settings.plans[1].over_worth = value,
-        |settings, value| settings.plans[1].over_cost = value,
-        |settings, value| settings.plans[1].ceiling_rate = value,
-        |settings, value| settings.plans[1].ceiling_burst = value,
-        |settings, value| settings.plans[1].ceiling_slack = value,
-        |settings, value| {
-            settings.plans[1].rate = 0.0;
-            settings.plans[1].burst = value;
-        },
-    ];
     let verdict = |settings: Settings| match Gateway::new(settings, 1, 0.0) {
         Ok(_) => "taken".to_string(),
         Err(error) => format!("{error}; field {}", error.field),
@@ -89,7 +91,7 @@
         ("gateways".to_string(), verdict(Settings { gateways: 0, ..sample_settings() })),
         ("attempts".to_string(), verdict(Settings { max_attempts: 0, ..sample_settings() })),
     ];
-    for (number, change) in changes.iter().enumerate() {
+    for (number, change) in CHANGES.iter().enumerate() {
         for value in [f64::NAN, -1.0, 0.0, 1e12, 2e12] {
             let mut settings = sample_settings();
             change(&mut settings, value);
--- a/crates/brassport-policy/tests/it/golden/wire.rs
+++ b/crates/brassport-policy/tests/it/golden/wire.rs
@@ -3,21 +3,38 @@
 use super::*;
 use brassport_policy::wire::{Batch, Reply, WireEvent};
 
-/// Each kind of record with what it means.
-fn records() -> Vec<(String, Vec<u8>, WireEvent)> {
-    let (id, one) = (0x0102_0304_0506_0708u64, [Record::new(17)]);
-    let whole = |record: Record| frame(1.5, &[record], &[]);
-    let with_id = |code: u8| whole(Record::new(code).put(3, &id.to_be_bytes()));
+/// A frame of one record, by name, and what it decodes to.
+type Case = (String, Vec<u8>, WireEvent);
+
+const ID: u64 = 0x0102_0304_0506_0708;
+
+fn frame_of(record: Record) -> Vec<u8> {
+    frame(1.5, &[record], &[])
+}
+
+/// Each kind of record.
+fn records() -> Vec<Case> {
+    let (id, one) = (ID, [Record::new(17)]);
+    let with_id = |code: u8| frame_of(Record::new(code).put(3, &id.to_be_bytes()));
     let mut cases = vec![
         ("timer".to_string(), with_id(17), WireEvent::Event(Event::Timer(id))),
         ("started".to_string(), with_id(24), WireEvent::Event(Event::Started(id))),
         ("client gone".to_string(), with_id(26), WireEvent::Event(Event::ClientGone(id))),
         ("timer without token".to_string(), frame(1.5, &one, &[]), WireEvent::Event(Event::Timer(0))),
-        ("detach".to_string(), whole(Record::new(23)), WireEvent::Detach),
+        ("detach".to_string(), frame_of(Record::new(23)), WireEvent::Detach),
     ];
     for code in [21, 22, 25] {
-        cases.push((format!("unused {code}"), whole(Record::new(code)), WireEvent::Unused));
+        cases.push((format!("unused {code}"), frame_of(Record::new(code)), WireEvent::Unused));
     }
+    cases.extend(request_records());
+    cases.extend(attempt_end_records());
+    cases.extend(list_records());
+    cases.push(born_record());
+    cases
+}
+
+fn request_records() -> Vec<Case> {
+    let (id, mut cases) = (ID, Vec::new());
     for repeat in [false, true] {
         let record = Record::new(18)
             .put(3, &id.to_be_bytes())
@@ -41,8 +58,13 @@
             repeat,
         };
         let event = WireEvent::Event(Event::Request(request));
-        cases.push((format!("accept, repeat {repeat}"), whole(record), event));
+        cases.push((format!("accept, repeat {repeat}"), frame_of(record), event));
     }
+    cases
+}
+
+fn attempt_end_records() -> Vec<Case> {
+    let (id, mut cases) = (ID, Vec::new());
     for outcome in OUTCOMES {
         for (code, used) in [(0u16, None), (1, Some(0.0)), (251, Some(2.5))] {
             let record = Record::new(16)
@@ -55,9 +77,14 @@
             let end =
                 AttemptEnd { request: id, attempt: 2, outcome, elapsed: 33.5, finished: code > 0, used };
             let name = format!("attempt end {}, use {code}", outcome_code(outcome));
-            cases.push((name, whole(record), WireEvent::Event(Event::AttemptEnd(end))));
+            cases.push((name, frame_of(record), WireEvent::Event(Event::AttemptEnd(end))));
         }
     }
+    cases
+}
+
+fn list_records() -> Vec<Case> {
+    let mut cases = Vec::new();
     for kind in LISTS {
         let entries: Vec<_> = LIFECYCLES
             .iter()
@@ -73,6 +100,10 @@
         let event = WireEvent::Event(Event::Servers { kind, entries });
         cases.push((format!("servers {}", list_code(kind)), frame(1.5, &[record], &tail), event));
     }
+    cases
+}
+
+fn born_record() -> Case {
     let text = settings_text();
     let born = Record::new(19).put(3, &5u64.to_be_bytes()).put(15, &(text.len() as u32).to_be_bytes());
     let settings = Box::new(Settings {
@@ -80,8 +111,7 @@
         tuning: Tuning::default(),
         ..sample_settings()
     });
-    cases.push(("born".into(), frame(1.5, &[born], text.as_bytes()), WireEvent::Born { seed: 5, settings }));
-    cases
+    ("born".into(), frame(1.5, &[born], text.as_bytes()), WireEvent::Born { seed: 5, settings })
 }
 
 #[test]
--- a/crates/brassport-policy/tests/it/handover.rs
+++ b/crates/brassport-policy/tests/it/handover.rs
@@ -196,6 +196,18 @@
     }
 }
 
+/// A state without what a hand-over changes: reconfiguring under the same settings adds entries to a queue, and what is
+/// in flight or queued at the predecessor is not handed over.
+fn comparable(text: &str) -> serde_json::Value {
+    let mut value: serde_json::Value = serde_json::from_str(text).expect("JSON");
+    value["now"] = serde_json::Value::Null;
+    value["fleet"].as_object_mut().expect("a fleet").remove("warming");
+    for customer in value["customers"].as_object_mut().expect("customers").values_mut() {
+        customer.as_object_mut().expect("one").retain(|key, _| key != "open" && key != "held");
+    }
+    value
+}
+
 proptest! {
     /// Whatever happened before, the text is read, and what it says is what the new one would say again.
     #[test]
@@ -229,17 +241,6 @@
         let mut new = gateway();
         let said = handle(&mut new, now, Event::Inherit { learned: learned.clone(), out: Vec::new() });
         prop_assert_eq!(said, []);
-        // Settling under the same settings adds entries to a queue and changes nothing else.
-        let without = |text: &str| {
-            let mut value: serde_json::Value = serde_json::from_str(text).expect("JSON");
-            value["now"] = serde_json::Value::Null;
-            value["fleet"].as_object_mut().expect("a fleet").remove("warming");
-            // What is out or waits there does not go over.
-            for customer in value["customers"].as_object_mut().expect("customers").values_mut() {
-                customer.as_object_mut().expect("one").retain(|key, _| key != "open" && key != "held");
-            }
-            value
-        };
-        prop_assert!(without(&new.heritage(MAX_BYTES)) == without(&learned));
+        prop_assert!(comparable(&new.heritage(MAX_BYTES)) == comparable(&learned));
     }
 }
--- a/crates/brassport-policy/tests/it/invariants.rs
+++ b/crates/brassport-policy/tests/it/invariants.rs
@@ -125,34 +125,36 @@
         self.trace.extend(actions);
     }
 
+    fn check_send(&mut self, request: RequestId, server: ServerId) {
+        assert_eq!(self.listed.get(&server), Some(&Lifecycle::Ready), "sent to a server not ready");
+        let known = self.requests.get_mut(&request).expect("a known request");
+        assert!(!known.over, "sent after the end");
+        assert!(known.attempts.len() < self.settings.max_attempts as usize, "too many attempts");
+        let out = known.attempts.iter().any(|attempt| attempt.1.is_none());
+        assert!(self.settings.may_duplicate || !out, "two attempts at once");
+        let ran = known.attempts.iter().find(|attempt| attempt.1.is_none_or(|end| !end.never_ran()));
+        match (self.settings.classes[known.class].effect, ran) {
+            (Effect::Once, Some(_)) => panic!("an unsafe request was sent again"),
+            (Effect::Keyed { window, .. }, Some(ran)) => {
+                assert!(self.now <= ran.0 + window, "a keyed request was sent again past its window");
+                assert_eq!(ran.2, server as u16 % 2, "a keyed request left its group");
+            }
+            _ => {}
+        }
+        let plan = self.settings.plans[known.plan];
+        if known.attempts.is_empty() && plan.ceiling_rate > 0.0 {
+            let sent = self.ceiling_sent.entry(known.customer).or_insert(0.0);
+            *sent += known.units;
+            let share = plan.ceiling_rate / 2.0 * self.now / 1000.0;
+            assert!(*sent <= share + 1e-6, "the ceiling's share is overdrawn: {sent} of {share}");
+        }
+        self.out.push((request, known.attempts.len() as u8));
+        known.attempts.push((self.now, None, server as u16 % 2));
+    }
+
     fn check(&mut self, action: &Action) {
         match *action {
-            Action::Send { request, server, .. } => {
-                assert_eq!(self.listed.get(&server), Some(&Lifecycle::Ready), "sent to a server not ready");
-                let known = self.requests.get_mut(&request).expect("a known request");
-                assert!(!known.over, "sent after the end");
-                assert!(known.attempts.len() < self.settings.max_attempts as usize, "too many attempts");
-                let out = known.attempts.iter().any(|attempt| attempt.1.is_none());
-                assert!(self.settings.may_duplicate || !out, "two attempts at once");
-                let ran = known.attempts.iter().find(|attempt| attempt.1.is_none_or(|end| !end.never_ran()));
-                match (self.settings.classes[known.class].effect, ran) {
-                    (Effect::Once, Some(_)) => panic!("an unsafe request was sent again"),
-                    (Effect::Keyed { window, .. }, Some(ran)) => {
-                        assert!(self.now <= ran.0 + window, "a keyed request was sent again past its window");
-                        assert_eq!(ran.2, server as u16 % 2, "a keyed request left its group");
-                    }
-                    _ => {}
-                }
-                let plan = self.settings.plans[known.plan];
-                if known.attempts.is_empty() && plan.ceiling_rate > 0.0 {
-                    let sent = self.ceiling_sent.entry(known.customer).or_insert(0.0);
-                    *sent += known.units;
-                    let share = plan.ceiling_rate / 2.0 * self.now / 1000.0;
-                    assert!(*sent <= share + 1e-6, "the ceiling's share is overdrawn: {sent} of {share}");
-                }
-                self.out.push((request, known.attempts.len() as u8));
-                known.attempts.push((self.now, None, server as u16 % 2));
-            }
+            Action::Send { request, server, .. } => self.check_send(request, server),
             Action::Refuse { request, .. } => {
                 let known = self.requests.get(&request).expect("a known request");
                 let may_have_run =
@@ -198,6 +200,35 @@
         }
     }
 
+    fn end(&mut self, pick: usize, outcome: Outcome, used: Option<f64>) {
+        let (request, attempt) = self.out.swap_remove(pick % self.out.len());
+        let known = self.requests.get_mut(&request).expect("a known request");
+        let sent = &mut known.attempts[usize::from(attempt)];
+        sent.1 = Some(outcome);
+        let elapsed = self.now - sent.0;
+        if outcome == Outcome::Ok && !known.over {
+            known.over = true;
+        }
+        let finished = known.over;
+        self.event(Event::AttemptEnd(AttemptEnd { request, attempt, outcome, elapsed, finished, used }));
+    }
+
+    /// Events that a correct host never sends.
+    fn noise(&mut self, id: RequestId, attempt: u8, token: u64) {
+        self.event(Event::Timer(token));
+        if !self.out.contains(&(id, attempt)) {
+            let noise = AttemptEnd {
+                request: id,
+                attempt,
+                outcome: Outcome::Error,
+                elapsed: f64::NAN,
+                finished: false,
+                used: Some(f64::INFINITY),
+            };
+            self.event(Event::AttemptEnd(noise));
+        }
+    }
+
     fn step(&mut self, step: &Step) {
         match *step {
             Step::Submit { customer, plan, class, units, expires_in } => {
@@ -213,24 +244,7 @@
                 self.event(Event::Request(request));
             }
             Step::End { pick, outcome, used } if !self.out.is_empty() => {
-                let (request, attempt) = self.out.swap_remove(pick % self.out.len());
-                let outcome = OUTCOMES[outcome];
-                let known = self.requests.get_mut(&request).expect("a known request");
-                let sent = &mut known.attempts[usize::from(attempt)];
-                sent.1 = Some(outcome);
-                let elapsed = self.now - sent.0;
-                if outcome == Outcome::Ok && !known.over {
-                    known.over = true;
-                }
-                let finished = known.over;
-                self.event(Event::AttemptEnd(AttemptEnd {
-                    request,
-                    attempt,
-                    outcome,
-                    elapsed,
-                    finished,
-                    used,
-                }));
+                self.end(pick, OUTCOMES[outcome], used)
             }
             Step::Disconnect { pick } if !self.requests.is_empty() => {
                 let id = (pick % self.requests.len()) as u64 + 1;
@@ -241,20 +255,7 @@
             }
             Step::List { kind, ref servers } => self.list(kind, servers),
             Step::Wait { time } => self.wait(self.now + time),
-            Step::Noise { id, attempt, token } => {
-                self.event(Event::Timer(token));
-                if !self.out.contains(&(id, attempt)) {
-                    let noise = AttemptEnd {
-                        request: id,
-                        attempt,
-                        outcome: Outcome::Error,
-                        elapsed: f64::NAN,
-                        finished: false,
-                        used: Some(f64::INFINITY),
-                    };
-                    self.event(Event::AttemptEnd(noise));
-                }
-            }
+            Step::Noise { id, attempt, token } => self.noise(id, attempt, token),
             Step::End { .. } | Step::Disconnect { .. } => {}
         }
     }
--- a/crates/brassport-policy/tests/it/load_balancer_model.rs
+++ b/crates/brassport-policy/tests/it/load_balancer_model.rs
@@ -49,6 +49,24 @@
     }
 
     /// The expected wait, without the random part that breaks ties.
+    fn record_outcome(&mut self, now: Millis, mean: Millis, outcome: Outcome, elapsed: Millis) {
+        (self.pace, self.judged) = (self.pace(now, mean), now);
+        let sample = if outcome == Outcome::Ok { (elapsed / mean.max(1.0)).min(8.0) } else { 8.0 };
+        self.pace += 0.1 * (sample - self.pace);
+        if outcome == Outcome::Ok {
+            (self.strikes, self.ejected_until) = (0, 0.0);
+        } else {
+            self.strikes += 1;
+        }
+        if matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Error) {
+            self.answered = now;
+        }
+        if self.strikes >= 3 {
+            let doublings = (self.strikes - 3).min(4);
+            self.ejected_until = now + 3.0 * mean.max(1.0) * f64::from(1u32 << doublings);
+        }
+    }
+
     fn wait(&self, now: Millis, mean: Millis) -> f64 {
         let silence =
             self.out.first().map_or(0.0, |oldest| (now - oldest.max(self.answered)) / mean.max(1.0));
@@ -148,21 +166,7 @@
             if node.out.is_empty() && node.entry.lifecycle == Lifecycle::Gone {
                 self.nodes.remove(&entry.id);
             } else {
-                (node.pace, node.judged) = (node.pace(now, mean), now);
-                let sample = if outcome == Outcome::Ok { (elapsed / mean.max(1.0)).min(8.0) } else { 8.0 };
-                node.pace += 0.1 * (sample - node.pace);
-                if outcome == Outcome::Ok {
-                    (node.strikes, node.ejected_until) = (0, 0.0);
-                } else {
-                    node.strikes += 1;
-                }
-                if matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Error) {
-                    node.answered = now;
-                }
-                if node.strikes >= 3 {
-                    let doublings = (node.strikes - 3).min(4);
-                    node.ejected_until = now + 3.0 * mean.max(1.0) * f64::from(1u32 << doublings);
-                }
+                node.record_outcome(now, mean, outcome, elapsed);
             }
         }
         if outcome == Outcome::Ok {
@@ -190,7 +194,7 @@
     }
 
     fn check(&self, request: u64, chosen: ServerId) {
-        let (now, mean) = (self.now, self.mean);
+        let now = self.now;
         let attempts = self.open.get(&request).map_or(&[][..], Vec::as_slice);
         assert!(attempts.iter().all(|attempt| !attempt.2), "request {request} has two attempts out");
         let home = attempts.iter().find(|attempt| attempt.3).map(|attempt| attempt.0);
@@ -218,6 +222,12 @@
         if waits(node) {
             return;
         }
+        self.check_wait(node, &warm, &better);
+    }
+
+    /// The chosen server makes wait hardly longer than the best, or than a sample allows.
+    fn check_wait(&self, node: &Node, warm: &[&Node], better: &[&&Node]) {
+        let (now, mean, chosen) = (self.now, self.mean, node.entry.id);
         let wait = node.wait(now, mean);
         let total: f64 = warm.iter().map(|node| node.size()).sum();
         // A tenth is the random part; the sums of sizes are rounded.
--- a/crates/brassport-policy/tests/it/outlier_detection.rs
+++ b/crates/brassport-policy/tests/it/outlier_detection.rs
@@ -141,11 +141,10 @@
     actions.iter().filter_map(one).collect()
 }
 
-#[test]
-fn of_many_hung_attempts_only_those_with_a_retry_are_cancelled() {
+/// A host of twenty servers that respond in 50 ms; then ten requests are in flight at as many, and all of these hang.
+fn host_with_hung_attempts() -> (Host, Vec<RequestId>) {
     let servers: Vec<_> = (1..=20).map(server).collect();
     let mut host = Host::new(settings(), &servers);
-    // Responses take 50 ms; ten requests are then in flight at as many servers, and all of these hang.
     let mut out = Vec::new();
     for n in 0..30 {
         host.now += if n < 20 { 50.0 } else { 0.0 };
@@ -158,6 +157,12 @@
             _ => out.push(id),
         }
     }
+    (host, out)
+}
+
+#[test]
+fn of_many_hung_attempts_only_those_with_a_retry_are_cancelled() {
+    let (mut host, out) = host_with_hung_attempts();
     assert!(out.len() >= 8, "{} are out", out.len());
     let until = host.now + 600.0;
     let mut again = 0;
--- a/crates/brassport-policy/tests/it/rules.rs
+++ b/crates/brassport-policy/tests/it/rules.rs
@@ -194,35 +194,29 @@
     assert!(cold > usual / 5 && cold < usual / 2, "{cold} sent to a cold fleet, {usual} to a warm one");
 }
 
+/// One of so many gateways, with four servers and a rate limit of 70.4 units, 16 a second, over all.
+fn limited_gateway(gateways: u32, ordinal: u32, units: f64) -> Gateway {
+    let class = Class { worth: 1.0, aim: 500.0, deadline: 2000.0, late_share: 0.0, effect: Effect::Free };
+    let settings = Settings {
+        gateways,
+        ordinal,
+        classes: vec![class],
+        plans: vec![Plan { ceiling_rate: 16.0, ceiling_burst: 64.0, ceiling_slack: 6.4, ..Plan::default() }],
+        max_units: units,
+        ..Settings::default()
+    };
+    let mut instance = Gateway::new(settings, u64::from(ordinal), 0.0).expect("the settings make sense");
+    let entries = (0..4).map(server).collect();
+    instance.handle(0.0, Event::Servers { kind: ListKind::Full, entries }, &mut Vec::new());
+    instance
+}
+
 /// Sends of one customer over a set of so many gateways from number `first` on, which share a rate limit of 70.4 units, 16 a
 /// second, together: all at once after a minute in which nothing came, then four a second at each gateway for ten
 /// seconds. Each request is of so many `units`, the most that one may have.
 fn sends_beside(gateways: u32, (first, set): (u32, u32), units: f64) -> (f64, f64) {
-    let mut instances: Vec<Gateway> = (0..set)
-        .map(|place| {
-            let ordinal = (first + place) % gateways;
-            let class =
-                Class { worth: 1.0, aim: 500.0, deadline: 2000.0, late_share: 0.0, effect: Effect::Free };
-            let settings = Settings {
-                gateways,
-                ordinal,
-                classes: vec![class],
-                plans: vec![Plan {
-                    ceiling_rate: 16.0,
-                    ceiling_burst: 64.0,
-                    ceiling_slack: 6.4,
-                    ..Plan::default()
-                }],
-                max_units: units,
-                ..Settings::default()
-            };
-            let mut instance =
-                Gateway::new(settings, u64::from(ordinal), 0.0).expect("the settings make sense");
-            let entries = (0..4).map(server).collect();
-            instance.handle(0.0, Event::Servers { kind: ListKind::Full, entries }, &mut Vec::new());
-            instance
-        })
-        .collect();
+    let mut instances: Vec<Gateway> =
+        (0..set).map(|place| limited_gateway(gateways, (first + place) % gateways, units)).collect();
     let (mut at_once, mut later, mut id) = (0.0, 0.0, 0);
     for round in 0..44u32 {
         // Four at each gateway at once, then one at each in turns of a quarter of a second.
--- a/crates/brassport-policy/tests/memory.rs
+++ b/crates/brassport-policy/tests/memory.rs
@@ -53,11 +53,51 @@
             self.actions.clear();
         }
     }
+
+    fn list_servers(&mut self) {
+        let line = |id| ServerEntry {
+            id,
+            zone: 0,
+            cell: 0,
+            share: 1.0,
+            lifecycle: Lifecycle::Ready,
+            launched: None,
+        };
+        let entries: Vec<ServerEntry> = (0..NODES).map(line).collect();
+        self.gateway.handle(1.0, Event::Servers { kind: ListKind::Full, entries }, &mut self.actions);
+        self.actions.clear();
+    }
+
+    /// Of two customers without a quota, so that it is the requests that are counted.
+    fn submit_many(&mut self) {
+        for number in 0..OPEN {
+            self.now += 0.01;
+            self.submit(CUSTOMERS + number % 2);
+        }
+    }
+
+    fn submit_for_each_customer(&mut self) {
+        for number in 0..CUSTOMERS {
+            self.now += 0.2;
+            self.submit(number);
+            self.answer();
+            self.sent.reserve(8);
+        }
+    }
+
+    /// All but one are idle for longer than their buckets take to fill; each of its requests checks four.
+    fn expire_idle_customers(&mut self) {
+        self.now += 30.0 * 5000.0;
+        for _ in 0..CUSTOMERS {
+            self.now += 1.0;
+            self.submit(7);
+            self.answer();
+        }
+    }
 }
 
-#[test]
-fn memory_per_entry_is_bounded_and_is_returned() {
-    let settings = Settings {
+fn settings() -> Settings {
+    Settings {
         gateways: 3,
         classes: vec![Class {
             worth: 1.0,
@@ -71,29 +111,25 @@
         max_attempts: 4,
         max_retry_after: 500.0,
         ..Settings::default()
-    };
+    }
+}
+
+#[test]
+fn memory_per_entry_is_bounded_and_is_returned() {
     let region = Region::new(ALLOCATOR);
     let used = || {
         let change = region.change();
         change.bytes_allocated as f64 - change.bytes_deallocated as f64
     };
-    let gateway = Gateway::new(settings, 1, 0.0).expect("the settings make sense");
+    let gateway = Gateway::new(settings(), 1, 0.0).expect("the settings make sense");
     let room = (Vec::with_capacity(16), Vec::with_capacity(OPEN as usize * 2));
     let mut instance = Instance { gateway, actions: room.0, now: 1.0, next: 0, sent: room.1 };
     let empty = used();
-    let line =
-        |id| ServerEntry { id, zone: 0, cell: 0, share: 1.0, lifecycle: Lifecycle::Ready, launched: None };
-    let entries: Vec<ServerEntry> = (0..NODES).map(line).collect();
-    instance.gateway.handle(1.0, Event::Servers { kind: ListKind::Full, entries }, &mut instance.actions);
-    instance.actions.clear();
+    instance.list_servers();
     let with_nodes = used();
     let node = (with_nodes - empty) / f64::from(NODES);
 
-    // Two customers without a quota, so that it is the requests that are counted.
-    for number in 0..OPEN {
-        instance.now += 0.01;
-        instance.submit(CUSTOMERS + number % 2);
-    }
+    instance.submit_many();
     let open = instance.sent.len();
     let request = (used() - with_nodes) / open as f64;
     assert!(open > OPEN as usize / 3, "only {open} of {OPEN} were let in");
@@ -102,21 +138,10 @@
     instance.sent.reserve(OPEN as usize * 2);
 
     let before = used();
-    for number in 0..CUSTOMERS {
-        instance.now += 0.2;
-        instance.submit(number);
-        instance.answer();
-        instance.sent.reserve(8);
-    }
+    instance.submit_for_each_customer();
     let customer = (used() - before) / CUSTOMERS as f64;
 
-    // All but one are idle for longer than their stores take to fill; each of its requests looks at four.
-    instance.now += 30.0 * 5000.0;
-    for _ in 0..CUSTOMERS {
-        instance.now += 1.0;
-        instance.submit(7);
-        instance.answer();
-    }
+    instance.expire_idle_customers();
     let left = (used() - before) / (customer * CUSTOMERS as f64);
     println!(
         "bytes for a node {node:.0}, an open request {request:.0}, a customer {customer:.0}; left {left:.3}"
