--- a/crates/brassport-appliance/src/board.rs
+++ b/crates/brassport-appliance/src/board.rs
@@ -1,7 +1,7 @@
 //! What the console shows, kept from what the door's hooks tell. No I/O, and bounded: the oldest go first.
 
 use crate::protocol::{Counts, Event, NodeRow, RequestRow, StudioRow};
-use brassport::hooks::Verdict;
+use brassport::hooks::RequestEnd;
 use brassport_policy::{AttemptEnd, CustomerId, Millis, Outcome, Request, RequestId, Settings};
 use brassport_state::model::{Lifecycle, Node, State};
 use std::collections::{BTreeMap, VecDeque};
@@ -147,19 +147,19 @@
         }
     }
 
-    pub fn answered(&mut self, now: Millis, request: RequestId, verdict: Verdict) {
+    pub fn answered(&mut self, now: Millis, request: RequestId, verdict: RequestEnd) {
         let Some(open) = self.requests.get_mut(&request) else { return };
         open.answered = true;
         let studio = self.studios.entry(open.customer).or_default();
         for counts in [&mut studio.counts, &mut self.classes[open.class]] {
             match verdict {
-                Verdict::Served => counts.served += 1,
-                Verdict::Refused(_) => counts.refused += 1,
-                Verdict::Failed => counts.failed += 1,
-                Verdict::Left => counts.left += 1,
+                RequestEnd::Served => counts.served += 1,
+                RequestEnd::Rejected(_) => counts.refused += 1,
+                RequestEnd::Failed => counts.failed += 1,
+                RequestEnd::ClientLeft => counts.left += 1,
             }
         }
-        if let Verdict::Refused(_) = verdict {
+        if let RequestEnd::Rejected(_) = verdict {
             // The module does not say why; what shows is whether a node was asked, and the studio's use.
             let over = studio.used.is_some_and(|(used, at)| used > 0.9 && now - at < 2500.0);
             let why = match (open.attempts, over) {
@@ -293,7 +293,7 @@
         board.sending(1, "a");
         assert_eq!(board.request_rows(5.0, &["frame".into()])[0].node.as_deref(), Some("a"));
         assert_eq!(board.nodes["a"].in_flight, 1);
-        board.answered(10.0, 1, Verdict::Served);
+        board.answered(10.0, 1, RequestEnd::Served);
         board.attempt_ended(10.0, "a", &end(1, Outcome::Ok, Some(0.5)));
         board.departed(1);
         assert_eq!(board.classes[0], Counts { served: 1, ..Counts::default() });
@@ -308,13 +308,13 @@
         let mut board = Board::new(1);
         let why = |board: &Board| board.studio_rows(10.0, &[])[0].last_refusal.clone().map(|(why, _)| why);
         board.admitted(0.0, "r1", &request(1, 7));
-        board.answered(0.0, 1, Verdict::Refused(0.0));
+        board.answered(0.0, 1, RequestEnd::Rejected(0.0));
         assert_eq!(why(&board).as_deref(), Some("no room or node"));
         board.admitted(0.0, "r2", &request(2, 7));
         board.sending(2, "a");
         board.attempt_ended(1.0, "a", &end(2, Outcome::Ok, Some(1.2)));
         board.admitted(2.0, "r3", &request(3, 7));
-        board.answered(2.0, 3, Verdict::Refused(100.0));
+        board.answered(2.0, 3, RequestEnd::Rejected(100.0));
         assert_eq!(why(&board).as_deref(), Some("at its quota"));
     }
 
@@ -323,7 +323,7 @@
         let mut board = Board::new(1);
         for number in 0..2 * STUDIOS as u64 {
             board.admitted(number as f64, "r", &request(number, number));
-            board.answered(number as f64, number, Verdict::Failed);
+            board.answered(number as f64, number, RequestEnd::Failed);
             board.departed(number);
             board.event(0, String::new());
         }
--- a/crates/brassport-appliance/src/looker.rs
+++ b/crates/brassport-appliance/src/looker.rs
@@ -6,7 +6,7 @@
 use crate::protocol::Event;
 use crate::site::Site;
 use brassport::clock::{Clock, SystemClock};
-use brassport::hooks::{Hooks, Verdict, Wait};
+use brassport::hooks::{RequestEnd, RequestHooks, Wait};
 use brassport_policy::{AttemptEnd, CustomerId, Effect, Millis, Request, RequestId};
 use brassport_state::model::State;
 use brassport_state::store::Sent;
@@ -116,7 +116,7 @@
     SystemClock.unix().as_millis() as u64
 }
 
-impl Hooks for Looker {
+impl RequestHooks for Looker {
     fn plan_of(&self, customer: CustomerId) -> Option<usize> {
         self.plans.borrow().get(&customer).copied()
     }
@@ -159,7 +159,7 @@
         self.board.borrow_mut().attempt_ended(self.now(), node, end);
     }
 
-    fn answered(&self, request: RequestId, verdict: Verdict) {
+    fn answered(&self, request: RequestId, verdict: RequestEnd) {
         self.board.borrow_mut().answered(self.now(), request, verdict);
     }
 
--- a/crates/brassport-data-plane/src/backend_protocol.rs
+++ b/crates/brassport-data-plane/src/backend_protocol.rs
@@ -1,7 +1,7 @@
 //! The protocol of the gateway's backends: the headers of an attempt, and what the head of a response says of it.
 
 use brassport_policy::Outcome;
-use brassport_proxy::protocol::{Judged, Protocol};
+use brassport_proxy::protocol::{ResponseVerdict, UpstreamProtocol};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_ENCODING};
 use hyper::http::response::Parts;
 use hyper::StatusCode;
@@ -35,15 +35,15 @@
     }
 
     /// The address is another incarnation's: the one that was addressed has terminated, and nothing ran.
-    fn misdirected(&self, request: &HeaderMap, verdict: Verdict) -> Judged {
+    fn misdirected(&self, request: &HeaderMap, verdict: Verdict) -> ResponseVerdict {
         let backend = request.get(EXPECTED_BACKEND).and_then(|id| id.to_str().ok());
         self.displaced.borrow_mut().extend(backend.map(str::to_owned));
         verdict.withhold(Outcome::NoConnection)
     }
 }
 
-impl Protocol for BackendProtocol {
-    fn address(&self, headers: &mut HeaderMap, left: Duration, backend: &str) {
+impl UpstreamProtocol for BackendProtocol {
+    fn annotate(&self, headers: &mut HeaderMap, left: Duration, backend: &str) {
         if let Ok(left) = HeaderValue::from_str(&left.as_millis().to_string()) {
             headers.insert(TIME_LEFT_MS, left);
         }
@@ -52,7 +52,7 @@
         }
     }
 
-    fn judge(&self, request: &HeaderMap, response: &Parts) -> Judged {
+    fn classify(&self, request: &HeaderMap, response: &Parts) -> ResponseVerdict {
         // Guards against the late response to another request in the place of this one's.
         if response.headers.get(REQUEST_ID) != request.get(REQUEST_ID) {
             return untrusted();
@@ -86,19 +86,31 @@
 
 impl Verdict {
     /// The response may go to the client.
-    fn forward(self, outcome: Outcome) -> Judged {
-        Judged { outcome, used: None, passes: true, reusable: true, keeps: self.keep_alive }
+    fn forward(self, outcome: Outcome) -> ResponseVerdict {
+        ResponseVerdict {
+            outcome,
+            quota_used: None,
+            is_for_client: true,
+            is_reusable: true,
+            idle_timeout: self.keep_alive,
+        }
     }
 
     /// The response says something to the gateway alone.
-    fn withhold(self, outcome: Outcome) -> Judged {
-        Judged { passes: false, ..self.forward(outcome) }
+    fn withhold(self, outcome: Outcome) -> ResponseVerdict {
+        ResponseVerdict { is_for_client: false, ..self.forward(outcome) }
     }
 }
 
 /// The judgement of a response of which nothing can be believed: the request may have run.
-fn untrusted() -> Judged {
-    Judged { outcome: Outcome::Reset, used: None, passes: false, reusable: false, keeps: None }
+fn untrusted() -> ResponseVerdict {
+    ResponseVerdict {
+        outcome: Outcome::Reset,
+        quota_used: None,
+        is_for_client: false,
+        is_reusable: false,
+        idle_timeout: None,
+    }
 }
 
 /// How long the backend keeps an idle connection, if it says so.
--- a/crates/brassport-data-plane/src/downstream/admission.rs
+++ b/crates/brassport-data-plane/src/downstream/admission.rs
@@ -8,11 +8,11 @@
 use crate::backend_protocol::TENANT;
 use crate::data_plane::DataPlane;
 use brassport_policy::Request;
-use brassport_proxy::answers::pass_on;
-use brassport_proxy::backends::{Carried, Message};
 use brassport_proxy::clock::Clock;
-use brassport_proxy::door::Ticket;
+use brassport_proxy::dispatch::PendingRequest;
 use brassport_proxy::network::Network;
+use brassport_proxy::responses::forwarded_headers;
+use brassport_proxy::upstream::{RequestBody, UpstreamRequest};
 use brassport_types::TenantId;
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
@@ -20,7 +20,7 @@
 /// A request that the policy has admitted.
 pub(super) struct AdmittedRequest<C: Clock, N: Network> {
     /// Stands for the client: dropped before there is an answer, it cancels the attempts.
-    pub(super) ticket: Ticket<C, N>,
+    pub(super) pending: PendingRequest<C, N>,
     pub(super) tenant: TenantId,
 }
 
@@ -37,15 +37,15 @@
         let policy_request = self.policy_request(&routed);
         let message = message(head, request.tenant.as_deref(), body.body);
         let RoutedRequest { service, tenant, .. } = routed;
-        let id = request.id.unwrap_or_else(|| service.policy.unnamed());
-        let ticket = service
+        let id = request.id.unwrap_or_else(|| service.policy.generate_id());
+        let pending = service
             .policy
             .admit(policy_request, id, message, request.timeout)
             .ok_or(Rejection::DuplicateRequest)?;
         if let Some(progress) = &body.progress {
-            progress.at_whole(ticket.at_whole());
+            progress.on_complete(pending.completion_callback());
         }
-        Ok(AdmittedRequest { ticket, tenant })
+        Ok(AdmittedRequest { pending, tenant })
     }
 
     fn policy_request(&self, routed: &RoutedRequest<C, N>) -> Request {
@@ -66,11 +66,11 @@
 }
 
 /// The request as it goes on to a backend.
-fn message(head: Parts, tenant: Option<&str>, body: Carried) -> Message {
-    let mut headers = pass_on(head.headers, &GATEWAY_HEADERS, &PROTECTED_HEADERS);
+fn message(head: Parts, tenant: Option<&str>, body: RequestBody) -> UpstreamRequest {
+    let mut headers = forwarded_headers(head.headers, &GATEWAY_HEADERS, &PROTECTED_HEADERS);
     if let Some(tenant) = tenant.and_then(|name| HeaderValue::from_str(name).ok()) {
         headers.insert(TENANT, tenant);
     }
     let uri = head.uri.path_and_query().and_then(|target| target.as_str().parse().ok());
-    Message { method: head.method, uri: uri.unwrap_or_default(), headers, body }
+    UpstreamRequest { method: head.method, uri: uri.unwrap_or_default(), headers, body }
 }
--- a/crates/brassport-data-plane/src/downstream/body.rs
+++ b/crates/brassport-data-plane/src/downstream/body.rs
@@ -2,13 +2,13 @@
 
 use super::rejection::{BodyFault, Rejection};
 use crate::data_plane::DataPlane;
-use brassport_proxy::backends::{Carried, Uploading};
-use brassport_proxy::bodies::pace::Pace;
-use brassport_proxy::bodies::upload::{Progress, Upload};
-use brassport_proxy::bodies::{read, Outgoing, Read};
+use brassport_proxy::body::pace::TransferPace;
+use brassport_proxy::body::upload::{Upload, UploadProgress};
+use brassport_proxy::body::{read_body, ReadBody, UpstreamBody};
 use brassport_proxy::clock::Clock;
-use brassport_proxy::connections::ClientConnection;
+use brassport_proxy::downstream::DownstreamConnection;
 use brassport_proxy::network::Network;
+use brassport_proxy::upstream::{RequestBody, StreamingUpload};
 use hyper::body::{Body, Bytes, Incoming};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -19,14 +19,14 @@
     /// All of it.
     Complete(Bytes),
     /// The first part; the rest is still coming.
-    Partial { first: Bytes, rest: Incoming, pace: Pace },
+    Partial { first: Bytes, rest: Incoming, pace: TransferPace },
 }
 
 /// A body on its way to a backend.
 pub(super) struct OutgoingBody {
-    pub(super) body: Carried,
+    pub(super) body: RequestBody,
     /// Of one that is still coming.
-    pub(super) progress: Option<Rc<Progress>>,
+    pub(super) progress: Option<Rc<UploadProgress>>,
 }
 
 impl<C: Clock, N: Network> DataPlane<C, N> {
@@ -35,15 +35,15 @@
         &self,
         mut body: Incoming,
         max_bytes: Option<u64>,
-        client: &ClientConnection<C>,
+        client: &DownstreamConnection<C>,
     ) -> Result<ReceivedBody, Rejection> {
         if max_bytes.is_some_and(|max_bytes| body.size_hint().lower() > max_bytes) {
             return Err(Rejection::LengthBeyondLimit);
         }
-        let mut pace = Pace::new(client.waited());
-        match read(&self.resources.clock, &mut body, &mut pace).await {
-            Ok(Read::Whole(bytes)) => Ok(ReceivedBody::Complete(bytes)),
-            Ok(Read::Long(first)) => Ok(ReceivedBody::Partial { first, rest: body, pace }),
+        let mut pace = TransferPace::new(client.request_age());
+        match read_body(&self.resources.clock, &mut body, &mut pace).await {
+            Ok(ReadBody::Complete(bytes)) => Ok(ReceivedBody::Complete(bytes)),
+            Ok(ReadBody::Partial(first)) => Ok(ReceivedBody::Partial { first, rest: body, pace }),
             Err(problem) => Err(Rejection::Body(BodyFault::from(problem))),
         }
     }
@@ -57,12 +57,14 @@
     /// As it goes on to a backend; `timeout` runs from when all of it has come.
     pub(super) fn into_upload(self, clock: &impl Clock, timeout: Duration) -> OutgoingBody {
         match self {
-            ReceivedBody::Complete(bytes) => OutgoingBody { body: Carried::Whole(bytes), progress: None },
+            ReceivedBody::Complete(bytes) => {
+                OutgoingBody { body: RequestBody::Complete(bytes), progress: None }
+            }
             ReceivedBody::Partial { first, rest, pace } => {
                 let (upload, progress) = Upload::new(clock.clone(), first, rest, pace);
-                let body = RefCell::new(Some(Outgoing::Coming(Box::pin(upload))));
-                let upload = Uploading { body, progress: progress.clone(), patience: timeout };
-                OutgoingBody { body: Carried::Coming(upload), progress: Some(progress) }
+                let body = RefCell::new(Some(UpstreamBody::Streaming(Box::pin(upload))));
+                let upload = StreamingUpload { body, progress: progress.clone(), client_timeout: timeout };
+                OutgoingBody { body: RequestBody::Streaming(upload), progress: Some(progress) }
             }
         }
     }
--- a/crates/brassport-data-plane/src/downstream/mod.rs
+++ b/crates/brassport-data-plane/src/downstream/mod.rs
@@ -21,11 +21,11 @@
 
 use crate::backend_protocol::{EXPECTED_BACKEND, REQUEST_ID, TENANT, TIME_LEFT_MS};
 use crate::data_plane::DataPlane;
-use brassport_proxy::answers::is_ambiguous;
-use brassport_proxy::bodies::Answer;
+use brassport_proxy::body::ResponseBody;
 use brassport_proxy::clock::Clock;
-use brassport_proxy::connections::ClientConnection;
+use brassport_proxy::downstream::DownstreamConnection;
 use brassport_proxy::network::Network;
+use brassport_proxy::responses::has_ambiguous_length;
 use hyper::body::Incoming;
 use hyper::header::{HeaderName, AUTHORIZATION};
 use hyper::{Request, Response};
@@ -39,16 +39,16 @@
 
 /// A response; an error if it is the last on its connection, as more of the request may still come, or as what came can't
 /// be trusted.
-type ResponseOrLast = Result<Response<Answer>, Response<Answer>>;
+type ResponseOrLast = Result<Response<ResponseBody>, Response<ResponseBody>>;
 
 impl<C: Clock, N: Network> DataPlane<C, N> {
     /// Takes a request through its phases.
     pub(crate) async fn respond(
         self: &Rc<Self>,
         request: Request<Incoming>,
-        client: &ClientConnection<C>,
+        client: &DownstreamConnection<C>,
     ) -> ResponseOrLast {
-        if is_ambiguous(request.headers(), client) {
+        if has_ambiguous_length(request.headers(), client) {
             return Err(Rejection::AmbiguousFraming.into_response());
         }
         let (head, body) = request.into_parts();
@@ -68,7 +68,7 @@
             Err(rejection) => rejection.into_response(),
         };
         // The rest of the request may still come: what follows on the connection could not be distinguished from it.
-        if progress.is_none_or(|progress| progress.whole().is_some()) {
+        if progress.is_none_or(|progress| progress.completed_at().is_some()) {
             Ok(response)
         } else {
             Err(response)
--- a/crates/brassport-data-plane/src/downstream/rejection.rs
+++ b/crates/brassport-data-plane/src/downstream/rejection.rs
@@ -1,7 +1,7 @@
 //! Why a request gets no response of a backend, and what its client gets instead.
 
-use brassport_proxy::answers::{come_back, text};
-use brassport_proxy::bodies::{Answer, Problem};
+use brassport_proxy::body::{ReadError, ResponseBody};
+use brassport_proxy::responses::{plain_text, retry_later};
 use hyper::{Response, StatusCode};
 
 /// Advice on waiting, in milliseconds, where there is no better.
@@ -49,19 +49,19 @@
     TooSlow,
 }
 
-impl From<Problem> for BodyFault {
-    fn from(problem: Problem) -> BodyFault {
+impl From<ReadError> for BodyFault {
+    fn from(problem: ReadError) -> BodyFault {
         match problem {
-            Problem::Broken => BodyFault::Malformed,
-            Problem::TooLong => BodyFault::TooLong,
-            Problem::TooSlow => BodyFault::TooSlow,
+            ReadError::Incomplete => BodyFault::Malformed,
+            ReadError::TooLong => BodyFault::TooLong,
+            ReadError::TooSlow => BodyFault::TooSlow,
         }
     }
 }
 
 impl Rejection {
     /// The response.
-    pub(crate) fn into_response(self) -> Response<Answer> {
+    pub(crate) fn into_response(self) -> Response<ResponseBody> {
         let (status, line) = match self {
             Rejection::AmbiguousFraming => {
                 (StatusCode::BAD_REQUEST, "Transfer-Encoding beside something else")
@@ -76,19 +76,19 @@
             Rejection::DuplicateRequest => (StatusCode::CONFLICT, "a request of this id is open"),
             Rejection::NoResponse => (StatusCode::GATEWAY_TIMEOUT, "no answer of a backend"),
             Rejection::NotConfigured => {
-                return come_back(StatusCode::SERVICE_UNAVAILABLE, UNCONFIGURED_RETRY_AFTER_MS)
+                return retry_later(StatusCode::SERVICE_UNAVAILABLE, UNCONFIGURED_RETRY_AFTER_MS)
             }
             Rejection::QuotaExhausted { retry_after_ms } => {
-                return come_back(StatusCode::TOO_MANY_REQUESTS, advice(retry_after_ms))
+                return retry_later(StatusCode::TOO_MANY_REQUESTS, advice(retry_after_ms))
             }
             Rejection::NoCapacity { retry_after_ms } => {
-                return come_back(StatusCode::SERVICE_UNAVAILABLE, advice(retry_after_ms))
+                return retry_later(StatusCode::SERVICE_UNAVAILABLE, advice(retry_after_ms))
             }
             Rejection::NoConnection => {
-                return come_back(StatusCode::SERVICE_UNAVAILABLE, DEFAULT_RETRY_AFTER_MS)
+                return retry_later(StatusCode::SERVICE_UNAVAILABLE, DEFAULT_RETRY_AFTER_MS)
             }
         };
-        text(status, line)
+        plain_text(status, line)
     }
 }
 
--- a/crates/brassport-data-plane/src/downstream/response.rs
+++ b/crates/brassport-data-plane/src/downstream/response.rs
@@ -4,11 +4,11 @@
 use super::rejection::Rejection;
 use super::{GATEWAY_HEADERS, PROTECTED_HEADERS};
 use crate::data_plane::DataPlane;
-use brassport_proxy::answers::pass_on;
-use brassport_proxy::bodies::Answer;
+use brassport_proxy::body::ResponseBody;
 use brassport_proxy::clock::Clock;
-use brassport_proxy::door::Answer as Outcome;
+use brassport_proxy::dispatch::RequestOutcome;
 use brassport_proxy::network::Network;
+use brassport_proxy::responses::forwarded_headers;
 use brassport_types::TenantId;
 use hyper::Response;
 
@@ -19,13 +19,13 @@
 
 impl<C: Clock, N: Network> DataPlane<C, N> {
     /// The response to an admitted request, once the policy has one.
-    pub(super) async fn response(&self, admitted: AdmittedRequest<C, N>) -> Response<Answer> {
-        match admitted.ticket.answer().await {
-            Outcome::Served(response) => forward(response),
-            Outcome::Refused(retry_after_ms) => {
+    pub(super) async fn response(&self, admitted: AdmittedRequest<C, N>) -> Response<ResponseBody> {
+        match admitted.pending.outcome().await {
+            RequestOutcome::Served(response) => forward(response),
+            RequestOutcome::Rejected(retry_after_ms) => {
                 self.rejected(admitted.tenant, retry_after_ms).into_response()
             }
-            Outcome::Failed => Rejection::NoResponse.into_response(),
+            RequestOutcome::Failed => Rejection::NoResponse.into_response(),
         }
     }
 
@@ -44,10 +44,10 @@
 }
 
 /// A backend's response as it goes on to the client.
-fn forward(response: Response<Answer>) -> Response<Answer> {
+fn forward(response: Response<ResponseBody>) -> Response<ResponseBody> {
     let (head, body) = response.into_parts();
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
-    *response.headers_mut() = pass_on(head.headers, &GATEWAY_HEADERS, &PROTECTED_HEADERS);
+    *response.headers_mut() = forwarded_headers(head.headers, &GATEWAY_HEADERS, &PROTECTED_HEADERS);
     response
 }
--- a/crates/brassport-data-plane/src/downstream/server.rs
+++ b/crates/brassport-data-plane/src/downstream/server.rs
@@ -3,11 +3,11 @@
 use super::rejection::Rejection;
 use super::ResponseOrLast;
 use crate::data_plane::DataPlane;
-use brassport_proxy::bodies::Answer;
-use brassport_proxy::clients::{self, Service};
+use brassport_proxy::body::ResponseBody;
 use brassport_proxy::clock::Clock;
-use brassport_proxy::connections::{ClientConnection, Connections};
 use brassport_proxy::date::DateHeader;
+use brassport_proxy::downstream::{self, DownstreamService};
+use brassport_proxy::downstream::{ConnectionRegistry, DownstreamConnection};
 use brassport_proxy::network::Network;
 use brassport_proxy::shutdown::{Phase, Shutdown};
 use hyper::body::Incoming;
@@ -19,7 +19,7 @@
 struct Downstream<C: Clock, N: Network> {
     data_plane: Rc<DataPlane<C, N>>,
     shutdown: Rc<Shutdown>,
-    connections: Rc<Connections<C>>,
+    connections: Rc<ConnectionRegistry<C>>,
     date: DateHeader,
 }
 
@@ -31,23 +31,23 @@
 ) {
     let descriptors = data_plane.resources.descriptors.clone();
     let total = descriptors.available_permits();
-    let connections = Rc::new(Connections::new(data_plane.resources.clock.clone()));
+    let connections = Rc::new(ConnectionRegistry::new(data_plane.resources.clock.clone()));
     let downstream = Rc::new(Downstream { data_plane, shutdown, connections, date: DateHeader::default() });
     // No other process hands over its connections here. The sender is kept: a closed queue would read as one that did.
     let (_sender, adopted) = mpsc::unbounded_channel();
-    clients::serve(Rc::new(listener), downstream, descriptors, total, adopted).await;
+    downstream::serve(Rc::new(listener), downstream, descriptors, total, adopted).await;
 }
 
-impl<C: Clock, N: Network> Service for Downstream<C, N> {
+impl<C: Clock, N: Network> DownstreamService for Downstream<C, N> {
     type Clock = C;
     type Network = N;
-    type Life = ();
+    type RequestContext = ();
 
     fn clock(&self) -> &C {
         &self.data_plane.resources.clock
     }
 
-    fn connections(&self) -> &Rc<Connections<C>> {
+    fn connections(&self) -> &Rc<ConnectionRegistry<C>> {
         &self.connections
     }
 
@@ -55,30 +55,30 @@
         &self.date
     }
 
-    fn begin(&self, _: &Request<Incoming>) {}
+    fn on_request(&self, _: &Request<Incoming>) {}
 
-    async fn answer(
+    async fn respond(
         &self,
         request: Request<Incoming>,
-        client: &ClientConnection<C>,
+        client: &DownstreamConnection<C>,
         (): &(),
     ) -> ResponseOrLast {
         self.data_plane.respond(request, client).await
     }
 
-    fn turn_away(&self) -> Response<Answer> {
+    fn overload_response(&self) -> Response<ResponseBody> {
         Rejection::NoConnection.into_response()
     }
 
-    fn answered((): &(), _: StatusCode) {}
+    fn on_response((): &(), _: StatusCode) {}
 
-    fn passed((): &(), _: bool) {}
+    fn on_stream_end((): &(), _: bool) {}
 
-    fn shed_idle(&self) -> bool {
+    fn evict_idle(&self) -> bool {
         self.data_plane.close_idle_connection()
     }
 
-    fn serves(&self) -> bool {
+    fn is_serving(&self) -> bool {
         self.shutdown.phase() == Phase::Serving
     }
 
--- a/crates/brassport-data-plane/src/hooks.rs
+++ b/crates/brassport-data-plane/src/hooks.rs
@@ -4,7 +4,7 @@
 use crate::tenant_quotas::{tenant_of, TenantQuotas, NO_TENANT};
 use brassport_policy::{AttemptEnd, Millis, Request, RequestId};
 use brassport_proxy::clock::Clock;
-use brassport_proxy::hooks::{Hooks, Verdict};
+use brassport_proxy::hooks::{RequestEnd, RequestHooks};
 use brassport_quota::TenantId;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -33,7 +33,7 @@
     }
 }
 
-impl<C: Clock> Hooks for ServiceHooks<C> {
+impl<C: Clock> RequestHooks for ServiceHooks<C> {
     fn admitted(&self, _: &str, request: &Request) {
         let in_flight = InFlight { tenant: tenant_of(request.customer), client_left_ms: None };
         self.in_flight.borrow_mut().insert(request.id, in_flight);
@@ -58,9 +58,9 @@
         self.counters.record_attempt(end.outcome, since_ms);
     }
 
-    fn answered(&self, request: RequestId, verdict: Verdict) {
+    fn answered(&self, request: RequestId, verdict: RequestEnd) {
         self.counters.record_verdict(verdict);
-        if verdict == Verdict::Left {
+        if verdict == RequestEnd::ClientLeft {
             if let Some(one) = self.in_flight.borrow_mut().get_mut(&request) {
                 one.client_left_ms = Some(self.quotas.now());
             }
--- a/crates/brassport-data-plane/src/lib.rs
+++ b/crates/brassport-data-plane/src/lib.rs
@@ -1,6 +1,6 @@
 //! The gateway's data plane: requests by route, key and tenant, in front of the policy's decisions.
 //!
-//! For each service there is an instance of the policy with its host ([`brassport_proxy::door::Door`]). What is the
+//! For each service there is an instance of the policy with its host ([`brassport_proxy::dispatch::Dispatcher`]). What is the
 //! gateway's own stands at its seams:
 //!
 //! - [`downstream`]: the phases of a request, from its head to the response;
--- a/crates/brassport-data-plane/src/metrics.rs
+++ b/crates/brassport-data-plane/src/metrics.rs
@@ -4,7 +4,7 @@
 //! `brassport_attempts_total{service, outcome}`, and a line `brassport_NAME{service}` for each other figure.
 
 use brassport_policy::{Figures, Outcome};
-use brassport_proxy::hooks::Verdict;
+use brassport_proxy::hooks::RequestEnd;
 use std::cell::Cell;
 use std::fmt::Write;
 
@@ -64,12 +64,12 @@
 
 impl RequestCounters {
     /// A request has its response, or its client has left.
-    pub fn record_verdict(&self, verdict: Verdict) {
+    pub fn record_verdict(&self, verdict: RequestEnd) {
         match verdict {
-            Verdict::Served => &self.served,
-            Verdict::Refused(_) => &self.rejected,
-            Verdict::Failed => &self.failed,
-            Verdict::Left => &self.client_left,
+            RequestEnd::Served => &self.served,
+            RequestEnd::Rejected(_) => &self.rejected,
+            RequestEnd::Failed => &self.failed,
+            RequestEnd::ClientLeft => &self.client_left,
         }
         .increment();
     }
--- a/crates/brassport-data-plane/src/service.rs
+++ b/crates/brassport-data-plane/src/service.rs
@@ -7,11 +7,11 @@
 use crate::policy_settings::{PolicySettings, MAX_SLOW_START_MS};
 use crate::tenant_quotas::{TenantQuotas, UsageMeter};
 use brassport_policy::{Event, InvalidSetting, Lifecycle, ListKind, Millis, ServerEntry, Settings};
-use brassport_proxy::backends::Backends;
 use brassport_proxy::clock::Clock;
-use brassport_proxy::door::{Door, Host};
+use brassport_proxy::dispatch::{Dispatcher, DispatcherOptions};
 use brassport_proxy::network::Network;
-use brassport_proxy::protocol::AttemptCounts;
+use brassport_proxy::protocol::{AttemptEvent, AttemptObserver};
+use brassport_proxy::upstream::UpstreamPool;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -27,9 +27,8 @@
 /// The gateway's attempts are counted at their ends, by the hooks.
 struct NoAttemptCounts;
 
-impl AttemptCounts for NoAttemptCounts {
-    fn attempt_written(&self) {}
-    fn attempt_unwritten(&self) {}
+impl AttemptObserver for NoAttemptCounts {
+    fn on_attempt(&self, _: AttemptEvent) {}
 }
 
 /// What services share.
@@ -53,9 +52,9 @@
 /// A service.
 pub(crate) struct Service<C: Clock, N: Network> {
     /// The policy's host.
-    pub(crate) policy: Rc<Door<C, N>>,
+    pub(crate) policy: Rc<Dispatcher<C, N>>,
     pub(crate) policy_settings: RefCell<PolicySettings>,
-    backends: Rc<Backends<C, N>>,
+    backends: Rc<UpstreamPool<C, N>>,
     /// Those that the policy has.
     settings: RefCell<Settings>,
     protocol: Rc<BackendProtocol>,
@@ -76,14 +75,15 @@
         let protocol = Rc::new(BackendProtocol::default());
         let backends = Rc::new(open_backends(resources, protocol.clone()));
         let counters = Rc::new(RequestCounters::default());
-        let host = Host {
+        let host = DispatcherOptions {
             meter: Some(Box::new(UsageMeter::new(resources.quotas.clone(), &settings))),
             hooks: Some(Rc::new(ServiceHooks::new(resources.quotas.clone(), counters.clone()))),
-            released: Box::new(|_| {}),
-            clock_before: None,
+            on_release: Box::new(|_| {}),
+            inherited_clock: None,
         };
-        let policy = Door::new(resources.clock.clone(), settings.clone(), seed, host, backends.clone())?;
-        spawn_local(policy.clone().keep_time());
+        let policy =
+            Dispatcher::new(resources.clock.clone(), settings.clone(), seed, host, backends.clone())?;
+        spawn_local(policy.clone().run_timers());
         let sweeping = backends.clone();
         spawn_local(async move { sweeping.sweep().await });
         Ok(Rc::new(Service {
@@ -111,19 +111,19 @@
     pub(crate) fn set_settings(&self, settings: Settings) {
         if *self.settings.borrow() != settings {
             self.settings.replace(settings.clone());
-            self.policy.settle(settings);
+            self.policy.apply_settings(settings);
         }
     }
 
     /// Closes the connection to a backend that has been idle longest, for its descriptor; false if there is none.
     pub(crate) fn close_idle_connection(&self) -> bool {
-        self.backends.shed_idle()
+        self.backends.evict_idle()
     }
 
     /// Appends the counters as lines of the Prometheus text format.
     pub(crate) fn write_metrics(&self, name: &str, text: &mut String) {
         let now = self.policy.clock().now();
-        let figures = self.policy.look(|policy| policy.figures(now));
+        let figures = self.policy.inspect(|policy| policy.figures(now));
         self.counters.write(name, &figures, text);
     }
 
@@ -166,7 +166,7 @@
             self.backends.retain(|other| other != change.server);
         } else {
             let is_ready = change.lifecycle == Lifecycle::Ready;
-            self.backends.put(change.server, &change.backend.id, change.address, is_ready);
+            self.backends.upsert(change.server, &change.backend.id, change.address, is_ready);
         }
     }
 }
@@ -174,8 +174,8 @@
 fn open_backends<C: Clock, N: Network>(
     resources: &Resources<C, N>,
     protocol: Rc<BackendProtocol>,
-) -> Backends<C, N> {
-    Backends::new(
+) -> UpstreamPool<C, N> {
+    UpstreamPool::new(
         resources.clock.clone(),
         resources.network.clone(),
         resources.descriptors.clone(),
--- a/crates/brassport-data-plane/src/tenant_quotas.rs
+++ b/crates/brassport-data-plane/src/tenant_quotas.rs
@@ -3,7 +3,7 @@
 
 use brassport_policy::{CustomerId, Millis, Settings};
 use brassport_proxy::clock::Clock;
-use brassport_proxy::door::Meter;
+use brassport_proxy::dispatch;
 use brassport_quota::{Borrower, QuotaGrant, RateLimit, TenantId, UsageReport, PERIOD};
 use brassport_types::Term;
 use std::cell::{Cell, RefCell};
@@ -135,9 +135,9 @@
     settings.plans.iter().map(|plan| plan.rate).collect()
 }
 
-impl<C: Clock> Meter for UsageMeter<C> {
+impl<C: Clock> dispatch::UsageMeter for UsageMeter<C> {
     /// The quota counts where it is taken.
-    fn count(&mut self, _: Millis, _: CustomerId, _: f64) {}
+    fn record(&mut self, _: Millis, _: CustomerId, _: f64) {}
 
     fn reading(&mut self, _: Millis, customer: CustomerId, plan: usize) -> Option<f64> {
         let rate = self.rates_per_s.get(plan).copied().filter(|rate| *rate > 0.0)?;
@@ -145,7 +145,7 @@
         Some(f64::from(sent) / (rate * PERIOD as f64 / 1000.0))
     }
 
-    fn settle(&mut self, settings: &Settings) {
+    fn apply_settings(&mut self, settings: &Settings) {
         self.rates_per_s = rates_per_s(settings);
     }
 }
--- a/crates/brassport-data-plane/tests/it/backend_protocol.rs
+++ b/crates/brassport-data-plane/tests/it/backend_protocol.rs
@@ -6,7 +6,7 @@
     BackendProtocol, EXPECTED_BACKEND, REQUEST_ID, TENANT, TIME_LEFT_MS,
 };
 use brassport_policy::Outcome;
-use brassport_proxy::protocol::{Judged, Protocol};
+use brassport_proxy::protocol::{ResponseVerdict, UpstreamProtocol};
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
 use hyper::Response;
@@ -28,8 +28,8 @@
     response.body(()).expect("a response").into_parts().0
 }
 
-fn judge(status: u16, headers: &[(&'static str, &'static str)]) -> Judged {
-    BackendProtocol::default().judge(&request(), &response(status, headers))
+fn judge(status: u16, headers: &[(&'static str, &'static str)]) -> ResponseVerdict {
+    BackendProtocol::default().classify(&request(), &response(status, headers))
 }
 
 const ID: (&str, &str) = ("x-try-id", "9c41");
@@ -55,13 +55,13 @@
     headers: &[(&'static str, &'static str)],
 ) -> (Outcome, bool, bool) {
     let judged = judge(status, headers);
-    (judged.outcome, judged.passes, judged.reusable)
+    (judged.outcome, judged.is_for_client, judged.is_reusable)
 }
 
 #[test]
 fn status_421_reports_the_addressed_incarnation_as_displaced() {
     let protocol = BackendProtocol::default();
-    protocol.judge(&request(), &response(421, &[ID]));
+    protocol.classify(&request(), &response(421, &[ID]));
     assert_eq!(protocol.take_displaced(), ["i-7f3a"]);
     assert!(protocol.take_displaced().is_empty(), "they are reported once");
 }
@@ -70,13 +70,13 @@
 #[test_case("max=100,timeout=12" => Some(Duration::from_secs(12)))]
 #[test_case("timeout=soon" => None)]
 fn keep_alive_announces_the_idle_timeout(keep_alive: &'static str) -> Option<Duration> {
-    judge(200, &[ID, SEAL, ("keep-alive", keep_alive)]).keeps
+    judge(200, &[ID, SEAL, ("keep-alive", keep_alive)]).idle_timeout
 }
 
 #[test]
 fn an_attempt_carries_the_time_left_and_the_expected_backend() {
     let mut headers = request();
-    BackendProtocol::default().address(&mut headers, Duration::from_micros(1_499_900), "i-0001");
+    BackendProtocol::default().annotate(&mut headers, Duration::from_micros(1_499_900), "i-0001");
     assert_eq!(headers["x-time-left-ms"], "1499");
     assert_eq!(headers["x-expect-server"], "i-0001");
 }
@@ -85,7 +85,7 @@
 fn headers_have_pinned_names() {
     let mut headers = HeaderMap::new();
     headers.insert("x-expect-server", HeaderValue::from_static("another"));
-    BackendProtocol::default().address(&mut headers, Duration::from_micros(1_499_900), "i-0001");
+    BackendProtocol::default().annotate(&mut headers, Duration::from_micros(1_499_900), "i-0001");
     let mut lines: Vec<String> =
         headers.iter().map(|(name, value)| format!("{name}: {}", value.to_str().expect("text"))).collect();
     lines.sort();
--- a/crates/brassport-data-plane/tests/it/metrics.rs
+++ b/crates/brassport-data-plane/tests/it/metrics.rs
@@ -3,7 +3,7 @@
 use crate::{fixture, PACKAGE};
 use brassport_data_plane::metrics::{RequestCounters, ABANDONED_AFTER_MS};
 use brassport_policy::{Figures, Outcome};
-use brassport_proxy::hooks::Verdict;
+use brassport_proxy::hooks::RequestEnd;
 
 /// The name of an outcome; one that is new does not compile here until it is in [`OUTCOMES`] too.
 fn name_of(outcome: Outcome) -> &'static str {
@@ -61,7 +61,8 @@
 /// Counters of which each has another count, so that no two can change places.
 fn counters_with_distinct_counts() -> RequestCounters {
     let counters = RequestCounters::default();
-    let verdicts = [Verdict::Served, Verdict::Refused(0.0), Verdict::Failed, Verdict::Left];
+    let verdicts =
+        [RequestEnd::Served, RequestEnd::Rejected(0.0), RequestEnd::Failed, RequestEnd::ClientLeft];
     for (times, verdict) in (11..).zip(verdicts) {
         (0..times).for_each(|_| counters.record_verdict(verdict));
     }
--- a/crates/brassport-nomad/src/http.rs
+++ b/crates/brassport-nomad/src/http.rs
@@ -4,8 +4,8 @@
 //! what came first is read first, and a drain is not behind a request in the queue of the tasks.
 
 use crate::source::Problem;
-use brassport::connection::Connection;
 use brassport::network::Network;
+use brassport::UpstreamConnection;
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{ACCEPT, HOST};
@@ -17,7 +17,7 @@
 impl<T: AsyncRead + AsyncWrite + Unpin> Io for T {}
 
 /// A connection, secret or not.
-pub type Open = Connection<Box<dyn Io>>;
+pub type Open = UpstreamConnection<Box<dyn Io>>;
 
 /// How bytes are made secret on their way.
 #[cfg(feature = "tls")]
@@ -34,7 +34,7 @@
         #[cfg(not(feature = "tls"))]
         Some(never) => match *never {},
     };
-    Connection::over(stream).await.map_err(|_| Problem::broken())
+    UpstreamConnection::handshake(stream).await.map_err(|_| Problem::broken())
 }
 
 /// The head of the answer to a GET, if it is a good one.
@@ -50,7 +50,7 @@
     }
     // A token that is no header is the operator's mistake, and is not shown.
     let request = request.body(Full::<Bytes>::default()).map_err(|_| Problem::token())?;
-    let answer = connection.begin(request).await.map_err(|_| Problem::broken())?;
+    let answer = connection.send(request).await.map_err(|_| Problem::broken())?;
     match answer.status() {
         StatusCode::OK => Ok(answer),
         status => Err(Problem::status(status, answer.headers())),
--- a/crates/brassport-nomad/src/source.rs
+++ b/crates/brassport-nomad/src/source.rs
@@ -337,7 +337,8 @@
             let answer = self.get(connection, server, &path).await?;
             let meta = meta(answer.headers())?;
             let open = connection.as_mut().ok_or_else(Problem::broken)?;
-            let body = open.rest(answer.into_body(), LIST_LIMIT).await.map_err(|_| Problem::broken())?;
+            let body =
+                open.read_to_end(answer.into_body(), LIST_LIMIT).await.map_err(|_| Problem::broken())?;
             Ok::<_, Problem>((meta, body.ok_or_else(|| Problem::too_long(LIST_LIMIT))?))
         };
         // Guards against a server that is silent, or stops within its answer.
@@ -359,7 +360,7 @@
         let address = self.settings.servers[server].address;
         let token = self.token.read().map_err(|text| Problem::new("token", text))?;
         if let Some(standing) = connection {
-            if !standing.is_usable().await {
+            if !standing.is_reusable().await {
                 *connection = None;
             }
         }
@@ -438,7 +439,7 @@
         let mut lines = Lines::new(LINE_LIMIT);
         loop {
             // Guards against a connection that is open and dead: the servers send heartbeats.
-            let bytes = match self.clock.timeout(self.settings.silence, open.next(&mut body)).await {
+            let bytes = match self.clock.timeout(self.settings.silence, open.next_chunk(&mut body)).await {
                 None => {
                     let silence = self.settings.silence.as_secs_f64();
                     return Err(Problem::new("silent", format!("sent nothing for {silence} s")));
--- a/crates/brassport-peers/src/door.rs
+++ b/crates/brassport-peers/src/door.rs
@@ -7,7 +7,7 @@
 use crate::host::Clock;
 use crate::identity::Identity;
 use crate::record::{steady_ms, whole_lines, Record, RECORD_FILE};
-use brassport::hooks::{Hooks, Wait};
+use brassport::hooks::{RequestHooks, Wait};
 use brassport::log;
 use brassport::run::admin::{Call, Command};
 use brassport_fleet::clocks::Mark;
@@ -117,7 +117,7 @@
     }
 }
 
-impl Hooks for InFleet {
+impl RequestHooks for InFleet {
     fn may_act(&self) -> Result<(), f64> {
         if self.handle.may_act() {
             Ok(())
--- a/crates/brassport-proxy/src/bodies/mod.rs
+++ b/crates/brassport-proxy/src/body/mod.rs
@@ -6,7 +6,7 @@
 use crate::clock::Clock;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
-use pace::Pace;
+use pace::TransferPace;
 use std::fmt;
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -14,64 +14,64 @@
 use tokio::sync::mpsc;
 
 /// Most bytes of a body that is held whole, either way.
-pub const HELD_LIMIT: usize = 64 * 1024;
+pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 /// Most bytes of any body.
-pub const LIMIT: u64 = 256 << 20;
+pub const MAX_BODY_BYTES: u64 = 256 << 20;
 /// Pieces of an answer that wait for the client to take them.
 const WAITING: usize = 1;
 
 /// A body that did not come whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Broken;
+pub struct BodyError;
 
-impl fmt::Display for Broken {
+impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the body did not come whole")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for BodyError {}
 
 /// A body that is at hand, or one of which more comes.
-pub enum Passing<B> {
-    Whole(Full<Bytes>),
-    Coming(B),
+pub enum ProxiedBody<B> {
+    Complete(Full<Bytes>),
+    Streaming(B),
 }
 
 /// The body of a request to a backend.
-pub type Outgoing = Passing<Pin<Box<dyn Body<Data = Bytes, Error = Broken>>>>;
+pub type UpstreamBody = ProxiedBody<Pin<Box<dyn Body<Data = Bytes, Error = BodyError>>>>;
 /// The body of an answer to a client.
-pub type Answer = Passing<Coming>;
+pub type ResponseBody = ProxiedBody<StreamedBody>;
 
-impl<B> From<Full<Bytes>> for Passing<B> {
-    fn from(body: Full<Bytes>) -> Passing<B> {
-        Passing::Whole(body)
+impl<B> From<Full<Bytes>> for ProxiedBody<B> {
+    fn from(body: Full<Bytes>) -> ProxiedBody<B> {
+        ProxiedBody::Complete(body)
     }
 }
 
-impl<B: Body<Data = Bytes, Error = Broken> + Unpin> Body for Passing<B> {
+impl<B: Body<Data = Bytes, Error = BodyError> + Unpin> Body for ProxiedBody<B> {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Passing::Whole(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
-            Passing::Coming(body) => Pin::new(body).poll_frame(context),
+            ProxiedBody::Complete(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
+            ProxiedBody::Streaming(body) => Pin::new(body).poll_frame(context),
         }
     }
     fn is_end_stream(&self) -> bool {
         match self {
-            Passing::Whole(body) => body.is_end_stream(),
-            Passing::Coming(body) => body.is_end_stream(),
+            ProxiedBody::Complete(body) => body.is_end_stream(),
+            ProxiedBody::Streaming(body) => body.is_end_stream(),
         }
     }
     fn size_hint(&self) -> SizeHint {
         match self {
-            Passing::Whole(body) => body.size_hint(),
-            Passing::Coming(body) => body.size_hint(),
+            ProxiedBody::Complete(body) => body.size_hint(),
+            ProxiedBody::Streaming(body) => body.size_hint(),
         }
     }
 }
@@ -83,7 +83,7 @@
 }
 
 /// An answer of which more comes.
-pub struct Coming {
+pub struct StreamedBody {
     pieces: mpsc::Receiver<Piece>,
     /// Bytes that are still to come, where that is known.
     left: Option<u64>,
@@ -91,11 +91,11 @@
     at_end: Option<Box<dyn FnOnce(bool)>>,
 }
 
-impl Coming {
+impl StreamedBody {
     /// A body of this length, if that is known, and the side that it is written to.
-    pub fn new(length: Option<u64>) -> (Pieces, Coming) {
+    pub fn new(length: Option<u64>) -> (BodySender, StreamedBody) {
         let (to, pieces) = mpsc::channel(WAITING);
-        (Pieces(to), Coming { pieces, left: length, is_over: false, at_end: None })
+        (BodySender(to), StreamedBody { pieces, left: length, is_over: false, at_end: None })
     }
 
     /// What is to be done once all has been taken, and told so, or once nobody takes it any more.
@@ -111,14 +111,14 @@
     }
 }
 
-impl Body for Coming {
+impl Body for StreamedBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let this = self.get_mut();
         if this.is_over {
             return Poll::Ready(None);
@@ -141,7 +141,7 @@
             }
             None => {
                 this.end(false);
-                Some(Err(Broken))
+                Some(Err(BodyError))
             }
         })
     }
@@ -153,16 +153,16 @@
     }
 }
 
-impl Drop for Coming {
+impl Drop for StreamedBody {
     fn drop(&mut self) {
         self.end(false);
     }
 }
 
 /// The writing side of a [`Coming`]; dropped before [`end`](Pieces::end) the body is broken, and its client can tell.
-pub struct Pieces(mpsc::Sender<Piece>);
+pub struct BodySender(mpsc::Sender<Piece>);
 
-impl Pieces {
+impl BodySender {
     /// Writes on once there is room; false if nobody takes it any more.
     pub async fn write(&self, bytes: Bytes) -> bool {
         bytes.is_empty() || self.0.send(Piece::Bytes(bytes)).await.is_ok()
@@ -181,34 +181,38 @@
 
 /// Why a body was not read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Problem {
-    Broken,
+pub enum ReadError {
+    Incomplete,
     TooSlow,
     TooLong,
 }
 
 /// What has come of a body that is read until it is known whether it is long.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Read {
-    Whole(Bytes),
+pub enum ReadBody {
+    Complete(Bytes),
     /// The first of it.
-    Long(Bytes),
+    Partial(Bytes),
 }
 
 /// Reads a body to its end, or until more than [`HELD_LIMIT`] has come, as long as it keeps pace.
 ///
 /// # Errors
 /// It broke off, came too slowly or will be too long for anybody.
-pub async fn read<C: Clock>(clock: &C, body: &mut Incoming, pace: &mut Pace) -> Result<Read, Problem> {
-    if body.size_hint().lower() > LIMIT {
-        return Err(Problem::TooLong);
+pub async fn read_body<C: Clock>(
+    clock: &C,
+    body: &mut Incoming,
+    pace: &mut TransferPace,
+) -> Result<ReadBody, ReadError> {
+    if body.size_hint().lower() > MAX_BODY_BYTES {
+        return Err(ReadError::TooLong);
     }
     let mut first = Bytes::new();
     let mut all = Vec::new();
     loop {
         match next(clock, body, pace).await? {
-            None if all.is_empty() => return Ok(Read::Whole(first)),
-            None => return Ok(Read::Whole(all.into())),
+            None if all.is_empty() => return Ok(ReadBody::Complete(first)),
+            None => return Ok(ReadBody::Complete(all.into())),
             // Most bodies are one piece, and need no copy.
             Some(bytes) if first.is_empty() && all.is_empty() => first = bytes,
             Some(bytes) => {
@@ -216,8 +220,8 @@
                     all.extend_from_slice(&std::mem::take(&mut first));
                 }
                 all.extend_from_slice(&bytes);
-                if all.len() > HELD_LIMIT {
-                    return Ok(Read::Long(all.into()));
+                if all.len() > MAX_BUFFERED_BYTES {
+                    return Ok(ReadBody::Partial(all.into()));
                 }
             }
         }
@@ -225,16 +229,20 @@
 }
 
 /// The next bytes of a body; `None` at its end.
-async fn next<C: Clock>(clock: &C, body: &mut Incoming, pace: &mut Pace) -> Result<Option<Bytes>, Problem> {
+async fn next<C: Clock>(
+    clock: &C,
+    body: &mut Incoming,
+    pace: &mut TransferPace,
+) -> Result<Option<Bytes>, ReadError> {
     loop {
         let (asked, patience) = (clock.now(), pace.patience());
         if patience == Duration::ZERO {
-            return Err(Problem::TooSlow);
+            return Err(ReadError::TooSlow);
         }
         let frame = match clock.timeout(patience, body.frame()).await {
-            None => return Err(Problem::TooSlow),
+            None => return Err(ReadError::TooSlow),
             Some(None) => return Ok(None),
-            Some(Some(frame)) => frame.map_err(|_| Problem::Broken)?,
+            Some(Some(frame)) => frame.map_err(|_| ReadError::Incomplete)?,
         };
         // Trailers are nobody's here.
         if let Ok(bytes) = frame.into_data() {
@@ -251,15 +259,15 @@
     use std::future::Future;
     use std::rc::Rc;
 
-    async fn taken(mut body: Coming, ended: &Rc<Cell<Option<bool>>>) -> (Vec<u8>, bool) {
+    async fn taken(mut body: StreamedBody, ended: &Rc<Cell<Option<bool>>>) -> (Vec<u8>, bool) {
         let ended = ended.clone();
         body.at_end(move |whole| ended.set(Some(whole)));
         let mut all = Vec::new();
-        let mut body = Answer::Coming(body);
+        let mut body = ResponseBody::Streaming(body);
         loop {
             match body.frame().await {
                 None => return (all, true),
-                Some(Err(Broken)) => return (all, false),
+                Some(Err(BodyError)) => return (all, false),
                 Some(Ok(frame)) => all.extend_from_slice(&frame.into_data().expect("data")),
             }
         }
@@ -269,7 +277,7 @@
     async fn an_answer_that_is_dropped_half_way_is_broken_whether_or_not_its_length_is_known() {
         for length in [None, Some(10)] {
             let ended = Rc::default();
-            let (to, body) = Coming::new(length);
+            let (to, body) = StreamedBody::new(length);
             let write = async move {
                 assert!(to.write(Bytes::from_static(b"12345")).await);
             };
@@ -282,7 +290,7 @@
     async fn an_answer_ends_at_its_length_or_where_it_is_told_to() {
         for length in [None, Some(10)] {
             let ended = Rc::default();
-            let (to, body) = Coming::new(length);
+            let (to, body) = StreamedBody::new(length);
             let write = async move {
                 for piece in [&b"123"[..], b"", b"4567890"] {
                     assert!(to.write(Bytes::from_static(piece)).await);
@@ -296,7 +304,7 @@
 
     #[tokio::test]
     async fn who_takes_no_more_is_told_to_the_writer_and_counts_as_no_end() {
-        let (to, mut body) = Coming::new(Some(10));
+        let (to, mut body) = StreamedBody::new(Some(10));
         let ended = Rc::new(Cell::new(None));
         let told = ended.clone();
         body.at_end(move |whole| told.set(Some(whole)));
@@ -307,7 +315,7 @@
 
     #[tokio::test]
     async fn a_writer_waits_for_a_client_that_takes_nothing() {
-        let (to, _body) = Coming::new(None);
+        let (to, _body) = StreamedBody::new(None);
         let mut written = 0;
         loop {
             let mut write = std::pin::pin!(to.write(Bytes::from_static(b"x")));
--- a/crates/brassport-proxy/src/bodies/pace.rs
+++ b/crates/brassport-proxy/src/body/pace.rs
@@ -11,15 +11,15 @@
 
 /// The pace of one message that is coming in.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
+pub struct TransferPace {
     waited: Duration,
     bytes: u64,
 }
 
-impl Pace {
+impl TransferPace {
     /// A body whose peer was waited for so long already.
-    pub fn new(waited: Duration) -> Pace {
-        Pace { waited, bytes: 0 }
+    pub fn new(waited: Duration) -> TransferPace {
+        TransferPace { waited, bytes: 0 }
     }
 
     /// So many bytes came, after a wait.
@@ -42,7 +42,7 @@
 
     #[test]
     fn a_body_of_the_promised_rate_comes_whole_behind_a_slow_head() {
-        let mut pace = Pace::new(Duration::from_secs(2));
+        let mut pace = TransferPace::new(Duration::from_secs(2));
         for _ in 0..500 {
             assert!(pace.patience() > Duration::from_millis(100), "{pace:?}");
             pace.came(Duration::from_millis(100), 6_400);
@@ -51,13 +51,13 @@
 
     #[test]
     fn who_sends_nothing_is_waited_for_two_and_a_half_seconds() {
-        assert_eq!(Pace::new(Duration::ZERO).patience(), GRACE);
-        assert_eq!(Pace::new(GRACE).patience(), Duration::ZERO);
+        assert_eq!(TransferPace::new(Duration::ZERO).patience(), GRACE);
+        assert_eq!(TransferPace::new(GRACE).patience(), Duration::ZERO);
     }
 
     #[test]
     fn what_came_fast_earns_no_endless_wait() {
-        let mut pace = Pace::new(Duration::ZERO);
+        let mut pace = TransferPace::new(Duration::ZERO);
         pace.came(Duration::from_millis(10), 32 << 20);
         assert_eq!(pace.patience(), LONGEST);
     }
@@ -67,7 +67,7 @@
         fn no_body_is_waited_for_longer_than_its_bytes_account_for(
             steps in prop::collection::vec((0u64..4_000, 0usize..100_000), 1..60),
         ) {
-            let mut pace = Pace::new(Duration::ZERO);
+            let mut pace = TransferPace::new(Duration::ZERO);
             let (mut waited, mut bytes) = (Duration::ZERO, 0);
             for (millis, came) in steps {
                 let wait = Duration::from_millis(millis);
--- a/crates/brassport-proxy/src/bodies/upload.rs
+++ b/crates/brassport-proxy/src/body/upload.rs
@@ -1,7 +1,7 @@
 //! A request's body that goes on to a backend as it comes from its client.
 
-use super::pace::Pace;
-use super::Broken;
+use crate::body::pace::TransferPace;
+use crate::body::BodyError;
 use crate::clock::Clock;
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -17,26 +17,26 @@
 
 /// How far an upload has come, for those who do not read it.
 #[derive(Default)]
-pub struct Progress {
+pub struct UploadProgress {
     bytes: Cell<u64>,
     whole: Cell<Option<Instant>>,
     at_whole: RefCell<Option<Box<dyn FnOnce()>>>,
 }
 
-impl fmt::Debug for Progress {
+impl fmt::Debug for UploadProgress {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} bytes, whole at {:?}", self.bytes.get(), self.whole.get())
     }
 }
 
-impl Progress {
+impl UploadProgress {
     /// When its last byte went on, once it has.
-    pub fn whole(&self) -> Option<Instant> {
+    pub fn completed_at(&self) -> Option<Instant> {
         self.whole.get()
     }
 
     /// What is to be done then.
-    pub fn at_whole(&self, then: impl FnOnce() + 'static) {
+    pub fn on_complete(&self, then: impl FnOnce() + 'static) {
         self.at_whole.replace(Some(Box::new(then)));
     }
 
@@ -61,29 +61,34 @@
     clock: C,
     first: Bytes,
     rest: Incoming,
-    pace: Pace,
+    pace: TransferPace,
     /// Since when the client is waited for, and until when it may be.
     waiting: Option<(Instant, Pin<Box<C::Sleep>>)>,
-    progress: Rc<Progress>,
+    progress: Rc<UploadProgress>,
 }
 
 // Its timer is on the heap.
 impl<C: Clock> Unpin for Upload<C> {}
 
 impl<C: Clock> Upload<C> {
-    pub fn new(clock: C, first: Bytes, rest: Incoming, pace: Pace) -> (Upload<C>, Rc<Progress>) {
-        let progress = Rc::new(Progress::default());
+    pub fn new(
+        clock: C,
+        first: Bytes,
+        rest: Incoming,
+        pace: TransferPace,
+    ) -> (Upload<C>, Rc<UploadProgress>) {
+        let progress = Rc::new(UploadProgress::default());
         (Upload { clock, first, rest, pace, waiting: None, progress: progress.clone() }, progress)
     }
 
     fn went_on(&self, bytes: u64) {
         self.progress.bytes.set(self.progress.bytes.get() + bytes);
         if self.first.is_empty() && self.rest.is_end_stream() {
-            self.is_whole();
+            self.complete();
         }
     }
 
-    fn is_whole(&self) {
+    fn complete(&self) {
         if self.progress.whole.get().is_none() {
             self.progress.whole.set(Some(self.clock.now()));
             if let Some(then) = self.progress.at_whole.take() {
@@ -103,12 +108,12 @@
 
 impl<C: Clock> Body for Upload<C> {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let this = self.get_mut();
         if !this.first.is_empty() {
             let first = std::mem::take(&mut this.first);
@@ -124,9 +129,9 @@
                     this.went_on(bytes.len() as u64);
                     return Poll::Ready(Some(Ok(Frame::data(bytes))));
                 }
-                Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(Broken))),
+                Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(BodyError))),
                 Poll::Ready(None) => {
-                    this.is_whole();
+                    this.complete();
                     return Poll::Ready(None);
                 }
                 Poll::Pending => {
@@ -136,7 +141,7 @@
                         this.waiting = Some((now, until));
                     }
                     let Some((_, until)) = &mut this.waiting else { return Poll::Pending };
-                    return until.as_mut().poll(context).map(|()| Some(Err(Broken)));
+                    return until.as_mut().poll(context).map(|()| Some(Err(BodyError)));
                 }
             }
         }
--- a/crates/brassport-proxy/src/due.rs
+++ b/crates/brassport-proxy/src/deadline.rs
@@ -7,14 +7,14 @@
 
 /// The moment, for all who wait for it.
 #[derive(Debug)]
-pub struct Due {
+pub struct ResettableDeadline {
     at: Cell<Instant>,
     changed: Notify,
 }
 
-impl Due {
-    pub fn new(at: Instant) -> Due {
-        Due { at: Cell::new(at), changed: Notify::new() }
+impl ResettableDeadline {
+    pub fn new(at: Instant) -> ResettableDeadline {
+        ResettableDeadline { at: Cell::new(at), changed: Notify::new() }
     }
 
     pub fn at(&self) -> Instant {
@@ -49,7 +49,7 @@
     #[tokio::test]
     async fn who_waits_hears_of_a_moment_that_moves_up_and_of_one_that_moves_back() {
         let start = Instant::now();
-        let due = Due::new(start + Duration::from_secs(3600));
+        let due = ResettableDeadline::new(start + Duration::from_secs(3600));
         let wait = async {
             due.over(&SystemClock).await;
             assert!(Instant::now() >= start + Duration::from_millis(30), "not before the last moment told");
--- a/crates/brassport-proxy/src/door.rs
+++ b/crates/brassport-proxy/src/dispatch.rs
@@ -1,14 +1,14 @@
 //! The door: the single owner of the decision module. It keeps the module's clock and timers and the
 //! requests in flight, hands events in, and carries actions out in order. It decides nothing.
 
-use crate::backends::{Backends, End, Message};
-use crate::bodies;
+use crate::body;
 use crate::clock::Clock;
-use crate::due::Due;
-use crate::hooks::{Hooks, Verdict};
+use crate::deadline::ResettableDeadline;
+use crate::hooks::{RequestEnd, RequestHooks};
 use crate::log;
 use crate::mutants::mutant;
 use crate::network::Network;
+use crate::upstream::{AttemptResult, UpstreamPool, UpstreamRequest};
 use brassport_policy::{Action, AttemptEnd, CustomerId, Event, Gateway, InvalidSetting, Millis, Outcome};
 use brassport_policy::{Request, RequestId, ServerId, Settings};
 use hyper::Response;
@@ -23,40 +23,40 @@
 const FAR: Duration = Duration::from_secs(24 * 3600);
 
 /// The final answer to a client.
-pub enum Answer {
-    Served(Response<bodies::Answer>),
+pub enum RequestOutcome {
+    Served(Response<body::ResponseBody>),
     /// Trying again is harmless; after so long, if that is not nought.
-    Refused(Millis),
+    Rejected(Millis),
     Failed,
 }
 
 /// What tells customers' use where backends tell none: their meter on this side.
-pub trait Meter {
+pub trait UsageMeter {
     /// Counts an attempt that a backend took up.
-    fn count(&mut self, now: Millis, customer: CustomerId, units: f64);
+    fn record(&mut self, now: Millis, customer: CustomerId, units: f64);
 
     /// The customer's use in the last finished period, as a share of its plan's rate.
     fn reading(&mut self, now: Millis, customer: CustomerId, plan: usize) -> Option<f64>;
 
     /// Goes on with other settings; a plan keeps its index.
-    fn settle(&mut self, settings: &Settings);
+    fn apply_settings(&mut self, settings: &Settings);
 }
 
 /// The module's clock: milliseconds since the start, never running backwards.
-pub struct ModuleClock<C> {
+pub struct PolicyClock<C> {
     clock: C,
     start: Instant,
     /// Unix time at the start. It is read once, so that a moment told twice is the same moment both times.
     start_unix: Millis,
 }
 
-impl<C: Clock> ModuleClock<C> {
+impl<C: Clock> PolicyClock<C> {
     /// A clock that begins now, or goes on from where another process's was, which began at this Unix time.
-    fn new(clock: C, before: Option<(Millis, Millis)>) -> ModuleClock<C> {
+    fn new(clock: C, before: Option<(Millis, Millis)>) -> PolicyClock<C> {
         let (now_ms, start_unix) = before.unwrap_or((0.0, clock.unix().as_secs_f64() * 1000.0));
         let since = Duration::try_from_secs_f64(now_ms / 1000.0).unwrap_or_default();
         let start = clock.now().checked_sub(since).unwrap_or_else(|| clock.now());
-        ModuleClock { clock, start, start_unix }
+        PolicyClock { clock, start, start_unix }
     }
     /// The module's time.
     pub fn now(&self) -> Millis {
@@ -70,7 +70,7 @@
         self.start.checked_add(since).unwrap_or_else(|| self.clock.now())
     }
     /// The module's time at this Unix time.
-    pub fn of_unix(&self, unix: Millis) -> Millis {
+    pub fn at_unix(&self, unix: Millis) -> Millis {
         unix - self.start_unix
     }
     /// Unix time at its start.
@@ -88,13 +88,13 @@
     request: Request,
     /// Its client's name for it.
     name: String,
-    message: Rc<Message>,
+    message: Rc<UpstreamRequest>,
     /// When its client gives up; for one that is still coming far away.
-    due: Rc<Due>,
+    due: Rc<ResettableDeadline>,
     /// `None` once it is answered or its client has gone.
-    answer: Option<oneshot::Sender<Answer>>,
+    answer: Option<oneshot::Sender<RequestOutcome>>,
     /// A backend's answer that tells of a failure and is for the client if no attempt does better.
-    failure: Option<Response<bodies::Answer>>,
+    failure: Option<Response<body::ResponseBody>>,
     attempts: Vec<Attempt>,
 }
 
@@ -112,38 +112,38 @@
     names: BTreeSet<String>,
     last: RequestId,
     alarms: BinaryHeap<Reverse<(Instant, u64)>>,
-    meter: Option<Box<dyn Meter>>,
-    hooks: Option<Rc<dyn Hooks>>,
+    meter: Option<Box<dyn UsageMeter>>,
+    hooks: Option<Rc<dyn RequestHooks>>,
     unnamed: u64,
 }
 
 /// What the door's host brings.
-pub struct Host {
-    pub meter: Option<Box<dyn Meter>>,
-    pub hooks: Option<Rc<dyn Hooks>>,
+pub struct DispatcherOptions {
+    pub meter: Option<Box<dyn UsageMeter>>,
+    pub hooks: Option<Rc<dyn RequestHooks>>,
     /// Told of each attempt that has ended, before the module is: whose request it was for.
-    pub released: Box<dyn Fn(CustomerId)>,
+    pub on_release: Box<dyn Fn(CustomerId)>,
     /// The clock of the process whose place this one takes: its time, and the Unix time of its start.
-    pub clock_before: Option<(Millis, Millis)>,
+    pub inherited_clock: Option<(Millis, Millis)>,
 }
 
-pub struct Door<C: Clock, N: Network> {
-    clock: ModuleClock<C>,
-    backends: Rc<Backends<C, N>>,
+pub struct Dispatcher<C: Clock, N: Network> {
+    clock: PolicyClock<C>,
+    backends: Rc<UpstreamPool<C, N>>,
     inner: RefCell<Inner>,
     sooner: Notify,
     released: Box<dyn Fn(CustomerId)>,
 }
 
-impl<C: Clock, N: Network> Door<C, N> {
+impl<C: Clock, N: Network> Dispatcher<C, N> {
     pub fn new(
         clock: C,
         settings: Settings,
         seed: u64,
-        host: Host,
-        backends: Rc<Backends<C, N>>,
-    ) -> Result<Rc<Door<C, N>>, InvalidSetting> {
-        let clock = ModuleClock::new(clock, host.clock_before);
+        host: DispatcherOptions,
+        backends: Rc<UpstreamPool<C, N>>,
+    ) -> Result<Rc<Dispatcher<C, N>>, InvalidSetting> {
+        let clock = PolicyClock::new(clock, host.inherited_clock);
         let inner = Inner {
             gateway: Gateway::new(settings, seed, clock.now())?,
             requests: BTreeMap::new(),
@@ -154,12 +154,12 @@
             hooks: host.hooks,
             unnamed: 0,
         };
-        Ok(Rc::new(Door {
+        Ok(Rc::new(Dispatcher {
             clock,
             backends,
             inner: RefCell::new(inner),
             sooner: Notify::new(),
-            released: host.released,
+            released: host.on_release,
         }))
     }
 
@@ -170,9 +170,9 @@
         self: &Rc<Self>,
         mut request: Request,
         name: String,
-        message: Message,
+        message: UpstreamRequest,
         patience: Duration,
-    ) -> Option<Ticket<C, N>> {
+    ) -> Option<PendingRequest<C, N>> {
         let (answer, receiver) = oneshot::channel();
         let mut inner = self.inner.borrow_mut();
         if !inner.names.insert(name.clone()) {
@@ -185,7 +185,8 @@
         request.id = inner.last;
         request.expires_in = patience.as_secs_f64() * 1000.0;
         let uploading = !message.is_whole();
-        let due = Rc::new(Due::new(self.clock.clock.now() + if uploading { FAR } else { patience }));
+        let due =
+            Rc::new(ResettableDeadline::new(self.clock.clock.now() + if uploading { FAR } else { patience }));
         let message = Rc::new(message);
         if let Some(hooks) = &inner.hooks {
             hooks.admitted(&name, &request);
@@ -195,7 +196,7 @@
         inner.requests.insert(request.id, flight);
         drop(inner);
         self.handle(if uploading { Event::Upload(request) } else { Event::Request(request) });
-        Some(Ticket { door: self.clone(), id: request.id, due, answer: receiver })
+        Some(PendingRequest { door: self.clone(), id: request.id, due, answer: receiver })
     }
 
     /// All of a request has come and gone on: its time begins.
@@ -219,22 +220,22 @@
     }
 
     /// The module's limit on attempts out, and its room.
-    pub fn room(&self) -> (f64, f64) {
-        self.look(Gateway::room)
+    pub fn capacity(&self) -> (f64, f64) {
+        self.inspect(Gateway::room)
     }
 
     /// Looks at the module.
-    pub fn look<T>(&self, look: impl FnOnce(&Gateway) -> T) -> T {
+    pub fn inspect<T>(&self, look: impl FnOnce(&Gateway) -> T) -> T {
         look(&self.inner.borrow().gateway)
     }
 
     /// The module's clock.
-    pub fn clock(&self) -> &ModuleClock<C> {
+    pub fn clock(&self) -> &PolicyClock<C> {
         &self.clock
     }
 
     /// Whose attempts are out: each customer as often as there are.
-    pub fn out(&self) -> Vec<CustomerId> {
+    pub fn attempts_in_flight(&self) -> Vec<CustomerId> {
         let out = |flight: &InFlight| {
             let attempts = flight.attempts.iter().filter(|attempt| attempt.is_out).count();
             std::iter::repeat_n(flight.request.customer, attempts)
@@ -243,7 +244,7 @@
     }
 
     /// A name for a request whose client gave it none; no client can give it.
-    pub fn unnamed(&self) -> String {
+    pub fn generate_id(&self) -> String {
         let mut inner = self.inner.borrow_mut();
         inner.unnamed += 1;
         format!("~{}", inner.unnamed)
@@ -260,24 +261,24 @@
         let inner = &mut *self.inner.borrow_mut();
         for (request, flight) in &mut inner.requests {
             if let Some(answer) = flight.answer.take() {
-                let _ = answer.send(Answer::Failed);
+                let _ = answer.send(RequestOutcome::Failed);
                 if let Some(hooks) = &inner.hooks {
-                    hooks.answered(*request, Verdict::Failed);
+                    hooks.answered(*request, RequestEnd::Failed);
                 }
             }
         }
     }
 
     /// Other settings hold from now on; a class or a plan keeps its index.
-    pub fn settle(self: &Rc<Self>, settings: Settings) {
+    pub fn apply_settings(self: &Rc<Self>, settings: Settings) {
         if let Some(meter) = &mut self.inner.borrow_mut().meter {
-            meter.settle(&settings);
+            meter.apply_settings(&settings);
         }
         self.handle(Event::Settings(Box::new(settings)));
     }
 
     /// Wakes the module when its timers are due.
-    pub async fn keep_time(self: Rc<Self>) {
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
             let next = self.inner.borrow().alarms.peek().map(|Reverse((at, _))| *at);
             match next {
@@ -314,7 +315,7 @@
             Action::Send { request, server, expire_at } => {
                 let Some(flight) = inner.requests.get_mut(&request) else { return };
                 let due = match expire_at.map(|at| self.clock.instant(at)) {
-                    Some(at) if at < flight.due.at() => Rc::new(Due::new(at)),
+                    Some(at) if at < flight.due.at() => Rc::new(ResettableDeadline::new(at)),
                     _ => flight.due.clone(),
                 };
                 let (cancel, cancelled) = oneshot::channel();
@@ -324,11 +325,13 @@
                     self.clone().attempt(request, number, server, flight.message.clone(), due, cancelled);
                 tokio::task::spawn_local(attempt);
             }
-            Action::Refuse { request, retry_after } => inner.answer(request, Answer::Refused(retry_after)),
+            Action::Refuse { request, retry_after } => {
+                inner.answer(request, RequestOutcome::Rejected(retry_after))
+            }
             Action::Fail(request) => {
                 let flight = inner.requests.get_mut(&request);
                 let failure = flight.and_then(|flight| flight.failure.take());
-                inner.answer(request, failure.map_or(Answer::Failed, Answer::Served));
+                inner.answer(request, failure.map_or(RequestOutcome::Failed, RequestOutcome::Served));
             }
             Action::Cancel { request, attempt } => {
                 let flight = inner.requests.get_mut(&request);
@@ -358,7 +361,7 @@
             Ok(()) => true,
             Err(wait) => {
                 if attempt == 0 {
-                    inner.answer(request, Answer::Refused(wait));
+                    inner.answer(request, RequestOutcome::Rejected(wait));
                 }
                 false
             }
@@ -370,8 +373,8 @@
         request: RequestId,
         attempt: u8,
         server: ServerId,
-        message: Rc<Message>,
-        due: Rc<Due>,
+        message: Rc<UpstreamRequest>,
+        due: Rc<ResettableDeadline>,
         cancelled: oneshot::Receiver<()>,
     ) {
         let sent = self.clock.now();
@@ -393,7 +396,8 @@
         let wanted = || {
             // Guards against a standstill, or a cut, in which the right to act ran out. What went out before may have run.
             if let Err(wait) = self.may_act() {
-                let answer = if attempt == 0 { Answer::Refused(wait) } else { Answer::Failed };
+                let answer =
+                    if attempt == 0 { RequestOutcome::Rejected(wait) } else { RequestOutcome::Failed };
                 self.inner.borrow_mut().answer(request, answer);
             }
             let waits =
@@ -408,10 +412,10 @@
         };
         // Whoever waits has the answer from here on: its end is the client's business and the backend's.
         let pass_on = |answer| {
-            self.inner.borrow_mut().answer(request, Answer::Served(answer));
+            self.inner.borrow_mut().answer(request, RequestOutcome::Served(answer));
             self.handle(Event::Started(request));
         };
-        let End { outcome, mut used, answer, begun } =
+        let AttemptResult { outcome, mut used, answer, begun } =
             self.backends.attempt(server, &message, &due, cancel, wanted, pass_on).await;
         let now = self.clock.now();
         // The server's work begins with the last byte that it gets.
@@ -424,7 +428,7 @@
         }
         if let Some(answer) = answer {
             if outcome == Outcome::Ok {
-                inner.answer(request, Answer::Served(answer));
+                inner.answer(request, RequestOutcome::Served(answer));
             } else if let Some(flight) = inner.requests.get_mut(&request) {
                 flight.failure = Some(answer);
             }
@@ -438,7 +442,7 @@
         if let (Some(meter), Some(flight)) = (meter, requests.get(&request)) {
             let (customer, units) = (flight.request.customer, flight.request.units);
             if !outcome.never_ran() {
-                meter.count(now, customer, units);
+                meter.record(now, customer, units);
             }
             used = used.or_else(|| meter.reading(now, customer, flight.request.plan));
         }
@@ -458,16 +462,16 @@
 
 impl Inner {
     /// Passes the final answer on, unless there was one before.
-    fn answer(&mut self, request: RequestId, answer: Answer) {
+    fn answer(&mut self, request: RequestId, answer: RequestOutcome) {
         let Some(flight) = self.requests.get_mut(&request) else { return };
         if let Some(client) = flight.answer.take() {
             if let Some(hooks) = &self.hooks {
                 hooks.answered(
                     request,
                     match answer {
-                        Answer::Served(_) => Verdict::Served,
-                        Answer::Refused(wait) => Verdict::Refused(wait),
-                        Answer::Failed => Verdict::Failed,
+                        RequestOutcome::Served(_) => RequestEnd::Served,
+                        RequestOutcome::Rejected(wait) => RequestEnd::Rejected(wait),
+                        RequestOutcome::Failed => RequestEnd::Failed,
                     },
                 );
             }
@@ -492,34 +496,34 @@
 }
 
 /// A client's claim to its answer. Dropped before that has come, it tells the module that the client left.
-pub struct Ticket<C: Clock, N: Network> {
-    door: Rc<Door<C, N>>,
+pub struct PendingRequest<C: Clock, N: Network> {
+    door: Rc<Dispatcher<C, N>>,
     id: RequestId,
-    due: Rc<Due>,
-    answer: oneshot::Receiver<Answer>,
+    due: Rc<ResettableDeadline>,
+    answer: oneshot::Receiver<RequestOutcome>,
 }
 
-impl<C: Clock, N: Network> Ticket<C, N> {
+impl<C: Clock, N: Network> PendingRequest<C, N> {
     /// What is to be done once all of the request has come and gone on.
-    pub fn at_whole(&self) -> impl FnOnce() + 'static {
+    pub fn completion_callback(&self) -> impl FnOnce() + 'static {
         let (door, id) = (self.door.clone(), self.id);
         move || door.whole(id)
     }
 
     /// The final answer. Guards against a request that nothing answers: it fails when it is due.
-    pub async fn answer(mut self) -> Answer {
+    pub async fn outcome(mut self) -> RequestOutcome {
         let due = self.due.clone();
         let door = self.door.clone();
         let late = due.over(&door.clock.clock);
         tokio::select! {
             biased;
-            answer = &mut self.answer => answer.unwrap_or(Answer::Failed),
-            () = late => Answer::Failed,
+            answer = &mut self.answer => answer.unwrap_or(RequestOutcome::Failed),
+            () = late => RequestOutcome::Failed,
         }
     }
 }
 
-impl<C: Clock, N: Network> Drop for Ticket<C, N> {
+impl<C: Clock, N: Network> Drop for PendingRequest<C, N> {
     fn drop(&mut self) {
         let mut inner = self.door.inner.borrow_mut();
         let Some(flight) = inner.requests.get_mut(&self.id) else { return };
@@ -527,7 +531,7 @@
             return;
         }
         if let Some(hooks) = &inner.hooks {
-            hooks.answered(self.id, Verdict::Left);
+            hooks.answered(self.id, RequestEnd::ClientLeft);
         }
         inner.forget_if_over(self.id);
         drop(inner);
--- a/crates/brassport-proxy/src/clients.rs
+++ b/crates/brassport-proxy/src/downstream/mod.rs
@@ -1,8 +1,7 @@
 //! The clients' side: accepts connections and serves each to its end. What is answered is a program's own.
 
-use crate::bodies::Answer;
+use crate::body::ResponseBody;
 use crate::clock::Clock;
-use crate::connections::{ClientConnection, Connections, Stage, Wire};
 use crate::date::DateHeader;
 use crate::mutants::mutant;
 use crate::network::{Listener, Network};
@@ -24,6 +23,10 @@
 use tokio::sync::{mpsc, OwnedSemaphorePermit, Semaphore};
 use tokio::task::JoinSet;
 
+mod registry;
+
+pub use registry::{ConnectionPhase, ConnectionRegistry, DownstreamConnection, MeteredStream};
+
 /// Descriptors that are kept for attempts, and the part of all that they are at the most: with fewer left,
 /// connections that nobody waits on are closed.
 const RESERVE: usize = 64;
@@ -38,55 +41,55 @@
 const BACK_OFF: Duration = Duration::from_millis(20);
 
 /// What a program does with its clients' requests.
-pub trait Service: 'static {
+pub trait DownstreamService: 'static {
     type Clock: Clock;
     type Network: Network;
     /// What is kept of a request from its head to the end of its answer.
-    type Life: 'static;
+    type RequestContext: 'static;
 
     fn clock(&self) -> &Self::Clock;
 
     /// All connections of clients.
-    fn connections(&self) -> &Rc<Connections<Self::Clock>>;
+    fn connections(&self) -> &Rc<ConnectionRegistry<Self::Clock>>;
 
     fn date(&self) -> &DateHeader;
 
     /// The head of a request has come.
-    fn begin(&self, request: &Request<Incoming>) -> Self::Life;
+    fn on_request(&self, request: &Request<Incoming>) -> Self::RequestContext;
 
     /// The answer to a request; an error if its connection must not be used again.
-    fn answer(
+    fn respond(
         &self,
         request: Request<Incoming>,
-        client: &ClientConnection<Self::Clock>,
-        life: &Self::Life,
-    ) -> impl Future<Output = Result<Response<Answer>, Response<Answer>>>;
+        client: &DownstreamConnection<Self::Clock>,
+        life: &Self::RequestContext,
+    ) -> impl Future<Output = Result<Response<ResponseBody>, Response<ResponseBody>>>;
 
     /// The answer to a request on a connection that came while all others were busy.
-    fn turn_away(&self) -> Response<Answer>;
+    fn overload_response(&self) -> Response<ResponseBody>;
 
     /// A request has its answer, all of it at hand.
-    fn answered(life: &Self::Life, status: StatusCode);
+    fn on_response(life: &Self::RequestContext, status: StatusCode);
 
     /// An answer that was passed on as it came has ended.
-    fn passed(life: &Self::Life, whole: bool);
+    fn on_stream_end(life: &Self::RequestContext, whole: bool);
 
     /// Closes an idle connection to a backend, for its descriptor; false if there is none.
-    fn shed_idle(&self) -> bool;
+    fn evict_idle(&self) -> bool;
 
     /// Whether it still serves; if not, each answer closes its connection.
-    fn serves(&self) -> bool;
+    fn is_serving(&self) -> bool;
 
     /// Ready once nobody is accepted any more and idle connections are to close.
     fn closing(&self) -> impl Future<Output = ()>;
 
     /// Whether clients are accepted now. Until they are they wait in the queue of the listening socket.
-    fn accepts(&self) -> bool {
+    fn is_accepting(&self) -> bool {
         true
     }
 
     /// Ready while clients are accepted, or while they are not.
-    fn accepting(&self, accepts: bool) -> impl Future<Output = ()> {
+    fn until_accepting(&self, accepts: bool) -> impl Future<Output = ()> {
         async move {
             if !accepts {
                 pending().await
@@ -95,12 +98,12 @@
     }
 
     /// Whether another process has this one's place, and takes its clients' connections.
-    fn is_given(&self) -> bool {
+    fn is_handed_over(&self) -> bool {
         false
     }
 
     /// Ready once another process has it.
-    fn given(&self) -> impl Future<Output = ()> {
+    fn handed_over(&self) -> impl Future<Output = ()> {
         pending()
     }
 
@@ -111,20 +114,20 @@
 }
 
 /// A client's connection that came from the process whose place this one took.
-pub struct Adopted<S> {
+pub struct AdoptedConnection<S> {
     pub stream: S,
-    pub read: Bytes,
-    pub asked: u32,
+    pub buffered: Bytes,
+    pub request_count: u32,
 }
 
 /// Accepts clients until the shutdown closes the door, then returns once every connection has ended. `in_all` is the
 /// number of descriptors for clients and backends; `adopted` brings clients of the process whose place this one took.
-pub async fn serve<S: Service>(
+pub async fn serve<S: DownstreamService>(
     listener: Rc<<S::Network as Network>::Listener>,
     service: Rc<S>,
     descriptors: Arc<Semaphore>,
     in_all: usize,
-    mut adopted: mpsc::UnboundedReceiver<Adopted<<S::Network as Network>::Stream>>,
+    mut adopted: mpsc::UnboundedReceiver<AdoptedConnection<<S::Network as Network>::Stream>>,
 ) {
     let reserve = RESERVE.min(in_all / RESERVE_PART);
     let reserve = if mutant!(IgnoreReserve) { 0 } else { reserve };
@@ -134,7 +137,7 @@
     // most likely has no more use for go first.
     let spare = |least: usize| {
         while descriptors.available_permits() + clients.leaving() < least {
-            if !clients.shed() && !service.shed_idle() {
+            if !clients.shed() && !service.evict_idle() {
                 return false;
             }
         }
@@ -146,7 +149,7 @@
     loop {
         // The next connection once there is a descriptor for it; until then it waits in the backlog.
         let next = async {
-            service.accepting(true).await;
+            service.until_accepting(true).await;
             spare(1);
             let descriptor = descriptors.clone().acquire_owned().await.map_err(io::Error::other)?;
             let stream = listener.accept().await?;
@@ -160,8 +163,8 @@
                 sweep.set(service.clock().sleep(SWEEP));
             }
             Some(_) = connections.join_next() => {}
-            () = service.accepting(false), if service.accepts() => {}
-            Some(Adopted { stream, read, asked }) = adopted.recv() => {
+            () = service.until_accepting(false), if service.is_accepting() => {}
+            Some(AdoptedConnection { stream, buffered: read, request_count: asked }) = adopted.recv() => {
                 // Its descriptor came with it.
                 if let Ok(descriptor) = descriptors.clone().acquire_owned().await {
                     let client = clients.enter();
@@ -185,38 +188,38 @@
 }
 
 /// Serves one client's connection to its end. One that came while all others were busy gets refusals.
-async fn connection<S: Service>(
+async fn connection<S: DownstreamService>(
     (stream, read): (<S::Network as Network>::Stream, Bytes),
     descriptor: OwnedSemaphorePermit,
     service: Rc<S>,
     crowded: bool,
-    client: ClientConnection<S::Clock>,
+    client: DownstreamConnection<S::Clock>,
 ) {
     let client = Rc::new(client);
-    let wire = Wire::new(stream, read, client.clone());
+    let wire = MeteredStream::new(stream, read, client.clone());
     let answers = service_fn(|request| {
-        client.stage(Stage::Open);
+        client.stage(ConnectionPhase::Open);
         let (service, client) = (service.clone(), client.clone());
         async move {
-            let life = service.begin(&request);
+            let life = service.on_request(&request);
             let response = if crowded {
-                Err(service.turn_away())
+                Err(service.overload_response())
             } else {
-                service.answer(request, &client, &life).await
+                service.respond(request, &client, &life).await
             };
-            client.stage(if response.is_err() { Stage::Last } else { Stage::Idle });
-            let last = response.is_err() || !service.serves();
+            client.stage(if response.is_err() { ConnectionPhase::Last } else { ConnectionPhase::Idle });
+            let last = response.is_err() || !service.is_serving();
             let (Ok(mut response) | Err(mut response)) = response;
-            if let Answer::Coming(coming) = response.body_mut() {
+            if let ResponseBody::Streaming(coming) = response.body_mut() {
                 // It is under way until its last byte is taken.
                 let client = client.clone();
-                client.stage(Stage::Open);
+                client.stage(ConnectionPhase::Open);
                 coming.at_end(move |whole| {
-                    S::passed(&life, whole);
-                    client.stage(if last { Stage::Last } else { Stage::Idle });
+                    S::on_stream_end(&life, whole);
+                    client.stage(if last { ConnectionPhase::Last } else { ConnectionPhase::Idle });
                 });
             } else {
-                S::answered(&life, response.status());
+                S::on_response(&life, response.status());
             }
             if last {
                 response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -249,7 +252,7 @@
                 }
                 return;
             }
-            () = service.given(), if !service.is_given() => {}
+            () = service.handed_over(), if !service.is_handed_over() => {}
             () = &mut closing, if !told => {
                 // An idle one closes now, a busy one behind its answer.
                 told = true;
@@ -263,8 +266,8 @@
         }
     };
     // Its client has gone, or what it sent is no HTTP and was answered so; else it was closed in order.
-    if ended.is_err() || client.at() == Stage::Last {
-        client.stage(Stage::Last);
+    if ended.is_err() || client.at() == ConnectionPhase::Last {
+        client.stage(ConnectionPhase::Last);
         tokio::select! {
             biased;
             () = serving.into_parts().io.into_inner().linger() => {}
@@ -275,6 +278,6 @@
 }
 
 /// Whether the connection is for the process that has taken this one's place.
-fn is_over<S: Service>(service: &S, client: &ClientConnection<S::Clock>) -> bool {
-    service.is_given() && client.is_quiet()
+fn is_over<S: DownstreamService>(service: &S, client: &DownstreamConnection<S::Clock>) -> bool {
+    service.is_handed_over() && client.is_quiet()
 }
--- a/crates/brassport-proxy/src/connections.rs
+++ b/crates/brassport-proxy/src/downstream/registry.rs
@@ -34,7 +34,7 @@
 
 /// What a connection is at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
+pub enum ConnectionPhase {
     /// No whole request has come on it yet.
     New,
     /// A request is in flight.
@@ -51,7 +51,7 @@
 
 #[derive(Debug)]
 struct State {
-    stage: Cell<Stage>,
+    stage: Cell<ConnectionPhase>,
     since: Cell<Instant>,
     /// Requests so far.
     asked: Cell<u32>,
@@ -65,20 +65,20 @@
 
 impl State {
     fn leave(&self) {
-        self.stage.set(Stage::Leaving);
+        self.stage.set(ConnectionPhase::Leaving);
         self.dismiss.notify_one();
     }
     fn overdue(&self, many: bool, now: Instant) -> bool {
         let most = match self.stage.get() {
-            Stage::New | Stage::Asking => ASKING,
-            Stage::Idle if many && self.asked.get() <= 1 => LEAST_IDLE,
-            Stage::Idle if many => LONG_IDLE,
-            Stage::Idle | Stage::Last => IDLE,
+            ConnectionPhase::New | ConnectionPhase::Asking => ASKING,
+            ConnectionPhase::Idle if many && self.asked.get() <= 1 => LEAST_IDLE,
+            ConnectionPhase::Idle if many => LONG_IDLE,
+            ConnectionPhase::Idle | ConnectionPhase::Last => IDLE,
             // Guards against clients that ask for long answers and take nothing.
-            Stage::Open if self.unwritten.get() => {
+            ConnectionPhase::Open if self.unwritten.get() => {
                 return now.saturating_duration_since(self.taken.get()) >= STANDSTILL
             }
-            Stage::Open | Stage::Leaving => return false,
+            ConnectionPhase::Open | ConnectionPhase::Leaving => return false,
         };
         now.saturating_duration_since(self.since.get()) >= most
     }
@@ -86,22 +86,22 @@
 
 /// All connections of clients, in the order in which they came.
 #[derive(Debug)]
-pub struct Connections<C> {
+pub struct ConnectionRegistry<C> {
     clock: C,
     all: RefCell<BTreeMap<u64, Rc<State>>>,
     last: Cell<u64>,
 }
 
-impl<C: Clock> Connections<C> {
-    pub fn new(clock: C) -> Connections<C> {
-        Connections { clock, all: RefCell::default(), last: Cell::new(0) }
+impl<C: Clock> ConnectionRegistry<C> {
+    pub fn new(clock: C) -> ConnectionRegistry<C> {
+        ConnectionRegistry { clock, all: RefCell::default(), last: Cell::new(0) }
     }
 
-    pub fn enter(self: &Rc<Self>) -> ClientConnection<C> {
+    pub fn enter(self: &Rc<Self>) -> DownstreamConnection<C> {
         let number = self.last.get() + 1;
         self.last.set(number);
         let state = Rc::new(State {
-            stage: Cell::new(Stage::New),
+            stage: Cell::new(ConnectionPhase::New),
             since: Cell::new(self.clock.now()),
             asked: Cell::new(0),
             dismiss: Notify::new(),
@@ -110,7 +110,7 @@
             head: RefCell::default(),
         });
         self.all.borrow_mut().insert(number, state.clone());
-        ClientConnection { all: self.clone(), number, state }
+        DownstreamConnection { all: self.clone(), number, state }
     }
 
     /// How many there are.
@@ -120,7 +120,7 @@
 
     /// How many were told to close and have not yet.
     pub fn leaving(&self) -> usize {
-        self.all.borrow().values().filter(|state| state.stage.get() == Stage::Leaving).count()
+        self.all.borrow().values().filter(|state| state.stage.get() == ConnectionPhase::Leaving).count()
     }
 
     /// Closes the connection whose client has the least use for it: one that has had its last answer, else
@@ -135,12 +135,12 @@
             longest.filter(|state| now.saturating_duration_since(state.since.get()) >= least)
         };
         // Guards against crowds that ask once and stay: they hold what newcomers need, and are back at once.
-        let chosen = longest(Stage::Last, u32::MAX, SHY)
-            .or_else(|| longest(Stage::New, 0, SHY))
-            .or_else(|| longest(Stage::Idle, u32::MAX, LONG_IDLE))
-            .or_else(|| longest(Stage::Idle, 1, LEAST_IDLE))
-            .or_else(|| longest(Stage::New, 0, Duration::ZERO))
-            .or_else(|| longest(Stage::Idle, u32::MAX, LEAST_IDLE));
+        let chosen = longest(ConnectionPhase::Last, u32::MAX, SHY)
+            .or_else(|| longest(ConnectionPhase::New, 0, SHY))
+            .or_else(|| longest(ConnectionPhase::Idle, u32::MAX, LONG_IDLE))
+            .or_else(|| longest(ConnectionPhase::Idle, 1, LEAST_IDLE))
+            .or_else(|| longest(ConnectionPhase::New, 0, Duration::ZERO))
+            .or_else(|| longest(ConnectionPhase::Idle, u32::MAX, LEAST_IDLE));
         if let Some(state) = chosen {
             state.leave();
         }
@@ -162,37 +162,38 @@
 }
 
 /// One client's connection among all; it is taken off when this is dropped.
-pub struct ClientConnection<C: Clock> {
-    all: Rc<Connections<C>>,
+pub struct DownstreamConnection<C: Clock> {
+    all: Rc<ConnectionRegistry<C>>,
     number: u64,
     state: Rc<State>,
 }
 
-impl<C: Clock> ClientConnection<C> {
+impl<C: Clock> DownstreamConnection<C> {
     /// Notes a new stage. What was told to close stays so only until it turns out to be in use.
-    pub fn stage(&self, stage: Stage) {
+    pub fn stage(&self, stage: ConnectionPhase) {
         // A request's time begins with its first byte, not when all of its head is there.
-        let begun = matches!(self.at(), Stage::New | Stage::Asking) && stage == Stage::Open;
+        let begun = matches!(self.at(), ConnectionPhase::New | ConnectionPhase::Asking)
+            && stage == ConnectionPhase::Open;
         if !begun {
             self.state.since.set(self.all.clock.now());
         }
-        if stage == Stage::Open {
+        if stage == ConnectionPhase::Open {
             self.state.asked.set(self.state.asked.get().saturating_add(1));
         }
-        if stage == Stage::Idle {
+        if stage == ConnectionPhase::Idle {
             let head = &mut *self.state.head.borrow_mut();
             head.clear();
             head.shrink_to(HEAD_KEPT);
         }
         self.state.stage.set(stage);
     }
-    pub fn at(&self) -> Stage {
+    pub fn at(&self) -> ConnectionPhase {
         self.state.stage.get()
     }
     /// Goes on with a connection that another process has had so many requests on.
     pub fn go_on(&self, asked: u32) {
         self.state.asked.set(asked);
-        self.stage(Stage::Idle);
+        self.stage(ConnectionPhase::Idle);
     }
     fn took(&self, written: &Poll<io::Result<usize>>) {
         if written.is_ready() {
@@ -205,7 +206,8 @@
     }
     /// Whether no request is under way on it and no answer: all that is known of it is what was read.
     pub fn is_quiet(&self) -> bool {
-        matches!(self.at(), Stage::New | Stage::Idle | Stage::Asking) && !self.state.unwritten.get()
+        matches!(self.at(), ConnectionPhase::New | ConnectionPhase::Idle | ConnectionPhase::Asking)
+            && !self.state.unwritten.get()
     }
     /// Whether the head that came last, as it came, is whole and has no such header: hyper takes some out. Of one that
     /// came with another in one piece it is not known.
@@ -225,37 +227,37 @@
         false
     }
     /// How long the request that is coming in has been waited for.
-    pub fn waited(&self) -> Duration {
+    pub fn request_age(&self) -> Duration {
         self.all.clock.now().saturating_duration_since(self.state.since.get())
     }
     /// Waits until the connection is to close. Guards against closing it on a request that came meanwhile.
     pub async fn dismissed(&self) {
         loop {
             self.state.dismiss.notified().await;
-            if self.at() == Stage::Leaving {
+            if self.at() == ConnectionPhase::Leaving {
                 return;
             }
         }
     }
 }
 
-impl<C: Clock> Drop for ClientConnection<C> {
+impl<C: Clock> Drop for DownstreamConnection<C> {
     fn drop(&mut self) {
         self.all.all.borrow_mut().remove(&self.number);
     }
 }
 
 /// A client's socket, which notes the first byte behind an answer as a stage of its connection.
-pub struct Wire<C: Clock, S> {
+pub struct MeteredStream<C: Clock, S> {
     stream: S,
     /// What another process has read from it.
     before: Bytes,
-    connection: Rc<ClientConnection<C>>,
+    connection: Rc<DownstreamConnection<C>>,
 }
 
-impl<C: Clock, S: AsyncRead + AsyncWrite + Unpin> Wire<C, S> {
-    pub fn new(stream: S, before: Bytes, connection: Rc<ClientConnection<C>>) -> Wire<C, S> {
-        Wire { stream, before, connection }
+impl<C: Clock, S: AsyncRead + AsyncWrite + Unpin> MeteredStream<C, S> {
+    pub fn new(stream: S, before: Bytes, connection: Rc<DownstreamConnection<C>>) -> MeteredStream<C, S> {
+        MeteredStream { stream, before, connection }
     }
 
     pub fn into_stream(self) -> S {
@@ -277,7 +279,7 @@
     }
 }
 
-impl<C: Clock, S: AsyncRead + Unpin> AsyncRead for Wire<C, S> {
+impl<C: Clock, S: AsyncRead + Unpin> AsyncRead for MeteredStream<C, S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -293,10 +295,10 @@
         };
         if buffer.filled().len() > before {
             let stage = self.connection.at();
-            if stage == Stage::Idle {
-                self.connection.stage(Stage::Asking);
+            if stage == ConnectionPhase::Idle {
+                self.connection.stage(ConnectionPhase::Asking);
             }
-            if matches!(stage, Stage::New | Stage::Idle | Stage::Asking) {
+            if matches!(stage, ConnectionPhase::New | ConnectionPhase::Idle | ConnectionPhase::Asking) {
                 let mut head = self.connection.state.head.borrow_mut();
                 let fits = HEAD_LIMIT.saturating_sub(head.len()).min(buffer.filled().len() - before);
                 head.extend_from_slice(&buffer.filled()[before..before + fits]);
@@ -306,7 +308,7 @@
     }
 }
 
-impl<C: Clock, S: AsyncWrite + Unpin> AsyncWrite for Wire<C, S> {
+impl<C: Clock, S: AsyncWrite + Unpin> AsyncWrite for MeteredStream<C, S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/brassport-proxy/src/hooks.rs
+++ b/crates/brassport-proxy/src/hooks.rs
@@ -7,15 +7,15 @@
 
 /// How a request was answered.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Verdict {
+pub enum RequestEnd {
     /// With a node's answer.
     Served,
     /// Refused, with advice to wait so long; 0: no advice.
-    Refused(Millis),
+    Rejected(Millis),
     /// Failed: nothing is promised.
     Failed,
     /// Its client left before there was an answer.
-    Left,
+    ClientLeft,
 }
 
 /// Work that an attempt waits for.
@@ -23,7 +23,7 @@
 
 /// Who looks on. Every method is called on the door's thread with its state borrowed: it must return at once and
 /// must not call the door. Nothing here chooses a server, a retry or a refusal; the decision module does.
-pub trait Hooks {
+pub trait RequestHooks {
     /// Whether this door may act now: asked before admission, and again before the first byte of each attempt.
     ///
     /// # Errors
@@ -66,7 +66,7 @@
     }
 
     /// A request has its one answer, or nobody waits for it any more.
-    fn answered(&self, request: RequestId, verdict: Verdict) {
+    fn answered(&self, request: RequestId, verdict: RequestEnd) {
         let _ = (request, verdict);
     }
 
--- a/crates/brassport-proxy/src/protocol.rs
+++ b/crates/brassport-proxy/src/protocol.rs
@@ -6,33 +6,39 @@
 use std::time::Duration;
 
 /// What a program says to a backend and reads from its answers, where the two programs differ.
-pub trait Protocol: 'static {
+pub trait UpstreamProtocol: 'static {
     /// Fills in what an attempt says: how long the client still waits, and which backend is meant.
-    fn address(&self, headers: &mut HeaderMap, left: Duration, backend: &str);
+    fn annotate(&self, headers: &mut HeaderMap, left: Duration, backend: &str);
 
     /// What the head of an answer to a request with these headers says of its attempt.
-    fn judge(&self, asked: &HeaderMap, answer: &Parts) -> Judged;
+    fn classify(&self, asked: &HeaderMap, answer: &Parts) -> ResponseVerdict;
 }
 
 /// What the head of an answer says.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Judged {
+pub struct ResponseVerdict {
     pub outcome: Outcome,
     /// The customer's use in the meter's last period, as a share of its rate.
-    pub used: Option<f64>,
+    pub quota_used: Option<f64>,
     /// Whether the answer is one for the client, if it comes whole.
-    pub passes: bool,
+    pub is_for_client: bool,
     /// Whether the connection may serve another request.
-    pub reusable: bool,
+    pub is_reusable: bool,
     /// For how long the backend keeps it idle, if the answer tells.
-    pub keeps: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
 }
 
 /// Who counts the attempts.
-pub trait AttemptCounts {
-    /// An attempt was written whole to a backend.
-    fn attempt_written(&self);
+pub trait AttemptObserver {
+    /// An attempt was written, or turned out not to have been.
+    fn on_attempt(&self, event: AttemptEvent);
+}
 
-    /// It turned out that nothing of one was.
-    fn attempt_unwritten(&self);
+/// What became of the bytes of an attempt's request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum AttemptEvent {
+    /// All of the request was written to a backend.
+    Written,
+    /// Nothing of a request reported as written before had been.
+    NotWritten,
 }
--- a/crates/brassport-proxy/src/answers.rs
+++ b/crates/brassport-proxy/src/responses.rs
@@ -1,8 +1,8 @@
 //! Answers of a program's own, what of a message's headers goes on, and which requests can't be trusted.
 
-use crate::bodies::Answer;
+use crate::body::ResponseBody;
 use crate::clock::Clock;
-use crate::connections::ClientConnection;
+use crate::downstream::DownstreamConnection;
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -22,15 +22,15 @@
 ];
 
 /// A line of text.
-pub fn text(status: StatusCode, line: &'static str) -> Response<Answer> {
+pub fn plain_text(status: StatusCode, line: &'static str) -> Response<ResponseBody> {
     let mut response = Response::new(Full::new(Bytes::from_static(line.as_bytes())).into());
     *response.status_mut() = status;
     response
 }
 
 /// Not now; in so many milliseconds, if that is not nought.
-pub fn come_back(status: StatusCode, wait: f64) -> Response<Answer> {
-    let mut response = text(status, "");
+pub fn retry_later(status: StatusCode, wait: f64) -> Response<ResponseBody> {
+    let mut response = plain_text(status, "");
     if wait > 0.0 {
         if let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", wait / 1000.0)) {
             response.headers_mut().insert(header::RETRY_AFTER, seconds);
@@ -41,7 +41,7 @@
 
 /// What of a message's headers goes on to the other side: all but those of one connection, those that it names as such,
 /// and the program's `own`. Of what it names as such, `kept` goes on all the same.
-pub fn pass_on(mut headers: HeaderMap, own: &[HeaderName], kept: &[HeaderName]) -> HeaderMap {
+pub fn forwarded_headers(mut headers: HeaderMap, own: &[HeaderName], kept: &[HeaderName]) -> HeaderMap {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -57,7 +57,7 @@
 
 /// Whether the length of a request can't be trusted. Guards against a request hidden in another's body (RFC 9112, section
 /// 6.3): hyper takes out a Content-Length that stands beside a Transfer-Encoding, and looks at the last coding alone.
-pub fn is_ambiguous<C: Clock>(headers: &HeaderMap, client: &ClientConnection<C>) -> bool {
+pub fn has_ambiguous_length<C: Clock>(headers: &HeaderMap, client: &DownstreamConnection<C>) -> bool {
     let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
     codings.next().is_some_and(|coding| {
         let chunked = coding.as_bytes().trim_ascii().eq_ignore_ascii_case(b"chunked");
--- a/crates/brassport-proxy/src/connection.rs
+++ b/crates/brassport-proxy/src/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! One HTTP/1.1 connection to a peer. Whoever holds it drives it: no task of its own stands behind it, so
 //! dropping it has closed the socket.
 
-use crate::bodies::Outgoing;
+use crate::body::UpstreamBody;
 use crate::mutants::mutant;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Bytes, Incoming};
@@ -21,19 +21,19 @@
 
 /// Why an exchange brought no whole answer.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum ConnectionError {
     /// No byte of the request was written.
     Unsent,
     /// The connection broke, or the answer is not one of HTTP, after some of it may have been written.
-    Broken,
+    Interrupted,
 }
 
 /// What hyper has to be polled for.
-type Driver<S> = http1::Connection<TokioIo<Watched<S>>, Outgoing>;
+type Driver<S> = http1::Connection<TokioIo<Watched<S>>, UpstreamBody>;
 
 /// A connection over a stream of the network's.
-pub struct Connection<S: AsyncRead + AsyncWrite + Unpin + 'static> {
-    sender: SendRequest<Outgoing>,
+pub struct UpstreamConnection<S: AsyncRead + AsyncWrite + Unpin + 'static> {
+    sender: SendRequest<UpstreamBody>,
     /// `None` once it is over.
     driver: Option<Driver<S>>,
     /// Whether bytes wait that the peer had no room for.
@@ -95,19 +95,19 @@
     }
 }
 
-impl<S: AsyncRead + AsyncWrite + Unpin + 'static> Connection<S> {
+impl<S: AsyncRead + AsyncWrite + Unpin + 'static> UpstreamConnection<S> {
     /// A connection that is up, at its start.
     ///
     /// # Errors
     /// hyper takes no such stream.
-    pub async fn over(stream: S) -> io::Result<Connection<S>> {
+    pub async fn handshake(stream: S) -> io::Result<UpstreamConnection<S>> {
         // Guards the memory against heads that do not end.
         let mut builder = http1::Builder::new();
         builder.max_buf_size(HEAD_LIMIT);
         let owes = Rc::new(Cell::new(false));
         let watched = Watched { stream, owes: owes.clone() };
         let (sender, driver) = builder.handshake(TokioIo::new(watched)).await.map_err(io::Error::other)?;
-        Ok(Connection { sender, driver: Some(driver), owes })
+        Ok(UpstreamConnection { sender, driver: Some(driver), owes })
     }
 
     /// Sends one request and waits for its whole answer, of `most` bytes at the most.
@@ -116,10 +116,10 @@
     /// There is no whole answer; how much of the request may have been written.
     pub async fn exchange(
         &mut self,
-        request: Request<impl Into<Outgoing>>,
+        request: Request<impl Into<UpstreamBody>>,
         most: usize,
-    ) -> Result<Response<Bytes>, Failure> {
-        let (head, body) = self.begin(request).await?.into_parts();
+    ) -> Result<Response<Bytes>, ConnectionError> {
+        let (head, body) = self.send(request).await?.into_parts();
         Ok(Response::from_parts(head, self.collect(body, most).await?))
     }
 
@@ -127,10 +127,10 @@
     ///
     /// # Errors
     /// The body was cut short, or is longer.
-    pub async fn collect(&mut self, body: Incoming, most: usize) -> Result<Bytes, Failure> {
+    pub async fn collect(&mut self, body: Incoming, most: usize) -> Result<Bytes, ConnectionError> {
         let driver = &mut self.driver;
         if body.size_hint().lower() > most as u64 {
-            return Err(Failure::Broken);
+            return Err(ConnectionError::Interrupted);
         }
         let mut collected = pin!(drive(driver, Limited::new(body, most).collect()));
         if mutant!(ReleaseHalfRead) {
@@ -141,24 +141,24 @@
             };
         }
         // Guards against serving a body that was cut short: an error of the body is a broken connection.
-        Ok(collected.await.map_err(|_| Failure::Broken)?.to_bytes())
+        Ok(collected.await.map_err(|_| ConnectionError::Interrupted)?.to_bytes())
     }
 
     /// Sends one request and waits for the head of its answer.
     ///
     /// # Errors
     /// As [`exchange`](Connection::exchange).
-    pub async fn begin(
+    pub async fn send(
         &mut self,
-        request: Request<impl Into<Outgoing>>,
-    ) -> Result<Response<Incoming>, Failure> {
-        let Connection { sender, driver, .. } = self;
+        request: Request<impl Into<UpstreamBody>>,
+    ) -> Result<Response<Incoming>, ConnectionError> {
+        let UpstreamConnection { sender, driver, .. } = self;
         let request = request.map(Into::into);
         // hyper hands a request back only if it never began to write it.
         let answer = sender.try_send_request(request);
         drive(driver, answer).await.map_err(|mut error| match error.take_message() {
-            Some(_) => Failure::Unsent,
-            None => Failure::Broken,
+            Some(_) => ConnectionError::Unsent,
+            None => ConnectionError::Interrupted,
         })
     }
 
@@ -166,11 +166,15 @@
     ///
     /// # Errors
     /// The body was cut short.
-    pub async fn rest(&mut self, body: Incoming, most: usize) -> Result<Option<Bytes>, Failure> {
+    pub async fn read_to_end(
+        &mut self,
+        body: Incoming,
+        most: usize,
+    ) -> Result<Option<Bytes>, ConnectionError> {
         match drive_on(&mut self.driver, Limited::new(body, most).collect()).await {
             Ok(body) => Ok(Some(body.to_bytes())),
             Err(error) if error.is::<LengthLimitError>() => Ok(None),
-            Err(_) => Err(Failure::Broken),
+            Err(_) => Err(ConnectionError::Interrupted),
         }
     }
 
@@ -178,11 +182,11 @@
     ///
     /// # Errors
     /// The body was cut short.
-    pub async fn next(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, Failure> {
+    pub async fn next_chunk(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, ConnectionError> {
         loop {
             match drive_on(&mut self.driver, body.frame()).await {
                 None => return Ok(None),
-                Some(Err(_)) => return Err(Failure::Broken),
+                Some(Err(_)) => return Err(ConnectionError::Interrupted),
                 Some(Ok(frame)) => {
                     if let Ok(bytes) = frame.into_data() {
                         return Ok(Some(bytes));
@@ -195,7 +199,7 @@
     /// Whether the connection stands and can take a request. Guards against sending into a connection
     /// that the peer has closed while it was idle: polling it sees the end that has come in meanwhile. Nor is one of use on
     /// which the rest of an earlier request is still due: a peer may answer before it has read all of it.
-    pub async fn is_usable(&mut self) -> bool {
+    pub async fn is_reusable(&mut self) -> bool {
         poll_fn(|context| {
             if let Some(driver) = &mut self.driver {
                 if Pin::new(driver).poll(context).is_ready() {
--- a/crates/brassport-proxy/src/backends.rs
+++ b/crates/brassport-proxy/src/upstream/mod.rs
@@ -1,13 +1,12 @@
 //! The backends: where they are, the idle connections to them, and the attempts.
 
-use crate::bodies::upload::Progress;
-use crate::bodies::{Answer, Coming, Outgoing, Pieces, HELD_LIMIT, LIMIT};
+use crate::body::upload::UploadProgress;
+use crate::body::{BodySender, ResponseBody, StreamedBody, UpstreamBody, MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
 use crate::clock::Clock;
-use crate::connection::{Connection, Failure};
-use crate::due::Due;
+use crate::deadline::ResettableDeadline;
 use crate::mutants::mutant;
 use crate::network::Network;
-use crate::protocol::{AttemptCounts, Protocol};
+use crate::protocol::{AttemptEvent, AttemptObserver, UpstreamProtocol};
 use brassport_policy::{Outcome, ServerId};
 use http_body_util::Full;
 use hyper::body::{Body, Bytes, Incoming};
@@ -23,6 +22,10 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
+mod connection;
+
+pub use connection::{ConnectionError, UpstreamConnection};
+
 /// How long an answer of unknown length is held back to see whether it is short.
 const HELD_FOR: Duration = Duration::from_millis(50);
 /// How long either side of an answer that has begun may stand still.
@@ -33,46 +36,46 @@
 const SWEEP: Duration = Duration::from_secs(1);
 
 /// A client's request as it goes on to a backend.
-pub struct Message {
+pub struct UpstreamRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
-    pub body: Carried,
+    pub body: RequestBody,
 }
 
 /// The body of a request.
-pub enum Carried {
-    Whole(Bytes),
-    Coming(Uploading),
+pub enum RequestBody {
+    Complete(Bytes),
+    Streaming(StreamingUpload),
 }
 
 /// One that is still coming: it goes on once.
-pub struct Uploading {
-    pub body: RefCell<Option<Outgoing>>,
-    pub progress: Rc<Progress>,
+pub struct StreamingUpload {
+    pub body: RefCell<Option<UpstreamBody>>,
+    pub progress: Rc<UploadProgress>,
     /// How long its client waits once all of it has come.
-    pub patience: Duration,
+    pub client_timeout: Duration,
 }
 
 /// How an attempt ended.
-pub struct End {
+pub struct AttemptResult {
     pub outcome: Outcome,
     /// The customer's use in the meter's last period, as a share of its rate.
     pub used: Option<f64>,
     /// The answer, if it is one for the client and has not been passed on yet.
-    pub answer: Option<Response<Answer>>,
+    pub answer: Option<Response<ResponseBody>>,
     /// When the first bytes of a long answer came.
     pub begun: Option<Instant>,
 }
 
-impl From<Outcome> for End {
-    fn from(outcome: Outcome) -> End {
-        End { outcome, used: None, answer: None, begun: None }
+impl From<Outcome> for AttemptResult {
+    fn from(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, used: None, answer: None, begun: None }
     }
 }
 
 struct Pooled<S: AsyncRead + AsyncWrite + Unpin + 'static> {
-    connection: Connection<S>,
+    connection: UpstreamConnection<S>,
     since: Instant,
     /// For how long its backend keeps it idle, if an answer on it told.
     keeps: Option<Duration>,
@@ -88,7 +91,7 @@
     idle: Vec<Pooled<S>>,
 }
 
-pub struct Backends<C, N: Network> {
+pub struct UpstreamPool<C, N: Network> {
     clock: C,
     network: N,
     known: RefCell<BTreeMap<ServerId, Backend<N::Stream>>>,
@@ -97,21 +100,21 @@
     keep_idle: Cell<Duration>,
     /// Whether another process is in this one's place: it keeps connections, this one none.
     keeps_none: Cell<bool>,
-    counts: Rc<dyn AttemptCounts>,
-    protocol: Rc<dyn Protocol>,
+    counts: Rc<dyn AttemptObserver>,
+    protocol: Rc<dyn UpstreamProtocol>,
 }
 
-impl<C: Clock, N: Network> Backends<C, N> {
+impl<C: Clock, N: Network> UpstreamPool<C, N> {
     pub fn new(
         clock: C,
         network: N,
         descriptors: Arc<Semaphore>,
         connect_timeout: Duration,
         idle_timeout: Duration,
-        counts: Rc<dyn AttemptCounts>,
-        protocol: Rc<dyn Protocol>,
-    ) -> Backends<C, N> {
-        Backends {
+        counts: Rc<dyn AttemptObserver>,
+        protocol: Rc<dyn UpstreamProtocol>,
+    ) -> UpstreamPool<C, N> {
+        UpstreamPool {
             clock,
             network,
             known: RefCell::default(),
@@ -125,18 +128,18 @@
     }
 
     /// Other times hold from now on, for what begins from now on.
-    pub fn settle(&self, connect_timeout: Duration, idle_timeout: Duration) {
+    pub fn set_timeouts(&self, connect_timeout: Duration, idle_timeout: Duration) {
         self.connect_timeout.set(connect_timeout);
         self.keep_idle.set(idle_timeout.mul_f64(IDLE_PART));
     }
 
     /// Notes what a backend is called, where it is and whether it takes new requests.
-    pub fn put(&self, id: ServerId, name: &str, address: SocketAddr, ready: bool) {
+    pub fn upsert(&self, id: ServerId, name: &str, address: SocketAddr, ready: bool) {
         self.note(id, name, Some(address), ready);
     }
 
     /// Notes a backend that is in the list and nowhere to be reached.
-    pub fn put_nowhere(&self, id: ServerId, name: &str) {
+    pub fn upsert_unreachable(&self, id: ServerId, name: &str) {
         self.note(id, name, None, false);
     }
 
@@ -171,7 +174,7 @@
     }
 
     /// Closes the idle connection that has been so for the longest time; false if there is none.
-    pub fn shed_idle(&self) -> bool {
+    pub fn evict_idle(&self) -> bool {
         let mut known = self.known.borrow_mut();
         let idle = known.values_mut().filter(|backend| !backend.idle.is_empty());
         let Some(backend) = idle.min_by_key(|backend| backend.idle[0].since) else { return false };
@@ -191,7 +194,7 @@
                 // What is nowhere has no idle connections.
                 let Some(address) = address else { continue };
                 for mut pooled in idle {
-                    if self.may_idle(&pooled) && pooled.connection.is_usable().await {
+                    if self.may_idle(&pooled) && pooled.connection.is_reusable().await {
                         self.park(id, address, pooled);
                     }
                 }
@@ -205,12 +208,12 @@
     pub async fn attempt(
         &self,
         id: ServerId,
-        message: &Message,
-        due: &Due,
+        message: &UpstreamRequest,
+        due: &ResettableDeadline,
         cancel: impl Future,
         wanted: impl Fn() -> bool,
-        pass_on: impl FnOnce(Response<Answer>),
-    ) -> End {
+        pass_on: impl FnOnce(Response<ResponseBody>),
+    ) -> AttemptResult {
         let (written, begun) = (Cell::new(false), Cell::new(None));
         let marks = Marks { written: &written, begun: &begun };
         let exchange = self.exchange(id, message, due, wanted, pass_on, marks);
@@ -245,12 +248,12 @@
     async fn exchange(
         &self,
         id: ServerId,
-        message: &Message,
-        due: &Due,
+        message: &UpstreamRequest,
+        due: &ResettableDeadline,
         wanted: impl Fn() -> bool,
-        pass_on: impl FnOnce(Response<Answer>),
+        pass_on: impl FnOnce(Response<ResponseBody>),
         marks: Marks<'_>,
-    ) -> End {
+    ) -> AttemptResult {
         let Some(address) = self.ready_at(id) else { return Outcome::Moot.into() };
         let begun = self.clock.now();
         let mut pooled = match self.idle(id).await {
@@ -276,35 +279,38 @@
         marks.written.set(true);
         let is_whole = message.is_whole();
         if is_whole {
-            self.counts.attempt_written();
+            self.counts.on_attempt(AttemptEvent::Written);
         }
-        let answer = match pooled.connection.begin(request).await {
+        let answer = match pooled.connection.send(request).await {
             Ok(answer) => answer,
-            Err(Failure::Unsent) => {
+            Err(ConnectionError::Unsent) => {
                 if is_whole {
-                    self.counts.attempt_unwritten();
+                    self.counts.on_attempt(AttemptEvent::NotWritten);
                 }
                 return Outcome::NoConnection.into();
             }
             // It broke before its last byte: it never ran.
-            Err(Failure::Broken) if !message.is_whole() => return Outcome::NoConnection.into(),
-            Err(Failure::Broken) if mutant!(RetryAfterReset) => return Outcome::NoConnection.into(),
-            Err(Failure::Broken) => return Outcome::Reset.into(),
+            Err(ConnectionError::Interrupted) if !message.is_whole() => return Outcome::NoConnection.into(),
+            Err(ConnectionError::Interrupted) if mutant!(RetryAfterReset) => {
+                return Outcome::NoConnection.into()
+            }
+            Err(ConnectionError::Interrupted) => return Outcome::Reset.into(),
         };
         let (head, body) = answer.into_parts();
-        let judged = self.protocol.judge(&message.headers, &head);
-        let mut end = End { used: judged.used, ..judged.outcome.into() };
-        let may_be_long = judged.passes && head.status.is_success();
+        let judged = self.protocol.classify(&message.headers, &head);
+        let mut end = AttemptResult { used: judged.quota_used, ..judged.outcome.into() };
+        let may_be_long = judged.is_for_client && head.status.is_success();
         match self.body(&mut pooled.connection, may_be_long, body).await {
             Ok(Held::Whole(bytes)) => {
-                end.answer = judged.passes.then(|| Response::from_parts(head, Full::new(bytes).into()));
+                end.answer =
+                    judged.is_for_client.then(|| Response::from_parts(head, Full::new(bytes).into()));
             }
             Ok(Held::Long(first, rest)) => {
                 marks.begun.set(Some(self.clock.now()));
                 end.begun = marks.begun.get();
                 let length = rest.size_hint().exact().map(|left| left + first.len() as u64);
-                let (to, coming) = Coming::new(length);
-                pass_on(Response::from_parts(head, Answer::Coming(coming)));
+                let (to, coming) = StreamedBody::new(length);
+                pass_on(Response::from_parts(head, ResponseBody::Streaming(coming)));
                 if !self.pump(&mut pooled.connection, first, rest, to).await {
                     return end;
                 }
@@ -312,10 +318,10 @@
             Err(_) if mutant!(RetryAfterReset) => return Outcome::NoConnection.into(),
             Err(_) => return Outcome::Reset.into(),
         }
-        let is_free = judged.reusable && !self.keeps_none.get() && message.is_whole();
-        if is_free && pooled.connection.is_usable().await {
+        let is_free = judged.is_reusable && !self.keeps_none.get() && message.is_whole();
+        if is_free && pooled.connection.is_reusable().await {
             pooled.since = self.clock.now();
-            pooled.keeps = judged.keeps.or(pooled.keeps);
+            pooled.keeps = judged.idle_timeout.or(pooled.keeps);
             self.park(id, address, pooled);
         }
         end
@@ -324,30 +330,30 @@
     /// The body of an answer, or what has come of it once it turns out to be long. Only what serves a client may be.
     async fn body(
         &self,
-        connection: &mut Connection<N::Stream>,
+        connection: &mut UpstreamConnection<N::Stream>,
         may_be_long: bool,
         mut body: Incoming,
-    ) -> Result<Held, Failure> {
+    ) -> Result<Held, ConnectionError> {
         let hint = body.size_hint();
-        if !may_be_long || hint.upper().is_some_and(|most| most <= HELD_LIMIT as u64) {
-            return connection.collect(body, HELD_LIMIT).await.map(Held::Whole);
+        if !may_be_long || hint.upper().is_some_and(|most| most <= MAX_BUFFERED_BYTES as u64) {
+            return connection.collect(body, MAX_BUFFERED_BYTES).await.map(Held::Whole);
         }
         let mut first = Vec::new();
         if let Some(length) = hint.exact() {
             // Guards against a length that makes no sense.
-            if length > LIMIT {
-                return Err(Failure::Broken);
+            if length > MAX_BODY_BYTES {
+                return Err(ConnectionError::Interrupted);
             }
             return Ok(Held::Long(Bytes::new(), body));
         }
         let until = self.clock.now() + HELD_FOR;
-        while first.len() <= HELD_LIMIT {
-            match self.clock.timeout_at(until, connection.next(&mut body)).await {
+        while first.len() <= MAX_BUFFERED_BYTES {
+            match self.clock.timeout_at(until, connection.next_chunk(&mut body)).await {
                 Some(Ok(Some(bytes))) => first.extend_from_slice(&bytes),
                 Some(Ok(None)) => return Ok(Held::Whole(first.into())),
                 Some(Err(failure)) => return Err(failure),
                 // With nothing to pass on there is nothing to gain.
-                None if first.is_empty() => match connection.next(&mut body).await? {
+                None if first.is_empty() => match connection.next_chunk(&mut body).await? {
                     Some(bytes) => first.extend_from_slice(&bytes),
                     None => return Ok(Held::Whole(Bytes::new())),
                 },
@@ -360,10 +366,10 @@
     /// Passes on what comes of an answer, for as long as its client takes it. Whether all of it came and its connection is of use.
     async fn pump(
         &self,
-        connection: &mut Connection<N::Stream>,
+        connection: &mut UpstreamConnection<N::Stream>,
         first: Bytes,
         mut rest: Incoming,
-        to: Pieces,
+        to: BodySender,
     ) -> bool {
         let mut next = Some(first);
         while let Some(bytes) = next {
@@ -371,7 +377,7 @@
             if self.clock.timeout(STANDSTILL, to.write(bytes)).await != Some(true) {
                 return false;
             }
-            let more = self.clock.timeout(STANDSTILL, connection.next(&mut rest));
+            let more = self.clock.timeout(STANDSTILL, connection.next_chunk(&mut rest));
             next = tokio::select! {
                 biased;
                 more = more => match more {
@@ -406,7 +412,7 @@
     async fn idle(&self, id: ServerId) -> Option<Pooled<N::Stream>> {
         loop {
             let mut pooled = self.known.borrow_mut().get_mut(&id)?.idle.pop()?;
-            if self.may_idle(&pooled) && pooled.connection.is_usable().await {
+            if self.may_idle(&pooled) && pooled.connection.is_reusable().await {
                 return Some(pooled);
             }
         }
@@ -416,12 +422,12 @@
         let descriptor = loop {
             match self.descriptors.clone().try_acquire_owned() {
                 Ok(descriptor) => break descriptor,
-                Err(_) if self.shed_idle() => {}
+                Err(_) if self.evict_idle() => {}
                 Err(_) => return None,
             }
         };
         // Guards against a machine that is cut off: its connections never come up.
-        let open = async { Connection::over(self.network.connect(address).await?).await };
+        let open = async { UpstreamConnection::handshake(self.network.connect(address).await?).await };
         let opened = self.clock.timeout(self.connect_timeout.get(), open).await.and_then(Result::ok);
         if mutant!(LeakDescriptor) && opened.is_none() {
             std::mem::forget(descriptor);
@@ -441,42 +447,47 @@
     }
 }
 
-impl Message {
+impl UpstreamRequest {
     /// Whether all of it has come and gone on, or is at hand.
     pub fn is_whole(&self) -> bool {
         match &self.body {
-            Carried::Whole(_) => true,
-            Carried::Coming(upload) => upload.progress.whole().is_some(),
+            RequestBody::Complete(_) => true,
+            RequestBody::Streaming(upload) => upload.progress.completed_at().is_some(),
         }
     }
 
     /// When the last of it went on, if it went on as it came.
     pub fn whole_at(&self) -> Option<Instant> {
         match &self.body {
-            Carried::Whole(_) => None,
-            Carried::Coming(upload) => upload.progress.whole(),
+            RequestBody::Complete(_) => None,
+            RequestBody::Streaming(upload) => upload.progress.completed_at(),
         }
     }
 
     async fn stands_still(&self, clock: &impl Clock) {
         match &self.body {
-            Carried::Whole(_) => std::future::pending().await,
-            Carried::Coming(upload) => upload.progress.stands_still(clock).await,
+            RequestBody::Complete(_) => std::future::pending().await,
+            RequestBody::Streaming(upload) => upload.progress.stands_still(clock).await,
         }
     }
 
     /// The request to this backend, for a client that waits so long; `None` if it has gone on before and is not at
     /// hand.
-    fn to_send(&self, left: Duration, protocol: &dyn Protocol, backend: &str) -> Option<Request<Outgoing>> {
+    fn to_send(
+        &self,
+        left: Duration,
+        protocol: &dyn UpstreamProtocol,
+        backend: &str,
+    ) -> Option<Request<UpstreamBody>> {
         let (body, left) = match &self.body {
-            Carried::Whole(bytes) => (Full::new(bytes.clone()).into(), left),
-            Carried::Coming(upload) => (upload.body.take()?, upload.patience),
+            RequestBody::Complete(bytes) => (Full::new(bytes.clone()).into(), left),
+            RequestBody::Streaming(upload) => (upload.body.take()?, upload.client_timeout),
         };
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        protocol.address(request.headers_mut(), left, backend);
+        protocol.annotate(request.headers_mut(), left, backend);
         Some(request)
     }
 }
@@ -498,28 +509,30 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::protocol::Judged;
+    use crate::protocol::ResponseVerdict;
     use hyper::header::HeaderValue;
     use hyper::http::response::Parts;
 
     struct Deadline;
 
-    impl Protocol for Deadline {
-        fn address(&self, headers: &mut HeaderMap, left: Duration, backend: &str) {
+    impl UpstreamProtocol for Deadline {
+        fn annotate(&self, headers: &mut HeaderMap, left: Duration, backend: &str) {
             let said = format!("{}u for {backend}", left.as_micros());
             headers.insert("x-deadline", HeaderValue::from_str(&said).expect("a header's value"));
         }
-        fn judge(&self, _: &HeaderMap, _: &Parts) -> Judged {
+        fn classify(&self, _: &HeaderMap, _: &Parts) -> ResponseVerdict {
             unreachable!("nothing is answered")
         }
     }
 
     #[test]
     fn a_body_that_goes_on_as_it_comes_goes_on_once() {
-        let body = RefCell::new(Some(Outgoing::Whole(Full::new(Bytes::from_static(b"the first of it")))));
-        let upload = Uploading { body, progress: Rc::default(), patience: Duration::from_millis(480) };
+        let body =
+            RefCell::new(Some(UpstreamBody::Complete(Full::new(Bytes::from_static(b"the first of it")))));
+        let upload =
+            StreamingUpload { body, progress: Rc::default(), client_timeout: Duration::from_millis(480) };
         let (method, uri, headers) = (Method::POST, Uri::from_static("/job"), HeaderMap::new());
-        let message = Message { method, uri, headers, body: Carried::Coming(upload) };
+        let message = UpstreamRequest { method, uri, headers, body: RequestBody::Streaming(upload) };
         let first = message.to_send(Duration::from_secs(9), &Deadline, "n7").expect("it is at hand");
         assert_eq!(first.headers()["x-deadline"], "480000u for n7", "its client's time begins later");
         assert!(message.to_send(Duration::from_secs(9), &Deadline, "n7").is_none());
--- a/crates/brassport-proxy/tests/client_gone.rs
+++ b/crates/brassport-proxy/tests/client_gone.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use brassport_policy::Effect;
-use brassport_proxy::door::Answer;
+use brassport_proxy::dispatch::RequestOutcome;
 use common::{bounded, Site};
 use http_body_util::BodyExt;
 use hyper::header::HeaderMap;
@@ -20,9 +20,9 @@
 async fn a_repeatable_attempt_ends_with_its_client() {
     bounded(async {
         let site = Site::new(Effect::Free, &[SILENCE; 2]).await;
-        let ticket = site.admit(HeaderMap::new());
+        let pending = site.admit(HeaderMap::new());
         site.script.has_come(1).await;
-        drop(ticket);
+        drop(pending);
         site.script.has_closed(1).await;
         assert_eq!(site.door.in_flight(), 0);
         assert_eq!(site.script.heads.borrow().len(), 1, "nobody waits for a further attempt");
@@ -35,9 +35,9 @@
 async fn an_attempt_with_an_effect_outlives_its_client() {
     bounded(async {
         let site = Site::new(Effect::Once, &[SILENCE; 2]).await;
-        let ticket = site.admit(HeaderMap::new());
+        let pending = site.admit(HeaderMap::new());
         site.script.has_come(1).await;
-        drop(ticket);
+        drop(pending);
         // Whatever the door does at once has been done when another request has come.
         let other = site.admit(HeaderMap::new());
         site.script.has_come(2).await;
@@ -51,7 +51,9 @@
 async fn a_long_answer_ends_with_its_client_though_its_backend_stands_still() {
     bounded(async {
         let site = Site::new(Effect::Free, &[LONG]).await;
-        let Answer::Served(mut answer) = site.ask(HeaderMap::new()).await else { panic!("not served") };
+        let RequestOutcome::Served(mut answer) = site.ask(HeaderMap::new()).await else {
+            panic!("not served")
+        };
         let first = answer.body_mut().frame().await.expect("some of it").expect("it is sound");
         assert_eq!(&first.into_data().expect("bytes")[..], b"the first bytes");
         let more = poll_fn(|context| {
--- a/crates/brassport-proxy/tests/common/mod.rs
+++ b/crates/brassport-proxy/tests/common/mod.rs
@@ -6,11 +6,11 @@
 use brassport_policy::{
     Class, Effect, Event, Lifecycle, ListKind, Outcome, Plan, Request, ServerEntry, Settings,
 };
-use brassport_proxy::backends::{Backends, Carried, Message};
 use brassport_proxy::clock::SystemClock;
-use brassport_proxy::door::{Answer, Door, Host, Ticket};
+use brassport_proxy::dispatch::{Dispatcher, DispatcherOptions, PendingRequest, RequestOutcome};
 use brassport_proxy::network::Tcp;
-use brassport_proxy::protocol::{AttemptCounts, Judged, Protocol};
+use brassport_proxy::protocol::{AttemptEvent, AttemptObserver, ResponseVerdict, UpstreamProtocol};
+use brassport_proxy::upstream::{RequestBody, UpstreamPool, UpstreamRequest};
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
@@ -34,21 +34,21 @@
 /// Every answer is one for the client. `once` and `keep` in an answer's headers tell of its connection.
 pub struct PassesAll;
 
-impl Protocol for PassesAll {
-    fn address(&self, headers: &mut HeaderMap, _: Duration, backend: &str) {
+impl UpstreamProtocol for PassesAll {
+    fn annotate(&self, headers: &mut HeaderMap, _: Duration, backend: &str) {
         headers.insert("host", HeaderValue::from_str(backend).expect("a name"));
     }
 
-    fn judge(&self, asked: &HeaderMap, answer: &Parts) -> Judged {
+    fn classify(&self, asked: &HeaderMap, answer: &Parts) -> ResponseVerdict {
         let outcome = if answer.status == StatusCode::OK { Outcome::Ok } else { Outcome::Error };
         let keeps =
             answer.headers.get("keep").map(|ms| ms.to_str().expect("text").parse().expect("a number"));
-        Judged {
+        ResponseVerdict {
             outcome,
-            used: None,
-            passes: !asked.contains_key("nothing-passes"),
-            reusable: !answer.headers.contains_key("once"),
-            keeps: keeps.map(Duration::from_millis),
+            quota_used: None,
+            is_for_client: !asked.contains_key("nothing-passes"),
+            is_reusable: !answer.headers.contains_key("once"),
+            idle_timeout: keeps.map(Duration::from_millis),
         }
     }
 }
@@ -56,13 +56,16 @@
 #[derive(Default)]
 pub struct Counts(pub Cell<i32>);
 
-impl AttemptCounts for Counts {
-    fn attempt_written(&self) {
-        self.0.set(self.0.get() + 1);
-    }
-
-    fn attempt_unwritten(&self) {
-        self.0.set(self.0.get() - 1);
+impl AttemptObserver for Counts {
+    fn on_attempt(&self, event: AttemptEvent) {
+        match event {
+            AttemptEvent::Written => {
+                self.0.set(self.0.get() + 1);
+            }
+            AttemptEvent::NotWritten => {
+                self.0.set(self.0.get() - 1);
+            }
+        }
     }
 }
 
@@ -123,7 +126,7 @@
 }
 
 pub struct Site {
-    pub door: Rc<Door<SystemClock, Tcp>>,
+    pub door: Rc<Dispatcher<SystemClock, Tcp>>,
     pub script: Rc<Script>,
     pub counts: Rc<Counts>,
     pub released: Rc<RefCell<Vec<u64>>>,
@@ -139,29 +142,30 @@
         let long = Duration::from_secs(60);
         let descriptors = Arc::new(Semaphore::new(16));
         let backends =
-            Backends::new(SystemClock, Tcp, descriptors, long, long, counts.clone(), Rc::new(PassesAll));
+            UpstreamPool::new(SystemClock, Tcp, descriptors, long, long, counts.clone(), Rc::new(PassesAll));
         let backends = Rc::new(backends);
         let told = released.clone();
-        let host = Host {
+        let host = DispatcherOptions {
             meter: None,
             hooks: None,
-            released: Box::new(move |customer| told.borrow_mut().push(customer)),
-            clock_before: None,
+            on_release: Box::new(move |customer| told.borrow_mut().push(customer)),
+            inherited_clock: None,
         };
-        let door = Door::new(SystemClock, settings, 1, host, backends.clone()).expect("settings that hold");
+        let door =
+            Dispatcher::new(SystemClock, settings, 1, host, backends.clone()).expect("settings that hold");
         let mut entries = Vec::new();
         for id in 1..=2 {
-            backends.put(id, &format!("n{id}"), script.clone().backend().await, true);
+            backends.upsert(id, &format!("n{id}"), script.clone().backend().await, true);
             let lifecycle = Lifecycle::Ready;
             entries.push(ServerEntry { id, zone: 0, cell: 0, share: 1.0, lifecycle, launched: None });
         }
         door.handle(Event::Servers { kind: ListKind::Full, entries });
-        spawn_local(door.clone().keep_time());
+        spawn_local(door.clone().run_timers());
         Site { door, script, counts, released }
     }
 
     /// Takes a request in; dropped, its client has left.
-    pub fn admit(&self, headers: HeaderMap) -> Ticket<SystemClock, Tcp> {
+    pub fn admit(&self, headers: HeaderMap) -> PendingRequest<SystemClock, Tcp> {
         let request = Request {
             id: 0,
             customer: 7,
@@ -173,21 +177,22 @@
             expires_in: 0.0,
             repeat: false,
         };
-        let (method, uri, body) = (Method::POST, Uri::from_static("/job"), Carried::Whole(Bytes::new()));
-        let message = Message { method, uri, headers, body };
-        let ticket = self.door.admit(request, self.door.unnamed(), message, PATIENCE);
-        ticket.expect("a name of its own")
+        let (method, uri, body) =
+            (Method::POST, Uri::from_static("/job"), RequestBody::Complete(Bytes::new()));
+        let message = UpstreamRequest { method, uri, headers, body };
+        let pending = self.door.admit(request, self.door.generate_id(), message, PATIENCE);
+        pending.expect("a name of its own")
     }
 
-    pub async fn ask(&self, headers: HeaderMap) -> Answer {
-        self.admit(headers).answer().await
+    pub async fn ask(&self, headers: HeaderMap) -> RequestOutcome {
+        self.admit(headers).outcome().await
     }
 
     pub async fn served(&self) -> StatusCode {
         match self.ask(HeaderMap::new()).await {
-            Answer::Served(answer) => answer.status(),
-            Answer::Refused(_) => panic!("refused"),
-            Answer::Failed => panic!("failed"),
+            RequestOutcome::Served(answer) => answer.status(),
+            RequestOutcome::Rejected(_) => panic!("refused"),
+            RequestOutcome::Failed => panic!("failed"),
         }
     }
 }
--- a/crates/brassport-proxy/tests/connection.rs
+++ b/crates/brassport-proxy/tests/connection.rs
@@ -1,8 +1,8 @@
 //! One connection to a backend in trouble: whose answer is whose, what counts as whole, and which connection is never used
 //! again.
 
-use brassport_proxy::bodies::Outgoing;
-use brassport_proxy::connection::{Connection, Failure};
+use brassport_proxy::body::UpstreamBody;
+use brassport_proxy::upstream::{ConnectionError, UpstreamConnection};
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::Request;
@@ -88,7 +88,7 @@
     ended.expect("it ends")
 }
 
-fn request(body: usize) -> Request<Outgoing> {
+fn request(body: usize) -> Request<UpstreamBody> {
     let body = Full::new(Bytes::from(vec![b'x'; body]));
     Request::post("/").header("host", "b").body(body.into()).expect("a request")
 }
@@ -99,10 +99,11 @@
 #[test]
 fn a_connection_that_brought_a_whole_answer_serves_again() {
     run(async {
-        let mut connection = Connection::over(Backend::new(1, ROOM, &[Does::Sends(WHOLE)])).await.unwrap();
+        let mut connection =
+            UpstreamConnection::handshake(Backend::new(1, ROOM, &[Does::Sends(WHOLE)])).await.unwrap();
         let answer = connection.exchange(request(3), 100).await.unwrap();
         assert_eq!(&answer.body()[..], b"hello");
-        assert!(connection.is_usable().await);
+        assert!(connection.is_reusable().await);
     });
 }
 
@@ -111,10 +112,11 @@
     run(async {
         let surplus =
             "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n!";
-        let mut connection = Connection::over(Backend::new(1, ROOM, &[Does::Sends(surplus)])).await.unwrap();
+        let mut connection =
+            UpstreamConnection::handshake(Backend::new(1, ROOM, &[Does::Sends(surplus)])).await.unwrap();
         let answer = connection.exchange(request(3), 100).await.unwrap();
         assert_eq!(&answer.body()[..], b"hello", "the first answer is whole");
-        assert!(!connection.is_usable().await);
+        assert!(!connection.is_reusable().await);
     });
 }
 
@@ -122,9 +124,9 @@
 fn nor_one_whose_surplus_answer_comes_while_it_is_idle() {
     run(async {
         let steps = [Does::Sends(WHOLE), Does::Sends(WHOLE)];
-        let mut connection = Connection::over(Backend::new(1, ROOM, &steps)).await.unwrap();
+        let mut connection = UpstreamConnection::handshake(Backend::new(1, ROOM, &steps)).await.unwrap();
         connection.exchange(request(3), 100).await.unwrap();
-        assert!(!connection.is_usable().await);
+        assert!(!connection.is_reusable().await);
     });
 }
 
@@ -135,10 +137,10 @@
     run(async {
         let early = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nearly";
         let mut connection =
-            Connection::over(Backend::new(4_000, 5_000, &[Does::Sends(early)])).await.unwrap();
+            UpstreamConnection::handshake(Backend::new(4_000, 5_000, &[Does::Sends(early)])).await.unwrap();
         let answer = connection.exchange(request(300_000), 100).await.unwrap();
         assert_eq!(&answer.body()[..], b"early");
-        assert!(!connection.is_usable().await);
+        assert!(!connection.is_reusable().await);
     });
 }
 
@@ -146,10 +148,10 @@
 fn an_answer_without_length_is_whole_at_the_end_of_its_connection() {
     run(async {
         let steps = [Does::Sends("HTTP/1.1 200 OK\r\n\r\nall of "), Does::Sends("it"), Does::Closes];
-        let mut connection = Connection::over(Backend::new(1, ROOM, &steps)).await.unwrap();
+        let mut connection = UpstreamConnection::handshake(Backend::new(1, ROOM, &steps)).await.unwrap();
         let answer = connection.exchange(request(3), 100).await.unwrap();
         assert_eq!(&answer.body()[..], b"all of it");
-        assert!(!connection.is_usable().await);
+        assert!(!connection.is_reusable().await);
     });
 }
 
@@ -157,26 +159,28 @@
 fn and_is_not_when_it_is_reset_on_the_way() {
     run(async {
         let steps = [Does::Sends("HTTP/1.1 200 OK\r\n\r\nall of "), Does::Resets];
-        let mut connection = Connection::over(Backend::new(1, ROOM, &steps)).await.unwrap();
-        assert_eq!(connection.exchange(request(3), 100).await.unwrap_err(), Failure::Broken);
-        assert!(!connection.is_usable().await);
+        let mut connection = UpstreamConnection::handshake(Backend::new(1, ROOM, &steps)).await.unwrap();
+        assert_eq!(connection.exchange(request(3), 100).await.unwrap_err(), ConnectionError::Interrupted);
+        assert!(!connection.is_reusable().await);
     });
 }
 
 #[test]
 fn a_request_that_was_written_and_reset_is_never_said_to_be_unsent() {
     run(async {
-        let mut connection = Connection::over(Backend::new(1, ROOM, &[Does::Resets])).await.unwrap();
-        assert_eq!(connection.exchange(request(3), 100).await.unwrap_err(), Failure::Broken);
-        assert!(!connection.is_usable().await);
+        let mut connection =
+            UpstreamConnection::handshake(Backend::new(1, ROOM, &[Does::Resets])).await.unwrap();
+        assert_eq!(connection.exchange(request(3), 100).await.unwrap_err(), ConnectionError::Interrupted);
+        assert!(!connection.is_reusable().await);
     });
 }
 
 #[test]
 fn one_on_a_connection_that_was_closed_before_it_is() {
     run(async {
-        let mut connection = Connection::over(Backend::new(0, ROOM, &[Does::Closes])).await.unwrap();
-        assert!(!connection.is_usable().await);
-        assert_eq!(connection.exchange(request(3), 100).await.unwrap_err(), Failure::Unsent);
+        let mut connection =
+            UpstreamConnection::handshake(Backend::new(0, ROOM, &[Does::Closes])).await.unwrap();
+        assert!(!connection.is_reusable().await);
+        assert_eq!(connection.exchange(request(3), 100).await.unwrap_err(), ConnectionError::Unsent);
     });
 }
--- a/crates/brassport-proxy/tests/door.rs
+++ b/crates/brassport-proxy/tests/door.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use brassport_policy::Effect;
-use brassport_proxy::door::Answer;
+use brassport_proxy::dispatch::RequestOutcome;
 use common::{bounded, Site};
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::StatusCode;
@@ -22,7 +22,7 @@
         assert_eq!(*site.released.borrow(), [7], "the customer of the attempt, once");
         let mut headers = HeaderMap::new();
         headers.insert("nothing-passes", HeaderValue::from_static("1"));
-        assert!(matches!(site.ask(headers).await, Answer::Failed));
+        assert!(matches!(site.ask(headers).await, RequestOutcome::Failed));
     })
     .await;
 }
--- a/crates/brassport-proxy/tests/golden.rs
+++ b/crates/brassport-proxy/tests/golden.rs
@@ -5,15 +5,15 @@
 mod common;
 
 use brassport_policy::{Class, Effect, Event, Lifecycle, ListKind, Plan, ServerEntry, Settings};
-use brassport_proxy::answers::{come_back, is_ambiguous, pass_on, text};
-use brassport_proxy::backends::{Backends, Carried, Message};
-use brassport_proxy::bodies::{Answer, Coming};
-use brassport_proxy::clients::{serve, Service};
+use brassport_proxy::body::{ResponseBody, StreamedBody};
 use brassport_proxy::clock::{Clock, SystemClock};
-use brassport_proxy::connections::{ClientConnection, Connections};
 use brassport_proxy::date::DateHeader;
-use brassport_proxy::door::{self, Door, Host};
+use brassport_proxy::dispatch::{Dispatcher, DispatcherOptions, RequestOutcome};
+use brassport_proxy::downstream::{serve, DownstreamService};
+use brassport_proxy::downstream::{ConnectionRegistry, DownstreamConnection};
 use brassport_proxy::network::Tcp;
+use brassport_proxy::responses::{forwarded_headers, has_ambiguous_length, plain_text, retry_later};
+use brassport_proxy::upstream::{RequestBody, UpstreamPool, UpstreamRequest};
 use common::{bounded, Counts, PassesAll};
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
@@ -97,10 +97,10 @@
     }
     let (own, kept) = ([HeaderName::from_static("own")], [HeaderName::from_static("x-kept")]);
     let cases = [
-        ("nothing own, nothing kept", pass_on(headers.clone(), &[], &[])),
-        ("own", pass_on(headers.clone(), &own, &[])),
-        ("own and kept", pass_on(headers, &own, &kept)),
-        ("none", pass_on(HeaderMap::new(), &own, &kept)),
+        ("nothing own, nothing kept", forwarded_headers(headers.clone(), &[], &[])),
+        ("own", forwarded_headers(headers.clone(), &own, &[])),
+        ("own and kept", forwarded_headers(headers, &own, &kept)),
+        ("none", forwarded_headers(HeaderMap::new(), &own, &kept)),
     ];
     let written = cases.map(|(name, headers)| {
         let headers: Vec<_> =
@@ -134,7 +134,7 @@
 
 /// Gives each path an answer of its own.
 struct Desk {
-    connections: Rc<Connections<Standing>>,
+    connections: Rc<ConnectionRegistry<Standing>>,
     date: DateHeader,
     serves: Cell<bool>,
 }
@@ -153,69 +153,70 @@
     StatusCode::GATEWAY_TIMEOUT,
 ];
 
-fn coming(length: Option<u64>, pieces: &'static [&'static str]) -> Response<Answer> {
-    let (to, body) = Coming::new(length);
+fn coming(length: Option<u64>, pieces: &'static [&'static str]) -> Response<ResponseBody> {
+    let (to, body) = StreamedBody::new(length);
     spawn_local(async move {
         for piece in pieces {
             let _ = to.write(Bytes::from_static(piece.as_bytes())).await;
         }
         to.end().await;
     });
-    Response::new(Answer::Coming(body))
+    Response::new(ResponseBody::Streaming(body))
 }
 
-impl Service for Desk {
+impl DownstreamService for Desk {
     type Clock = Standing;
     type Network = Tcp;
-    type Life = ();
+    type RequestContext = ();
 
     fn clock(&self) -> &Standing {
         &Standing
     }
-    fn connections(&self) -> &Rc<Connections<Standing>> {
+    fn connections(&self) -> &Rc<ConnectionRegistry<Standing>> {
         &self.connections
     }
     fn date(&self) -> &DateHeader {
         &self.date
     }
-    fn begin(&self, _: &Request<Incoming>) {}
-    async fn answer(
+    fn on_request(&self, _: &Request<Incoming>) {}
+    async fn respond(
         &self,
         request: Request<Incoming>,
-        client: &ClientConnection<Standing>,
+        client: &DownstreamConnection<Standing>,
         (): &(),
-    ) -> Result<Response<Answer>, Response<Answer>> {
-        if is_ambiguous(request.headers(), client) {
-            return Err(text(StatusCode::BAD_REQUEST, "ambiguous"));
+    ) -> Result<Response<ResponseBody>, Response<ResponseBody>> {
+        if has_ambiguous_length(request.headers(), client) {
+            return Err(plain_text(StatusCode::BAD_REQUEST, "ambiguous"));
         }
         let (kind, number) = request.uri().path().trim_start_matches('/').split_once('/').unwrap_or_default();
         let number: usize = number.parse().unwrap_or_default();
         match kind {
-            "text" => Ok(text(STATUSES[number], "a line of text")),
-            "last" => Err(text(STATUSES[number], "a line of text")),
-            "empty" => Ok(text(STATUSES[number], "")),
-            "wait" => Ok(come_back(StatusCode::TOO_MANY_REQUESTS, WAITS[number])),
-            "out" => Err(come_back(StatusCode::SERVICE_UNAVAILABLE, WAITS[number])),
+            "text" => Ok(plain_text(STATUSES[number], "a line of text")),
+            "last" => Err(plain_text(STATUSES[number], "a line of text")),
+            "empty" => Ok(plain_text(STATUSES[number], "")),
+            "wait" => Ok(retry_later(StatusCode::TOO_MANY_REQUESTS, WAITS[number])),
+            "out" => Err(retry_later(StatusCode::SERVICE_UNAVAILABLE, WAITS[number])),
             "long" => Ok(coming(Some(10), &["hello", "world"])),
             "endless" => Ok(coming(None, &["hello", "world!"])),
             "dated" => {
-                let mut response = Response::new(Answer::Whole(Full::new(Bytes::from_static(b"dated"))));
+                let mut response =
+                    Response::new(ResponseBody::Complete(Full::new(Bytes::from_static(b"dated"))));
                 let date = HeaderValue::from_static("Thu, 01 Jan 1970 00:00:00 GMT");
                 response.headers_mut().insert("date", date);
                 Ok(response)
             }
-            _ => Ok(text(StatusCode::NOT_FOUND, "nothing")),
+            _ => Ok(plain_text(StatusCode::NOT_FOUND, "nothing")),
         }
     }
-    fn turn_away(&self) -> Response<Answer> {
-        come_back(StatusCode::SERVICE_UNAVAILABLE, 250.0)
+    fn overload_response(&self) -> Response<ResponseBody> {
+        retry_later(StatusCode::SERVICE_UNAVAILABLE, 250.0)
     }
-    fn answered((): &(), _: StatusCode) {}
-    fn passed((): &(), _: bool) {}
-    fn shed_idle(&self) -> bool {
+    fn on_response((): &(), _: StatusCode) {}
+    fn on_stream_end((): &(), _: bool) {}
+    fn evict_idle(&self) -> bool {
         false
     }
-    fn serves(&self) -> bool {
+    fn is_serving(&self) -> bool {
         self.serves.get()
     }
     fn closing(&self) -> impl Future<Output = ()> {
@@ -227,7 +228,7 @@
 async fn desk(descriptors: usize, in_all: usize) -> (Rc<Desk>, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
-    let connections = Rc::new(Connections::new(Standing));
+    let connections = Rc::new(ConnectionRegistry::new(Standing));
     let desk = Rc::new(Desk { connections, date: DateHeader::default(), serves: Cell::new(true) });
     let (_, adopted) = mpsc::unbounded_channel();
     let descriptors = Arc::new(Semaphore::new(descriptors));
@@ -349,15 +350,22 @@
         let settings = Settings { classes: vec![class], plans: vec![Plan::default()], ..Settings::default() };
         let long = Duration::from_secs(60);
         let (counts, descriptors) = (Rc::new(Counts::default()), Arc::new(Semaphore::new(16)));
-        let backends = Backends::new(SystemClock, Tcp, descriptors, long, long, counts, Rc::new(PassesAll));
+        let backends =
+            UpstreamPool::new(SystemClock, Tcp, descriptors, long, long, counts, Rc::new(PassesAll));
         let backends = Rc::new(backends);
-        let host = Host { meter: None, hooks: None, released: Box::new(|_| ()), clock_before: None };
-        let door = Door::new(SystemClock, settings, 1, host, backends.clone()).expect("settings that hold");
-        backends.put(1, "n1", at, true);
+        let host = DispatcherOptions {
+            meter: None,
+            hooks: None,
+            on_release: Box::new(|_| ()),
+            inherited_clock: None,
+        };
+        let door =
+            Dispatcher::new(SystemClock, settings, 1, host, backends.clone()).expect("settings that hold");
+        backends.upsert(1, "n1", at, true);
         let entry =
             ServerEntry { id: 1, zone: 0, cell: 0, share: 1.0, lifecycle: Lifecycle::Ready, launched: None };
         door.handle(Event::Servers { kind: ListKind::Full, entries: vec![entry] });
-        spawn_local(door.clone().keep_time());
+        spawn_local(door.clone().run_timers());
         let mut cases = Vec::new();
         for (name, method, uri, body) in [
             ("get", Method::GET, "/", ""),
@@ -383,13 +391,13 @@
                 expires_in: 0.0,
                 repeat: false,
             };
-            let body = Carried::Whole(Bytes::from_static(body.as_bytes()));
-            let message = Message { method, uri: Uri::from_static(uri), headers, body };
-            let ticket = door.admit(request, door.unnamed(), message, long).expect("a name of its own");
-            let answer = match ticket.answer().await {
-                door::Answer::Served(answer) => answer.status().to_string(),
-                door::Answer::Refused(wait) => format!("refused for {wait}"),
-                door::Answer::Failed => "failed".to_string(),
+            let body = RequestBody::Complete(Bytes::from_static(body.as_bytes()));
+            let message = UpstreamRequest { method, uri: Uri::from_static(uri), headers, body };
+            let pending = door.admit(request, door.generate_id(), message, long).expect("a name of its own");
+            let answer = match pending.outcome().await {
+                RequestOutcome::Served(answer) => answer.status().to_string(),
+                RequestOutcome::Rejected(wait) => format!("refused for {wait}"),
+                RequestOutcome::Failed => "failed".to_string(),
             };
             let request = told.recv().await.expect("a request");
             cases.push((name.to_string(), format!("{} -> {answer}", plain(&request))));
--- a/crates/brassport/src/clients.rs
+++ b/crates/brassport/src/clients.rs
@@ -1,25 +1,25 @@
 //! The clients' side: reads requests, checks them and writes the answers.
 
-use crate::backends::{Backends, Carried, Message, Uploading};
-use crate::bodies::pace::Pace;
-use crate::bodies::upload::{Progress, Upload};
-use crate::bodies::{read, Answer, Outgoing, Problem, Read, HELD_LIMIT};
 use crate::clock::Clock;
 use crate::config::Assumed;
-use crate::connections::{ClientConnection, Connections};
 use crate::date::DateHeader;
-use crate::door::{Answer as Verdict, Door};
+use crate::door::{Door, RequestOutcome};
 use crate::mutants::mutant;
 use crate::network::Network;
-use crate::protocol::AttemptCounts;
+use crate::protocol::{AttemptEvent, AttemptObserver};
 use crate::run::handover::links::{HandOver, Links};
 use crate::run::metrics::Figures;
 use crate::run::metrics::{Ended, Life};
 use crate::run::terms::Terms;
 use crate::shutdown::{Phase, Shutdown};
 use brassport_policy::{Effect, Settings};
-use brassport_proxy::answers::{come_back, is_ambiguous, pass_on, text};
-use brassport_proxy::clients::Service;
+use brassport_proxy::body::pace::TransferPace;
+use brassport_proxy::body::upload::{Upload, UploadProgress};
+use brassport_proxy::body::{read_body, ReadBody, ReadError, ResponseBody, UpstreamBody, MAX_BUFFERED_BYTES};
+use brassport_proxy::downstream::DownstreamService;
+use brassport_proxy::downstream::{ConnectionRegistry, DownstreamConnection};
+use brassport_proxy::responses::{forwarded_headers, has_ambiguous_length, plain_text, retry_later};
+use brassport_proxy::upstream::{RequestBody, StreamingUpload, UpstreamPool, UpstreamRequest};
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::http::request::Parts;
@@ -47,13 +47,13 @@
 pub struct Context<C: Clock, N: Network> {
     pub clock: C,
     pub door: Rc<Door<C, N>>,
-    pub backends: Rc<Backends<C, N>>,
+    pub backends: Rc<UpstreamPool<C, N>>,
     pub assumed: Option<Assumed>,
     pub terms: RefCell<Rc<Terms>>,
     pub shutdown: Rc<Shutdown>,
     pub date: DateHeader,
     /// All connections of clients.
-    pub connections: Rc<Connections<C>>,
+    pub connections: Rc<ConnectionRegistry<C>>,
     /// Bytes that the bodies in flight may still take, all together.
     pub bodies: Semaphore,
     pub figures: Rc<Figures>,
@@ -67,16 +67,16 @@
     }
 }
 
-impl<C: Clock, N: Network> Service for Context<C, N> {
+impl<C: Clock, N: Network> DownstreamService for Context<C, N> {
     type Clock = C;
     type Network = N;
-    type Life = Option<Life>;
+    type RequestContext = Option<Life>;
 
     fn clock(&self) -> &C {
         &self.clock
     }
 
-    fn connections(&self) -> &Rc<Connections<C>> {
+    fn connections(&self) -> &Rc<ConnectionRegistry<C>> {
         &self.connections
     }
 
@@ -84,40 +84,40 @@
         &self.date
     }
 
-    fn begin(&self, request: &Request<Incoming>) -> Option<Life> {
+    fn on_request(&self, request: &Request<Incoming>) -> Option<Life> {
         life(self, request)
     }
 
-    fn answer(
+    fn respond(
         &self,
         request: Request<Incoming>,
-        client: &ClientConnection<C>,
+        client: &DownstreamConnection<C>,
         life: &Option<Life>,
-    ) -> impl Future<Output = Result<Response<Answer>, Response<Answer>>> {
+    ) -> impl Future<Output = Result<Response<ResponseBody>, Response<ResponseBody>>> {
         answer(self, request, client, life)
     }
 
-    fn turn_away(&self) -> Response<Answer> {
+    fn overload_response(&self) -> Response<ResponseBody> {
         refusal(self.terms().settings().max_retry_after)
     }
 
-    fn answered(life: &Option<Life>, status: StatusCode) {
+    fn on_response(life: &Option<Life>, status: StatusCode) {
         if let Some(life) = life {
             life.end(Ended::from(status));
         }
     }
 
-    fn passed(life: &Option<Life>, whole: bool) {
+    fn on_stream_end(life: &Option<Life>, whole: bool) {
         if let Some(life) = life {
             life.end(if whole { Ended::Completed } else { Ended::Failed });
         }
     }
 
-    fn shed_idle(&self) -> bool {
-        self.backends.shed_idle()
+    fn evict_idle(&self) -> bool {
+        self.backends.evict_idle()
     }
 
-    fn serves(&self) -> bool {
+    fn is_serving(&self) -> bool {
         self.shutdown.phase() == Phase::Serving && !self.links.is_given()
     }
 
@@ -125,20 +125,20 @@
         self.shutdown.closing()
     }
 
-    fn accepts(&self) -> bool {
+    fn is_accepting(&self) -> bool {
         self.links.state() == HandOver::Not
     }
 
     // Whoever holds the place accepts.
-    fn accepting(&self, accepts: bool) -> impl Future<Output = ()> {
+    fn until_accepting(&self, accepts: bool) -> impl Future<Output = ()> {
         self.links.until(move |state| (state == HandOver::Not) == accepts)
     }
 
-    fn is_given(&self) -> bool {
+    fn is_handed_over(&self) -> bool {
         self.links.is_given()
     }
 
-    fn given(&self) -> impl Future<Output = ()> {
+    fn handed_over(&self) -> impl Future<Output = ()> {
         self.links.until(|state| state == HandOver::Given)
     }
 
@@ -151,22 +151,26 @@
 async fn answer<C: Clock, N: Network>(
     context: &Context<C, N>,
     request: Request<Incoming>,
-    client: &ClientConnection<C>,
+    client: &DownstreamConnection<C>,
     life: &Option<Life>,
-) -> Result<Response<Answer>, Response<Answer>> {
-    if is_ambiguous(request.headers(), client) {
-        return Err(text(StatusCode::BAD_REQUEST, "Transfer-Encoding beside something else"));
+) -> Result<Response<ResponseBody>, Response<ResponseBody>> {
+    if has_ambiguous_length(request.headers(), client) {
+        return Err(plain_text(StatusCode::BAD_REQUEST, "Transfer-Encoding beside something else"));
     }
     if request.method() == Method::GET && request.uri().path() == "/healthz" {
         let serves = context.shutdown.phase() == Phase::Serving && context.door.may_act().is_ok();
         let up = serves && context.backends.any_ready();
-        return Ok(text(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, ""));
+        return Ok(plain_text(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, ""));
     }
     let (head, mut body) = request.into_parts();
     let terms = context.terms();
-    let asked = check(&head, context, &terms).map_err(|problem| text(StatusCode::BAD_REQUEST, problem))?;
+    let asked =
+        check(&head, context, &terms).map_err(|problem| plain_text(StatusCode::BAD_REQUEST, problem))?;
     // Guards against bodies that fill the memory: what may be held is set aside before the first byte.
-    let most = body.size_hint().upper().map_or(HELD_LIMIT, |most| most.min(HELD_LIMIT as u64) as usize);
+    let most = body
+        .size_hint()
+        .upper()
+        .map_or(MAX_BUFFERED_BYTES, |most| most.min(MAX_BUFFERED_BYTES as u64) as usize);
     let most_wait = terms.settings().max_retry_after;
     let room = context.bodies.try_acquire_many(most as u32);
     let room = room.map_err(|_| refusal(most_wait))?;
@@ -176,21 +180,32 @@
     } else {
         Some(room)
     };
-    let mut pace = Pace::new(client.waited());
-    let read = match read(&context.clock, &mut body, &mut pace).await {
+    let mut pace = TransferPace::new(client.request_age());
+    let read = match read_body(&context.clock, &mut body, &mut pace).await {
         Ok(read) => read,
-        Err(Problem::Broken) => return Err(text(StatusCode::BAD_REQUEST, "the body is broken")),
-        Err(Problem::TooLong) => return Err(text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long")),
-        Err(Problem::TooSlow) => return Err(text(StatusCode::REQUEST_TIMEOUT, "the body did not come")),
+        Err(ReadError::Incomplete) => return Err(plain_text(StatusCode::BAD_REQUEST, "the body is broken")),
+        Err(ReadError::TooLong) => {
+            return Err(plain_text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"))
+        }
+        Err(ReadError::TooSlow) => {
+            return Err(plain_text(StatusCode::REQUEST_TIMEOUT, "the body did not come"))
+        }
     };
     let patience = if mutant!(ForgetDeadline) { Duration::from_secs(3600) } else { asked.patience };
     let patience = patience.saturating_sub(MARGIN);
     let (body, progress) = match read {
-        Read::Whole(bytes) => (Carried::Whole(bytes), None),
-        Read::Long(first) => {
+        ReadBody::Complete(bytes) => (RequestBody::Complete(bytes), None),
+        ReadBody::Partial(first) => {
             let (upload, progress) = Upload::new(context.clock.clone(), first, body, pace);
-            let body = RefCell::new(Some(Outgoing::Coming(Box::pin(upload))));
-            (Carried::Coming(Uploading { body, progress: progress.clone(), patience }), Some(progress))
+            let body = RefCell::new(Some(UpstreamBody::Streaming(Box::pin(upload))));
+            (
+                RequestBody::Streaming(StreamingUpload {
+                    body,
+                    progress: progress.clone(),
+                    client_timeout: patience,
+                }),
+                Some(progress),
+            )
         }
     };
     if let (Some(life), None) = (&life, &progress) {
@@ -206,30 +221,34 @@
         let refusal = out_of_service(wait);
         return if is_whole(&progress) { Ok(refusal) } else { Err(refusal) };
     }
-    let message =
-        Message { method: head.method, uri: asked.uri, headers: pass_on(head.headers, &OWN, &[]), body };
-    let Some(ticket) = context.door.admit(asked.request, asked.id, message, patience) else {
-        return Err(text(StatusCode::CONFLICT, "a request of this id is open"));
+    let message = UpstreamRequest {
+        method: head.method,
+        uri: asked.uri,
+        headers: forwarded_headers(head.headers, &OWN, &[]),
+        body,
+    };
+    let Some(pending) = context.door.admit(asked.request, asked.id, message, patience) else {
+        return Err(plain_text(StatusCode::CONFLICT, "a request of this id is open"));
     };
     if let Some(progress) = &progress {
-        let (begins, taken) = (ticket.at_whole(), life.as_ref().map(Life::at_taken));
+        let (begins, taken) = (pending.completion_callback(), life.as_ref().map(Life::at_taken));
         let figures = context.figures.clone();
-        progress.at_whole(move || {
-            figures.attempt_written();
+        progress.on_complete(move || {
+            figures.on_attempt(AttemptEvent::Written);
             taken.into_iter().for_each(|taken| taken());
             begins();
         });
     }
-    let response = match ticket.answer().await {
-        Verdict::Served(served) => {
+    let response = match pending.outcome().await {
+        RequestOutcome::Served(served) => {
             let (head, body) = served.into_parts();
             let mut response = Response::new(body);
-            *response.headers_mut() = pass_on(head.headers, &OWN, &[]);
+            *response.headers_mut() = forwarded_headers(head.headers, &OWN, &[]);
             response
         }
-        Verdict::Refused(wait) => refusal(wait),
-        Verdict::Failed if mutant!(RefuseAfterMayHaveRun) => refusal(0.0),
-        Verdict::Failed => text(StatusCode::GATEWAY_TIMEOUT, "no answer of a backend"),
+        RequestOutcome::Rejected(wait) => refusal(wait),
+        RequestOutcome::Failed if mutant!(RefuseAfterMayHaveRun) => refusal(0.0),
+        RequestOutcome::Failed => plain_text(StatusCode::GATEWAY_TIMEOUT, "no answer of a backend"),
     };
     if is_whole(&progress) {
         Ok(response)
@@ -239,8 +258,8 @@
 }
 
 /// Whether all of a request has come. An answer before that is the last on its connection: the rest of the body follows.
-fn is_whole(progress: &Option<Rc<Progress>>) -> bool {
-    progress.as_ref().is_none_or(|progress| progress.whole().is_some())
+fn is_whole(progress: &Option<Rc<UploadProgress>>) -> bool {
+    progress.as_ref().is_none_or(|progress| progress.completed_at().is_some())
 }
 
 /// The request for the figures, if it is of a class.
@@ -256,13 +275,13 @@
 }
 
 /// A refusal, with advice on when to come back if there is any, in milliseconds.
-fn refusal(wait: f64) -> Response<Answer> {
-    come_back(StatusCode::TOO_MANY_REQUESTS, wait)
+fn refusal(wait: f64) -> Response<ResponseBody> {
+    retry_later(StatusCode::TOO_MANY_REQUESTS, wait)
 }
 
 /// The refusal of a door that may not act: it is the door that is out, not its client that asks for too much.
-fn out_of_service(wait: f64) -> Response<Answer> {
-    come_back(StatusCode::SERVICE_UNAVAILABLE, wait)
+fn out_of_service(wait: f64) -> Response<ResponseBody> {
+    retry_later(StatusCode::SERVICE_UNAVAILABLE, wait)
 }
 
 /// A request that makes sense.
@@ -287,7 +306,7 @@
     let assumed = context.assumed;
     let id = match field("x-request-id") {
         // A name of its own, that no client's can be: `~` is not in their alphabet.
-        None if assumed.is_some() && head.method == Method::GET => Some(context.door.unnamed()),
+        None if assumed.is_some() && head.method == Method::GET => Some(context.door.generate_id()),
         id => id.and_then(named),
     };
     let id = id.ok_or("X-Request-Id is missing or no id")?;
--- a/crates/brassport/src/discovery.rs
+++ b/crates/brassport/src/discovery.rs
@@ -1,12 +1,12 @@
 //! Discovery: follows the list of backends and hands on each change.
 
 use crate::clock::Clock;
-use crate::connection::Connection;
 use crate::log;
 use crate::mutants::mutant;
 use crate::network::Network;
 use crate::revisions::Revisions;
 use brassport_membership::book::{self, Entry, Report};
+use brassport_proxy::upstream::UpstreamConnection;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -195,7 +195,11 @@
     ///
     /// Guards against sending to drained nodes behind an agent that was silent: what it has counts as told from
     /// the moment it has it, and a call that came while it was silent may stay without an answer for good.
-    async fn ask_until_told(&self, address: SocketAddr, again: Duration) -> (Connection<N::Stream>, List) {
+    async fn ask_until_told(
+        &self,
+        address: SocketAddr,
+        again: Duration,
+    ) -> (UpstreamConnection<N::Stream>, List) {
         let mut calls = FuturesUnordered::new();
         loop {
             calls.push(self.clock.timeout(WAIT + OVERDUE, async {
@@ -217,7 +221,7 @@
     /// One call: the whole list, or what is newer than the version `after`.
     async fn ask(
         &self,
-        connection: &mut Option<Connection<N::Stream>>,
+        connection: &mut Option<UpstreamConnection<N::Stream>>,
         address: SocketAddr,
         after: Option<u64>,
     ) -> Option<List> {
@@ -228,22 +232,23 @@
         let request =
             Request::get(path).header(HOST, address.to_string()).body(Full::<Bytes>::default()).ok()?;
         if let Some(open) = connection {
-            if !open.is_usable().await {
+            if !open.is_reusable().await {
                 *connection = None;
             }
         }
         let open = match connection {
             Some(open) => open,
             None => {
-                let open = async { Connection::over(self.network.connect(address).await?).await };
+                let open =
+                    async { UpstreamConnection::handshake(self.network.connect(address).await?).await };
                 connection.insert(self.clock.timeout(CONNECT, open).await?.ok()?)
             }
         };
-        let (head, body) = open.begin(request).await.ok()?.into_parts();
+        let (head, body) = open.send(request).await.ok()?.into_parts();
         if head.status != StatusCode::OK {
             return self.complain(format!("it answers {}", head.status));
         }
-        let Some(body) = open.rest(body, self.most).await.ok()? else {
+        let Some(body) = open.read_to_end(body, self.most).await.ok()? else {
             return self.complain(format!(
                 "its list is longer than {} bytes, a part of limits.memory_mb; give the door more memory",
                 self.most
--- a/crates/brassport/src/door.rs
+++ b/crates/brassport/src/door.rs
@@ -1,9 +1,8 @@
 //! The door: the list of nodes, what staff told of them and the hand-over to another process, round the owner of the
 //! decision module. It decides nothing.
 
-use crate::backends::{Backends, Message};
 use crate::clock::Clock;
-use crate::hooks::Hooks;
+use crate::hooks::RequestHooks;
 use crate::local_meter::LocalMeter;
 use crate::log;
 use crate::mutants::mutant;
@@ -17,8 +16,9 @@
 use brassport_membership::book::{Entry, State};
 use brassport_policy::{CustomerId, Event, InvalidSetting, Lifecycle, ListKind, Millis};
 use brassport_policy::{Request, ServerEntry, ServerId, Settings};
-use brassport_proxy::door as owner;
-pub use brassport_proxy::door::{Answer, Ticket};
+use brassport_proxy::dispatch;
+pub use brassport_proxy::dispatch::{PendingRequest, RequestOutcome};
+use brassport_proxy::upstream::{UpstreamPool, UpstreamRequest};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -38,16 +38,16 @@
 pub struct Host {
     pub zones: Vec<String>,
     pub local_meter: Option<LocalMeter>,
-    pub hooks: Option<Rc<dyn Hooks>>,
+    pub hooks: Option<Rc<dyn RequestHooks>>,
     pub links: Rc<Links>,
     /// The clock of the process whose place this one takes: its time, and the Unix time of its start.
     pub clock_before: Option<(Millis, Millis)>,
 }
 
 pub struct Door<C: Clock, N: Network> {
-    owner: Rc<owner::Door<C, N>>,
+    dispatcher: Rc<dispatch::Dispatcher<C, N>>,
     zones: RefCell<Vec<String>>,
-    backends: Rc<Backends<C, N>>,
+    backends: Rc<UpstreamPool<C, N>>,
     inner: RefCell<Inner>,
     links: Rc<Links>,
 }
@@ -58,17 +58,17 @@
         settings: Settings,
         seed: u64,
         host: Host,
-        backends: Rc<Backends<C, N>>,
+        backends: Rc<UpstreamPool<C, N>>,
     ) -> Result<Rc<Door<C, N>>, InvalidSetting> {
         let links = host.links.clone();
-        let surroundings = owner::Host {
-            meter: host.local_meter.map(|meter| Box::new(meter) as Box<dyn owner::Meter>),
+        let surroundings = dispatch::DispatcherOptions {
+            meter: host.local_meter.map(|meter| Box::new(meter) as Box<dyn dispatch::UsageMeter>),
             hooks: host.hooks,
-            released: Box::new(move |customer| links.tell_successor(|| Told::Released(customer))),
-            clock_before: host.clock_before,
+            on_release: Box::new(move |customer| links.tell_successor(|| Told::Released(customer))),
+            inherited_clock: host.clock_before,
         };
         Ok(Rc::new(Door {
-            owner: owner::Door::new(clock, settings, seed, surroundings, backends.clone())?,
+            dispatcher: dispatch::Dispatcher::new(clock, settings, seed, surroundings, backends.clone())?,
             zones: RefCell::new(host.zones),
             backends,
             inner: RefCell::default(),
@@ -81,45 +81,45 @@
         &self,
         request: Request,
         name: String,
-        message: Message,
+        message: UpstreamRequest,
         patience: Duration,
-    ) -> Option<Ticket<C, N>> {
-        self.owner.admit(request, name, message, patience)
+    ) -> Option<PendingRequest<C, N>> {
+        self.dispatcher.admit(request, name, message, patience)
     }
 
     /// Whether the host lets this door act now; if not, how long clients are to wait.
     pub fn may_act(&self) -> Result<(), Millis> {
-        self.owner.may_act()
+        self.dispatcher.may_act()
     }
 
     /// The plan that the host knows of this customer.
     pub fn plan_of(&self, customer: CustomerId) -> Option<usize> {
-        self.owner.plan_of(customer)
+        self.dispatcher.plan_of(customer)
     }
 
     /// The module's limit on attempts out, and its room.
     pub fn room(&self) -> (f64, f64) {
-        self.owner.room()
+        self.dispatcher.capacity()
     }
 
     /// A name for a request whose client gave it none; no client can give it.
-    pub fn unnamed(&self) -> String {
-        self.owner.unnamed()
+    pub fn generate_id(&self) -> String {
+        self.dispatcher.generate_id()
     }
 
     /// How many requests await their answer or the end of an attempt.
     pub fn in_flight(&self) -> usize {
-        self.owner.in_flight()
+        self.dispatcher.in_flight()
     }
 
     /// Fails all that is still in flight, as the program has to end.
     pub fn fail_all(&self) {
-        self.owner.fail_all();
+        self.dispatcher.fail_all();
     }
 
     /// Wakes the module when its timers are due.
-    pub fn keep_time(&self) -> impl Future<Output = ()> + 'static {
-        self.owner.clone().keep_time()
+    pub fn run_timers(&self) -> impl Future<Output = ()> + 'static {
+        self.dispatcher.clone().run_timers()
     }
 
     /// Takes in the list of backends or a change to it, for itself and for the module.
@@ -130,9 +130,9 @@
             let entry = self.entry(id, &node);
             match node.address {
                 Some(at) if entry.lifecycle != Lifecycle::Gone => {
-                    self.backends.put(id, &node.id, at, entry.lifecycle == Lifecycle::Ready);
+                    self.backends.upsert(id, &node.id, at, entry.lifecycle == Lifecycle::Ready);
                 }
-                None if entry.lifecycle != Lifecycle::Gone => self.backends.put_nowhere(id, &node.id),
+                None if entry.lifecycle != Lifecycle::Gone => self.backends.upsert_unreachable(id, &node.id),
                 _ => self.backends.retain(|other| other != id),
             }
             entries.push(entry);
@@ -146,7 +146,7 @@
         for entry in entries.iter().filter(|entry| entry.lifecycle == Lifecycle::Gone) {
             self.inner.borrow_mut().listed.remove(&entry.id);
         }
-        self.owner.handle(Event::Servers { kind, entries });
+        self.dispatcher.handle(Event::Servers { kind, entries });
     }
 
     /// Notes what the list says of a backend. Returns its number and what holds with the bans laid over that.
@@ -162,7 +162,7 @@
     /// Other settings hold from now on; a class or a plan keeps its index.
     pub fn settle(self: &Rc<Self>, zones: Vec<String>, settings: Settings) {
         self.zones.replace(zones);
-        self.owner.settle(settings);
+        self.dispatcher.apply_settings(settings);
     }
 
     /// Carries out what staff ask; it is in force when this returns.
@@ -177,7 +177,7 @@
                 Told::Ban { node, boot_ms }
             }
             Call::Enable(node) => {
-                let at_ms = self.owner.clock().unix().as_secs_f64() * 1000.0;
+                let at_ms = self.dispatcher.clock().unix().as_secs_f64() * 1000.0;
                 Told::CallBack { node, at_ms }
             }
         };
@@ -217,21 +217,26 @@
     pub fn hand_over(self: &Rc<Self>, most: usize) -> Offer {
         let offer = {
             let inner = self.inner.borrow();
-            let clock = self.owner.clock();
+            let clock = self.dispatcher.clock();
             Offer {
                 now_ms: clock.now(),
                 start_unix_ms: clock.start_unix(),
                 bans: inner.bans.clone(),
                 listed: inner.listed.values().map(Into::into).collect(),
-                learned: self.owner.look(|gateway| gateway.heritage(most)),
-                out: self.owner.out().into_iter().chain(inner.out_elsewhere.iter().copied()).collect(),
+                learned: self.dispatcher.inspect(|gateway| gateway.heritage(most)),
+                out: self
+                    .dispatcher
+                    .attempts_in_flight()
+                    .into_iter()
+                    .chain(inner.out_elsewhere.iter().copied())
+                    .collect(),
                 newest: None,
                 file: String::new(),
                 terms: Terms::default(),
                 descriptors: 0,
             }
         };
-        self.owner.handle(Event::HandOver);
+        self.dispatcher.handle(Event::HandOver);
         offer
     }
 
@@ -242,14 +247,14 @@
             inner.bans = offer.bans;
             inner.out_elsewhere.clone_from(&offer.out);
         }
-        self.owner.handle(Event::Inherit { learned: offer.learned, out: offer.out });
+        self.dispatcher.handle(Event::Inherit { learned: offer.learned, out: offer.out });
         let listed: Vec<Entry> = offer.listed.into_iter().map(Into::into).collect();
         self.servers(ListKind::Cached, &listed);
     }
 
     /// The process that took this one's place has ended.
     pub fn take_back(self: &Rc<Self>) {
-        self.owner.handle(Event::TakeBack);
+        self.dispatcher.handle(Event::TakeBack);
     }
 
     /// An attempt of this customer has ended in the process whose place this one took.
@@ -260,7 +265,7 @@
             out.swap_remove(place);
         }
         self.links.tell_successor(|| Told::Released(customer));
-        self.owner.handle(Event::Released(customer));
+        self.dispatcher.handle(Event::Released(customer));
     }
 
     /// That process has ended, and all its attempts with it.
@@ -271,8 +276,8 @@
 
     fn list_figures(&self) -> ListFigures {
         let inner = self.inner.borrow();
-        let now = self.owner.clock().now();
-        let avoids = |id| self.owner.look(|gateway| gateway.avoids(id, now));
+        let now = self.dispatcher.clock().now();
+        let avoids = |id| self.dispatcher.inspect(|gateway| gateway.avoids(id, now));
         let avoided = |(id, told): &(&ServerId, &Entry)| {
             let holds = inner.bans.laid_over(told);
             holds.state != State::Ready || holds.address.is_none() || avoids(**id)
@@ -293,7 +298,7 @@
                 State::Gone => Lifecycle::Gone,
             },
             launched: (node.boot_ms > 0.0 && !mutant!(ColdIgnored))
-                .then(|| self.owner.clock().of_unix(node.boot_ms)),
+                .then(|| self.dispatcher.clock().at_unix(node.boot_ms)),
         }
     }
 }
--- a/crates/brassport/src/lib.rs
+++ b/crates/brassport/src/lib.rs
@@ -35,6 +35,7 @@
 pub mod run;
 mod upstream;
 
-use brassport_proxy::{backends, connections, date, protocol, shutdown};
-pub use brassport_proxy::{bodies, clock, connection, hooks, log, mutants, network};
+pub use brassport_proxy::upstream::UpstreamConnection;
+pub use brassport_proxy::{clock, hooks, log, mutants, network};
+use brassport_proxy::{date, protocol, shutdown};
 pub use program::{front_door, front_door_with, Control, Inspection, Look, Surroundings, Upgrades};
--- a/crates/brassport/src/local_meter.rs
+++ b/crates/brassport/src/local_meter.rs
@@ -2,7 +2,7 @@
 //! from the door's own attempts, in the same terms and no sooner. No I/O.
 
 use brassport_policy::{CustomerId, Millis, Settings};
-use brassport_proxy::door::Meter;
+use brassport_proxy::dispatch::UsageMeter;
 use std::collections::BTreeMap;
 
 #[derive(Debug, Default)]
@@ -49,8 +49,8 @@
     }
 }
 
-impl Meter for LocalMeter {
-    fn count(&mut self, now: Millis, customer: CustomerId, units: f64) {
+impl UsageMeter for LocalMeter {
+    fn record(&mut self, now: Millis, customer: CustomerId, units: f64) {
         self.current(now, customer).units += units;
     }
 
@@ -60,7 +60,7 @@
         (quota > 0.0).then(|| before / quota)
     }
 
-    fn settle(&mut self, settings: &Settings) {
+    fn apply_settings(&mut self, settings: &Settings) {
         let period = settings.meter_period.max(1.0);
         if period != self.period {
             // Its periods are counted in another measure from here on.
@@ -78,11 +78,11 @@
     #[test]
     fn a_reading_tells_of_the_last_finished_period_alone() {
         let mut meter = LocalMeter::new(1000.0, vec![10.0, 0.0]);
-        meter.count(100.0, 7, 3.0);
-        meter.count(900.0, 7, 2.0);
+        meter.record(100.0, 7, 3.0);
+        meter.record(900.0, 7, 2.0);
         assert_eq!(meter.reading(950.0, 7, 0), Some(0.0), "the period is not over");
         assert_eq!(meter.reading(1000.0, 7, 0), Some(0.5));
-        meter.count(1500.0, 7, 20.0);
+        meter.record(1500.0, 7, 20.0);
         assert_eq!(meter.reading(1999.0, 7, 0), Some(0.5));
         assert_eq!(meter.reading(2000.0, 7, 0), Some(2.0));
         assert_eq!(meter.reading(3000.0, 7, 0), Some(0.0), "a period without use");
@@ -94,9 +94,9 @@
     fn customers_that_stay_away_are_forgotten() {
         let mut meter = LocalMeter::new(1000.0, vec![10.0, 0.0]);
         for customer in 0..1000 {
-            meter.count(10.0, customer, 1.0);
+            meter.record(10.0, customer, 1.0);
         }
-        meter.count(5000.0, 1, 1.0);
+        meter.record(5000.0, 1, 1.0);
         assert_eq!(meter.customers.len(), 1);
     }
 }
--- a/crates/brassport/src/program.rs
+++ b/crates/brassport/src/program.rs
@@ -1,15 +1,13 @@
 //! The whole front door: wiring, planned end, reload. Which clock, network and signals it runs on is its host's
 //! choice.
 
-use crate::backends::Backends;
 use crate::clients::Context;
 use crate::clock::Clock;
 use crate::config::{Config, Names, Origin};
-use crate::connections::Connections;
 use crate::date::DateHeader;
 use crate::discovery::{self, Watch};
 use crate::door::{Door, Host};
-use crate::hooks::Hooks;
+use crate::hooks::RequestHooks;
 use crate::local_meter::LocalMeter;
 use crate::log;
 use crate::members::{Members, Place};
@@ -24,7 +22,9 @@
 use crate::upstream::Upstream;
 use brassport_membership::book::{Book, Moment, Report, Source};
 use brassport_policy::{ListKind, Settings};
-use brassport_proxy::clients::serve;
+use brassport_proxy::downstream::serve;
+use brassport_proxy::downstream::ConnectionRegistry;
+use brassport_proxy::upstream::UpstreamPool;
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
 use std::pin::pin;
@@ -83,7 +83,7 @@
 #[derive(Default)]
 pub struct Surroundings {
     /// Looks on at each request.
-    pub hooks: Option<Rc<dyn Hooks>>,
+    pub hooks: Option<Rc<dyn RequestHooks>>,
     /// The operators' listener.
     pub operators: Option<Operators>,
     /// Where a process that takes this one's place asks for it, and the place that this one took.
@@ -153,7 +153,7 @@
 /// Takes the settings of a file that was read anew, all of them or none.
 fn reload<C: Clock, N: Network>(config: Config, context: &Context<C, N>) -> Result<Config, String> {
     settle(&config.names, &config.settings, context)?;
-    context.backends.settle(config.connect_timeout, config.idle_timeout);
+    context.backends.set_timeouts(config.connect_timeout, config.idle_timeout);
     Ok(config)
 }
 
@@ -223,7 +223,7 @@
     let listener = Rc::new(listener);
     let figures = Rc::new(Figures::default());
     config.names.classes.iter().for_each(|class| figures.name_class(class));
-    let backends = Rc::new(Backends::new(
+    let backends = Rc::new(UpstreamPool::new(
         clock.clone(),
         network.clone(),
         descriptors.clone(),
@@ -265,7 +265,7 @@
             spawn_local(feed(Rc::new(move |report| members.take(first + place, report))));
         }
     }
-    spawn_local(door.keep_time());
+    spawn_local(door.run_timers());
     let discovery = config.discovery.map(|address| {
         let (discovery, seen) = watch::channel(address);
         let reader = Place(members.clone(), 0);
@@ -295,7 +295,7 @@
         terms: RefCell::new(Rc::new(terms)),
         shutdown: shutdown.clone(),
         date: DateHeader::default(),
-        connections: Rc::new(Connections::new(clock.clone())),
+        connections: Rc::new(ConnectionRegistry::new(clock.clone())),
         bodies: Semaphore::new(most_bodies),
         figures: figures.clone(),
         links: links.clone(),
--- a/crates/brassport/src/run/handover/mod.rs
+++ b/crates/brassport/src/run/handover/mod.rs
@@ -13,7 +13,7 @@
 use crate::log;
 use crate::network::Network;
 use crate::shutdown::Phase;
-use brassport_proxy::clients::Adopted;
+use brassport_proxy::downstream::AdoptedConnection;
 use link::Link;
 use links::{HandOver, Links};
 use protocol::{Giver, GiverDoes, Heard, Message, Offer, Taker, TakerDoes, VERSION};
@@ -241,7 +241,7 @@
     pub descriptors: Arc<Semaphore>,
     /// Descriptors that the other process still has, and that are this one's once it has ended.
     pub owed: usize,
-    pub clients: mpsc::UnboundedSender<Adopted<N::Stream>>,
+    pub clients: mpsc::UnboundedSender<AdoptedConnection<N::Stream>>,
 }
 
 impl<C: Clock, N: Network> Heir<C, N> {
@@ -272,7 +272,11 @@
                 // Its descriptor comes with it.
                 self.add(1);
                 if let Some(stream) = stream {
-                    let _ = self.clients.send(Adopted { stream, read: read.into(), asked });
+                    let _ = self.clients.send(AdoptedConnection {
+                        stream,
+                        buffered: read.into(),
+                        request_count: asked,
+                    });
                 }
             }
             Message::Descriptors(free) => self.add(free),
--- a/crates/brassport/src/run/metrics.rs
+++ b/crates/brassport/src/run/metrics.rs
@@ -3,7 +3,7 @@
 //! A request has one [`Life`], which counts its end once, whatever way out it takes. At any moment
 //! `taken = completed + rejected + failed + pending` holds for each class.
 
-use crate::protocol::AttemptCounts;
+use crate::protocol::{AttemptEvent, AttemptObserver};
 use hyper::StatusCode;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -113,13 +113,16 @@
     }
 }
 
-impl AttemptCounts for Figures {
-    fn attempt_written(&self) {
-        add_one(&self.attempts);
-    }
-
-    fn attempt_unwritten(&self) {
-        self.attempts.set(self.attempts.get() - 1);
+impl AttemptObserver for Figures {
+    fn on_attempt(&self, event: AttemptEvent) {
+        match event {
+            AttemptEvent::Written => {
+                add_one(&self.attempts);
+            }
+            AttemptEvent::NotWritten => {
+                self.attempts.set(self.attempts.get() - 1);
+            }
+        }
     }
 }
 
@@ -241,7 +244,7 @@
     fn what_is_told_besides() {
         let figures = Figures::default();
         figures.name_class("preview");
-        figures.attempt_written();
+        figures.on_attempt(AttemptEvent::Written);
         figures.reloaded(true);
         figures.reloaded(false);
         figures.reloaded(false);
--- a/crates/brassport/src/upstream.rs
+++ b/crates/brassport/src/upstream.rs
@@ -1,7 +1,7 @@
 //! What the front door says to a node and reads from its answers.
 
 use crate::mutants::mutant;
-use crate::protocol::{Judged, Protocol};
+use crate::protocol::{ResponseVerdict, UpstreamProtocol};
 use brassport_policy::Outcome;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
@@ -16,14 +16,14 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Upstream;
 
-impl Protocol for Upstream {
-    fn address(&self, headers: &mut HeaderMap, left: Duration, _node: &str) {
+impl UpstreamProtocol for Upstream {
+    fn annotate(&self, headers: &mut HeaderMap, left: Duration, _node: &str) {
         if let Ok(left) = HeaderValue::from_str(&format!("{}u", left.as_micros())) {
             headers.insert("x-deadline", left);
         }
     }
 
-    fn judge(&self, _asked: &HeaderMap, answer: &Parts) -> Judged {
+    fn classify(&self, _asked: &HeaderMap, answer: &Parts) -> ResponseVerdict {
         let header = |name| answer.headers.get(name).and_then(|value| value.to_str().ok());
         let used = used(&answer.headers);
         let turned_away =
@@ -35,7 +35,13 @@
             // Anything else may have run.
             _ => Outcome::Error,
         };
-        Judged { outcome, used, passes: outcome == Outcome::Ok, reusable: true, keeps: None }
+        ResponseVerdict {
+            outcome,
+            quota_used: used,
+            is_for_client: outcome == Outcome::Ok,
+            is_reusable: true,
+            idle_timeout: None,
+        }
     }
 }
 
@@ -58,7 +64,7 @@
     fn an_attempt_says_how_long_its_client_waits() {
         let mut headers = HeaderMap::new();
         headers.insert("x-deadline", HeaderValue::from_static("3s"));
-        Upstream.address(&mut headers, Duration::from_millis(480), "a node");
+        Upstream.annotate(&mut headers, Duration::from_millis(480), "a node");
         assert_eq!(headers["x-deadline"], "480000u");
         assert_eq!(headers.len(), 1, "nothing is said besides");
     }
--- a/crates/brassport/tests/hooks.rs
+++ b/crates/brassport/tests/hooks.rs
@@ -2,7 +2,7 @@
 
 use brassport::clock::SystemClock;
 use brassport::config::{Assumed, Config, Names, Origin};
-use brassport::hooks::{Hooks, Wait};
+use brassport::hooks::{RequestHooks, Wait};
 use brassport::network::Tcp;
 use brassport::{front_door_with, Surroundings};
 use brassport_membership::book::{Entry, Report, Source};
@@ -24,7 +24,7 @@
     is_out: Cell<bool>,
 }
 
-impl Hooks for Holding {
+impl RequestHooks for Holding {
     fn may_act(&self) -> Result<(), f64> {
         if self.is_out.get() {
             Err(1000.0)
