--- a/crates/brassport-proxy/src/body/upload.rs
+++ b/crates/brassport-proxy/src/body/upload.rs
@@ -1,7 +1,7 @@
-//! A request's body that goes on to a backend as it comes from its client.
+//! The body of a long request that is forwarded to a backend while it arrives from its client.
 
-use crate::body::pace::TransferPace;
-use crate::body::BodyError;
+use super::pace::TransferPace;
+use super::BodyError;
 use crate::clock::Clock;
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -12,41 +12,41 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// How long either side may stand still.
-const STANDSTILL: Duration = Duration::from_secs(15);
+/// How long an upload may stall, on either side.
+const STALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How far an upload has come, for those who do not read it.
+/// How far an upload has come, for those who do not read it: the attempt, the dispatcher, the client's connection.
 #[derive(Default)]
 pub struct UploadProgress {
     bytes: Cell<u64>,
-    whole: Cell<Option<Instant>>,
-    at_whole: RefCell<Option<Box<dyn FnOnce()>>>,
+    completed_at: Cell<Option<Instant>>,
+    on_complete: RefCell<Option<Box<dyn FnOnce()>>>,
 }
 
 impl fmt::Debug for UploadProgress {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} bytes, whole at {:?}", self.bytes.get(), self.whole.get())
+        write!(f, "{} bytes, complete at {:?}", self.bytes.get(), self.completed_at.get())
     }
 }
 
 impl UploadProgress {
-    /// When its last byte went on, once it has.
+    /// When its last byte was forwarded, once it has been.
     pub fn completed_at(&self) -> Option<Instant> {
-        self.whole.get()
+        self.completed_at.get()
     }
 
-    /// What is to be done then.
-    pub fn on_complete(&self, then: impl FnOnce() + 'static) {
-        self.at_whole.replace(Some(Box::new(then)));
+    /// Registers a call for the moment when the last byte is forwarded; a later registration replaces an earlier one.
+    pub fn on_complete(&self, callback: impl FnOnce() + 'static) {
+        self.on_complete.replace(Some(Box::new(callback)));
     }
 
-    /// Ready once nothing has moved for long. Guards against a backend that takes a request and reads no more of it,
-    /// as there is no deadline before the last byte.
-    pub async fn stands_still(&self, clock: &impl Clock) {
+    /// Ready once nothing has moved for 15 s; never once the upload is complete. Guards against a backend that accepts
+    /// a request and reads no more of it, as there is no deadline before the last byte.
+    pub async fn stalled(&self, clock: &impl Clock) {
         loop {
             let before = self.bytes.get();
-            clock.sleep(STANDSTILL).await;
-            if self.whole.get().is_some() {
+            clock.sleep(STALL_TIMEOUT).await;
+            if self.completed_at.get().is_some() {
                 return std::future::pending().await;
             }
             if self.bytes.get() == before {
@@ -54,16 +54,31 @@
             }
         }
     }
+
+    fn complete(&self, now: Instant) {
+        if self.completed_at.get().is_none() {
+            self.completed_at.set(Some(now));
+            if let Some(callback) = self.on_complete.take() {
+                callback();
+            }
+        }
+    }
+}
+
+/// A wait for the client's next bytes.
+struct ClientWait<C: Clock> {
+    since: Instant,
+    /// On the heap, so that the body stays `Unpin`.
+    timeout: Pin<Box<C::Sleep>>,
 }
 
-/// The body: what was read before, and what still comes, as long as it keeps pace.
+/// The body: what was read before it was known to be long, and what still comes, as long as it keeps pace.
 pub struct Upload<C: Clock> {
     clock: C,
     first: Bytes,
     rest: Incoming,
     pace: TransferPace,
-    /// Since when the client is waited for, and until when it may be.
-    waiting: Option<(Instant, Pin<Box<C::Sleep>>)>,
+    waiting: Option<ClientWait<C>>,
     progress: Rc<UploadProgress>,
 }
 
@@ -71,6 +86,7 @@
 impl<C: Clock> Unpin for Upload<C> {}
 
 impl<C: Clock> Upload<C> {
+    /// A body of these first bytes and this rest, and its progress.
     pub fn new(
         clock: C,
         first: Bytes,
@@ -81,28 +97,29 @@
         (Upload { clock, first, rest, pace, waiting: None, progress: progress.clone() }, progress)
     }
 
-    fn went_on(&self, bytes: u64) {
+    fn forwarded(&self, bytes: u64) {
         self.progress.bytes.set(self.progress.bytes.get() + bytes);
-        if self.first.is_empty() && self.rest.is_end_stream() {
-            self.complete();
+        // hyper does not poll a body again that says that it has ended.
+        if self.is_end_stream() {
+            self.progress.complete(self.clock.now());
         }
     }
 
-    fn complete(&self) {
-        if self.progress.whole.get().is_none() {
-            self.progress.whole.set(Some(self.clock.now()));
-            if let Some(then) = self.progress.at_whole.take() {
-                then();
-            }
-        }
+    /// Ends the wait for the client's bytes, of which so many came.
+    fn received(&mut self, bytes: usize) {
+        let now = self.clock.now();
+        let waited = self.waiting.take().map(|wait| now.saturating_duration_since(wait.since));
+        self.pace.record(waited.unwrap_or_default(), bytes);
     }
 
-    /// Ends the wait for the client, behind which so many bytes came.
-    fn came(&mut self, bytes: usize) {
-        let now = self.clock.now();
-        let waited =
-            self.waiting.take().map_or(Duration::ZERO, |(since, _)| now.saturating_duration_since(since));
-        self.pace.came(waited, bytes);
+    /// Waits for the client's next bytes, as long as its pace allows: an error once it is too slow.
+    fn poll_timeout(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        let (clock, pace) = (&self.clock, &self.pace);
+        let wait = self.waiting.get_or_insert_with(|| {
+            let since = clock.now();
+            ClientWait { since, timeout: Box::pin(clock.sleep_until(since + pace.time_left())) }
+        });
+        wait.timeout.as_mut().poll(context).map(|()| Some(Err(BodyError)))
     }
 }
 
@@ -117,32 +134,24 @@
         let this = self.get_mut();
         if !this.first.is_empty() {
             let first = std::mem::take(&mut this.first);
-            this.went_on(first.len() as u64);
+            this.forwarded(first.len() as u64);
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
         loop {
             match Pin::new(&mut this.rest).poll_frame(context) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    // Trailers are nobody's here.
+                    // Trailers are not forwarded.
                     let Ok(bytes) = frame.into_data() else { continue };
-                    this.came(bytes.len());
-                    this.went_on(bytes.len() as u64);
+                    this.received(bytes.len());
+                    this.forwarded(bytes.len() as u64);
                     return Poll::Ready(Some(Ok(Frame::data(bytes))));
                 }
                 Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(BodyError))),
                 Poll::Ready(None) => {
-                    this.complete();
+                    this.progress.complete(this.clock.now());
                     return Poll::Ready(None);
                 }
-                Poll::Pending => {
-                    if this.waiting.is_none() {
-                        let now = this.clock.now();
-                        let until = Box::pin(this.clock.sleep_until(now + this.pace.patience()));
-                        this.waiting = Some((now, until));
-                    }
-                    let Some((_, until)) = &mut this.waiting else { return Poll::Pending };
-                    return until.as_mut().poll(context).map(|()| Some(Err(BodyError)));
-                }
+                Poll::Pending => return this.poll_timeout(context),
             }
         }
     }
--- a/crates/brassport-proxy/src/clock.rs
+++ b/crates/brassport-proxy/src/clock.rs
@@ -1,6 +1,6 @@
 //! The seam to time: the monotonic clock, the wall clock and the timers.
 //!
-//! Everything in this crate asks a [`Clock`] and never the system, so that the same code runs against the
+//! Everything in this crate reads a [`Clock`] and never the system's time, so that the same code runs against the
 //! system's clock ([`SystemClock`]) and against a simulated one.
 
 use std::future::Future;
@@ -9,7 +9,7 @@
 
 /// A source of time. Clones are handles of one clock.
 ///
-/// The host of an implementation owes:
+/// An implementation must keep:
 /// - [`now`](Clock::now) never goes back, whatever the wall clock does;
 /// - a sleep ends at its instant or later, never sooner; one whose instant is past is ready when polled.
 pub trait Clock: Clone + 'static {
--- a/crates/brassport-proxy/src/hooks.rs
+++ b/crates/brassport-proxy/src/hooks.rs
@@ -1,60 +1,67 @@
-//! The named points of a request's life, for a host that looks on: before admission, before each attempt, at the end
-//! of each, at the answer and at the departure. A host without hooks pays one test for `None` at each point.
+//! The named phases of a request, for a host that observes them or limits attempts. A host without hooks pays one test
+//! for `None` at each phase.
+//!
+//! In their order: [`may_act`](RequestHooks::may_act) and [`plan_of`](RequestHooks::plan_of) before admission,
+//! [`admitted`](RequestHooks::admitted), [`before_attempt`](RequestHooks::before_attempt) and
+//! [`may_send`](RequestHooks::may_send) before each attempt, [`attempt_ended`](RequestHooks::attempt_ended),
+//! [`answered`](RequestHooks::answered) at the response, [`departed`](RequestHooks::departed) at the end of all.
 
 use brassport_policy::{AttemptEnd, CustomerId, Millis, Request, RequestId};
 use std::future::Future;
 use std::pin::Pin;
 
-/// How a request was answered.
+/// How a request ended for its client.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RequestEnd {
-    /// With a node's answer.
+    /// With a backend's response.
     Served,
-    /// Refused, with advice to wait so long; 0: no advice.
+    /// Rejected, with advice to wait so many milliseconds; 0: no advice.
     Rejected(Millis),
-    /// Failed: nothing is promised.
+    /// Failed: nothing is promised about its effect.
     Failed,
-    /// Its client left before there was an answer.
+    /// Its client left before there was a response.
     ClientLeft,
 }
 
 /// Work that an attempt waits for.
 pub type Wait = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Who looks on. Every method is called on the door's thread with its state borrowed: it must return at once and
-/// must not call the door. Nothing here chooses a server, a retry or a refusal; the decision module does.
+/// Calls at the phases of a request. Every method is called on the dispatcher's thread with its state borrowed: it must
+/// return at once and must not call the dispatcher. Nothing here chooses a backend, a retry or a rejection; the policy
+/// does.
 pub trait RequestHooks {
-    /// Whether this door may act now: asked before admission, and again before the first byte of each attempt.
+    /// Whether this gateway instance may act now: called before admission, and again before the first byte of each
+    /// attempt.
     ///
     /// # Errors
-    /// It may not; how long clients are to wait.
+    /// It may not; how many milliseconds clients are to wait.
     fn may_act(&self) -> Result<(), Millis> {
         Ok(())
     }
 
-    /// Before admission: the plan of this customer, by index, if its host knows better than the request does.
+    /// Before admission: the plan of this customer, by index, if the host has a better one than the request names.
     fn plan_of(&self, customer: CustomerId) -> Option<usize> {
         let _ = customer;
         None
     }
 
-    /// A request was admitted to the module; `name` is its client's name for it.
+    /// A request was admitted to the policy; `name` is its client's name for it.
     fn admitted(&self, name: &str, request: &Request) {
         let _ = (name, request);
     }
 
-    /// The module chose a node for an attempt. The attempt is sent once the work returned is done, if by then its
-    /// node still takes requests and its client still waits; the work must end within a bound of its own.
+    /// The policy chose a backend for an attempt. The attempt is sent once the returned work is done, if by then its
+    /// backend still takes requests and its client still waits; the work must end within a bound of its own.
     fn before_attempt(&self, request: RequestId, node: &str) -> Option<Wait> {
         let _ = (request, node);
         None
     }
 
-    /// Before the first byte of an attempt, the last that is asked: whether its host's limits have room for it. A first
-    /// attempt that has none is the request's refusal; a further one is not made.
+    /// Right before the first byte of an attempt, the last call before it: whether the host's limits have room for it.
+    /// Without room a first attempt is the request's rejection; a further one is not made.
     ///
     /// # Errors
-    /// They have none; how long clients are to wait.
+    /// They have none; how many milliseconds clients are to wait.
     fn may_send(&self, request: RequestId, attempt: u8) -> Result<(), Millis> {
         let _ = (request, attempt);
         Ok(())
@@ -65,12 +72,12 @@
         let _ = (node, end);
     }
 
-    /// A request has its one answer, or nobody waits for it any more.
+    /// A request has its one response, or nobody waits for it any more.
     fn answered(&self, request: RequestId, verdict: RequestEnd) {
         let _ = (request, verdict);
     }
 
-    /// A request is answered and none of its attempts is out.
+    /// A request is answered and none of its attempts is in flight.
     fn departed(&self, request: RequestId) {
         let _ = request;
     }
--- a/crates/brassport-proxy/src/log.rs
+++ b/crates/brassport-proxy/src/log.rs
@@ -1,5 +1,7 @@
-//! The log, on standard error once [`to_standard_error`] was called, else nowhere. Guards against a reader that is slow or gone: a thread of its own writes, and
-//! what it can't take in time, or what comes too fast, is left out.
+//! The log, on standard error once [`to_standard_error`] was called, else nowhere.
+//!
+//! Guards against a reader that is slow or has closed its end: a thread of its own writes, and lines that it can't
+//! write in time, or that come too fast, are dropped.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{sync_channel, SyncSender};
@@ -7,9 +9,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Lines that may wait for the writer, and lines that it writes within a second.
-const WAITING: usize = 32;
-const MOST: u32 = 20;
+/// Lines that may wait for the writer; more are dropped.
+const MAX_PENDING_LINES: usize = 32;
+/// Lines that are written within a second; more are dropped, so that a fault that repeats does not fill a disk.
+const MAX_LINES_PER_S: u32 = 20;
 
 static WRITER: OnceLock<Option<SyncSender<String>>> = OnceLock::new();
 
@@ -26,7 +29,7 @@
 }
 
 fn start() -> Option<SyncSender<String>> {
-    let (sender, lines) = sync_channel::<String>(WAITING);
+    let (sender, lines) = sync_channel::<String>(MAX_PENDING_LINES);
     let write = move || {
         let (mut since, mut written) = (Instant::now(), 0);
         for line in lines {
@@ -34,7 +37,7 @@
                 (since, written) = (Instant::now(), 0);
             }
             written += 1;
-            if written <= MOST {
+            if written <= MAX_LINES_PER_S {
                 let _ = writeln!(io::stderr(), "brassport: {line}");
             }
         }
--- a/crates/brassport-proxy/src/mutants.rs
+++ b/crates/brassport-proxy/src/mutants.rs
@@ -1,10 +1,10 @@
-//! Deliberate faults of the front door, to show that the simulation's oracle can fail. Compiled only with the
-//! feature `mutants`, which no program of the release has; without it `mutant!` is the constant `false`.
+//! Deliberate faults of the proxy and its programs, to show that the simulation's oracle can fail. Compiled only with
+//! the feature `mutants`, which no released program has; without it `mutant!` is the constant `false`.
 
 #[cfg(feature = "mutants")]
 use std::cell::Cell;
 
-/// Whether a mutant is on.
+/// Whether a mutant is active.
 #[cfg(feature = "mutants")]
 #[macro_export]
 macro_rules! mutant {
@@ -12,6 +12,7 @@
         $crate::mutants::active() == Some($crate::mutants::Mutant::$which)
     };
 }
+/// Whether a mutant is active: never in this build.
 #[cfg(not(feature = "mutants"))]
 #[macro_export]
 macro_rules! mutant {
@@ -25,17 +26,17 @@
 #[cfg(feature = "mutants")]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// A reset is told to the module as a connection that never came up: an unsafe request goes out again.
+    /// A reset is reported to the policy as a connection that was never established: an unsafe request is retried.
     RetryAfterReset,
-    /// An error of a node's is taken for word that the request never ran.
+    /// An error of a backend is taken as a promise that the request never ran.
     ErrorNeverRan,
-    /// What failed is answered as refused.
+    /// What failed is answered as rejected.
     RefuseAfterMayHaveRun,
-    /// A list is taken in 700 ms after it came.
+    /// A membership list is applied 700 ms after it came.
     DrainLate,
-    /// A list of an older revision is taken in as news.
+    /// A membership list of an older revision is applied.
     StaleListTaken,
-    /// Answers are written twice.
+    /// Responses are written twice.
     AnswerTwice,
     /// The client's deadline is forgotten.
     ForgetDeadline,
@@ -43,23 +44,23 @@
     IgnoreDescriptorLimit,
     /// The reserve of descriptors for attempts is not kept.
     IgnoreReserve,
-    /// A request whose client left while an attempt was out stays in flight.
+    /// A request whose client left while an attempt was in flight stays in flight.
     LeakInFlight,
-    /// A connection to a node that does not come up keeps its descriptor.
+    /// A connection to a backend that is not established keeps its descriptor.
     LeakDescriptor,
-    /// The room of a body is not given back.
+    /// The memory reserved for a body is not released.
     LeakBody,
-    /// An answer whose body has not all come is passed on, and its connection released to the pool.
+    /// A response whose body is incomplete is forwarded, and its connection returned to the pool.
     ReleaseHalfRead,
     /// A request that was answered while its attempt connected is sent all the same.
     SendBehindAnswer,
     /// An attempt that timed out keeps its connection.
     KeepTimedOutAttempt,
-    /// Cold nodes are taken for warm ones.
+    /// Backends that are warming up are taken for warm ones.
     ColdIgnored,
-    /// Each door holds the whole ceiling rather than its share.
+    /// Each gateway instance uses the complete rate limit rather than its share.
     CeilingUnshared,
-    /// At the end of a planned restart connections are closed whatever is open on them.
+    /// At the end of a planned restart connections are closed whatever is in flight on them.
     CloseWithoutAnswer,
     /// What is in flight at the end of a planned restart is not failed.
     NoFailAtEnd,
@@ -67,13 +68,13 @@
     Spin,
     /// A figure of the meter that cannot be read is a panic.
     PanicOnMeter,
-    /// A node that moved is sent to where it was.
+    /// Requests for a backend that moved are sent to its old address.
     KeepOldAddress,
-    /// 503 and 504 are taken for word that the request never ran, whether or not the node says so.
+    /// 503 and 504 are taken as a promise that the request never ran, whether or not the backend says so.
     TrustPlain503,
-    /// A node that staff took out is used on.
+    /// A backend that operators disabled is still used.
     IgnoreBan,
-    /// Another agent's lists are judged by the revisions of the one before it: a drain may be passed over.
+    /// Another agent's lists are compared with the revisions of the one before it: a drain may be missed.
     RevisionsOfAnother,
 }
 
@@ -114,13 +115,13 @@
     static ACTIVE: Cell<Option<Mutant>> = const { Cell::new(None) };
 }
 
-/// Switches a mutant on for this thread, or all off.
+/// Activates a mutant on this thread, or none.
 #[cfg(feature = "mutants")]
 pub fn activate(mutant: Option<Mutant>) {
     ACTIVE.set(mutant);
 }
 
-/// The one that is on.
+/// The active one.
 #[cfg(feature = "mutants")]
 pub fn active() -> Option<Mutant> {
     ACTIVE.get()
--- a/crates/brassport-proxy/src/network.rs
+++ b/crates/brassport-proxy/src/network.rs
@@ -10,12 +10,12 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 
-/// Connections that wait to be accepted, as std and tokio have it.
+/// Connections that wait to be accepted: the figure of std and tokio.
 const BACKLOG: u32 = 1024;
 
 /// A network of sockets. Clones are handles of one network.
 ///
-/// The host of an implementation owes, as TCP does:
+/// An implementation must keep, as TCP does:
 /// - bytes arrive in order and unchanged, or not at all;
 /// - a stream that is dropped is closed at once, and reset if it held bytes that nobody had read;
 /// - `poll_shutdown` ends the sending and leaves the reading as it is.
@@ -38,43 +38,52 @@
     /// A handle of the listening socket, for another process. Connections that wait in its queue stay there.
     ///
     /// # Errors
-    /// This network's sockets cannot go over to another process, here and in the next three.
+    /// This network's sockets cannot be passed to another process, or the system refuses to duplicate it.
     fn share(listener: &Self::Listener) -> io::Result<OwnedFd> {
         let _ = listener;
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    /// Goes on with a listening socket of another process.
+    /// Adopts a listening socket of another process.
+    ///
+    /// # Errors
+    /// As [`share`](Network::share).
     fn adopt_listener(&self, socket: OwnedFd) -> io::Result<Self::Listener> {
         let _ = socket;
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    /// Lets a connection go, for another process.
+    /// Releases a connection, for another process.
+    ///
+    /// # Errors
+    /// As [`share`](Network::share).
     fn release(stream: Self::Stream) -> io::Result<OwnedFd> {
         let _ = stream;
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    /// Goes on with a connection of another process.
+    /// Adopts a connection of another process.
+    ///
+    /// # Errors
+    /// As [`share`](Network::share).
     fn adopt(&self, socket: OwnedFd) -> io::Result<Self::Stream> {
         let _ = socket;
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    /// Opens a connection. May take for ever: the caller sets the bound.
+    /// Opens a connection. It may never be ready: the caller sets the time-out.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 
     /// Opens a socket for datagrams at this address. With port 0 the host chooses one, which must be hard to guess.
     fn datagrams(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Datagrams>>;
 }
 
-/// A socket for datagrams, as UDP has: each comes whole, or not at all, perhaps twice, in any order, from anybody.
+/// A socket for datagrams, as UDP has: each arrives complete, or not at all, perhaps twice, in any order, from anybody.
 pub trait Datagrams: 'static {
     /// Sends one.
     fn send_to(&self, bytes: &[u8], to: SocketAddr) -> impl Future<Output = io::Result<()>>;
 
-    /// The next one that came: its length, and where it says that it comes from. What the buffer does not hold is
+    /// The next one that came: its length, and where it says that it comes from. What does not fit the buffer is
     /// lost. Dropping the future before it is ready loses none.
     fn recv_from(&self, buffer: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
 }
@@ -152,7 +161,7 @@
 
     async fn accept(&self) -> io::Result<TcpStream> {
         let (stream, _) = TcpListener::accept(self).await?;
-        // A connection that is gone already says so when it is read.
+        // A connection that has ended already reports it when it is read.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
--- a/crates/brassport-proxy/src/shutdown.rs
+++ b/crates/brassport-proxy/src/shutdown.rs
@@ -1,4 +1,7 @@
-//! How far a planned end has come, for every task that has to know.
+//! How far a graceful shutdown has come, for every task that has to know.
+//!
+//! The program advances the phase; [`serve`](crate::downstream::serve) and the client connections follow it. It closes
+//! nothing itself.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
@@ -8,13 +11,13 @@
 pub enum Phase {
     /// Clients are served.
     Serving,
-    /// Clients still come; each answer closes its connection.
+    /// Clients are still accepted; each response closes its connection.
     Leaving,
-    /// No more are accepted, and idle connections are closed.
+    /// No more clients are accepted, and idle connections are closed.
     Closing,
 }
 
-/// The phase that the program is in. Tasks that wait are woken in the order in which they began to wait: a
+/// The phase that the program is in. Waiting tasks are woken in the order in which they began to wait: a
 /// `tokio::sync::watch` wakes them in an order drawn by chance, which no simulation could replay.
 #[derive(Debug)]
 pub struct Shutdown {
@@ -34,7 +37,7 @@
         self.phase.get()
     }
 
-    /// Goes on to a phase; never back.
+    /// Advances to a phase; never back.
     pub fn advance(&self, phase: Phase) {
         self.phase.set(self.phase.get().max(phase));
         self.changed.notify_waiters();
--- a/crates/brassport-proxy/src/upstream/connection.rs
+++ b/crates/brassport-proxy/src/upstream/connection.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 connection to a peer. Whoever holds it drives it: no task of its own stands behind it, so
-//! dropping it has closed the socket.
+//! One HTTP/1.1 connection to a peer. Whoever owns it drives it: it has no task of its own, so dropping it has closed
+//! the socket.
 
 use crate::body::UpstreamBody;
 use crate::mutants::mutant;
@@ -9,6 +9,7 @@
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use std::cell::Cell;
+use std::fmt;
 use std::future::{poll_fn, Future};
 use std::io;
 use std::pin::{pin, Pin};
@@ -16,44 +17,66 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Most bytes of an answer's head.
+/// Most bytes of a response's head.
 const HEAD_LIMIT: usize = 16 * 1024;
 
-/// Why an exchange brought no whole answer.
-#[derive(Debug, PartialEq, Eq)]
+/// Why an exchange brought no complete response. Its source is upstream.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionError {
     /// No byte of the request was written.
     Unsent,
-    /// The connection broke, or the answer is not one of HTTP, after some of it may have been written.
+    /// The connection broke, or the response is not HTTP, after some of the request may have been written.
     Interrupted,
 }
 
-/// What hyper has to be polled for.
-type Driver<S> = http1::Connection<TokioIo<Watched<S>>, UpstreamBody>;
+impl ConnectionError {
+    /// Whether the request can't have run, so that sending it again is safe whatever its effect. A backend can't run a
+    /// request of which it has not got the last byte.
+    pub fn is_retryable(self, request_was_complete: bool) -> bool {
+        match self {
+            ConnectionError::Unsent => true,
+            ConnectionError::Interrupted => !request_was_complete,
+        }
+    }
+}
+
+impl fmt::Display for ConnectionError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ConnectionError::Unsent => "the request was not sent",
+            ConnectionError::Interrupted => "the connection broke before the response was complete",
+        })
+    }
+}
+
+impl std::error::Error for ConnectionError {}
+
+/// The part of hyper that has to be polled.
+type Driver<S> = http1::Connection<TokioIo<TrackedStream<S>>, UpstreamBody>;
 
-/// A connection over a stream of the network's.
+/// A connection to a peer, for one request at a time.
 pub struct UpstreamConnection<S: AsyncRead + AsyncWrite + Unpin + 'static> {
     sender: SendRequest<UpstreamBody>,
-    /// `None` once it is over.
+    /// `None` once the connection has ended.
     driver: Option<Driver<S>>,
     /// Whether bytes wait that the peer had no room for.
-    owes: Rc<Cell<bool>>,
+    has_unwritten: Rc<Cell<bool>>,
 }
 
-/// A stream that notes whether its peer took all that was written.
-struct Watched<S> {
+/// A stream that records whether its peer took all that was written.
+struct TrackedStream<S> {
     stream: S,
-    owes: Rc<Cell<bool>>,
+    has_unwritten: Rc<Cell<bool>>,
 }
 
-impl<S: AsyncWrite + Unpin> Watched<S> {
-    fn note(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        self.owes.set(written.is_pending());
+impl<S: AsyncWrite + Unpin> TrackedStream<S> {
+    fn record(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        self.has_unwritten.set(written.is_pending());
         written
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Watched<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for TrackedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -63,14 +86,14 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Watched<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for TrackedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.note(written)
+        self.record(written)
     }
 
     fn poll_write_vectored(
@@ -79,7 +102,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.note(written)
+        self.record(written)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -96,43 +119,43 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin + 'static> UpstreamConnection<S> {
-    /// A connection that is up, at its start.
+    /// A connection over a stream that was just established.
     ///
     /// # Errors
-    /// hyper takes no such stream.
+    /// hyper refuses the handshake.
     pub async fn handshake(stream: S) -> io::Result<UpstreamConnection<S>> {
         // Guards the memory against heads that do not end.
         let mut builder = http1::Builder::new();
         builder.max_buf_size(HEAD_LIMIT);
-        let owes = Rc::new(Cell::new(false));
-        let watched = Watched { stream, owes: owes.clone() };
-        let (sender, driver) = builder.handshake(TokioIo::new(watched)).await.map_err(io::Error::other)?;
-        Ok(UpstreamConnection { sender, driver: Some(driver), owes })
+        let has_unwritten = Rc::new(Cell::new(false));
+        let tracked = TrackedStream { stream, has_unwritten: has_unwritten.clone() };
+        let (sender, driver) = builder.handshake(TokioIo::new(tracked)).await.map_err(io::Error::other)?;
+        Ok(UpstreamConnection { sender, driver: Some(driver), has_unwritten })
     }
 
-    /// Sends one request and waits for its whole answer, of `most` bytes at the most.
+    /// Sends one request and waits for its complete response, of `max_bytes` at most.
     ///
     /// # Errors
-    /// There is no whole answer; how much of the request may have been written.
+    /// There is no complete response; whether some of the request may have been written.
     pub async fn exchange(
         &mut self,
         request: Request<impl Into<UpstreamBody>>,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Response<Bytes>, ConnectionError> {
         let (head, body) = self.send(request).await?.into_parts();
-        Ok(Response::from_parts(head, self.collect(body, most).await?))
+        Ok(Response::from_parts(head, self.collect(body, max_bytes).await?))
     }
 
-    /// The whole body of an answer that has begun, of `most` bytes at the most.
+    /// The complete body of a response that has begun, of `max_bytes` at most.
     ///
     /// # Errors
     /// The body was cut short, or is longer.
-    pub async fn collect(&mut self, body: Incoming, most: usize) -> Result<Bytes, ConnectionError> {
+    pub async fn collect(&mut self, body: Incoming, max_bytes: usize) -> Result<Bytes, ConnectionError> {
         let driver = &mut self.driver;
-        if body.size_hint().lower() > most as u64 {
+        if body.size_hint().lower() > max_bytes as u64 {
             return Err(ConnectionError::Interrupted);
         }
-        let mut collected = pin!(drive(driver, Limited::new(body, most).collect()));
+        let mut collected = pin!(drive(driver, Limited::new(body, max_bytes).collect()));
         if mutant!(ReleaseHalfRead) {
             let first = poll_fn(|context| Poll::Ready(collected.as_mut().poll(context))).await;
             return match first {
@@ -144,10 +167,10 @@
         Ok(collected.await.map_err(|_| ConnectionError::Interrupted)?.to_bytes())
     }
 
-    /// Sends one request and waits for the head of its answer.
+    /// Sends one request and waits for the head of its response.
     ///
     /// # Errors
-    /// As [`exchange`](Connection::exchange).
+    /// As [`exchange`](UpstreamConnection::exchange).
     pub async fn send(
         &mut self,
         request: Request<impl Into<UpstreamBody>>,
@@ -155,36 +178,36 @@
         let UpstreamConnection { sender, driver, .. } = self;
         let request = request.map(Into::into);
         // hyper hands a request back only if it never began to write it.
-        let answer = sender.try_send_request(request);
-        drive(driver, answer).await.map_err(|mut error| match error.take_message() {
+        let response = sender.try_send_request(request);
+        drive(driver, response).await.map_err(|mut error| match error.take_message() {
             Some(_) => ConnectionError::Unsent,
             None => ConnectionError::Interrupted,
         })
     }
 
-    /// The whole body of an answer that has begun, of `most` bytes at the most; `None` if it is longer.
+    /// The complete body of a response that has begun, of `max_bytes` at most; `None` if it is longer.
     ///
     /// # Errors
     /// The body was cut short.
     pub async fn read_to_end(
         &mut self,
         body: Incoming,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Option<Bytes>, ConnectionError> {
-        match drive_on(&mut self.driver, Limited::new(body, most).collect()).await {
+        match drive_eagerly(&mut self.driver, Limited::new(body, max_bytes).collect()).await {
             Ok(body) => Ok(Some(body.to_bytes())),
             Err(error) if error.is::<LengthLimitError>() => Ok(None),
             Err(_) => Err(ConnectionError::Interrupted),
         }
     }
 
-    /// What comes next of a body that has begun; `None` at its end.
+    /// The next bytes of a body that has begun; `None` at its end. Trailers are dropped.
     ///
     /// # Errors
     /// The body was cut short.
     pub async fn next_chunk(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, ConnectionError> {
         loop {
-            match drive_on(&mut self.driver, body.frame()).await {
+            match drive_eagerly(&mut self.driver, body.frame()).await {
                 None => return Ok(None),
                 Some(Err(_)) => return Err(ConnectionError::Interrupted),
                 Some(Ok(frame)) => {
@@ -196,9 +219,9 @@
         }
     }
 
-    /// Whether the connection stands and can take a request. Guards against sending into a connection
-    /// that the peer has closed while it was idle: polling it sees the end that has come in meanwhile. Nor is one of use on
-    /// which the rest of an earlier request is still due: a peer may answer before it has read all of it.
+    /// Whether the connection is alive and can take another request. Guards against sending into a connection that the
+    /// peer has closed while it was idle: polling it sees the end that has come in meanwhile. Nor is one reusable on which
+    /// the rest of an earlier request is still to be written: a peer may respond before it has read all of it.
     pub async fn is_reusable(&mut self) -> bool {
         poll_fn(|context| {
             if let Some(driver) = &mut self.driver {
@@ -209,25 +232,27 @@
             Poll::Ready(())
         })
         .await;
-        self.driver.is_some() && self.sender.is_ready() && !self.owes.get()
+        self.driver.is_some() && self.sender.is_ready() && !self.has_unwritten.get()
     }
 }
 
-/// As [`drive`], taking in all that has come before others have their turn: hyper hands a body on in steps, and
-/// between two of them its task would stand behind the others. Guards news against requests that came later.
-async fn drive_on<S: AsyncRead + AsyncWrite + Unpin + 'static, T>(
+/// As [`drive`], reading all that has come before other tasks run: hyper returns a body in steps, and between two of
+/// them this task would wait behind the others. Guards a membership update that came first against being applied after
+/// requests that came later.
+async fn drive_eagerly<S: AsyncRead + AsyncWrite + Unpin + 'static, T>(
     driver: &mut Option<Driver<S>>,
     work: impl Future<Output = T>,
 ) -> T {
-    const STEPS: u32 = 4;
+    /// A bound, so that a peer that sends without end does not keep the other tasks waiting.
+    const MAX_POLLS: u32 = 4;
     let mut work = pin!(drive(driver, work));
     poll_fn(|context| {
-        (0..STEPS).map(|_| work.as_mut().poll(context)).find(Poll::is_ready).unwrap_or(Poll::Pending)
+        (0..MAX_POLLS).map(|_| work.as_mut().poll(context)).find(Poll::is_ready).unwrap_or(Poll::Pending)
     })
     .await
 }
 
-/// Waits for `work`, which the connection has to be driven for.
+/// Waits for `work`, for which the connection has to be driven.
 async fn drive<S: AsyncRead + AsyncWrite + Unpin + 'static, T>(
     driver: &mut Option<Driver<S>>,
     work: impl Future<Output = T>,
--- /dev/null
+++ b/crates/brassport-proxy/tests/it/golden/mod.rs
@@ -0,0 +1,90 @@
+//! Golden bytes: what this package writes to clients and backends by itself must not change by a byte. Each case goes
+//! over a socket or is built in code, and is compared with a fixture in `tests/golden`. `GOLDEN_WRITE=1` writes the
+//! fixtures anew, and fails.
+
+mod downstream;
+mod upstream;
+
+use brassport_proxy::date::DateHeader;
+use brassport_proxy::responses::forwarded_headers;
+use hyper::header::{HeaderMap, HeaderName, HeaderValue};
+use std::path::Path;
+use std::time::Duration;
+
+/// The fixture of this name, which the text must equal.
+fn golden(name: &str, text: &str) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    if std::env::var("GOLDEN_WRITE").is_ok_and(|value| value == "1") {
+        std::fs::write(&path, text).expect("the fixture can be written");
+        panic!("wrote {name}: run again without GOLDEN_WRITE");
+    }
+    let fixture = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("fixture {name}: {error}"));
+    for (number, (is, was)) in text.lines().zip(fixture.lines()).enumerate() {
+        assert_eq!(is, was, "{name}, line {}", number + 1);
+    }
+    assert_eq!(text, fixture, "{name}");
+}
+
+/// One line for each case.
+fn lines(cases: &[(String, String)]) -> String {
+    cases.iter().map(|(name, value)| format!("{name}: {value}\n")).collect()
+}
+
+/// Bytes as printable text.
+fn plain(bytes: &[u8]) -> String {
+    bytes.escape_ascii().to_string()
+}
+
+#[test]
+fn dates_keep_their_bytes() {
+    let date = DateHeader::default();
+    let seconds =
+        [0.0, 0.999, 1.0, 784_111_777.0, 951_782_400.0, 1_709_164_799.9, 4_102_444_800.0, 253_402_300_799.0];
+    let cases = seconds.map(|second| {
+        let value = date.value(Duration::from_secs_f64(second));
+        (second.to_string(), plain(value.as_bytes()))
+    });
+    golden("dates.txt", &lines(&cases));
+}
+
+#[test]
+fn forwarded_headers_keep_their_bytes() {
+    let all = [
+        ("host", "a"),
+        ("connection", "keep-alive, X-Hop , x-kept,, bad name"),
+        ("connection", "close"),
+        ("x-hop", "1"),
+        ("x-kept", "2"),
+        ("keep-alive", "timeout=5"),
+        ("proxy-connection", "x"),
+        ("te", "trailers"),
+        ("trailer", "x-t"),
+        ("transfer-encoding", "chunked"),
+        ("upgrade", "h2c"),
+        ("expect", "100-continue"),
+        ("content-length", "5"),
+        ("content-type", "text/plain"),
+        ("cookie", "a=b"),
+        ("cookie", "c=d"),
+        ("own", "x"),
+        ("date", "then"),
+        ("proxy-authorization", "basic"),
+    ];
+    let mut headers = HeaderMap::new();
+    for (name, value) in all {
+        headers.append(HeaderName::from_static(name), HeaderValue::from_static(value));
+    }
+    let (own, kept) = ([HeaderName::from_static("own")], [HeaderName::from_static("x-kept")]);
+    let cases = [
+        ("nothing own, nothing kept", forwarded_headers(headers.clone(), &[], &[])),
+        ("own", forwarded_headers(headers.clone(), &own, &[])),
+        ("own and kept", forwarded_headers(headers, &own, &kept)),
+        ("none", forwarded_headers(HeaderMap::new(), &own, &kept)),
+    ];
+    let written = cases.map(|(name, headers)| {
+        let headers: Vec<_> =
+            headers.iter().map(|(name, value)| format!("{name}={}", plain(value.as_bytes()))).collect();
+        (name.to_string(), headers.join(" | "))
+    });
+    golden("headers.txt", &lines(&written));
+}
--- /dev/null
+++ b/crates/brassport-proxy/tests/it/golden/upstream.rs
@@ -0,0 +1,91 @@
+//! What backends are sent.
+
+use super::{golden, lines, plain};
+use crate::common::{bounded, class, dispatcher_before, policy_request, Counts};
+use brassport_policy::{Effect, Plan, Settings};
+use brassport_proxy::clock::SystemClock;
+use brassport_proxy::dispatch::{Dispatcher, RequestOutcome};
+use brassport_proxy::network::Tcp;
+use brassport_proxy::upstream::{RequestBody, UpstreamRequest};
+use hyper::body::Bytes;
+use hyper::header::{HeaderMap, HeaderValue};
+use hyper::{Method, Uri};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+
+/// Reads one request after another from one connection, reports each and responds to it.
+async fn backend(listener: TcpListener, received: mpsc::UnboundedSender<Vec<u8>>) {
+    loop {
+        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let mut request = Vec::new();
+        while let Ok(byte) = stream.read_u8().await {
+            request.push(byte);
+            let Some(end) = request.windows(4).position(|part| part == b"\r\n\r\n") else { continue };
+            let (head, body) = request.split_at(end + 4);
+            // Bodies here end with a stop.
+            let has_body = plain(head).to_ascii_lowercase().contains("content-length: ");
+            if has_body && !body.ends_with(b".") {
+                continue;
+            }
+            let body = if head.starts_with(b"HEAD ") { "" } else { "ok" };
+            let _ = received.send(std::mem::take(&mut request));
+            let response = format!("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{body}");
+            stream.write_all(response.as_bytes()).await.expect("written");
+        }
+    }
+}
+
+/// A client's request with some headers.
+fn message(method: Method, uri: &'static str, body: &'static str) -> UpstreamRequest {
+    let mut headers = HeaderMap::new();
+    headers.insert("x-one", HeaderValue::from_static("1"));
+    headers.append("cookie", HeaderValue::from_static("a=b"));
+    headers.append("cookie", HeaderValue::from_static("c=d"));
+    let body = RequestBody::Complete(Bytes::from_static(body.as_bytes()));
+    UpstreamRequest { method, uri: Uri::from_static(uri), headers, body }
+}
+
+/// What its client gets for a request, as the fixture writes it.
+async fn outcome(dispatcher: &Rc<Dispatcher<SystemClock, Tcp>>, message: UpstreamRequest) -> String {
+    let timeout = Duration::from_secs(60);
+    let pending = dispatcher.admit(policy_request(), dispatcher.generate_id(), message, timeout);
+    match pending.expect("a name of its own").outcome().await {
+        RequestOutcome::Served(response) => response.status().to_string(),
+        RequestOutcome::Rejected(wait_ms) => format!("refused for {wait_ms}"),
+        RequestOutcome::Failed => "failed".to_string(),
+    }
+}
+
+#[tokio::test]
+async fn requests_to_backends_keep_their_bytes() {
+    bounded(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let address = listener.local_addr().expect("an address");
+        let (report, mut received) = mpsc::unbounded_channel();
+        spawn_local(backend(listener, report));
+        let (classes, plans) = (vec![class(Effect::Once)], vec![Plan::default()]);
+        let settings = Settings { classes, plans, ..Settings::default() };
+        let counts = Rc::new(Counts::default());
+        let dispatcher = dispatcher_before(&[address], settings, counts, |_| ());
+        let mut cases = Vec::new();
+        for (name, method, uri, body) in [
+            ("get", Method::GET, "/", ""),
+            ("get with a query", Method::GET, "/a/b%20c?d=e&f", ""),
+            ("head", Method::HEAD, "/x", ""),
+            ("post", Method::POST, "/job", "the body."),
+            ("put", Method::PUT, "/job/7", "\u{fc}ber."),
+            ("delete", Method::DELETE, "/job/7", ""),
+            ("a method of its own", Method::from_bytes(b"FETCH").expect("a method"), "/x", ""),
+        ] {
+            let outcome = outcome(&dispatcher, message(method, uri, body)).await;
+            let request = received.recv().await.expect("a request");
+            cases.push((name.to_string(), format!("{} -> {outcome}", plain(&request))));
+        }
+        golden("requests.txt", &lines(&cases));
+    })
+    .await;
+}
--- /dev/null
+++ b/crates/brassport-proxy/tests/it/main.rs
@@ -0,0 +1,13 @@
+//! Tests of the request path: each module stands for one part of the package, `common` is a dispatcher before scripted
+//! backends.
+
+mod body;
+mod client_left;
+mod common;
+mod date;
+mod deadline;
+mod dispatch;
+mod golden;
+mod pace;
+mod upstream_connection;
+mod upstream_request;
--- a/crates/brassport-proxy/tests/connection.rs
+++ b/crates/brassport-proxy/tests/it/upstream_connection.rs
@@ -1,5 +1,5 @@
-//! One connection to a backend in trouble: whose answer is whose, what counts as whole, and which connection is never used
-//! again.
+//! One connection to a faulty backend: which response is whose, what counts as complete, and which connection is never
+//! reused.
 
 use brassport_proxy::body::UpstreamBody;
 use brassport_proxy::upstream::{ConnectionError, UpstreamConnection};
@@ -13,24 +13,24 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// What a backend does with its side of the connection, one after another; behind the last it is silent.
+/// What a backend does with its side of the connection, one step after another; after the last it is silent.
 #[derive(Clone, Copy)]
-enum Does {
+enum Step {
     Sends(&'static str),
     Resets,
     Closes,
 }
 
-/// A backend that does what it is told as soon as it has read so many bytes, and takes no more bytes than it has room for.
+/// A backend that executes its steps once it has read so many bytes, and reads no more bytes than it has room for.
 struct Backend {
-    steps: VecDeque<Does>,
+    steps: VecDeque<Step>,
     after: usize,
     room: usize,
     read: usize,
 }
 
 impl Backend {
-    fn new(after: usize, room: usize, steps: &[Does]) -> Backend {
+    fn new(after: usize, room: usize, steps: &[Step]) -> Backend {
         Backend { steps: steps.iter().copied().collect(), after, room, read: 0 }
     }
 }
@@ -45,13 +45,13 @@
             return Poll::Pending;
         }
         // A connection that was closed stays so.
-        if let Some(Does::Closes) = self.steps.front() {
+        if let Some(Step::Closes) = self.steps.front() {
             return Poll::Ready(Ok(()));
         }
         match self.steps.pop_front() {
-            None | Some(Does::Closes) => Poll::Pending,
-            Some(Does::Resets) => Poll::Ready(Err(io::ErrorKind::ConnectionReset.into())),
-            Some(Does::Sends(text)) => {
+            None | Some(Step::Closes) => Poll::Pending,
+            Some(Step::Resets) => Poll::Ready(Err(io::ErrorKind::ConnectionReset.into())),
+            Some(Step::Sends(text)) => {
                 to.put_slice(text.as_bytes());
                 Poll::Ready(Ok(()))
             }
@@ -94,71 +94,71 @@
 }
 
 const ROOM: usize = 1 << 20;
-const WHOLE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello";
+const COMPLETE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello";
 
 #[test]
-fn a_connection_that_brought_a_whole_answer_serves_again() {
+fn a_connection_is_reusable_after_a_complete_response() {
     run(async {
         let mut connection =
-            UpstreamConnection::handshake(Backend::new(1, ROOM, &[Does::Sends(WHOLE)])).await.unwrap();
-        let answer = connection.exchange(request(3), 100).await.unwrap();
-        assert_eq!(&answer.body()[..], b"hello");
+            UpstreamConnection::handshake(Backend::new(1, ROOM, &[Step::Sends(COMPLETE)])).await.unwrap();
+        let response = connection.exchange(request(3), 100).await.unwrap();
+        assert_eq!(&response.body()[..], b"hello");
         assert!(connection.is_reusable().await);
     });
 }
 
 #[test]
-fn one_with_bytes_behind_the_answer_does_not() {
+fn a_connection_with_bytes_after_the_response_is_not_reusable() {
     run(async {
         let surplus =
             "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n!";
         let mut connection =
-            UpstreamConnection::handshake(Backend::new(1, ROOM, &[Does::Sends(surplus)])).await.unwrap();
-        let answer = connection.exchange(request(3), 100).await.unwrap();
-        assert_eq!(&answer.body()[..], b"hello", "the first answer is whole");
+            UpstreamConnection::handshake(Backend::new(1, ROOM, &[Step::Sends(surplus)])).await.unwrap();
+        let response = connection.exchange(request(3), 100).await.unwrap();
+        assert_eq!(&response.body()[..], b"hello", "the first response is complete");
         assert!(!connection.is_reusable().await);
     });
 }
 
 #[test]
-fn nor_one_whose_surplus_answer_comes_while_it_is_idle() {
+fn a_connection_with_an_unsolicited_response_while_idle_is_not_reusable() {
     run(async {
-        let steps = [Does::Sends(WHOLE), Does::Sends(WHOLE)];
+        let steps = [Step::Sends(COMPLETE), Step::Sends(COMPLETE)];
         let mut connection = UpstreamConnection::handshake(Backend::new(1, ROOM, &steps)).await.unwrap();
         connection.exchange(request(3), 100).await.unwrap();
         assert!(!connection.is_reusable().await);
     });
 }
 
-/// The backend answers a long request before it has read all of it, and reads on: bytes of the rest are due on the
-/// connection, so nothing else may go there.
+/// The backend responds to a long request before it has read all of it, and reads on: the rest has still to be written
+/// on the connection, so nothing else may be.
 #[test]
-fn nor_one_that_answered_with_the_rest_of_a_body_still_owed() {
+fn a_connection_with_the_rest_of_a_request_unwritten_is_not_reusable() {
     run(async {
         let early = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nearly";
         let mut connection =
-            UpstreamConnection::handshake(Backend::new(4_000, 5_000, &[Does::Sends(early)])).await.unwrap();
-        let answer = connection.exchange(request(300_000), 100).await.unwrap();
-        assert_eq!(&answer.body()[..], b"early");
+            UpstreamConnection::handshake(Backend::new(4_000, 5_000, &[Step::Sends(early)])).await.unwrap();
+        let response = connection.exchange(request(300_000), 100).await.unwrap();
+        assert_eq!(&response.body()[..], b"early");
         assert!(!connection.is_reusable().await);
     });
 }
 
 #[test]
-fn an_answer_without_length_is_whole_at_the_end_of_its_connection() {
+fn a_response_without_length_is_complete_at_the_end_of_its_connection() {
     run(async {
-        let steps = [Does::Sends("HTTP/1.1 200 OK\r\n\r\nall of "), Does::Sends("it"), Does::Closes];
+        let steps = [Step::Sends("HTTP/1.1 200 OK\r\n\r\nall of "), Step::Sends("it"), Step::Closes];
         let mut connection = UpstreamConnection::handshake(Backend::new(1, ROOM, &steps)).await.unwrap();
-        let answer = connection.exchange(request(3), 100).await.unwrap();
-        assert_eq!(&answer.body()[..], b"all of it");
+        let response = connection.exchange(request(3), 100).await.unwrap();
+        assert_eq!(&response.body()[..], b"all of it");
         assert!(!connection.is_reusable().await);
     });
 }
 
 #[test]
-fn and_is_not_when_it_is_reset_on_the_way() {
+fn a_response_without_length_is_incomplete_after_a_reset() {
     run(async {
-        let steps = [Does::Sends("HTTP/1.1 200 OK\r\n\r\nall of "), Does::Resets];
+        let steps = [Step::Sends("HTTP/1.1 200 OK\r\n\r\nall of "), Step::Resets];
         let mut connection = UpstreamConnection::handshake(Backend::new(1, ROOM, &steps)).await.unwrap();
         assert_eq!(connection.exchange(request(3), 100).await.unwrap_err(), ConnectionError::Interrupted);
         assert!(!connection.is_reusable().await);
@@ -166,20 +166,20 @@
 }
 
 #[test]
-fn a_request_that_was_written_and_reset_is_never_said_to_be_unsent() {
+fn a_request_that_was_written_and_reset_is_never_reported_as_unsent() {
     run(async {
         let mut connection =
-            UpstreamConnection::handshake(Backend::new(1, ROOM, &[Does::Resets])).await.unwrap();
+            UpstreamConnection::handshake(Backend::new(1, ROOM, &[Step::Resets])).await.unwrap();
         assert_eq!(connection.exchange(request(3), 100).await.unwrap_err(), ConnectionError::Interrupted);
         assert!(!connection.is_reusable().await);
     });
 }
 
 #[test]
-fn one_on_a_connection_that_was_closed_before_it_is() {
+fn a_request_on_a_connection_that_was_closed_before_is_reported_as_unsent() {
     run(async {
         let mut connection =
-            UpstreamConnection::handshake(Backend::new(0, ROOM, &[Does::Closes])).await.unwrap();
+            UpstreamConnection::handshake(Backend::new(0, ROOM, &[Step::Closes])).await.unwrap();
         assert!(!connection.is_reusable().await);
         assert_eq!(connection.exchange(request(3), 100).await.unwrap_err(), ConnectionError::Unsent);
     });
