--- a/crates/brassport-config-store/tests/common/alone.rs
+++ b/crates/brassport-config-store/tests/common/alone.rs
@@ -4,7 +4,8 @@
 #![allow(dead_code)]
 
 use brassport_config_store::consensus::{
-    Action, Command, DurableState, Outcome, Replica, ReplicatedState, VoterId, REMEMBERED_REQUESTS,
+    Action, ChangeScope, Command, ConfigurationRequest, DiskId, DurableState, Outcome, Replica,
+    ReplicatedState, Term, VoterId, REMEMBERED_REQUESTS,
 };
 use std::net::Ipv4Addr;
 use std::sync::Arc;
--- a/crates/brassport-config-store/tests/common/mod.rs
+++ b/crates/brassport-config-store/tests/common/mod.rs
@@ -377,14 +377,14 @@
     /// A disk is lost, if all others are as they were: more than may be lost at once would prove nothing.
     fn wipe(&mut self, one: usize) {
         let newest = self.machines.iter().map(|machine| machine.kept.state.index).max().unwrap_or_default();
-        let scope = |machine: &Machine| {
+        let is_complete = |machine: &Machine| {
             let state = &machine.kept.state;
             let voters = &state.voters;
             let in_order = machine.kept.state.index + 1 >= newest && voters.len() >= self.sizes.voters;
             in_order && machine.replica.is_some()
         };
         let others_whole = self.machines.iter().all(|machine| {
-            scope(machine)
+            is_complete(machine)
                 && machine
                     .kept
                     .state
@@ -398,7 +398,7 @@
         machine.replica = None;
         machine.life += 1;
         if self.mutant != Some(Mutant::DiskIgnored) {
-            machine.disk += 100;
+            machine.disk.0 += 100;
         }
         machine.kept = DurableState::empty();
         machine.torn = false;
@@ -449,10 +449,10 @@
 
     fn leads(&self, one: usize) -> bool {
         self.now >= self.machines[one].frozen_until
-            && self.machines[one].replica.as_ref().is_some_and(Replica::leads)
+            && self.machines[one].replica.as_ref().is_some_and(Replica::is_leader)
     }
 
-    fn ask(&mut self) {
+    fn submit(&mut self) {
         // Asked of anybody who believes to hold the role: there may be several.
         let leaders: Vec<usize> = (0..self.machines.len()).filter(|one| self.leads(*one)).collect();
         if leaders.is_empty() {
@@ -482,9 +482,9 @@
             }
         };
         let body = body(version);
-        let digest = RequestDigest::of(true, base_version, &body);
+        let digest = RequestDigest::of(ChangeScope::Full, base_version, &body);
         self.asked.insert(number, Asked { digest, version, base_version });
-        self.begin_call(number, versions::Asked::Write { version, base_version });
+        self.begin_call(number, versions::Asked::Write { version, built_on: base_version });
         if let Some(replica) = &mut self.machines[one].replica {
             let command =
                 Command::Configure(ConfigurationRequest { scope: ChangeScope::Full, base_version, body });
@@ -510,7 +510,7 @@
             Outcome::Current(state) => Answered::Newest(state.version()),
         };
         if let (Answered::Taken, Some(asked)) = (operation.answered, self.asked.get(&number)) {
-            self.applied_requests.push((asked.digest, asked.version));
+            self.taken.push((asked.digest, asked.version));
             self.acknowledged += 1;
         }
     }
@@ -530,10 +530,10 @@
         let newest = self.machines.iter().filter_map(|machine| machine.replica.as_ref());
         let Some(newest) = newest.max_by_key(|replica| replica.state().index) else { return };
         let state = newest.state().clone();
-        if !self.machines.iter().any(|machine| machine.replica.as_ref().is_some_and(Replica::leads)) {
+        if !self.machines.iter().any(|machine| machine.replica.as_ref().is_some_and(Replica::is_leader)) {
             self.broken.push("8 s of calm and nobody holds leadership".to_owned());
         }
-        for (digest, version) in &self.applied_requests {
+        for (digest, version) in &self.taken {
             if state.applied_requests.len() < 500 && state.applied_requests.get(version) != Some(digest) {
                 self.broken.push(format!("version {version} was acknowledged and is lost"));
             }
@@ -565,14 +565,14 @@
             kept.promised = kept.promised.max(term);
             while kept.state.index + 1 < index {
                 // What stands before another was chosen when that was accepted.
-                let Some((_, before)) = kept.accepted.take() else { break };
+                let Some(AcceptedEntry { entry: before, .. }) = kept.accepted.take() else { break };
                 kept.state.apply(&before);
             }
-            kept.accepted = Some((term, entry));
+            kept.accepted = Some(AcceptedEntry { term, entry });
         }
         Record::Committed(CommittedEntry { index, entry }) => {
             while kept.state.index + 1 < index {
-                let Some((_, before)) = kept.accepted.take() else { break };
+                let Some(AcceptedEntry { entry: before, .. }) = kept.accepted.take() else { break };
                 kept.state.apply(&before);
             }
             kept.accepted = None;
@@ -675,7 +675,7 @@
     let state = ReplicatedState::genesis(vec![id(0)], 4);
     let mut replica = Replica::new(
         ip(0),
-        1,
+        DiskId(1),
         Some(DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None }),
         0,
     );
@@ -704,7 +704,7 @@
         }
         if now == 152 {
             for new in [3, 4] {
-                let command = Command::ChangeVoters { voters: vec![id(0), id(new)], slots: 4 };
+                let command = Command::ChangeVoters { voters: vec![id(0), id(new)], quota_shares: 4 };
                 more.extend(replica.submit(now, new as u64, command));
             }
         }
@@ -718,7 +718,7 @@
     let state = ReplicatedState::genesis((0..3).map(id).collect(), 4);
     Replica::new(
         ip(one),
-        one as u64 + 1,
+        DiskId(one as u64 + 1),
         Some(DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None }),
         0,
     )
--- a/crates/brassport-config-store/tests/common/voters.rs
+++ b/crates/brassport-config-store/tests/common/voters.rs
@@ -312,7 +312,9 @@
     /// Digests of all words that are chosen.
     fn taken(&self) -> impl Iterator<Item = RequestDigest> + '_ {
         self.chosen.values().filter_map(|entry| match entry {
-            Entry::Replace { base_version, body } => Some(RequestDigest::of(true, *base_version, body)),
+            Entry::Replace { base_version, body } => {
+                Some(RequestDigest::of(ChangeScope::Full, *base_version, body))
+            }
             _ => None,
         })
     }
@@ -383,7 +385,7 @@
             Record::Accepted { term, index, entry } => {
                 self.kept.promised = self.kept.promised.max(term);
                 self.reach(index);
-                self.kept.accepted = Some((term, entry));
+                self.kept.accepted = Some(AcceptedEntry { term, entry });
             }
             Record::Committed(CommittedEntry { index, entry }) => {
                 self.reach(index);
@@ -398,7 +400,7 @@
     /// What stands before another was chosen when that was written.
     fn reach(&mut self, index: LogIndex) {
         while self.kept.state.index + 1 < index {
-            let Some((_, before)) = self.kept.accepted.take() else { break };
+            let Some(AcceptedEntry { entry: before, .. }) = self.kept.accepted.take() else { break };
             self.kept.state.apply(&before);
         }
     }
@@ -496,7 +498,7 @@
                 let machine = &mut site.machines[one];
                 machine.writes.clear();
                 if self.mutant != Some(Mutant::DiskIgnored) {
-                    machine.disk += 100;
+                    machine.disk.0 += 100;
                 }
                 // Who has the old number all the same knows who votes: a copy of it came from another.
                 let state = match self.mutant {
@@ -524,7 +526,7 @@
                 let (number, base_version) =
                     (u64::from(site.words), site.machines[one].replica.state().version());
                 let body = body(u32::from(site.words));
-                site.asked.insert(number, RequestDigest::of(true, base_version, &body));
+                site.asked.insert(number, RequestDigest::of(ChangeScope::Full, base_version, &body));
                 let now = site.now(one);
                 let command =
                     Command::Configure(ConfigurationRequest { scope: ChangeScope::Full, base_version, body });
@@ -561,7 +563,7 @@
             Property::always("the word holds", |_, site: &Site| site.broken.is_none()),
             Property::sometimes("a word is acknowledged", |_, site: &Site| !site.acknowledged.is_empty()),
             Property::sometimes("another takes leadership", |model: &Voters, site: &Site| {
-                let disks: BTreeSet<u64> = site.leaders.iter().map(|term| term.1).collect();
+                let disks: BTreeSet<DiskId> = site.leaders.iter().map(|term| term.disk).collect();
                 disks.len() >= 2 || model.sizes.laters < 2
             }),
         ]
--- a/crates/brassport-config-store/tests/configuration.rs
+++ b/crates/brassport-config-store/tests/configuration.rs
@@ -237,9 +237,9 @@
     let [one, two] = &read.routes[..] else { panic!("{read:?}") };
     assert_eq!((one.name.as_str(), one.host.as_str()), ("r-one", "jepu9.example"));
     assert_eq!((one.path_prefix.as_str(), one.kind, one.public), ("/lepu270/", Idempotency::Safe, false));
-    assert_eq!((one.timeout_s, one.latency_target_s, one.rank, one.tries), (1.5, 0.4, 2, 2));
+    assert_eq!((one.timeout_s, one.latency_target_s, one.rank, one.max_attempts), (1.5, 0.4, 2, 2));
     assert_eq!(one.targets, [("huvo11a".to_owned(), 90), ("kafi81c".to_owned(), 10)]);
-    assert_eq!((two.kind, two.public, two.tries), (Idempotency::Unsafe, true, 3));
+    assert_eq!((two.kind, two.public, two.max_attempts), (Idempotency::Unsafe, true, 3));
     assert_eq!(two.targets, [("wuno96b".to_owned(), 1)]);
     let tenant = &read.tenants["yefi830"];
     assert_eq!((tenant.keys.len(), tenant.rank, tenant.rate_per_s, tenant.burst), (2, 1, 123.0, 12.5));
--- a/crates/brassport-config-store/tests/golden.rs
+++ b/crates/brassport-config-store/tests/golden.rs
@@ -6,11 +6,14 @@
 #[path = "../../brassport-transport/tests/common/hex.rs"]
 mod hex;
 
-use brassport_config_store::configuration::{difference, Document, Fault, Faults, Kind, Version};
+use brassport_config_store::configuration::{
+    difference, Document, Idempotency, ValidationError, ValidationErrors, Version,
+};
 use brassport_config_store::consensus::{
-    Chosen, Entry, Message, OrderDigest, Record, Recovered, State, Term, VoterId, REMEMBERED_ORDERS,
+    AcceptedEntry, ChangeScope, CommittedEntry, DiskId, DurableState, Entry, LogIndex, Message, Record,
+    ReplicatedState, RequestDigest, Term, VoterId, REMEMBERED_REQUESTS,
 };
-use brassport_config_store::store::{Fault as StoreFault, Store, FILE};
+use brassport_config_store::store::{Store, StoreError, FILE_NAME};
 use hex::hex;
 use rusqlite::types::Value as Cell;
 use serde::{de::DeserializeOwned, Serialize};
@@ -21,7 +24,7 @@
 use std::sync::Arc;
 
 const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
-const TERM: Term = (4, 77);
+const TERM: Term = Term::new(4, DiskId(77));
 
 fn encode(value: &impl Serialize) -> Vec<u8> {
     let mut bytes = Vec::new();
@@ -39,7 +42,7 @@
 }
 
 fn voter(number: u8) -> VoterId {
-    VoterId { ip: [10, 0, 0, number].into(), disk: 0xfeed_0000_0000_0000 | u64::from(number) }
+    VoterId { ip: [10, 0, 0, number].into(), disk: DiskId(0xfeed_0000_0000_0000 | u64::from(number)) }
 }
 
 fn voters() -> Vec<VoterId> {
@@ -56,18 +59,22 @@
   {"name": "split", "pathStart": "/pay/", "kind": "unsafe", "giveUpS": 600, "split": [{"service": "pay", "weight": 3}, {"service": "search", "weight": 0}]}]}] }"#;
 const CHANGE: &str = r#"{"version":"00000006","put":{"services":[{"name":"pay","tls":true},{"name":"new"}],"hosts":[{"host":"api.example","paths":[{"name":"api","pathStart":"/v1/","giveUpS":1,"service":"new"}]}],"limits":{"idleWaitS":4}},"remove":{"routes":["split"],"customers":["solo","none"]}}"#;
 
-fn replace(built_on: u32, body: &str) -> Entry {
-    Entry::Replace { built_on, body: Arc::new(body.as_bytes().to_vec()) }
+fn replace(base_version: u32, body: &str) -> Entry {
+    Entry::Replace { base_version, body: Arc::new(body.as_bytes().to_vec()) }
+}
+
+fn change(base_version: u32, body: &str) -> Entry {
+    Entry::Change { base_version, body: Arc::new(body.as_bytes().to_vec()) }
 }
 
-fn change(built_on: u32, body: &str) -> Entry {
-    Entry::Change { built_on, body: Arc::new(body.as_bytes().to_vec()) }
+fn accepted(term: Term, entry: Entry) -> AcceptedEntry {
+    AcceptedEntry { term, entry }
 }
 
 /// The name of a kind; one that is new does not compile here until it has a case in [`entries`] too.
 fn entry_name(entry: &Entry) -> &'static str {
     match entry {
-        Entry::Nothing => "nothing",
+        Entry::Noop => "nothing",
         Entry::Voters { .. } => "voters",
         Entry::Replace { .. } => "replace",
         Entry::Change { .. } => "change",
@@ -78,7 +85,7 @@
 
 fn entries() -> Vec<Entry> {
     let voters = voters();
-    vec![Entry::Nothing, Entry::Voters { voters, slots: 5 }, replace(0, DOCUMENT), change(5, CHANGE)]
+    vec![Entry::Noop, Entry::Voters { voters, quota_shares: 5 }, replace(0, DOCUMENT), change(5, CHANGE)]
 }
 
 /// As [`entry_name`], for [`messages`].
@@ -86,30 +93,34 @@
     match message {
         Message::Prepare { .. } => "prepare",
         Message::Promise { .. } => "promise",
-        Message::Refuse { .. } => "refuse",
+        Message::Reject { .. } => "refuse",
         Message::Accept { .. } => "accept",
         Message::Accepted { .. } => "accepted",
-        Message::Lead { .. } => "lead",
-        Message::Transfer { .. } => "transfer",
-        Message::Follow { .. } => "follow",
+        Message::Heartbeat { .. } => "lead",
+        Message::TransferLeadership { .. } => "transfer",
+        Message::HeartbeatResponse { .. } => "follow",
     }
 }
 /// Arms of [`message_name`].
 const MESSAGES: usize = 8;
 
 fn messages() -> Vec<Message> {
-    let (term, index, heartbeat) = (TERM, 300, 1_000);
+    let (term, index, heartbeat) = (TERM, LogIndex(300), 1_000);
     let mut messages = vec![
         Message::Prepare { term },
-        Message::Promise { term, index, open: None },
-        Message::Refuse { term },
+        Message::Promise { term, index, accepted: None },
+        Message::Reject { term },
         Message::Accepted { term, index },
-        Message::Lead { term, index, heartbeat },
-        Message::Transfer { term, to: voter(3) },
-        Message::Follow { term, index, heartbeat },
+        Message::Heartbeat { term, index, heartbeat },
+        Message::TransferLeadership { term, to: voter(3) },
+        Message::HeartbeatResponse { term, index, heartbeat },
     ];
     for entry in entries() {
-        messages.push(Message::Promise { term, index, open: Some(((3, 9), entry.clone())) });
+        messages.push(Message::Promise {
+            term,
+            index,
+            accepted: Some(accepted(Term::new(3, DiskId(9)), entry.clone())),
+        });
         messages.push(Message::Accept { term, index, entry });
     }
     messages
@@ -119,29 +130,29 @@
 fn record_name(record: &Record) -> &'static str {
     match record {
         Record::Promised(_) => "promised",
-        Record::Chosen(_) => "chosen",
+        Record::Committed(_) => "chosen",
         Record::Accepted { .. } => "accepted",
-        Record::Whole(_) => "whole",
+        Record::Snapshot(_) => "whole",
     }
 }
 /// Arms of [`record_name`].
 const RECORDS: usize = 4;
 
 /// What led to a state with two versions and other voters.
-fn state() -> State {
-    let mut state = State::genesis(voters(), 4);
+fn state() -> ReplicatedState {
+    let mut state = ReplicatedState::genesis(voters(), 4);
     entries().iter().for_each(|entry| state.apply(entry));
-    assert_eq!((state.index, state.version(), state.slots), (5, 6, 5));
+    assert_eq!((state.index, state.version(), state.quota_shares), (LogIndex(5), 6, 5));
     state
 }
 
 /// A state that has forgotten some of its orders.
-fn long_state() -> State {
-    let mut state = State::genesis(vec![voter(1)], 1);
-    for version in 1..=REMEMBERED_ORDERS as u32 + 3 {
+fn long_state() -> ReplicatedState {
+    let mut state = ReplicatedState::genesis(vec![voter(1)], 1);
+    for version in 1..=REMEMBERED_REQUESTS as u32 + 3 {
         state.apply(&replace(version - 1, &small(version)));
     }
-    assert_eq!((state.forgotten, state.taken.len()), (3, REMEMBERED_ORDERS));
+    assert_eq!((state.forgotten_up_to, state.applied_requests.len()), (3, REMEMBERED_REQUESTS));
     state
 }
 
@@ -150,12 +161,12 @@
 }
 
 fn records() -> Vec<Record> {
-    let (open, entry) = (Some((TERM, entries().remove(1))), replace(6, &small(7)));
+    let (open, entry) = (Some(accepted(TERM, entries().remove(1))), replace(6, &small(7)));
     vec![
         Record::Promised(TERM),
-        Record::Chosen(Chosen { index: 6, entry: entry.clone() }),
-        Record::Accepted { term: TERM, index: 6, entry },
-        Record::Whole(Recovered { promised: TERM, state: state(), open }),
+        Record::Committed(CommittedEntry { index: LogIndex(6), entry: entry.clone() }),
+        Record::Accepted { term: TERM, index: LogIndex(6), entry },
+        Record::Snapshot(DurableState { promised: TERM, state: state(), accepted: open }),
     ]
 }
 
@@ -190,20 +201,23 @@
 
 #[test]
 fn states_and_digests_have_their_bytes() {
-    let digest = OrderDigest::of(true, 4, b"body");
+    let digest = RequestDigest::of(ChangeScope::Full, 4, b"body");
     assert_eq!(format!("{digest:?}"), hex(&encode(&digest))[2..], "a digest is its bytes");
     let cases = [
-        encoded("nothing", &State::nothing()),
-        encoded("genesis", &State::genesis(voters(), 4)),
+        encoded("nothing", &ReplicatedState::empty()),
+        encoded("genesis", &ReplicatedState::genesis(voters(), 4)),
         encoded("two versions", &state()),
         encoded("orders forgotten", &long_state()),
         encoded("digest of a whole one", &digest),
-        encoded("digest of a change", &OrderDigest::of(false, 4, b"body")),
+        encoded("digest of a change", &RequestDigest::of(ChangeScope::Partial, 4, b"body")),
         encoded("voter", &voter(1)),
-        encoded("chosen", &Chosen { index: 9, entry: Entry::Nothing }),
-        encoded("recovered", &Recovered { promised: TERM, state: State::nothing(), open: None }),
-        encoded("kind safe", &Kind::Safe),
-        encoded("kind unsafe", &Kind::Unsafe),
+        encoded("chosen", &CommittedEntry { index: LogIndex(9), entry: Entry::Noop }),
+        encoded(
+            "recovered",
+            &DurableState { promised: TERM, state: ReplicatedState::empty(), accepted: None },
+        ),
+        encoded("kind safe", &Idempotency::Safe),
+        encoded("kind unsafe", &Idempotency::Unsafe),
     ];
     fixture::check(PACKAGE, "states", &cases);
 }
@@ -225,7 +239,7 @@
     /// One with a copy of a fixture in it.
     fn with(fixture: &str) -> Folder {
         let folder = Folder::new(fixture);
-        std::fs::copy(golden(fixture), folder.0.join(FILE)).expect("the fixture is there");
+        std::fs::copy(golden(fixture), folder.0.join(FILE_NAME)).expect("the fixture is there");
         folder
     }
 }
@@ -242,7 +256,7 @@
 
 /// All that stands in a store's tables, and how they are made.
 fn rows(folder: &Path) -> Vec<Vec<Cell>> {
-    let file = rusqlite::Connection::open(folder.join(FILE)).expect("the file opens");
+    let file = rusqlite::Connection::open(folder.join(FILE_NAME)).expect("the file opens");
     let mut rows = Vec::new();
     for query in [
         "SELECT name, sql FROM sqlite_schema ORDER BY name",
@@ -260,51 +274,52 @@
 
 const STORE: &str = "store-2.sqlite";
 const OLD_STORE: &str = "store-1.sqlite";
-const DISK: u64 = 0xfeed_0000_0000_0001;
+const DISK: DiskId = DiskId(0xfeed_0000_0000_0001);
 
 /// What a voter kept, one record after another: a snapshot at index 5, two more versions, and one that is open.
 fn kept() -> Vec<Record> {
-    let accepted = |term, index, entry| Record::Accepted { term, index, entry };
+    let accepted = |term, index, entry| Record::Accepted { term, index: LogIndex(index), entry };
     let last = r#"{"version":"00000009","put":{"services":[{"name":"late"}]}}"#;
     vec![
-        Record::Whole(Recovered { promised: (1, 1), state: state(), open: None }),
-        accepted((2, DISK), 6, replace(6, &small(7))),
-        Record::Chosen(Chosen {
-            index: 7,
+        Record::Snapshot(DurableState { promised: Term::new(1, DiskId(1)), state: state(), accepted: None }),
+        accepted(Term::new(2, DISK), 6, replace(6, &small(7))),
+        Record::Committed(CommittedEntry {
+            index: LogIndex(7),
             entry: change(7, r#"{"version":"00000008","put":{"services":[{"name":"s"}]}}"#),
         }),
-        accepted((3, DISK), 8, Entry::Nothing),
-        Record::Promised((5, 2)),
-        accepted((6, DISK), 9, change(8, last)),
+        accepted(Term::new(3, DISK), 8, Entry::Noop),
+        Record::Promised(Term::new(5, DiskId(2))),
+        accepted(Term::new(6, DISK), 9, change(8, last)),
     ]
 }
 
-fn expected() -> Recovered {
+fn expected() -> DurableState {
     let mut state = state();
     let mut open = None;
     for record in kept() {
         match record {
-            Record::Chosen(Chosen { entry, .. }) => {
-                if let Some((_, before)) = open.take() {
+            Record::Committed(CommittedEntry { entry, .. }) => {
+                if let Some(AcceptedEntry { entry: before, .. }) = open.take() {
                     state.apply(&before);
                 }
                 state.apply(&entry);
             }
             Record::Accepted { term, entry, .. } => {
-                if let Some((_, before)) = open.replace((term, entry)) {
+                if let Some(AcceptedEntry { entry: before, .. }) = open.replace(AcceptedEntry { term, entry })
+                {
                     state.apply(&before);
                 }
             }
-            Record::Promised(_) | Record::Whole(_) => {}
+            Record::Promised(_) | Record::Snapshot(_) => {}
         }
     }
-    Recovered { promised: (6, DISK), state, open }
+    DurableState { promised: Term::new(6, DISK), state, accepted: open }
 }
 
 /// Writes the store anew, as this code does.
 fn write_store(folder: &Path) {
     let (mut store, _) = Store::open(folder, DISK).expect("a new store");
-    kept().iter().for_each(|record| store.keep(record).expect("it is kept"));
+    kept().iter().for_each(|record| store.append(record).expect("it is kept"));
 }
 
 /// Writes a store as format 1 had it: a state alone, whose orders stand under digests of 64 bits.
@@ -316,9 +331,10 @@
         other => panic!("a state is a map: {other:?}"),
     };
     fields.retain(|(key, _)| key.as_text() != Some("forgotten") && key.as_text() != Some("taken"));
-    let taken = state().taken.into_keys().map(|version| (Value::from(version), Value::from(u64::MAX)));
+    let taken =
+        state().applied_requests.into_keys().map(|version| (Value::from(version), Value::from(u64::MAX)));
     fields.push((Value::from("taken"), Value::Map(taken.collect())));
-    let file = rusqlite::Connection::open(folder.join(FILE)).expect("the file opens");
+    let file = rusqlite::Connection::open(folder.join(FILE_NAME)).expect("the file opens");
     let state = encode(&Value::Map(fields));
     file.execute("INSERT OR REPLACE INTO state VALUES (1, ?1)", [state]).expect("it is kept");
     file.execute("UPDATE meta SET value = ?1 WHERE key = 'format'", [encode(&1_u32)]).expect("it is kept");
@@ -330,10 +346,10 @@
     if is_asked {
         let folder = Folder::new("written");
         write(&folder.0);
-        let file = rusqlite::Connection::open(folder.0.join(FILE)).expect("the file opens");
+        let file = rusqlite::Connection::open(folder.0.join(FILE_NAME)).expect("the file opens");
         file.pragma_update(None, "journal_mode", "delete").expect("the log is taken in");
         drop(file);
-        std::fs::copy(folder.0.join(FILE), golden(name)).expect("the fixture can be written");
+        std::fs::copy(folder.0.join(FILE_NAME), golden(name)).expect("the fixture can be written");
     }
     is_asked
 }
@@ -342,11 +358,11 @@
 fn a_store_that_a_voter_left_is_found_as_it_was_and_is_written_the_same() {
     assert!(!write_if_asked(STORE, write_store), "written, as GOLDEN_WRITE=1 asks; run again without it");
     let folder = Folder::with(STORE);
-    let (store, found) = Store::open(&folder.0, 99).expect("the fixture opens");
+    let (store, found) = Store::open(&folder.0, DiskId(99)).expect("the fixture opens");
     assert_eq!(store.disk(), DISK);
     drop(store);
     assert_eq!(found, expected());
-    assert_eq!((found.state.index, found.state.version(), found.state.forgotten), (8, 8, 0));
+    assert_eq!((found.state.index, found.state.version(), found.state.forgotten_up_to), (LogIndex(8), 8, 0));
     let fresh = Folder::new("fresh");
     write_store(&fresh.0);
     let (written, kept) = (rows(&fresh.0), rows(&Folder::with(STORE).0));
@@ -360,11 +376,11 @@
     // Where it writes, the check of the rows at the end writes too, and fails.
     write_if_asked(OLD_STORE, write_old_store);
     let folder = Folder::with(OLD_STORE);
-    let (_, found) = Store::open(&folder.0, 99).expect("the fixture opens");
-    let Recovered { mut state, open, .. } = expected();
-    state.taken.retain(|version, _| *version > 6);
-    state.forgotten = 6;
-    assert_eq!(found, Recovered { promised: (6, DISK), state, open });
+    let (_, found) = Store::open(&folder.0, DiskId(99)).expect("the fixture opens");
+    let DurableState { mut state, accepted, .. } = expected();
+    state.applied_requests.retain(|version, _| *version > 6);
+    state.forgotten_up_to = 6;
+    assert_eq!(found, DurableState { promised: Term::new(6, DISK), state, accepted });
     let cases: Vec<(String, String)> = rows(&folder.0)
         .into_iter()
         .enumerate()
@@ -384,12 +400,12 @@
 }
 
 /// The kind of a store's fault; one that is new does not compile here until it has a case below too.
-fn store_fault_name(fault: &StoreFault) -> &'static str {
+fn store_fault_name(fault: &StoreError) -> &'static str {
     match fault {
-        StoreFault::Format { .. } => "format",
-        StoreFault::Spoilt { .. } => "spoilt",
-        StoreFault::Folder { .. } => "folder",
-        StoreFault::Disk(_) => "disk",
+        StoreError::UnsupportedFormat { .. } => "format",
+        StoreError::Corrupt { .. } => "spoilt",
+        StoreError::SyncFolder { .. } => "folder",
+        StoreError::Sqlite(_) => "disk",
     }
 }
 
@@ -397,18 +413,19 @@
 fn stores_are_refused_in_the_same_words() {
     let changed = |sql: &str| {
         let folder = Folder::with(STORE);
-        let file = rusqlite::Connection::open(folder.0.join(FILE)).expect("the file opens");
+        let file = rusqlite::Connection::open(folder.0.join(FILE_NAME)).expect("the file opens");
         file.execute(sql, []).expect("it is changed");
         drop(file);
-        let fault = Store::open(&folder.0, 99).expect_err("it is refused");
+        let fault = Store::open(&folder.0, DiskId(99)).expect_err("it is refused");
         (fault, folder.0.clone())
     };
     let torn = || {
         let folder = Folder::new("torn");
-        let (mut store, _) = Store::open_within(&folder.0, DISK, 64 << 10).expect("a new store");
-        let large = Record::Chosen(Chosen { index: 1, entry: replace(0, &" ".repeat(1 << 20)) });
-        let full = store.keep(&large).expect_err("it is full");
-        (full, store.keep(&Record::Promised(TERM)).expect_err("it is torn"), folder.0.clone())
+        let (mut store, _) = Store::open_with_limit(&folder.0, DISK, 64 << 10).expect("a new store");
+        let large =
+            Record::Committed(CommittedEntry { index: LogIndex(1), entry: replace(0, &" ".repeat(1 << 20)) });
+        let full = store.append(&large).expect_err("it is full");
+        (full, store.append(&Record::Promised(TERM)).expect_err("it is torn"), folder.0.clone())
     };
     let (full, behind, torn) = torn();
     let error = std::io::Error::new(std::io::ErrorKind::PermissionDenied, "not allowed");
@@ -420,11 +437,11 @@
         ("a bad entry", changed("UPDATE log SET entry = x'60'")),
         ("full", (full, torn.clone())),
         ("behind a gap", (behind, torn)),
-        ("folder", (StoreFault::Folder { folder: at.clone(), error }, at)),
+        ("folder", (StoreError::SyncFolder { folder: at.clone(), error }, at)),
     ];
     let covered: BTreeSet<&str> = cases.iter().map(|(_, (fault, _))| store_fault_name(fault)).collect();
     assert_eq!(covered.len(), 4, "a kind of fault has no case");
-    let told = |(name, (fault, folder)): (&str, (StoreFault, PathBuf))| {
+    let told = |(name, (fault, folder)): (&str, (StoreError, PathBuf))| {
         let help = miette::Diagnostic::help(&fault).map(|help| help.to_string()).unwrap_or_default();
         let text = fault.to_string().replace(&folder.display().to_string(), "FOLDER");
         (name.to_owned(), format!("{text}\n{help}"))
@@ -442,7 +459,7 @@
         assert_eq!((&read, read.to_bytes()), (document, document.to_bytes()));
     }
     let differences = |older: &Document, newer: &Document| {
-        difference(older.parsed(), newer.parsed())
+        difference(older.configuration(), newer.configuration())
             .iter()
             .map(ToString::to_string)
             .collect::<Vec<_>>()
@@ -457,7 +474,7 @@
         ("difference back", differences(&changed, &first)),
     ];
     fixture::check(PACKAGE, "documents", &cases.map(|(name, text)| (name.to_owned(), text)));
-    let parsed = first.parsed();
+    let parsed = first.configuration();
     assert_eq!((parsed.version, parsed.has_keys), (Version(5), true));
     let (search, pay) = (&parsed.services["search"], &parsed.services["pay"]);
     assert_eq!((search.health_path.as_str(), search.max_connections, search.tls), ("/ok", 7, true));
@@ -470,26 +487,35 @@
     let acme = &parsed.tenants["acme"];
     assert_eq!((acme.keys.len(), acme.rank, acme.rate_per_s, acme.burst), (2, 2, 12.5, 30.0));
     let (all, split) = (&parsed.routes[0], &parsed.routes[1]);
-    assert_eq!((all.host.as_str(), all.path_start.as_str(), all.kind), ("shop.example", "/", Kind::Safe));
-    assert_eq!((all.give_up_s, all.goal_s, all.rank, all.tries, all.public), (2.5, 0.5, 1, 3, true));
+    assert_eq!(
+        (all.host.as_str(), all.path_prefix.as_str(), all.kind),
+        ("shop.example", "/", Idempotency::Safe)
+    );
+    assert_eq!(
+        (all.timeout_s, all.latency_target_s, all.rank, all.max_attempts, all.public),
+        (2.5, 0.5, 1, 3, true)
+    );
     assert_eq!(all.targets, [("search".to_owned(), 1)]);
-    assert_eq!((split.kind, split.goal_s, split.tries, split.public), (Kind::Unsafe, 600.0, 1, false));
+    assert_eq!(
+        (split.kind, split.latency_target_s, split.max_attempts, split.public),
+        (Idempotency::Unsafe, 600.0, 1, false)
+    );
     assert_eq!(split.targets, [("pay".to_owned(), 3)]);
 }
 
 /// The kind of a fault. Matches outside the package must have a last arm: a new kind fails the test when it comes up.
-fn fault_name(fault: &Fault) -> &'static str {
+fn fault_name(fault: &ValidationError) -> &'static str {
     match fault {
-        Fault::Unreadable { .. } => "unreadable",
-        Fault::WrongType { .. } => "wrong type",
-        Fault::Missing { .. } => "missing",
-        Fault::BadValue { .. } => "bad value",
-        Fault::OldVersion { .. } => "old version",
-        Fault::UnknownService { .. } => "unknown service",
-        Fault::SamePlace { .. } => "same place",
-        Fault::SameName { .. } => "same name",
-        Fault::SharedKey { .. } => "shared key",
-        Fault::NoTarget { .. } => "no target",
+        ValidationError::Unreadable { .. } => "unreadable",
+        ValidationError::WrongType { .. } => "wrong type",
+        ValidationError::Missing { .. } => "missing",
+        ValidationError::BadValue { .. } => "bad value",
+        ValidationError::OldVersion { .. } => "old version",
+        ValidationError::UnknownService { .. } => "unknown service",
+        ValidationError::SamePlace { .. } => "same place",
+        ValidationError::SameName { .. } => "same name",
+        ValidationError::SharedKey { .. } => "shared key",
+        ValidationError::NoTarget { .. } => "no target",
         other => panic!("a kind without a case: {other}"),
     }
 }
@@ -506,7 +532,7 @@
     let with = |fields: &str| whole(&format!("{{\"version\":\"00000009\",{fields}}}"));
     let changed = |fields: &str| base.change(format!("{{\"version\":\"00000009\",{fields}}}").as_bytes());
     const R: &str = r#""name":"r","pathStart":"/","giveUpS":1,"service":"s""#;
-    let cases: Vec<(&str, Result<Document, Faults>)> = vec![
+    let cases: Vec<(&str, Result<Document, ValidationErrors>)> = vec![
         ("no JSON", whole("{\n \"version\": }")),
         ("cut off", whole("{\"version\":")),
         ("empty", whole("")),
@@ -589,7 +615,7 @@
     for (name, result) in cases {
         let faults = result.err().unwrap_or_else(|| panic!("{name}: it is refused"));
         covered.extend(faults.iter().map(fault_name));
-        let places: Vec<&str> = faults.iter().map(Fault::at).collect();
+        let places: Vec<&str> = faults.iter().map(ValidationError::at).collect();
         told.push((name.to_owned(), faults.to_string()));
         told.push((format!("{name}, places"), places.join(", ")));
     }
--- a/crates/brassport-config-store/tests/leadership.rs
+++ b/crates/brassport-config-store/tests/leadership.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use brassport_config_store::consensus::{Action, Message};
+use brassport_config_store::consensus::{Action, LogIndex, Message, Term};
 
 #[test]
 fn the_duty_waits_for_the_own_promise_and_a_judgement_for_a_majority() {
--- a/crates/brassport-config-store/tests/model.rs
+++ b/crates/brassport-config-store/tests/model.rs
@@ -1,6 +1,6 @@
 //! The chain's core itself, explored exhaustively within bounds: every order of what may happen to three and four voters.
 //!
-//! More of it: `cargo test --release -p brassport_config_store --test model -- --ignored --nocapture --test-threads 1`
+//! More of it: `cargo test --release -p brassport-config-store --test model -- --ignored --nocapture --test-threads 1`
 
 #[path = "common/voters.rs"]
 mod voters;
--- a/crates/brassport-config-store/tests/orders.rs
+++ b/crates/brassport-config-store/tests/orders.rs
@@ -5,19 +5,19 @@
 
 use alone::{body, orders_of_long_ago_refused, Alone, ME};
 use brassport_config_store::consensus::{
-    Action, Command, DurableState, Entry, Message, Outcome, Record, Replica, ReplicatedState, RequestDigest,
-    VoterId,
+    AcceptedEntry, Action, ChangeScope, Command, DiskId, DurableState, Entry, LogIndex, Message, Outcome,
+    Record, Replica, ReplicatedState, RequestDigest, Term, VoterId,
 };
 use std::net::Ipv4Addr;
 
 #[test]
 fn an_order_is_known_by_method_base_and_body() {
-    let order = RequestDigest::of(true, 5, b"{}");
-    assert_eq!(order, RequestDigest::of(true, 5, b"{}"));
+    let order = RequestDigest::of(ChangeScope::Full, 5, b"{}");
+    assert_eq!(order, RequestDigest::of(ChangeScope::Full, 5, b"{}"));
     for other in [
-        RequestDigest::of(false, 5, b"{}"),
-        RequestDigest::of(true, 6, b"{}"),
-        RequestDigest::of(true, 5, b"{} "),
+        RequestDigest::of(ChangeScope::Partial, 5, b"{}"),
+        RequestDigest::of(ChangeScope::Full, 6, b"{}"),
+        RequestDigest::of(ChangeScope::Full, 5, b"{} "),
     ] {
         assert_ne!(order, other);
     }
@@ -63,7 +63,7 @@
     let found = DurableState {
         promised: Term::new(1, DiskId(1)),
         state: ReplicatedState::genesis(vec![ME], 4),
-        open: Some(((1, 1), entry)),
+        accepted: Some(AcceptedEntry { term: Term::new(1, DiskId(1)), entry }),
     };
     let mut next = Alone::recovered(found);
     assert_eq!(next.put(0, &order), Outcome::Committed);
--- a/crates/brassport-config-store/tests/store.rs
+++ b/crates/brassport-config-store/tests/store.rs
@@ -1,7 +1,8 @@
 //! A voter's store: what was synced is found again, whatever came behind it; what is none of this format is refused by name.
 
 use brassport_config_store::consensus::{
-    CommittedEntry, DurableState, Entry, Record, Replica, ReplicatedState, VoterId,
+    AcceptedEntry, CommittedEntry, DiskId, DurableState, Entry, LogIndex, Record, Replica, ReplicatedState,
+    Term, VoterId,
 };
 use brassport_config_store::store::{Store, StoreError, FILE_NAME};
 use std::path::{Path, PathBuf};
@@ -27,7 +28,7 @@
 }
 
 fn open(folder: &Path) -> (Store, DurableState) {
-    Store::open(folder, 77).expect("the store opens")
+    Store::open(folder, DiskId(77)).expect("the store opens")
 }
 
 fn voters() -> Vec<VoterId> {
@@ -45,33 +46,41 @@
 }
 
 fn accepted(term: u64, index: u64, entry: Entry) -> Record {
-    Record::Accepted { term: (term, 1), index, entry }
+    Record::Accepted { term: Term::new(term, DiskId(1)), index: LogIndex(index), entry }
 }
 
 #[test]
 fn a_new_store_has_its_number_and_nothing_else_and_keeps_the_number() {
     let folder = Folder::new("new");
     let (store, found) = open(&folder.0);
-    assert_eq!((store.disk(), found.state.index, found.promised), (77, 0, (0, 0)));
+    assert_eq!((store.disk(), found.state.index, found.promised), (DiskId(77), LogIndex(0), Term::ZERO));
     drop(store);
-    assert_eq!(Store::open(&folder.0, 99).expect("again").0.disk(), 77, "the number that it was given first");
+    assert_eq!(
+        Store::open(&folder.0, DiskId(99)).expect("again").0.disk(),
+        DiskId(77),
+        "the number that it was given first"
+    );
 }
 
 #[test]
 fn what_was_accepted_last_is_open_and_what_stands_before_it_is_chosen() {
     let folder = Folder::new("accepted");
     let (mut store, _) = open(&folder.0);
-    for record in [whole(), accepted(2, 2, word(5, 0)), Record::Promised((4, 1)), accepted(4, 3, word(9, 5))]
-    {
+    for record in [
+        whole(),
+        accepted(2, 2, word(5, 0)),
+        Record::Promised(Term::new(4, DiskId(1))),
+        accepted(4, 3, word(9, 5)),
+    ] {
         store.append(&record).expect("kept");
     }
     drop(store);
     let (_, found) = open(&folder.0);
-    assert_eq!((found.state.index, found.state.version()), (2, 5));
-    assert_eq!(found.accepted, Some(((4, 1), word(9, 5))));
-    assert_eq!(found.promised, (4, 1));
+    assert_eq!((found.state.index, found.state.version()), (LogIndex(2), 5));
+    assert_eq!(found.accepted, Some(AcceptedEntry { term: Term::new(4, DiskId(1)), entry: word(9, 5) }));
+    assert_eq!(found.promised, Term::new(4, DiskId(1)));
     // And a replica goes on from there.
-    let replica = Replica::new([10, 0, 0, 1].into(), 1, Some(found), 0);
+    let replica = Replica::new([10, 0, 0, 1].into(), DiskId(1), Some(found), 0);
     assert!(replica.is_voter());
 }
 
@@ -85,7 +94,7 @@
     }
     drop(store);
     let (_, found) = open(&folder.0);
-    assert_eq!((found.state.index, found.state.version(), found.accepted), (2, 7, None));
+    assert_eq!((found.state.index, found.state.version(), found.accepted), (LogIndex(2), 7, None));
 }
 
 #[test]
@@ -97,17 +106,17 @@
     }
     let mut state = ReplicatedState::genesis(voters(), 4);
     state.apply(&word(5, 0));
-    let open_entry = Some(((3, 2), word(6, 5)));
+    let open_entry = Some(AcceptedEntry { term: Term::new(3, DiskId(2)), entry: word(6, 5) });
     let record = Record::Snapshot(DurableState {
         promised: Term::new(9, DiskId(3)),
         state: state.clone(),
-        open: open_entry.clone(),
+        accepted: open_entry.clone(),
     });
     store.append(&record).expect("kept");
     drop(store);
     assert_eq!(
         open(&folder.0).1,
-        DurableState { promised: Term::new(9, DiskId(3)), state, open: open_entry }
+        DurableState { promised: Term::new(9, DiskId(3)), state, accepted: open_entry }
     );
 }
 
@@ -128,7 +137,7 @@
         std::fs::write(copy.0.join(file.file_name()), bytes).expect("the copy");
     }
     let (_, found) = open(&copy.0);
-    assert_eq!(found.accepted, Some(((2, 1), word(5, 0))));
+    assert_eq!(found.accepted, Some(AcceptedEntry { term: Term::new(2, DiskId(1)), entry: word(5, 0) }));
 }
 
 #[test]
@@ -138,7 +147,7 @@
     let file = rusqlite::Connection::open(folder.0.join(FILE_NAME)).expect("the file");
     file.execute("UPDATE meta SET value = x'1863' WHERE key = 'format'", []).expect("another format");
     drop(file);
-    let fault = Store::open(&folder.0, 1).expect_err("it is refused");
+    let fault = Store::open(&folder.0, DiskId(1)).expect_err("it is refused");
     assert!(matches!(fault, StoreError::UnsupportedFormat { found: 99, .. }), "{fault}");
     assert!(fault.to_string().contains(FILE_NAME), "{fault}");
     let help = miette::Diagnostic::help(&fault).expect("a way out").to_string();
@@ -149,7 +158,7 @@
 fn a_file_that_is_no_store_is_refused_and_left_as_it_is() {
     let folder = Folder::new("no-store");
     std::fs::write(folder.0.join(FILE_NAME), b"something else altogether, of some length").expect("a file");
-    assert!(Store::open(&folder.0, 1).is_err());
+    assert!(Store::open(&folder.0, DiskId(1)).is_err());
     let bytes = std::fs::read(folder.0.join(FILE_NAME)).expect("still there");
     assert_eq!(&bytes[..9], b"something");
 }
@@ -157,7 +166,7 @@
 #[test]
 fn behind_a_record_that_was_not_kept_nothing_is_until_all_is_written_anew() {
     let folder = Folder::new("refused");
-    let (mut store, _) = Store::open_with_limit(&folder.0, 77, 96 << 10).expect("the store opens");
+    let (mut store, _) = Store::open_with_limit(&folder.0, DiskId(77), 96 << 10).expect("the store opens");
     store.append(&whole()).expect("kept");
     let large = Entry::Change { base_version: 0, body: Arc::new(vec![b'x'; 200 << 10]) };
     assert!(matches!(store.append(&accepted(2, 2, large)), Err(StoreError::Sqlite(_))), "the disk is full");
@@ -165,7 +174,10 @@
     store.append(&whole()).expect("all anew");
     store.append(&accepted(2, 2, word(5, 0))).expect("kept again");
     drop(store);
-    assert_eq!(open(&folder.0).1.open, Some(((2, 1), word(5, 0))));
+    assert_eq!(
+        open(&folder.0).1.accepted,
+        Some(AcceptedEntry { term: Term::new(2, DiskId(1)), entry: word(5, 0) })
+    );
 }
 
 /// A file of the format before: its state is read, and orders that it remembers under short digests count as forgotten.
@@ -181,9 +193,9 @@
     make_format_1(&folder.0, &found.state);
     let (store, converted) = open(&folder.0);
     let state = converted.state;
-    assert_eq!((state.version(), state.index, &state.voters), (5, 2, &voters()));
-    assert_eq!((state.forgotten, state.applied_requests.len()), (5, 0));
-    assert_eq!(store.disk(), 77, "it is the same disk");
+    assert_eq!((state.version(), state.index, &state.voters), (5, LogIndex(2), &voters()));
+    assert_eq!((state.forgotten_up_to, state.applied_requests.len()), (5, 0));
+    assert_eq!(store.disk(), DiskId(77), "it is the same disk");
     drop(store);
     assert_eq!(open(&folder.0).1.state, state, "and it is converted once");
 }
--- a/crates/brassport-config-store/tests/store_growth.rs
+++ b/crates/brassport-config-store/tests/store_growth.rs
@@ -5,14 +5,16 @@
 mod alone;
 
 use alone::{body, Alone};
-use brassport_config_store::consensus::{Action, Command, DurableState, Record, ReplicatedState};
+use brassport_config_store::consensus::{
+    Action, ChangeScope, Command, ConfigurationRequest, DiskId, DurableState, Record, ReplicatedState, Term,
+};
 use brassport_config_store::store::Store;
 use std::path::Path;
 use std::time::Instant;
 
 /// What a folder holds after so many changes: bytes in its files, milliseconds to open it again, and the version found.
 fn after(changes: u32, folder: &Path) -> (u64, f64, u32) {
-    let (mut store, _) = Store::open(folder, 7).expect("the store opens");
+    let (mut store, _) = Store::open(folder, DiskId(7)).expect("the store opens");
     let mut alone = Alone::new();
     let state = ReplicatedState::clone(alone.replica.state());
     let whole = Record::Snapshot(DurableState { promised: Term::new(1, DiskId(7)), state, accepted: None });
@@ -35,7 +37,7 @@
     let files = std::fs::read_dir(folder).expect("the folder").map(|file| file.expect("a file"));
     let bytes = files.map(|file| file.metadata().expect("its size").len()).sum();
     let since = Instant::now();
-    let (_, found) = Store::open(folder, 7).expect("it opens again");
+    let (_, found) = Store::open(folder, DiskId(7)).expect("it opens again");
     let took = since.elapsed().as_secs_f64() * 1_000.0;
     // The last change is accepted; that it is chosen would be told by the next.
     let version = found.state.version() + u32::from(found.accepted.is_some());
