--- a/crates/brassport-config-store/src/consensus/campaign.rs
+++ b/crates/brassport-config-store/src/consensus/campaign.rs
@@ -1,18 +1,19 @@
-//! Campaigns: how a voter becomes the leader. It asks all voters to promise a term, and leads once a majority of them,
-//! itself included, has the promise on disk.
+//! Campaigns: how a voter becomes the leader. A candidate asks all voters to promise a term, and leads once a majority of
+//! them, itself included, has the promise on disk.
 
-use super::leader::Leading;
+use super::leader::LeaderState;
 use super::mutants::{is_active, Mutant};
 use super::replica::Replica;
 use super::{AcceptedEntry, Action, DiskId, Entry, LogIndex, Message, Millis, Term, VoterId};
 use std::collections::BTreeMap;
 
-/// A campaign that has no majority after so long is over; the next one has a higher term.
-const CAMPAIGN: Millis = 500;
-/// After so long promises are asked for again.
-const ASK_AGAIN: Millis = 150;
+/// A campaign that has no majority after so long is over; the next one has a higher term. Longer than three repetitions,
+/// so that a lost message alone ends none.
+const CAMPAIGN_TIMEOUT_MS: Millis = 500;
+/// After so long promises are asked for again: a message, or its answer, may be lost.
+const PREPARE_RETRY_INTERVAL_MS: Millis = 150;
 
-/// What a replica is at.
+/// A replica's role.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum Role {
     /// It follows, or waits until it would campaign.
@@ -20,7 +21,7 @@
     /// It asks for promises.
     Candidate(Candidate),
     /// It leads.
-    Leader(Leading),
+    Leader(LeaderState),
 }
 
 impl Role {
@@ -29,7 +30,7 @@
         match self {
             Role::Follower => None,
             Role::Candidate(candidate) => Some(candidate.term),
-            Role::Leader(leading) => Some(leading.term),
+            Role::Leader(leader) => Some(leader.term),
         }
     }
 }
@@ -38,16 +39,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Candidate {
     term: Term,
-    since: Millis,
-    /// When promises were asked for last.
-    asked: Millis,
-    promises: BTreeMap<VoterId, Promised>,
+    started_at: Millis,
+    prepare_sent_at: Millis,
+    promises: BTreeMap<VoterId, VoterPromise>,
 }
 
-/// What one voter promised with: the last index that it knows to be chosen, and what it accepted behind.
+/// What a voter's promise shows of its log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Promised {
+struct VoterPromise {
+    /// The last index that it knows to be committed.
     index: LogIndex,
+    /// What it accepted at the next.
     accepted: Option<AcceptedEntry>,
 }
 
@@ -56,15 +58,21 @@
     pub(super) fn campaign(&mut self) {
         let number = self.promised.number.max(self.role.term().map_or(0, |term| term.number)) + 1;
         let term = Term::new(number, self.me.disk);
-        self.quiet_since = self.now;
-        self.role =
-            Role::Candidate(Candidate { term, since: self.now, asked: self.now, promises: BTreeMap::new() });
-        self.tell_others(&Message::Prepare { term });
-        self.promise_oneself();
+        let now = self.now;
+        self.election.reset_timer(now);
+        self.role = Role::Candidate(Candidate {
+            term,
+            started_at: now,
+            prepare_sent_at: now,
+            promises: BTreeMap::new(),
+        });
+        self.send_to_others(&Message::Prepare { term });
+        self.vote_for_itself();
     }
 
-    /// Promises itself, once the others do: one whom they refuse must not bar the leader that lives.
-    fn promise_oneself(&mut self) {
+    /// Promises itself the term, once so many others did that this makes a majority: a candidate whom they reject must not
+    /// bar the leader that is alive.
+    fn vote_for_itself(&mut self) {
         let Role::Candidate(candidate) = &self.role else { return };
         let term = candidate.term;
         let others = candidate.promises.keys().filter(|voter| **voter != self.me).count();
@@ -74,9 +82,9 @@
         }
     }
 
-    /// A voter refuses: it has promised this term.
-    pub(super) fn refused(&mut self, term: Term) {
-        if self.role.term().is_some_and(|own| term > own) {
+    /// A voter rejects this candidate, or this leader: it has promised that term.
+    pub(super) fn on_reject(&mut self, term: Term) {
+        if self.role.term().is_some_and(|mine| term > mine) {
             // The next term that it campaigns under is above this one.
             self.promised = self.promised.max(Term::new(term.number, DiskId::NONE));
             self.step_down();
@@ -84,7 +92,7 @@
     }
 
     /// A voter promises this candidate its term.
-    pub(super) fn promise(
+    pub(super) fn on_promise(
         &mut self,
         from: VoterId,
         term: Term,
@@ -95,43 +103,45 @@
         if candidate.term != term {
             return;
         }
-        candidate.promises.insert(from, Promised { index, accepted });
+        candidate.promises.insert(from, VoterPromise { index, accepted });
         if index > self.state.index {
             self.actions.push(Action::FetchLog(from.ip));
         }
         if from != self.me {
-            self.promise_oneself();
+            self.vote_for_itself();
         }
         self.review_campaign();
     }
 
-    /// Leads, if a majority has promised by now: the state may have moved on meanwhile.
+    /// Leads, if a majority has promised by now: the state may have changed meanwhile.
     pub(super) fn review_campaign(&mut self) {
         let Role::Candidate(candidate) = &self.role else { return };
         if !self.is_voter() {
-            // What it learned meanwhile says that it has no vote any more.
+            // What it learned meanwhile shows that it has no vote any more.
             return self.step_down();
         }
-        let promised: Vec<&Promised> =
+        let promises: Vec<&VoterPromise> =
             self.state.voters.iter().filter_map(|voter| candidate.promises.get(voter)).collect();
-        // Guards against the same term being taken again after a crash: the own promise is on disk first.
-        let is_own = candidate.promises.contains_key(&self.me) || is_active(Mutant::OwnPromiseUnsynced);
+        // Guards against the same term being taken again after a crash: its own promise is on disk first.
+        let is_own_synced =
+            candidate.promises.contains_key(&self.me) || is_active(Mutant::LeadsBeforeOwnPromise);
         // Guards against a leader that is behind one of those who promised: what it lacks comes first.
-        let is_behind = promised.iter().any(|told| told.index > self.state.index);
-        if !is_own || is_behind || promised.len() < self.state.majority() {
+        let is_behind = promises.iter().any(|promise| promise.index > self.state.index);
+        if !is_own_synced || is_behind || promises.len() < self.state.majority() {
             return;
         }
-        let at_next = promised.into_iter().filter(|told| told.index == self.state.index);
-        let accepted = at_next.filter_map(|told| told.accepted.clone()).max_by_key(|accepted| accepted.term);
+        let at_next = promises.into_iter().filter(|promise| promise.index == self.state.index);
+        let accepted =
+            at_next.filter_map(|promise| promise.accepted.clone()).max_by_key(|accepted| accepted.term);
         let term = candidate.term;
-        self.lead(term);
-        self.adopt_open_entry(accepted.map(|accepted| accepted.entry));
+        self.become_leader(term);
+        self.adopt(accepted.map(|accepted| accepted.entry));
     }
 
-    /// What may have been chosen under a lower term is finished before anything is judged. Where nothing is open, no entry
-    /// is needed to make sure of the majority.
-    fn adopt_open_entry(&mut self, open: Option<Entry>) {
-        if let Some(entry) = open.filter(|_| !is_active(Mutant::OpenForgotten)) {
+    /// Finishes what may have been committed under a lower term before any command is evaluated (the value that phase 1 of
+    /// Paxos has found). Where nothing was accepted, no entry is needed to make sure of the majority.
+    fn adopt(&mut self, accepted: Option<Entry>) {
+        if let Some(entry) = accepted.filter(|_| !is_active(Mutant::AcceptedEntryIgnored)) {
             self.propose(entry, None);
         }
     }
@@ -140,14 +150,14 @@
     pub(super) fn tick_candidate(&mut self) {
         let now = self.now;
         let Role::Candidate(candidate) = &mut self.role else { return };
-        if now >= candidate.since + CAMPAIGN {
+        if now >= candidate.started_at + CAMPAIGN_TIMEOUT_MS {
             self.role = Role::Follower;
-            self.quiet_since = now;
-        } else if now >= candidate.asked + ASK_AGAIN {
-            candidate.asked = now;
+            self.election.reset_timer(now);
+        } else if now >= candidate.prepare_sent_at + PREPARE_RETRY_INTERVAL_MS {
+            candidate.prepare_sent_at = now;
             let term = candidate.term;
-            self.tell_others(&Message::Prepare { term });
-            self.promise_oneself();
+            self.send_to_others(&Message::Prepare { term });
+            self.vote_for_itself();
         }
     }
 }
--- a/crates/brassport-config-store/src/consensus/configuration_request.rs
+++ b/crates/brassport-config-store/src/consensus/configuration_request.rs
@@ -6,8 +6,8 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Bytes of a digest that are kept: 128 bits of SHA-256.
-const KEPT_BYTES: usize = 16;
+/// Bytes of a digest: the first 128 bits of SHA-256, enough that no two requests ever meet by chance.
+const DIGEST_BYTES: usize = 16;
 
 /// How much of the configuration a request replaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -38,7 +38,7 @@
 
 /// A digest of a request: its scope, the version that it builds on, and its body.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RequestDigest([u8; KEPT_BYTES]);
+pub struct RequestDigest([u8; DIGEST_BYTES]);
 
 impl RequestDigest {
     /// The digest of a request as it was sent.
@@ -47,9 +47,9 @@
         hasher.update([u8::from(scope == ChangeScope::Full)]);
         hasher.update(base_version.to_be_bytes());
         hasher.update(body);
-        let mut kept = [0; KEPT_BYTES];
-        kept.copy_from_slice(&hasher.finalize()[..KEPT_BYTES]);
-        RequestDigest(kept)
+        let mut digest = [0; DIGEST_BYTES];
+        digest.copy_from_slice(&hasher.finalize()[..DIGEST_BYTES]);
+        RequestDigest(digest)
     }
 }
 
@@ -71,7 +71,7 @@
         impl de::Visitor<'_> for Bytes {
             type Value = RequestDigest;
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                write!(f, "{KEPT_BYTES} bytes")
+                write!(f, "{DIGEST_BYTES} bytes")
             }
             fn visit_bytes<E: de::Error>(self, bytes: &[u8]) -> Result<RequestDigest, E> {
                 bytes.try_into().map(RequestDigest).map_err(|_| E::invalid_length(bytes.len(), &self))
--- a/crates/brassport-config-store/src/consensus/mutants.rs
+++ b/crates/brassport-config-store/src/consensus/mutants.rs
@@ -1,56 +1,56 @@
-//! Deliberate faults, one at a time, to show that the campaign can fail. Without the feature `mutants` each is `false`
-//! when it is compiled.
+//! Deliberate faults, one at a time, to show that the tests can fail. Without the feature `mutants` each check is `false`
+//! at compile time.
 
 /// A fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mutant {
-    /// A promise, or an acceptance, is said before it is on disk.
-    SaidUnsynced = 1,
-    /// A new leader passes over what may have been chosen before.
-    OpenForgotten,
+    /// A promise, or an acceptance, is sent before it is on disk.
+    MessageBeforeSync = 1,
+    /// A new leader passes over what may have been committed before.
+    AcceptedEntryIgnored,
     /// One voter fewer than a majority is enough.
-    NoMajority,
+    QuorumOneShort,
     /// A voter accepts under a term below its promise.
     PromiseBroken,
-    /// A voter whose disk was lost goes on as the one that it was.
-    DiskIgnored,
-    /// A leader takes leadership before its own promise is on disk.
-    OwnPromiseUnsynced,
-    /// A leader judges although it may be one no more.
-    JudgesUnsure,
-    /// Behind a write that failed nothing is mended.
-    TornIgnored,
-    /// A change of voters is taken up although another was chosen since it was asked for.
-    VotersUnchecked,
-    /// An order that may have been taken long ago is refused.
-    ForgottenRefused,
-    /// The reconciler of voters keeps a silent voter.
+    /// A voter whose disk was lost keeps its vote.
+    LostDiskKeepsVote,
+    /// A candidate leads before its own promise is on disk.
+    LeadsBeforeOwnPromise,
+    /// A leader evaluates commands although another may lead.
+    EvaluatesWithoutQuorum,
+    /// After a write that failed no snapshot closes the gap.
+    WriteGapIgnored,
+    /// A change of voters is proposed although another was committed since it was submitted.
+    VoterChangeUnchecked,
+    /// A request that may have been applied long ago is rejected.
+    ForgottenRequestRejected,
+    /// The reconciler of voters keeps an unresponsive voter.
     SilentStays,
-    /// The reconciler lets a successor in before the silent voter goes.
+    /// The reconciler adds a successor before the unresponsive voter is removed.
     SuccessorFirst,
-    /// One that is about to end may, whoever knows what it knows.
+    /// A machine may leave although no majority knows what it knows.
     ReleasedUnasked,
-    /// A snapshot is taken in whose digest is another.
+    /// A snapshot is installed whose digest differs.
     SnapshotUnchecked,
-    /// A machine that is cut off hands its configuration out.
+    /// A partitioned machine sends its configuration to others.
     CutOffHandsOut,
-    /// One that was cut off tells others of backends as it knew them.
+    /// A machine that was partitioned sends its stale backend records to others.
     IsolationTrusted,
 }
 
 /// Every fault of consensus itself.
 pub const ALL: [Mutant; 10] = [
-    Mutant::SaidUnsynced,
-    Mutant::OpenForgotten,
-    Mutant::NoMajority,
+    Mutant::MessageBeforeSync,
+    Mutant::AcceptedEntryIgnored,
+    Mutant::QuorumOneShort,
     Mutant::PromiseBroken,
-    Mutant::DiskIgnored,
-    Mutant::OwnPromiseUnsynced,
-    Mutant::JudgesUnsure,
-    Mutant::TornIgnored,
-    Mutant::VotersUnchecked,
-    Mutant::ForgottenRefused,
+    Mutant::LostDiskKeepsVote,
+    Mutant::LeadsBeforeOwnPromise,
+    Mutant::EvaluatesWithoutQuorum,
+    Mutant::WriteGapIgnored,
+    Mutant::VoterChangeUnchecked,
+    Mutant::ForgottenRequestRejected,
 ];
 
 /// Every fault of the control plane around it.
@@ -64,29 +64,29 @@
 ];
 
 #[cfg(feature = "mutants")]
-mod chosen {
+mod active {
     use super::Mutant;
     use std::cell::Cell;
 
     thread_local! {
-        static CHOSEN: Cell<u8> = const { Cell::new(0) };
+        static ACTIVE: Cell<u8> = const { Cell::new(0) };
     }
 
-    /// Lets one fault into this thread, or none.
+    /// Activates one fault in this thread, or none.
     pub fn activate(mutant: Option<Mutant>) {
-        CHOSEN.set(mutant.map_or(0, |mutant| mutant as u8));
+        ACTIVE.set(mutant.map_or(0, |mutant| mutant as u8));
     }
 
-    /// Whether this fault was let into this thread.
+    /// Whether this fault is active in this thread.
     pub fn is_active(mutant: Mutant) -> bool {
-        CHOSEN.get() == mutant as u8
+        ACTIVE.get() == mutant as u8
     }
 }
 
 #[cfg(feature = "mutants")]
-pub use chosen::{activate, is_active};
+pub use active::{activate, is_active};
 
-/// Whether this fault was let into this thread: never, without the feature.
+/// Whether this fault is active in this thread: never, without the feature.
 #[cfg(not(feature = "mutants"))]
 pub const fn is_active(_: Mutant) -> bool {
     false
--- a/crates/brassport-config-store/src/consensus/state.rs
+++ b/crates/brassport-config-store/src/consensus/state.rs
@@ -1,6 +1,7 @@
-//! What the log has led to at an index: the voters, the configuration, and which orders made its latest versions.
+//! What the log has led to at an index: the voters, the configuration, and which requests made its latest versions.
 
-use super::log::{bytes, Entry};
+use super::bytes;
+use super::log::Entry;
 use super::mutants::{self, Mutant};
 use super::{ChangeScope, LogIndex, RequestDigest, VoterId};
 use crate::configuration::{Document, ValidationErrors};
@@ -9,8 +10,8 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// How many of the latest orders are remembered, to tell one that is sent again from a new one. At 13,000 changes a day
-/// they reach back 57 minutes, where a caller sends an order again within seconds. An older one gets no clear answer.
+/// How many of the latest requests are remembered, to tell one that is sent again from a new one. At 13,000 changes a
+/// day they reach back 57 minutes, where a caller sends a request again within seconds. An older one gets no clear answer.
 pub const REMEMBERED_REQUESTS: usize = 512;
 
 /// What the log has led to at an index.
@@ -27,15 +28,15 @@
     /// The configuration.
     #[serde(with = "document")]
     pub document: Arc<Document>,
-    /// Digests of the orders that made each of the latest versions.
+    /// Digests of the requests that made each of the latest versions.
     #[serde(rename = "taken")]
     pub applied_requests: BTreeMap<u32, RequestDigest>,
-    /// The highest version whose order is no longer remembered; 0: all are.
+    /// The highest version whose request is no longer remembered; 0: all are.
     #[serde(default, rename = "forgotten")]
     pub forgotten_up_to: u32,
 }
 
-/// A state as stores of format 1 have it: orders stand under digests of 64 bits.
+/// A state as stores of format 1 have it: requests stand under digests of 64 bits.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ShortDigestState {
     #[serde(rename = "place")]
@@ -50,7 +51,7 @@
 }
 
 impl From<ShortDigestState> for ReplicatedState {
-    /// None of its orders can be told from others any more: all count as forgotten.
+    /// None of its requests can be told from others any more: all count as forgotten.
     fn from(old: ShortDigestState) -> ReplicatedState {
         let ShortDigestState { index, voters, quota_shares, document, applied_requests } = old;
         let forgotten_up_to = applied_requests.last_key_value().map_or(0, |(version, _)| *version);
@@ -59,7 +60,7 @@
     }
 }
 
-// A document follows from the orders that led to it, of which the digests are kept: those stand for it.
+// A document follows from the requests that led to it, whose digests are part of the hash.
 impl Hash for ReplicatedState {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         (self.index, &self.voters, self.quota_shares, &self.applied_requests, self.forgotten_up_to)
@@ -95,20 +96,20 @@
         }
     }
 
-    /// The beginning: there are voters, and no configuration.
+    /// The state that a log begins with: there are voters, and no configuration.
     pub fn genesis(voters: Vec<VoterId>, quota_shares: u32) -> ReplicatedState {
         ReplicatedState { index: LogIndex(1), voters, quota_shares, ..ReplicatedState::empty() }
     }
 
-    /// So many voters are a majority.
+    /// How many voters are a majority.
     pub fn majority(&self) -> usize {
-        self.voters.len() / 2 + usize::from(!mutants::is_active(Mutant::NoMajority))
+        self.voters.len() / 2 + usize::from(!mutants::is_active(Mutant::QuorumOneShort))
     }
 
     /// By how many voters another set differs: those that come and those that go.
     pub fn differs_by(&self, voters: &[VoterId]) -> usize {
-        let come = voters.iter().filter(|voter| !self.voters.contains(voter)).count();
-        come + self.voters.iter().filter(|voter| !voters.contains(voter)).count()
+        let added = voters.iter().filter(|voter| !self.voters.contains(voter)).count();
+        added + self.voters.iter().filter(|voter| !voters.contains(voter)).count()
     }
 
     /// The version in force.
@@ -124,7 +125,7 @@
     /// Whether a request on top of this version may have been applied so long ago that it is no longer remembered. A request
     /// leads to a higher version than it builds on, so one on top of a remembered version is remembered itself.
     pub fn may_have_forgotten(&self, base_version: u32) -> bool {
-        base_version < self.forgotten_up_to && !mutants::is_active(Mutant::ForgottenRefused)
+        base_version < self.forgotten_up_to && !mutants::is_active(Mutant::ForgottenRequestRejected)
     }
 
     /// Applies the entry at the next index. Whoever applies the same entries has the same state.
--- a/crates/brassport-config-store/tests/common/mod.rs
+++ b/crates/brassport-config-store/tests/common/mod.rs
@@ -218,7 +218,7 @@
                 }
                 let refuses = self.now < self.machines[one].full_until;
                 let machine = &mut self.machines[one];
-                let ignored = self.mutant == Some(Mutant::TornIgnored);
+                let ignored = self.mutant == Some(Mutant::WriteGapIgnored);
                 let gap = machine.torn && !matches!(record, Record::Snapshot(_)) && !ignored;
                 let kept = !refuses && !gap;
                 machine.torn = !kept;
@@ -397,7 +397,7 @@
         let machine = &mut self.machines[one];
         machine.replica = None;
         machine.life += 1;
-        if self.mutant != Some(Mutant::DiskIgnored) {
+        if self.mutant != Some(Mutant::LostDiskKeepsVote) {
             machine.disk.0 += 100;
         }
         machine.kept = DurableState::empty();
--- a/crates/brassport-config-store/tests/common/voters.rs
+++ b/crates/brassport-config-store/tests/common/voters.rs
@@ -479,7 +479,7 @@
                 site.arrive(post);
             }
             Step::Synced(one) => {
-                site.sync(one, self.mutant == Some(Mutant::TornIgnored));
+                site.sync(one, self.mutant == Some(Mutant::WriteGapIgnored));
             }
             Step::Refused(one) => {
                 site.left.refusals -= 1;
@@ -497,12 +497,12 @@
                 site.left.wipes -= 1;
                 let machine = &mut site.machines[one];
                 machine.writes.clear();
-                if self.mutant != Some(Mutant::DiskIgnored) {
+                if self.mutant != Some(Mutant::LostDiskKeepsVote) {
                     machine.disk.0 += 100;
                 }
                 // Who has the old number all the same knows who votes: a copy of it came from another.
                 let state = match self.mutant {
-                    Some(Mutant::DiskIgnored) => ReplicatedState::genesis(
+                    Some(Mutant::LostDiskKeepsVote) => ReplicatedState::genesis(
                         (0..before.machines.len()).map(|one| before.id(one)).collect(),
                         4,
                     ),
--- a/crates/brassport-config-store/tests/mutants.rs
+++ b/crates/brassport-config-store/tests/mutants.rs
@@ -23,15 +23,15 @@
         activate(Some(mutant));
         // Two faults need a moment that few seeds meet: they are shown step by step.
         match mutant {
-            Mutant::OwnPromiseUnsynced | Mutant::JudgesUnsure => {
+            Mutant::LeadsBeforeOwnPromise | Mutant::EvaluatesWithoutQuorum => {
                 let [early, _, unsure, _] = one_voter_step_by_step();
                 return (early || unsure).then(|| (0, format!("step by step: {mutant:?}")));
             }
-            Mutant::ForgottenRefused => {
+            Mutant::ForgottenRequestRejected => {
                 return alone::orders_of_long_ago_refused().map(|broken| (0, broken));
             }
             // Seeds that met it among 25,000.
-            Mutant::VotersUnchecked => {
+            Mutant::VoterChangeUnchecked => {
                 return [5_143, 5_473, 5_670, 16_326].into_iter().find_map(|seed| {
                     let mut world = World::new(seed, sizes[2], Some(mutant));
                     world.run();
@@ -66,10 +66,10 @@
 fn the_model_has_a_counterexample_for_all_but_two() {
     let held = ModelSizes { is_held: true, words: 3, laters: 5, laters_each: 3, depth: 60, ..CALM };
     let walked = |mutant| match mutant {
-        Mutant::SaidUnsynced => Some(ModelSizes { crashes: 1, ..held }),
-        Mutant::OpenForgotten | Mutant::PromiseBroken | Mutant::NoMajority => Some(held),
-        Mutant::DiskIgnored => Some(ModelSizes { wipes: 1, ..held }),
-        Mutant::JudgesUnsure => Some(ModelSizes { reads: 2, ..held }),
+        Mutant::MessageBeforeSync => Some(ModelSizes { crashes: 1, ..held }),
+        Mutant::AcceptedEntryIgnored | Mutant::PromiseBroken | Mutant::QuorumOneShort => Some(held),
+        Mutant::LostDiskKeepsVote => Some(ModelSizes { wipes: 1, ..held }),
+        Mutant::EvaluatesWithoutQuorum => Some(ModelSizes { reads: 2, ..held }),
         // Found step by step, and by seeds: 200,000 walks did not meet their moment.
         _ => None,
     };
