--- a/crates/brassport-config-store/src/configuration/difference.rs
+++ b/crates/brassport-config-store/src/configuration/difference.rs
@@ -8,19 +8,19 @@
 #[derive(Clone, Debug, PartialEq)]
 #[non_exhaustive]
 pub enum Difference {
-    /// A route came.
+    /// A route was added.
     RouteAdded {
         /// Its name.
         name: String,
         /// Host and prefix.
-        place: String,
+        location: String,
     },
-    /// A route went.
+    /// A route was removed.
     RouteRemoved {
         /// Its name.
         name: String,
         /// Host and prefix.
-        place: String,
+        location: String,
     },
     /// A route has another host or prefix.
     RouteMoved {
@@ -47,12 +47,12 @@
         /// The fields, each with its values before and now.
         what: String,
     },
-    /// A service came.
+    /// A service was added.
     ServiceAdded {
         /// Its name.
         name: String,
     },
-    /// A service went.
+    /// A service was removed.
     ServiceRemoved {
         /// Its name.
         name: String,
@@ -64,27 +64,27 @@
         /// The fields, each with its values before and now.
         what: String,
     },
-    /// A tenant came.
+    /// A tenant was added.
     TenantAdded {
         /// Its name.
         name: String,
         /// How many keys it has.
         keys: usize,
     },
-    /// A tenant went.
+    /// A tenant was removed.
     TenantRemoved {
         /// Its name.
         name: String,
         /// How many keys it had.
         keys: usize,
     },
-    /// Keys of a tenant came or went.
+    /// Keys of a tenant were added or removed.
     Keys {
         /// The tenant's name.
         name: String,
-        /// How many came.
+        /// How many were added.
         added: usize,
-        /// How many went.
+        /// How many were removed.
         removed: usize,
     },
     /// A tenant's quota or rank differs.
@@ -104,9 +104,11 @@
 impl fmt::Display for Difference {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Difference::RouteAdded { name, place } => write!(formatter, "route {name}: added at {place}"),
-            Difference::RouteRemoved { name, place } => {
-                write!(formatter, "route {name}: removed from {place}")
+            Difference::RouteAdded { name, location } => {
+                write!(formatter, "route {name}: added at {location}")
+            }
+            Difference::RouteRemoved { name, location } => {
+                write!(formatter, "route {name}: removed from {location}")
             }
             Difference::RouteMoved { name, from, to } => {
                 write!(formatter, "route {name}: moved from {from} to {to}")
@@ -176,24 +178,24 @@
     let by_name = |configuration: &Configuration| -> BTreeMap<String, Route> {
         configuration.routes.iter().map(|route| (route.name.clone(), route.clone())).collect()
     };
-    let place = |route: &Route| format!("{}{}", route.host, route.path_prefix);
+    let location = |route: &Route| format!("{}{}", route.host, route.path_prefix);
     let (from, to) = (by_name(from), by_name(to));
     for (name, from, to) in pairs(&from, &to) {
         let name = name.clone();
         let (from, to) = match (from, to) {
             (Some(from), Some(to)) => (from, to),
             (None, Some(to)) => {
-                found.push(Difference::RouteAdded { name, place: place(to) });
+                found.push(Difference::RouteAdded { name, location: location(to) });
                 continue;
             }
             (Some(from), None) => {
-                found.push(Difference::RouteRemoved { name, place: place(from) });
+                found.push(Difference::RouteRemoved { name, location: location(from) });
                 continue;
             }
             (None, None) => continue,
         };
-        if place(from) != place(to) {
-            found.push(Difference::RouteMoved { name: name.clone(), from: place(from), to: place(to) });
+        if location(from) != location(to) {
+            found.push(Difference::RouteMoved { name: name.clone(), from: location(from), to: location(to) });
         }
         if from.targets != to.targets {
             let (from, to) = (targets(from), targets(to));
--- a/crates/brassport-config-store/src/configuration/document.rs
+++ b/crates/brassport-config-store/src/configuration/document.rs
@@ -1,12 +1,12 @@
 //! The document as the operator wrote it.
 
-use super::{change, check, Configuration, ValidationError, ValidationErrors, Version};
+use super::{change, parse, Configuration, ValidationError, ValidationErrors, Version};
 use serde_json::{Map, Value};
 use std::fmt;
 use std::sync::Arc;
 
-/// A configuration as the operator wrote it, whole and with unknown fields, and as the doors read
-/// it. A clone shares both. `Debug` shows what the doors read, without the keys.
+/// A configuration as the operator wrote it, complete and with unknown fields, and as the gateway
+/// reads it. A clone shares both. `Debug` shows what the gateway reads, without the keys.
 #[derive(Clone, PartialEq)]
 pub struct Document {
     raw: Arc<Map<String, Value>>,
@@ -37,12 +37,15 @@
         self.parsed.version
     }
 
-    /// What the doors read.
+    /// The configuration that the gateway reads.
     pub fn configuration(&self) -> &Configuration {
         &self.parsed
     }
 
     /// `Config.Replace` on top of `self`. Checks everything except `X-Built-On`.
+    ///
+    /// # Errors
+    /// All errors of the body, as read by itself.
     pub fn replace(&self, body: &[u8]) -> Result<Document, ValidationErrors> {
         Document::read(object(body)?, Some(self.version()))
     }
@@ -51,26 +54,29 @@
     ///
     /// What `remove` names goes first, then `put` is applied: an item named in both is there
     /// afterwards, as put. Removing a name that isn't there is fine. A list's items are added, or
-    /// replace the item with the same name in its place; anything else, as `limits`, is replaced
-    /// whole. A route put under another host moves there. An entry of a host that loses its last
+    /// replace the item with the same name at its position; anything else, as `limits`, is replaced
+    /// completely. A route put under another host moves there. An entry of a host that loses its last
     /// route goes.
+    ///
+    /// # Errors
+    /// All errors of the change and of what it would result in.
     pub fn change(&self, body: &[u8]) -> Result<Document, ValidationErrors> {
         let change = object(body)?;
-        let mut faults = Vec::new();
-        // The version is told of once, with the faults of the change itself.
-        check::version(&change, Some(self.version()), &mut faults);
+        let mut errors = Vec::new();
+        // The version is reported once, with the errors of the change itself.
+        parse::version(&change, Some(self.version()), &mut errors);
         let mut raw = (*self.raw).clone();
-        change::apply(&mut raw, &change, &mut faults);
+        change::apply(&mut raw, &change, &mut errors);
         if let Some(version) = change.get("version") {
             raw.insert("version".to_owned(), version.clone());
         }
         match Document::read(raw, None) {
-            Ok(document) if faults.is_empty() => Ok(document),
-            Ok(_) => Err(ValidationErrors(faults)),
+            Ok(document) if errors.is_empty() => Ok(document),
+            Ok(_) => Err(ValidationErrors(errors)),
             Err(ValidationErrors(more)) => {
-                let more = more.into_iter().filter(|fault| fault.at() != "version");
-                faults.extend(more);
-                Err(ValidationErrors(faults))
+                let more = more.into_iter().filter(|error| error.at() != "version");
+                errors.extend(more);
+                Err(ValidationErrors(errors))
             }
         }
     }
@@ -82,12 +88,15 @@
     }
 
     /// Reads what [`Document::to_bytes`] gave. Any version will do.
+    ///
+    /// # Errors
+    /// The bytes are no valid document.
     pub fn from_bytes(bytes: &[u8]) -> Result<Document, ValidationErrors> {
         Document::read(object(bytes)?, None)
     }
 
     fn read(raw: Map<String, Value>, above: Option<Version>) -> Result<Document, ValidationErrors> {
-        let parsed = check::configuration(&raw, above)?;
+        let parsed = parse::configuration(&raw, above)?;
         Ok(Document { raw: Arc::new(raw), parsed: Arc::new(parsed) })
     }
 }
@@ -96,7 +105,7 @@
 fn object(body: &[u8]) -> Result<Map<String, Value>, ValidationErrors> {
     match serde_json::from_slice(body) {
         Ok(Value::Object(object)) => Ok(object),
-        Ok(other) => Err(ValidationErrors(vec![super::layout::wrong_type("", &other, "an object")])),
+        Ok(other) => Err(ValidationErrors(vec![super::reader::wrong_type("", &other, "an object")])),
         Err(error) => {
             let (line, column) = (error.line(), error.column());
             let what = error.to_string();
--- a/crates/brassport-config-store/src/configuration/fault.rs
+++ b/crates/brassport-config-store/src/configuration/error.rs
@@ -1,10 +1,10 @@
-//! What is wrong with a configuration: plain values, all reported together.
+//! Errors of a configuration: plain values, all reported together.
 
 use super::Version;
 use miette::Diagnostic;
 use std::fmt;
 
-/// One fault: what is wrong, where, and the way out (`help`). Keys are never named.
+/// One error: what is wrong, where, and the help. Keys are never named.
 #[derive(Clone, Debug, PartialEq)]
 #[non_exhaustive]
 pub enum ValidationError {
@@ -17,9 +17,9 @@
         /// What the reader of JSON says.
         what: String,
     },
-    /// A field, or the whole, is of the wrong type.
+    /// A field, or the complete document, is of the wrong type.
     WrongType {
-        /// The path of the field; empty for the whole.
+        /// The path of the field; empty for the complete document.
         at: String,
         /// What is there.
         found: &'static str,
@@ -39,7 +39,7 @@
         what: String,
     },
     /// The version is not above the current one.
-    OldVersion {
+    StaleVersion {
         /// The version that was sent.
         sent: Version,
         /// The current one.
@@ -53,16 +53,16 @@
         service: String,
     },
     /// Two routes share host and prefix.
-    SamePlace {
+    DuplicateLocation {
         /// The path of the later route.
         at: String,
         /// The path of the earlier one.
         other: String,
         /// Host and prefix.
-        place: String,
+        location: String,
     },
     /// Two items of one list have the same name.
-    SameName {
+    DuplicateName {
         /// The path of the later item.
         at: String,
         /// The path of the earlier one.
@@ -71,7 +71,7 @@
         name: String,
     },
     /// Two tenants share a key, or one tenant has it twice.
-    SharedKey {
+    DuplicateKey {
         /// The path of the later key.
         at: String,
         /// The path of the earlier one.
@@ -85,36 +85,38 @@
 }
 
 impl ValidationError {
-    /// Where the fault is: a path such as `hosts[2].paths[0].service`, empty for the whole. A
-    /// change's faults are looked for in what it would result in; only what the change itself
+    /// The path of the error, such as `hosts[2].paths[0].service`, empty for the complete document. A
+    /// change is checked by what it would result in; only what the change itself
     /// gets wrong stands under `put` and `remove`.
     pub fn at(&self) -> &str {
         match self {
             ValidationError::Unreadable { .. } => "",
-            ValidationError::OldVersion { .. } => "version",
+            ValidationError::StaleVersion { .. } => "version",
             ValidationError::WrongType { at, .. }
             | ValidationError::Missing { at }
             | ValidationError::BadValue { at, .. }
             | ValidationError::UnknownService { at, .. }
-            | ValidationError::SamePlace { at, .. }
-            | ValidationError::SameName { at, .. }
-            | ValidationError::SharedKey { at, .. }
+            | ValidationError::DuplicateLocation { at, .. }
+            | ValidationError::DuplicateName { at, .. }
+            | ValidationError::DuplicateKey { at, .. }
             | ValidationError::NoTarget { at } => at,
         }
     }
 
-    /// The way out.
+    /// What the operator can do about it.
     pub fn help(&self) -> &'static str {
         match self {
             ValidationError::Unreadable { .. } => "send the whole document as JSON",
             ValidationError::WrongType { .. } => "give the field the type that is wanted",
             ValidationError::Missing { .. } => "add the field",
             ValidationError::BadValue { .. } => "give the field an allowed value",
-            ValidationError::OldVersion { .. } => "give it a version above the current one",
+            ValidationError::StaleVersion { .. } => "give it a version above the current one",
             ValidationError::UnknownService { .. } => "add the service, or name one that is there",
-            ValidationError::SamePlace { .. } => "remove one of the routes, or give it another prefix",
-            ValidationError::SameName { .. } => "remove one of the items, or give it another name",
-            ValidationError::SharedKey { .. } => "give every key to one tenant, once",
+            ValidationError::DuplicateLocation { .. } => {
+                "remove one of the routes, or give it another prefix"
+            }
+            ValidationError::DuplicateName { .. } => "remove one of the items, or give it another name",
+            ValidationError::DuplicateKey { .. } => "give every key to one tenant, once",
             ValidationError::NoTarget { .. } => "name a service, or give a weight above 0 in the split",
         }
     }
@@ -122,30 +124,30 @@
 
 impl fmt::Display for ValidationError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let whole = if self.at().is_empty() { "the configuration" } else { self.at() };
+        let path = if self.at().is_empty() { "the configuration" } else { self.at() };
         match self {
             ValidationError::Unreadable { line, column, what } => {
                 write!(formatter, "line {line}, column {column}: can't be read: {what}")
             }
             ValidationError::WrongType { found, wanted, .. } => {
-                write!(formatter, "{whole}: is {found}, but {wanted} is wanted")
+                write!(formatter, "{path}: is {found}, but {wanted} is wanted")
             }
-            ValidationError::Missing { .. } => write!(formatter, "{whole}: is missing"),
-            ValidationError::BadValue { what, .. } => write!(formatter, "{whole}: {what}"),
-            ValidationError::OldVersion { sent, current } => {
-                write!(formatter, "{whole}: {sent} is not above the current {current}")
+            ValidationError::Missing { .. } => write!(formatter, "{path}: is missing"),
+            ValidationError::BadValue { what, .. } => write!(formatter, "{path}: {what}"),
+            ValidationError::StaleVersion { sent, current } => {
+                write!(formatter, "{path}: {sent} is not above the current {current}")
             }
             ValidationError::UnknownService { service, .. } => {
-                write!(formatter, "{whole}: there is no service {service:?}")
+                write!(formatter, "{path}: there is no service {service:?}")
             }
-            ValidationError::SamePlace { other, place, .. } => {
-                write!(formatter, "{whole}: has host and prefix {place:?} of {other}")
+            ValidationError::DuplicateLocation { other, location, .. } => {
+                write!(formatter, "{path}: has host and prefix {location:?} of {other}")
             }
-            ValidationError::SameName { other, name, .. } => {
-                write!(formatter, "{whole}: has the name {name:?} of {other}")
+            ValidationError::DuplicateName { other, name, .. } => {
+                write!(formatter, "{path}: has the name {name:?} of {other}")
             }
-            ValidationError::SharedKey { other, .. } => write!(formatter, "{whole}: is the key at {other}"),
-            ValidationError::NoTarget { .. } => write!(formatter, "{whole}: goes to no service"),
+            ValidationError::DuplicateKey { other, .. } => write!(formatter, "{path}: is the key at {other}"),
+            ValidationError::NoTarget { .. } => write!(formatter, "{path}: goes to no service"),
         }
     }
 }
@@ -158,12 +160,12 @@
     }
 }
 
-/// All faults of a configuration; at least one. `Display` gives one line for each.
+/// All errors of a configuration; at least one. `Display` gives one line for each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ValidationErrors(pub Vec<ValidationError>);
 
 impl ValidationErrors {
-    /// The faults in the order in which they were found.
+    /// The errors in the order in which they were found.
     pub fn iter(&self) -> std::slice::Iter<'_, ValidationError> {
         self.0.iter()
     }
@@ -171,11 +173,11 @@
 
 impl fmt::Display for ValidationErrors {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, fault) in self.0.iter().enumerate() {
-            if place > 0 {
+        for (position, error) in self.0.iter().enumerate() {
+            if position > 0 {
                 formatter.write_str("\n")?;
             }
-            write!(formatter, "{fault} ({})", fault.help())?;
+            write!(formatter, "{error} ({})", error.help())?;
         }
         Ok(())
     }
@@ -185,6 +187,6 @@
 
 impl Diagnostic for ValidationErrors {
     fn related<'a>(&'a self) -> Option<Box<dyn Iterator<Item = &'a dyn Diagnostic> + 'a>> {
-        Some(Box::new(self.0.iter().map(|fault| fault as &dyn Diagnostic)))
+        Some(Box::new(self.0.iter().map(|error| error as &dyn Diagnostic)))
     }
 }
--- /dev/null
+++ b/crates/brassport-config-store/src/configuration/parse.rs
@@ -0,0 +1,57 @@
+//! Reads the complete document as a [`Configuration`], with the checks across items.
+
+use super::limits::limits;
+use super::reader::wrong_type;
+use super::routes::routes;
+use super::services::services;
+use super::tenants::tenants;
+use super::{Configuration, ValidationError, ValidationErrors, Version};
+use serde_json::{Map, Value};
+
+/// Reads a document. With `above`, the version must be above it.
+pub fn configuration(
+    raw: &Map<String, Value>,
+    above: Option<Version>,
+) -> Result<Configuration, ValidationErrors> {
+    let mut errors = Vec::new();
+    let version = version(raw, above, &mut errors);
+    let services = services(raw, &mut errors);
+    let limits = limits(raw, &mut errors);
+    let tenants = tenants(raw, &mut errors);
+    let routes = routes(raw, &services, &mut errors);
+    if !errors.is_empty() {
+        return Err(ValidationErrors(errors));
+    }
+    let has_keys = !tenants.is_empty();
+    Ok(Configuration { version: version.unwrap_or_default(), services, limits, tenants, routes, has_keys })
+}
+
+/// Reads `version`, and compares it with the current one.
+pub fn version(
+    raw: &Map<String, Value>,
+    above: Option<Version>,
+    errors: &mut Vec<ValidationError>,
+) -> Option<Version> {
+    let text = match raw.get("version") {
+        None | Some(Value::Null) => {
+            errors.push(ValidationError::Missing { at: "version".to_owned() });
+            return None;
+        }
+        Some(Value::String(text)) => text,
+        Some(other) => {
+            errors.push(wrong_type("version", other, "a text of eight hexadecimal digits"));
+            return None;
+        }
+    };
+    match (text.parse::<Version>(), above) {
+        (Ok(sent), Some(current)) if sent <= current => {
+            errors.push(ValidationError::StaleVersion { sent, current });
+            None
+        }
+        (Ok(sent), _) => Some(sent),
+        (Err(bad), _) => {
+            errors.push(ValidationError::BadValue { at: "version".to_owned(), what: bad.to_string() });
+            None
+        }
+    }
+}
