--- a/crates/brassport-config-store/tests/configuration.rs
+++ b/crates/brassport-config-store/tests/it/configuration.rs
@@ -100,7 +100,7 @@
 #[test_case(set("/hosts/0/paths/0/split/1/service", json!("gone")), "hosts[0].paths[0].split[1].service", "no service \"gone\""; "unknown service in a split")]
 #[test_case(set("/hosts/1/paths/0/service", json!("gone")), "hosts[1].paths[0].service", "no service \"gone\""; "unknown service in a route")]
 #[test_case(set("/hosts/0/paths/-", route("r-new", "/lepu270/", "huvo11a")), "hosts[0].paths[1]", "of hosts[0].paths[0]"; "same place")]
-#[test_case(set("/hosts/-", json!({"host": "JEPU9.Example", "paths": [route("r-new", "/lepu270/", "huvo11a")]})), "hosts[2].paths[0]", "of hosts[0].paths[0]"; "same place under the host in upper case")]
+#[test_case(set("/hosts/-", json!({"host": "JEPU9.Example", "paths": [route("r-new", "/lepu270/", "huvo11a")]})), "hosts[2].paths[0]", "of hosts[0].paths[0]"; "same prefix under the host in upper case")]
 #[test_case(set("/hosts/0/paths/-", route("r-two", "/other/", "huvo11a")), "hosts[1].paths[0]", "name \"r-two\" of hosts[0].paths[1]"; "two routes of one name")]
 #[test_case(set("/hosts/1/paths/0/giveUpS", json!(600.5)), "hosts[1].paths[0].giveUpS", "over ten minutes"; "long timeout")]
 #[test_case(set("/hosts/1/paths/0/giveUpS", json!(0)), "hosts[1].paths[0].giveUpS", "not above 0"; "timeout of 0")]
@@ -145,7 +145,7 @@
 #[test_case(set("/version", json!(7)), "version", "eight hexadecimal digits"; "version as a number")]
 #[test_case(set("/version", json!("00x00007")), "version", "eight hexadecimal digits"; "version of other letters")]
 #[test_case(set("/version", json!("00000000")), "version", "not above the current 00000000"; "version 0")]
-fn one_fault(document: Value, at: &str, what: &str) {
+fn an_invalid_document_is_rejected_with_its_one_error(document: Value, at: &str, what: &str) {
     let faults = Document::empty().replace(&bytes(&document)).unwrap_err();
     let text = told(&faults);
     assert_eq!(faults.0.len(), 1, "{text}");
@@ -159,7 +159,7 @@
 #[test_case("00000008", true; "just above")]
 #[test_case("0000000A", true; "in upper case")]
 #[test_case("ffffffff", true; "the last")]
-fn versions_go_up(version: &str, taken: bool) {
+fn a_version_has_to_be_above_the_current_one(version: &str, taken: bool) {
     let document = set("/version", json!(version));
     assert_eq!(first().replace(&bytes(&document)).is_ok(), taken);
     assert_eq!(first().change(&bytes(&json!({ "version": version }))).is_ok(), taken);
@@ -172,14 +172,14 @@
 #[test_case(b"{\"version\":\"00000009\"} x"; "more after the end")]
 #[test_case(b"{\"version\":\"00000009\",\"put\":{\"hosts\":[1e999]}}"; "a number out of range")]
 #[test_case(b"\xff\xfe"; "no text")]
-fn not_an_object(body: &[u8]) {
+fn a_body_that_is_no_json_object_is_rejected(body: &[u8]) {
     told(&Document::empty().replace(body).unwrap_err());
     told(&first().change(body).unwrap_err());
     told(&Document::from_bytes(body).unwrap_err());
 }
 
 #[test]
-fn cut_short_anywhere_is_refused_with_its_place() {
+fn a_truncated_body_is_rejected_with_line_and_column() {
     let whole = bytes(&example());
     for end in 0..whole.len() {
         let faults = Document::empty().replace(&whole[..end]).unwrap_err();
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn all_faults_come_together() {
+fn all_errors_are_reported_together() {
     let mut document = example();
     document["version"] = json!("");
     document["services"][0]["tls"] = json!("no");
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn the_example_is_read_as_it_stands() {
+fn the_example_is_parsed_field_by_field() {
     let document = first();
     let read = document.configuration();
     assert_eq!(document.version(), Version(7));
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn what_is_left_out_has_its_default() {
+fn omitted_fields_have_their_defaults() {
     let mut document = example();
     let fields = document.as_object_mut().unwrap();
     fields.remove("limits");
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn limits_of_0_are_the_defaults_and_600_seconds_are_allowed() {
+fn limits_of_0_are_the_defaults_and_a_timeout_of_600_s_is_allowed() {
     let document = set("/limits", json!({"maxBodyBytes": 0, "idleWaitS": 0}));
     assert_eq!(
         Document::empty().replace(&bytes(&document)).unwrap().configuration().limits,
@@ -287,14 +287,14 @@
 }
 
 #[test]
-fn a_weight_of_0_takes_nothing() {
+fn a_target_of_weight_0_is_left_out() {
     let document = set(&format!("{R}/split/1/weight"), json!(0));
     let document = Document::empty().replace(&bytes(&document)).unwrap();
     assert_eq!(document.configuration().routes[0].targets, [("huvo11a".to_owned(), 90)]);
 }
 
 #[test]
-fn a_document_comes_back_as_it_was_sent() {
+fn a_document_round_trips_through_its_bytes() {
     let document = first();
     let bytes = document.to_bytes();
     assert_eq!(serde_json::from_slice::<Value>(&bytes).unwrap(), example());
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn keys_are_not_shown() {
+fn keys_are_never_printed() {
     let document = first();
     no_key_in(&format!("{document:?}"));
     no_key_in(&format!("{:#?}", document.configuration()));
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn put_then_remove_returns_to_the_former() {
+fn remove_undoes_put() {
     let before = first();
     let put = json!({"version": "00000009", "put": {
         "services": [{"name": "new"}],
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn put_replaces_by_name_and_in_place() {
+fn put_replaces_items_by_name_at_their_position() {
     let put = json!({"version": "00000009", "put": {
         "services": [{"name": "huvo11a", "maxConnections": 7}],
         "customers": [{"name": "yefi830", "keys": ["only"]}],
@@ -400,7 +400,7 @@
 
 /// Bytes set to others: nothing panics, no key is told, and what is taken comes back the same.
 #[test]
-fn spoilt_bodies_do_no_harm() {
+fn corrupted_bodies_neither_panic_nor_print_keys() {
     let before = first();
     let whole = bytes(&set("/version", json!("00000009")));
     let change = bytes(&json!({"version": "00000009", "remove": {"routes": ["r-two"]}, "put": {
@@ -439,7 +439,7 @@
 }
 
 #[test]
-fn a_place_freed_by_a_change_can_be_taken_by_it() {
+fn a_prefix_freed_by_a_change_can_be_reused_by_it() {
     let change = json!({"version": "00000009", "remove": {"routes": ["r-one"]}, "put": {
         "hosts": [{"host": "jepu9.example", "paths": [route("r-new", "/lepu270/", "huvo11a")]}]
     }});
@@ -451,7 +451,7 @@
 }
 
 #[test]
-fn what_is_removed_and_put_is_there() {
+fn an_item_both_removed_and_put_is_present() {
     let change = json!({"version": "00000009", "remove": {"routes": ["r-one"]}, "put": {
         "hosts": [{"host": "jepu9.example", "paths": [route("r-one", "/a/", "huvo11a")]}]
     }});
@@ -475,7 +475,7 @@
 #[test_case(json!({"remove": {"routes": [1]}}), "remove.routes[0]"; "a name as a number")]
 #[test_case(json!({"version": "00000007"}), "version"; "old version")]
 #[test_case(json!({"version": null}), "version"; "no version")]
-fn a_change_with_an_invalid_result_is_invalid(mut change: Value, at: &str) {
+fn a_change_with_an_invalid_result_is_rejected(mut change: Value, at: &str) {
     let fields = change.as_object_mut().unwrap();
     fields.entry("version").or_insert(json!("00000009"));
     let before = first();
@@ -524,7 +524,7 @@
 }
 
 #[test]
-fn differences_are_told_in_lines() {
+fn differences_are_listed_one_a_line() {
     let change = json!({"version": "00000009", "remove": {"routes": ["r-two"], "customers": ["zola12"]}, "put": {
         "services": [{"name": "new"}, {"name": "huvo11a", "maxConnections": 7}],
         "customers": [
--- a/crates/brassport-config-store/tests/orders.rs
+++ b/crates/brassport-config-store/tests/it/configuration_requests.rs
@@ -1,9 +1,6 @@
 //! Orders that are sent again, and orders that race: what is acknowledged, what is refused, and what gets no clear answer.
 
-#[path = "common/alone.rs"]
-mod alone;
-
-use alone::{body, orders_of_long_ago_refused, Alone, ME};
+use crate::harness::single_voter::{body, orders_of_long_ago_refused, Alone, ME};
 use brassport_config_store::consensus::{
     AcceptedEntry, Action, ChangeScope, Command, DiskId, DurableState, Entry, LogIndex, Message, Outcome,
     Record, Replica, ReplicatedState, RequestDigest, Term, VoterId,
@@ -11,7 +8,7 @@
 use std::net::Ipv4Addr;
 
 #[test]
-fn an_order_is_known_by_method_base_and_body() {
+fn a_request_is_identified_by_scope_base_version_and_body() {
     let order = RequestDigest::of(ChangeScope::Full, 5, b"{}");
     assert_eq!(order, RequestDigest::of(ChangeScope::Full, 5, b"{}"));
     for other in [
@@ -24,7 +21,7 @@
 }
 
 #[test]
-fn two_orders_under_one_number_have_one_winner() {
+fn of_two_requests_for_one_version_one_is_committed() {
     let mut leader = Alone::new();
     let (one, other) = (body(5, "one"), body(5, "other"));
     assert_eq!(leader.put(0, &one), Outcome::Committed);
@@ -36,12 +33,12 @@
 }
 
 #[test]
-fn an_order_of_long_ago_is_never_refused() {
+fn a_forgotten_request_is_never_rejected() {
     assert_eq!(orders_of_long_ago_refused(), None);
 }
 
 #[test]
-fn a_snapshot_carries_which_orders_were_taken() {
+fn a_snapshot_carries_the_applied_requests() {
     let mut leader = Alone::new();
     let first = body(5, "one");
     assert_eq!(leader.put(0, &first), Outcome::Committed);
@@ -57,7 +54,7 @@
 /// The leader is lost between choosing and answering: whoever leads next answers the same order as taken, whether it
 /// heard that the entry was chosen or adopts it as open.
 #[test]
-fn the_next_leader_acknowledges_what_its_predecessor_chose() {
+fn the_next_leader_acknowledges_what_its_predecessor_committed() {
     let order = body(5, "one");
     let entry = Entry::Replace { base_version: 0, body: order.clone() };
     let found = DurableState {
@@ -72,7 +69,7 @@
 
 /// A leader that hands over answers what is open, campaigns no more, and names the voter that knows most.
 #[test]
-fn a_leader_that_leaves_names_its_successor_and_judges_nothing_more() {
+fn a_leaving_leader_names_its_successor_and_evaluates_nothing_more() {
     let other = VoterId { ip: Ipv4Addr::new(10, 0, 0, 2), disk: DiskId(8) };
     let found = DurableState {
         promised: Term::new(0, DiskId(0)),
--- a/crates/brassport-config-store/tests/consensus_seeds.rs
+++ b/crates/brassport-config-store/tests/it/consensus_seeds.rs
@@ -1,9 +1,7 @@
 //! Seeds over the chain of the operator's words: loss, delay, repeats, kills, freezes, one-way cuts, full disks, lost
 //! disks, changes of voters. `CONFIG_STORE_SEEDS=100000` plays more, `CONFIG_STORE_FIRST` others.
 
-mod common;
-
-use common::{Sizes, World};
+use crate::harness::simulation::{Sizes, World};
 use test_case::test_case;
 
 fn number(name: &str, otherwise: u64) -> u64 {
@@ -12,9 +10,9 @@
 
 #[test_case(Sizes { machines: 3, voters: 3, wipes: 1, long: 12_000 }; "three voters of which one may lose its disk")]
 #[test_case(Sizes { machines: 4, voters: 4, wipes: 1, long: 12_000 }; "four voters, an even number")]
-#[test_case(Sizes { machines: 5, voters: 2, wipes: 0, long: 12_000 }; "two voters and three that are let in")]
+#[test_case(Sizes { machines: 5, voters: 2, wipes: 0, long: 12_000 }; "two voters and three that are added")]
 #[test_case(Sizes { machines: 8, voters: 8, wipes: 1, long: 8_000 }; "eight voters")]
-fn what_is_acknowledged_stays_and_what_is_refused_never_comes(sizes: Sizes) {
+fn acknowledged_writes_are_durable_and_rejected_ones_never_applied(sizes: Sizes) {
     let first = number("CONFIG_STORE_FIRST", 0);
     let last = first + number("CONFIG_STORE_SEEDS", 500);
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
--- a/crates/brassport-config-store/tests/golden.rs
+++ b/crates/brassport-config-store/tests/it/golden.rs
@@ -1,11 +1,8 @@
 //! Golden bytes: what voters say to one another and keep on disk, and what becomes of an operator's document, held against
 //! fixtures in `tests/golden`. Two of them are stores as a voter left them, of format 2 and of format 1.
 
-#[path = "../../brassport-transport/tests/common/fixture.rs"]
-mod fixture;
-#[path = "../../brassport-transport/tests/common/hex.rs"]
-mod hex;
-
+use crate::fixture;
+use crate::hex::hex;
 use brassport_config_store::configuration::{
     difference, Document, Idempotency, ValidationError, ValidationErrors, Version,
 };
@@ -14,7 +11,6 @@
     ReplicatedState, RequestDigest, Term, VoterId, REMEMBERED_REQUESTS,
 };
 use brassport_config_store::store::{Store, StoreError, FILE_NAME};
-use hex::hex;
 use rusqlite::types::Value as Cell;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::BTreeSet;
@@ -185,7 +181,7 @@
 }
 
 #[test]
-fn each_message_of_voters_has_its_bytes() {
+fn each_message_has_its_bytes() {
     fixture::check(PACKAGE, "messages", &numbered(&messages(), message_name, MESSAGES));
 }
 
@@ -355,7 +351,7 @@
 }
 
 #[test]
-fn a_store_that_a_voter_left_is_found_as_it_was_and_is_written_the_same() {
+fn a_store_in_service_is_recovered_unchanged_and_written_the_same() {
     assert!(!write_if_asked(STORE, write_store), "written, as GOLDEN_WRITE=1 asks; run again without it");
     let folder = Folder::with(STORE);
     let (store, found) = Store::open(&folder.0, DiskId(99)).expect("the fixture opens");
@@ -372,7 +368,7 @@
 }
 
 #[test]
-fn a_store_of_format_1_is_converted_to_the_same() {
+fn a_store_of_format_1_is_migrated_to_the_same_rows() {
     // Where it writes, the check of the rows at the end writes too, and fails.
     write_if_asked(OLD_STORE, write_old_store);
     let folder = Folder::with(OLD_STORE);
@@ -410,7 +406,7 @@
 }
 
 #[test]
-fn stores_are_refused_in_the_same_words() {
+fn store_errors_have_their_texts() {
     let changed = |sql: &str| {
         let folder = Folder::with(STORE);
         let file = rusqlite::Connection::open(folder.0.join(FILE_NAME)).expect("the file opens");
@@ -450,7 +446,7 @@
 }
 
 #[test]
-fn a_document_is_kept_as_it_was_sent() {
+fn documents_and_differences_have_their_texts() {
     let first = Document::empty().replace(DOCUMENT.as_bytes()).expect("it is sound");
     let changed = first.change(CHANGE.as_bytes()).expect("the change is sound");
     let text = |document: &Document| String::from_utf8(document.to_bytes()).expect("JSON is text");
@@ -521,7 +517,7 @@
 }
 
 #[test]
-fn faulty_documents_are_refused_in_the_same_words() {
+fn validation_errors_have_their_texts() {
     let base = Document::empty().replace(DOCUMENT.as_bytes()).expect("it is sound");
     let whole = |body: &str| base.replace(body.as_bytes());
     let route = |fields: &str| {
--- a/crates/brassport-config-store/tests/common/voters.rs
+++ b/crates/brassport-config-store/tests/it/harness/model.rs
@@ -4,9 +4,6 @@
 //!
 //! What is lost is never delivered, so that loss needs no step of its own.
 
-// Each test file has a use for a part of this.
-#![allow(dead_code)]
-
 use brassport_config_store::consensus::mutants::Mutant;
 use brassport_config_store::consensus::*;
 use stateright::{Checker, Model, Property};
--- a/crates/brassport-config-store/tests/common/mod.rs
+++ b/crates/brassport-config-store/tests/it/harness/simulation.rs
@@ -2,9 +2,6 @@
 //! that are killed, frozen, cut off and wiped, and operators that write on top of a version and read. Everything is
 //! drawn from one seed.
 
-// Each test file has a use for a part of this.
-#![allow(dead_code)]
-
 use brassport_checkers::versions::{self, Answered, Operation};
 use brassport_config_store::consensus::mutants::Mutant;
 use brassport_config_store::consensus::*;
--- a/crates/brassport-config-store/tests/common/alone.rs
+++ b/crates/brassport-config-store/tests/it/harness/single_voter.rs
@@ -1,8 +1,5 @@
 //! A voter that is alone, for what one replica shows by itself.
 
-// Each test file has a use for a part of this.
-#![allow(dead_code)]
-
 use brassport_config_store::consensus::{
     Action, ChangeScope, Command, ConfigurationRequest, DiskId, DurableState, Outcome, Replica,
     ReplicatedState, Term, VoterId, REMEMBERED_REQUESTS,
--- a/crates/brassport-config-store/tests/leader_change.rs
+++ b/crates/brassport-config-store/tests/it/leader_failover.rs
@@ -1,14 +1,12 @@
 //! How long it takes until another voter holds the role: 200 moments each of a kill, a freeze and a cut.
 
-mod common;
-
-use common::{Loss, Sizes, World};
+use crate::harness::simulation::{Loss, Sizes, World};
 use test_case::test_case;
 
 #[test_case(3)]
 #[test_case(4)]
 #[test_case(8)]
-fn another_holds_the_duty_soon(voters: usize) {
+fn a_lost_leader_is_replaced_within_2_s(voters: usize) {
     let sizes = Sizes { machines: voters, voters, wipes: 0, long: 60_000 };
     for loss in [Loss::Kill, Loss::Freeze, Loss::Cut] {
         let mut times: Vec<u64> = (0..200)
--- a/crates/brassport-config-store/tests/leadership.rs
+++ b/crates/brassport-config-store/tests/it/leadership.rs
@@ -1,13 +1,12 @@
 //! One voter, step by step: it holds leadership only once its own promise is on disk, and judges only once a majority has
 //! answered since it was asked.
 
-mod common;
-
+use crate::harness::simulation;
 use brassport_config_store::consensus::{Action, LogIndex, Message, Term};
 
 #[test]
-fn the_duty_waits_for_the_own_promise_and_a_judgement_for_a_majority() {
-    let [early, held, unsure, sure] = common::one_voter_step_by_step();
+fn a_candidate_leads_after_its_own_promise_and_evaluates_after_a_quorum() {
+    let [early, held, unsure, sure] = simulation::one_voter_step_by_step();
     assert!(!early, "it holds leadership before its own promise is synced");
     assert!(held, "with it, it does");
     assert!(!unsure, "it judges before a majority has answered");
@@ -16,16 +15,16 @@
 
 /// Of [0, 1, 2] and [0, 1, 4] majorities need not meet: a change that was asked for while another was open is refused.
 #[test]
-fn a_change_of_voters_that_was_overtaken_by_another_is_refused() {
-    let [first, second] = common::two_changes_at_once();
+fn a_change_of_voters_overtaken_by_another_is_rejected() {
+    let [first, second] = simulation::two_changes_at_once();
     assert_eq!(first, Some(brassport_config_store::consensus::Outcome::Committed));
     assert_eq!(second, Some(brassport_config_store::consensus::Outcome::VersionConflict));
 }
 
 /// A heartbeat that comes again and again, late, is no sign of life: the follower campaigns all the same.
 #[test]
-fn a_heartbeat_that_comes_twice_does_not_keep_a_lost_leader_alive() {
-    let (mut follower, leader) = common::follower_of_three();
+fn a_duplicated_heartbeat_does_not_keep_a_lost_leader_alive() {
+    let (mut follower, leader) = simulation::follower_of_three();
     let term = Term::new(1, leader.disk);
     let heartbeat = Message::Heartbeat { term, index: LogIndex(1), heartbeat: 9 };
     let mut has_campaigned = false;
@@ -40,8 +39,8 @@
 
 /// Nor is an answer to one: a leader that nobody hears steps down, whatever comes late.
 #[test]
-fn an_answer_that_comes_twice_does_not_keep_a_leader_that_nobody_hears() {
-    let (mut leader, other, term) = common::leader_of_three();
+fn a_duplicated_response_does_not_keep_a_leader_without_quorum() {
+    let (mut leader, other, term) = simulation::leader_of_three();
     let answer = Message::HeartbeatResponse { term, index: LogIndex(1), heartbeat: 1 };
     for now in (400..2_000).step_by(50) {
         leader.step(now, other, answer.clone());
--- /dev/null
+++ b/crates/brassport-config-store/tests/it/main.rs
@@ -0,0 +1,19 @@
+//! Tests of configuration, consensus and store, in one binary.
+
+mod configuration;
+mod configuration_requests;
+mod consensus_seeds;
+mod golden;
+mod harness;
+mod leader_failover;
+mod leadership;
+mod model_checking;
+#[cfg(feature = "mutants")]
+mod mutants;
+mod store;
+mod store_growth;
+
+#[path = "../../../brassport-transport/tests/common/fixture.rs"]
+mod fixture;
+#[path = "../../../brassport-transport/tests/common/hex.rs"]
+mod hex;
--- a/crates/brassport-config-store/tests/mutants.rs
+++ b/crates/brassport-config-store/tests/it/mutants.rs
@@ -1,18 +1,11 @@
 //! The campaign can fail: each deliberate fault is found within some seeds.
-#![cfg(feature = "mutants")]
-
-#[path = "common/alone.rs"]
-mod alone;
-mod common;
-#[path = "common/voters.rs"]
-mod voters;
 
+use crate::harness::model::{walk, Sizes as ModelSizes, CALM};
+use crate::harness::simulation::{one_voter_step_by_step, Sizes, World};
 use brassport_config_store::consensus::mutants::{activate, Mutant, ALL};
-use common::{one_voter_step_by_step, Sizes, World};
-use voters::{walk, Sizes as ModelSizes, CALM};
 
 #[test]
-fn every_mutant_is_found() {
+fn every_mutant_is_detected() {
     let sizes = [
         Sizes { machines: 3, voters: 3, wipes: 1, long: 12_000 },
         Sizes { machines: 4, voters: 4, wipes: 1, long: 12_000 },
@@ -28,7 +21,7 @@
                 return (early || unsure).then(|| (0, format!("step by step: {mutant:?}")));
             }
             Mutant::ForgottenRequestRejected => {
-                return alone::orders_of_long_ago_refused().map(|broken| (0, broken));
+                return crate::harness::single_voter::orders_of_long_ago_refused().map(|broken| (0, broken));
             }
             // Seeds that met it among 25,000.
             Mutant::VoterChangeUnchecked => {
@@ -63,7 +56,7 @@
 }
 
 #[test]
-fn the_model_has_a_counterexample_for_all_but_two() {
+fn the_model_has_a_counterexample_for_six_mutants() {
     let held = ModelSizes { is_held: true, words: 3, laters: 5, laters_each: 3, depth: 60, ..CALM };
     let walked = |mutant| match mutant {
         Mutant::MessageBeforeSync => Some(ModelSizes { crashes: 1, ..held }),
--- a/crates/brassport-config-store/tests/store.rs
+++ b/crates/brassport-config-store/tests/it/store.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_new_store_has_its_number_and_nothing_else_and_keeps_the_number() {
+fn a_new_store_is_empty_and_keeps_its_disk_number() {
     let folder = Folder::new("new");
     let (store, found) = open(&folder.0);
     assert_eq!((store.disk(), found.state.index, found.promised), (DiskId(77), LogIndex(0), Term::ZERO));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn what_was_accepted_last_is_open_and_what_stands_before_it_is_chosen() {
+fn the_last_acceptance_is_open_and_all_before_it_committed() {
     let folder = Folder::new("accepted");
     let (mut store, _) = open(&folder.0);
     for record in [
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_is_chosen_goes_before_what_was_accepted() {
+fn a_committed_entry_replaces_an_accepted_one() {
     let folder = Folder::new("chosen");
     let (mut store, _) = open(&folder.0);
     let chosen = Record::Committed(CommittedEntry { index: LogIndex(2), entry: word(7, 0) });
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_whole_state_takes_the_place_of_all_before_with_what_is_open() {
+fn a_snapshot_replaces_all_before_it() {
     let folder = Folder::new("whole");
     let (mut store, _) = open(&folder.0);
     for record in [whole(), accepted(2, 2, word(5, 0))] {
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_tail_that_was_torn_off_costs_only_what_was_not_synced() {
+fn a_torn_tail_loses_only_what_was_not_synced() {
     let folder = Folder::new("torn");
     let (mut store, _) = open(&folder.0);
     store.append(&whole()).expect("kept");
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_store_of_another_format_is_refused_with_its_name_and_the_way_out() {
+fn an_unsupported_format_is_rejected_with_file_and_help() {
     let folder = Folder::new("format");
     drop(open(&folder.0));
     let file = rusqlite::Connection::open(folder.0.join(FILE_NAME)).expect("the file");
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_store_is_refused_and_left_as_it_is() {
+fn a_file_that_is_no_store_is_rejected_and_left_unchanged() {
     let folder = Folder::new("no-store");
     std::fs::write(folder.0.join(FILE_NAME), b"something else altogether, of some length").expect("a file");
     assert!(Store::open(&folder.0, DiskId(1)).is_err());
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn behind_a_record_that_was_not_kept_nothing_is_until_all_is_written_anew() {
+fn after_a_failed_write_only_a_snapshot_is_accepted() {
     let folder = Folder::new("refused");
     let (mut store, _) = Store::open_with_limit(&folder.0, DiskId(77), 96 << 10).expect("the store opens");
     store.append(&whole()).expect("kept");
@@ -182,7 +182,7 @@
 
 /// A file of the format before: its state is read, and orders that it remembers under short digests count as forgotten.
 #[test]
-fn a_store_of_the_format_before_is_converted() {
+fn a_store_of_format_1_is_migrated_once() {
     let folder = Folder::new("converted");
     let (mut store, _) = open(&folder.0);
     store.append(&whole()).expect("it is kept");
--- a/crates/brassport-config-store/tests/store_growth.rs
+++ b/crates/brassport-config-store/tests/it/store_growth.rs
@@ -1,10 +1,7 @@
 //! A store stays bounded, and how long it takes to open does not grow with the number of changes.
 //! `CONFIG_STORE_CHANGES=10000` plays more.
 
-#[path = "common/alone.rs"]
-mod alone;
-
-use alone::{body, Alone};
+use crate::harness::single_voter::{body, Alone};
 use brassport_config_store::consensus::{
     Action, ChangeScope, Command, ConfigurationRequest, DiskId, DurableState, Record, ReplicatedState, Term,
 };
@@ -45,7 +42,7 @@
 }
 
 #[test]
-fn a_store_is_as_large_after_many_changes_as_after_some() {
+fn the_size_of_a_store_does_not_grow_with_the_number_of_changes() {
     let many = std::env::var("CONFIG_STORE_CHANGES").ok().and_then(|text| text.parse().ok()).unwrap_or(1_500);
     let measured: Vec<(u32, u64, f64)> = [10, 600, many]
         .into_iter()
