--- a/crates/brassport-config-store/tests/it/configuration_requests.rs
+++ b/crates/brassport-config-store/tests/it/configuration_requests.rs
@@ -1,6 +1,6 @@
 //! Orders that are sent again, and orders that race: what is acknowledged, what is refused, and what gets no clear answer.
 
-use crate::harness::single_voter::{body, orders_of_long_ago_refused, Alone, ME};
+use crate::harness::single_voter::{body, forgotten_request_rejected, Alone, ME};
 use brassport_config_store::consensus::{
     AcceptedEntry, Action, ChangeScope, Command, DiskId, DurableState, Entry, LogIndex, Message, Outcome,
     Record, Replica, ReplicatedState, RequestDigest, Term, VoterId,
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_forgotten_request_is_never_rejected() {
-    assert_eq!(orders_of_long_ago_refused(), None);
+    assert_eq!(forgotten_request_rejected(), None);
 }
 
 #[test]
--- /dev/null
+++ b/crates/brassport-config-store/tests/it/golden/store.rs
@@ -0,0 +1,240 @@
+//! A store's rows, and the texts of its errors.
+
+use super::{change, encode, replace, small, state, PACKAGE, TERM};
+use crate::fixture;
+use crate::hex::hex;
+use brassport_config_store::consensus::{
+    AcceptedEntry, CommittedEntry, DiskId, DurableState, Entry, LogIndex, Record, Term,
+};
+use brassport_config_store::store::{Store, StoreError, FILE_NAME};
+use rusqlite::types::Value as Cell;
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicU32, Ordering};
+
+/// A folder of its own, taken away at the end.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(name: &str) -> Folder {
+        static MADE: AtomicU32 = AtomicU32::new(0);
+        let number = MADE.fetch_add(1, Ordering::Relaxed);
+        let name = format!("brassport_config_store-golden-{}-{number}-{name}", std::process::id());
+        let folder = std::env::temp_dir().join(name);
+        let _ = std::fs::remove_dir_all(&folder);
+        std::fs::create_dir_all(&folder).expect("a folder");
+        Folder(folder)
+    }
+
+    /// One with a copy of a fixture in it.
+    fn with(fixture: &str) -> Folder {
+        let folder = Folder::new(fixture);
+        std::fs::copy(golden(fixture), folder.0.join(FILE_NAME)).expect("the fixture is there");
+        folder
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+fn golden(name: &str) -> PathBuf {
+    Path::new(PACKAGE).join("tests/golden").join(name)
+}
+
+/// All that stands in a store's tables, and how they are made.
+fn rows(folder: &Path) -> Vec<Vec<Cell>> {
+    let file = rusqlite::Connection::open(folder.join(FILE_NAME)).expect("the file opens");
+    let mut rows = Vec::new();
+    for query in [
+        "SELECT name, sql FROM sqlite_schema ORDER BY name",
+        "SELECT key, value FROM meta ORDER BY key",
+        "SELECT only_one, value FROM state",
+        "SELECT place, epoch, entry, chosen FROM log ORDER BY place",
+    ] {
+        let mut statement = file.prepare(query).expect("the table is there");
+        let columns = statement.column_count();
+        let found = statement.query_map([], |row| (0..columns).map(|column| row.get(column)).collect());
+        rows.extend(found.expect("rows").map(|row| row.expect("a row")));
+    }
+    rows
+}
+
+const STORE: &str = "store-2.sqlite";
+const OLD_STORE: &str = "store-1.sqlite";
+const DISK: DiskId = DiskId(0xfeed_0000_0000_0001);
+
+/// What a voter kept, one record after another: a snapshot at index 5, two more versions, and one that is open.
+fn kept() -> Vec<Record> {
+    let accepted = |term, index, entry| Record::Accepted { term, index: LogIndex(index), entry };
+    let last = r#"{"version":"00000009","put":{"services":[{"name":"late"}]}}"#;
+    vec![
+        Record::Snapshot(DurableState { promised: Term::new(1, DiskId(1)), state: state(), accepted: None }),
+        accepted(Term::new(2, DISK), 6, replace(6, &small(7))),
+        Record::Committed(CommittedEntry {
+            index: LogIndex(7),
+            entry: change(7, r#"{"version":"00000008","put":{"services":[{"name":"s"}]}}"#),
+        }),
+        accepted(Term::new(3, DISK), 8, Entry::Noop),
+        Record::Promised(Term::new(5, DiskId(2))),
+        accepted(Term::new(6, DISK), 9, change(8, last)),
+    ]
+}
+
+fn expected() -> DurableState {
+    let mut state = state();
+    let mut open = None;
+    for record in kept() {
+        match record {
+            Record::Committed(CommittedEntry { entry, .. }) => {
+                if let Some(AcceptedEntry { entry: before, .. }) = open.take() {
+                    state.apply(&before);
+                }
+                state.apply(&entry);
+            }
+            Record::Accepted { term, entry, .. } => {
+                if let Some(AcceptedEntry { entry: before, .. }) = open.replace(AcceptedEntry { term, entry })
+                {
+                    state.apply(&before);
+                }
+            }
+            Record::Promised(_) | Record::Snapshot(_) => {}
+        }
+    }
+    DurableState { promised: Term::new(6, DISK), state, accepted: open }
+}
+
+/// Writes the store anew, as this code does.
+fn write_store(folder: &Path) {
+    let (mut store, _) = Store::open(folder, DISK).expect("a new store");
+    kept().iter().for_each(|record| store.append(record).expect("it is kept"));
+}
+
+/// Writes a store as format 1 had it: a state alone, whose orders stand under digests of 64 bits.
+fn write_old_store(folder: &Path) {
+    use ciborium::Value;
+    write_store(folder);
+    let mut fields: Vec<(Value, Value)> = match ciborium::from_reader(&encode(&state())[..]) {
+        Ok(Value::Map(fields)) => fields,
+        other => panic!("a state is a map: {other:?}"),
+    };
+    fields.retain(|(key, _)| key.as_text() != Some("forgotten") && key.as_text() != Some("taken"));
+    let taken =
+        state().applied_requests.into_keys().map(|version| (Value::from(version), Value::from(u64::MAX)));
+    fields.push((Value::from("taken"), Value::Map(taken.collect())));
+    let file = rusqlite::Connection::open(folder.join(FILE_NAME)).expect("the file opens");
+    let state = encode(&Value::Map(fields));
+    file.execute("INSERT OR REPLACE INTO state VALUES (1, ?1)", [state]).expect("it is kept");
+    file.execute("UPDATE meta SET value = ?1 WHERE key = 'format'", [encode(&1_u32)]).expect("it is kept");
+}
+
+/// Writes a store as a fixture, with its write-ahead log taken in, if that is asked for; whether it was.
+fn write_if_asked(name: &str, write: fn(&Path)) -> bool {
+    let is_asked = std::env::var("GOLDEN_WRITE").is_ok_and(|value| value == "1");
+    if is_asked {
+        let folder = Folder::new("written");
+        write(&folder.0);
+        let file = rusqlite::Connection::open(folder.0.join(FILE_NAME)).expect("the file opens");
+        file.pragma_update(None, "journal_mode", "delete").expect("the log is taken in");
+        drop(file);
+        std::fs::copy(folder.0.join(FILE_NAME), golden(name)).expect("the fixture can be written");
+    }
+    is_asked
+}
+
+#[test]
+fn a_store_in_service_is_recovered_unchanged_and_written_the_same() {
+    assert!(!write_if_asked(STORE, write_store), "written, as GOLDEN_WRITE=1 asks; run again without it");
+    let folder = Folder::with(STORE);
+    let (store, found) = Store::open(&folder.0, DiskId(99)).expect("the fixture opens");
+    assert_eq!(store.disk(), DISK);
+    drop(store);
+    assert_eq!(found, expected());
+    assert_eq!((found.state.index, found.state.version(), found.state.forgotten_up_to), (LogIndex(8), 8, 0));
+    let fresh = Folder::new("fresh");
+    write_store(&fresh.0);
+    let (written, kept) = (rows(&fresh.0), rows(&Folder::with(STORE).0));
+    assert!(kept.len() >= 3 + 3 + 1 + 4, "all tables have rows: {}", kept.len());
+    assert_eq!(written, kept);
+    assert_eq!(rows(&folder.0), kept, "nothing is written anew by opening it");
+}
+
+#[test]
+fn a_store_of_format_1_is_migrated_to_the_same_rows() {
+    // Where it writes, the check of the rows at the end writes too, and fails.
+    write_if_asked(OLD_STORE, write_old_store);
+    let folder = Folder::with(OLD_STORE);
+    let (_, found) = Store::open(&folder.0, DiskId(99)).expect("the fixture opens");
+    let DurableState { mut state, accepted, .. } = expected();
+    state.applied_requests.retain(|version, _| *version > 6);
+    state.forgotten_up_to = 6;
+    assert_eq!(found, DurableState { promised: Term::new(6, DISK), state, accepted });
+    let cases: Vec<(String, String)> = rows(&folder.0)
+        .into_iter()
+        .enumerate()
+        .map(|(number, row)| (format!("row {number}"), row.iter().map(cell).collect::<Vec<_>>().join(" | ")))
+        .collect();
+    fixture::check(PACKAGE, "converted", &cases);
+}
+
+fn cell(cell: &Cell) -> String {
+    match cell {
+        Cell::Null => "null".to_owned(),
+        Cell::Integer(number) => number.to_string(),
+        Cell::Real(number) => number.to_string(),
+        Cell::Text(text) => text.split_whitespace().collect::<Vec<_>>().join(" "),
+        Cell::Blob(bytes) => hex(bytes),
+    }
+}
+
+/// The kind of a store's fault; one that is new does not compile here until it has a case below too.
+fn store_fault_name(fault: &StoreError) -> &'static str {
+    match fault {
+        StoreError::UnsupportedFormat { .. } => "format",
+        StoreError::Corrupt { .. } => "spoilt",
+        StoreError::SyncFolder { .. } => "folder",
+        StoreError::Sqlite(_) => "disk",
+    }
+}
+
+#[test]
+fn store_errors_have_their_texts() {
+    let changed = |sql: &str| {
+        let folder = Folder::with(STORE);
+        let file = rusqlite::Connection::open(folder.0.join(FILE_NAME)).expect("the file opens");
+        file.execute(sql, []).expect("it is changed");
+        drop(file);
+        let fault = Store::open(&folder.0, DiskId(99)).expect_err("it is refused");
+        (fault, folder.0.clone())
+    };
+    let torn = || {
+        let folder = Folder::new("torn");
+        let (mut store, _) = Store::open_with_limit(&folder.0, DISK, 64 << 10).expect("a new store");
+        let large =
+            Record::Committed(CommittedEntry { index: LogIndex(1), entry: replace(0, &" ".repeat(1 << 20)) });
+        let full = store.append(&large).expect_err("it is full");
+        (full, store.append(&Record::Promised(TERM)).expect_err("it is torn"), folder.0.clone())
+    };
+    let (full, behind, torn) = torn();
+    let error = std::io::Error::new(std::io::ErrorKind::PermissionDenied, "not allowed");
+    let at = PathBuf::from("FOLDER");
+    let cases = [
+        ("other format", changed("UPDATE meta SET value = x'1863' WHERE key = 'format'")),
+        ("no number", changed("DELETE FROM meta WHERE key = 'disk'")),
+        ("a gap", changed("UPDATE log SET place = place + 100")),
+        ("a bad entry", changed("UPDATE log SET entry = x'60'")),
+        ("full", (full, torn.clone())),
+        ("behind a gap", (behind, torn)),
+        ("folder", (StoreError::SyncFolder { folder: at.clone(), error }, at)),
+    ];
+    let covered: BTreeSet<&str> = cases.iter().map(|(_, (fault, _))| store_fault_name(fault)).collect();
+    assert_eq!(covered.len(), 4, "a kind of fault has no case");
+    let told = |(name, (fault, folder)): (&str, (StoreError, PathBuf))| {
+        let help = miette::Diagnostic::help(&fault).map(|help| help.to_string()).unwrap_or_default();
+        let text = fault.to_string().replace(&folder.display().to_string(), "FOLDER");
+        (name.to_owned(), format!("{text}\n{help}"))
+    };
+    fixture::check(PACKAGE, "store_faults", &cases.map(told));
+}
--- /dev/null
+++ b/crates/brassport-config-store/tests/it/golden/validation_errors.rs
@@ -0,0 +1,167 @@
+//! The texts and paths of all validation errors.
+
+use super::{DOCUMENT, PACKAGE};
+use crate::fixture;
+use brassport_config_store::configuration::{Document, ValidationError, ValidationErrors};
+use std::collections::BTreeSet;
+
+type Outcome = Result<Document, ValidationErrors>;
+type Case = (&'static str, Outcome);
+
+/// A route without errors, where there is a service `s`.
+const R: &str = r#""name":"r","pathStart":"/","giveUpS":1,"service":"s""#;
+
+/// The name of a variant. Matches outside the package must have a last arm: a new variant fails the test when it occurs.
+fn variant_name(error: &ValidationError) -> &'static str {
+    match error {
+        ValidationError::Unreadable { .. } => "unreadable",
+        ValidationError::WrongType { .. } => "wrong type",
+        ValidationError::Missing { .. } => "missing",
+        ValidationError::BadValue { .. } => "bad value",
+        ValidationError::StaleVersion { .. } => "old version",
+        ValidationError::UnknownService { .. } => "unknown service",
+        ValidationError::DuplicateLocation { .. } => "same place",
+        ValidationError::DuplicateName { .. } => "same name",
+        ValidationError::DuplicateKey { .. } => "shared key",
+        ValidationError::NoTarget { .. } => "no target",
+        other => panic!("a kind without a case: {other}"),
+    }
+}
+
+fn base() -> Document {
+    Document::empty().replace(DOCUMENT.as_bytes()).expect("it is sound")
+}
+
+fn replaced(body: &str) -> Outcome {
+    base().replace(body.as_bytes())
+}
+
+fn route(fields: &str) -> Outcome {
+    replaced(&format!(
+        r#"{{"version":"00000009","services":[{{"name":"s"}}],"hosts":[{{"host":"h","paths":[{{{fields}}}]}}]}}"#
+    ))
+}
+
+fn with(fields: &str) -> Outcome {
+    replaced(&format!("{{\"version\":\"00000009\",{fields}}}"))
+}
+
+fn changed(fields: &str) -> Outcome {
+    base().change(format!("{{\"version\":\"00000009\",{fields}}}").as_bytes())
+}
+
+/// Bodies that are no documents, and versions.
+fn syntax_cases() -> Vec<Case> {
+    vec![
+        ("no JSON", replaced("{\n \"version\": }")),
+        ("cut off", replaced("{\"version\":")),
+        ("empty", replaced("")),
+        ("a list", replaced("[]")),
+        ("null", replaced("null")),
+        ("a number", replaced("7")),
+        ("no version", replaced("{}")),
+        ("version of the wrong type", replaced(r#"{"version":5}"#)),
+        ("bad version", replaced(r#"{"version":"xyz"}"#)),
+        ("old version", replaced(r#"{"version":"00000005"}"#)),
+    ]
+}
+
+/// Services, limits, tenants and hosts.
+fn item_cases() -> Vec<Case> {
+    vec![
+        ("lists that are none", with(r#""services":{},"customers":"c","hosts":true"#)),
+        ("items that are none", with(r#""services":[1],"customers":[null],"hosts":["h"],"limits":[]"#)),
+        (
+            "service",
+            with(
+                r#""services":[{},{"name":""},{"name":"a\u0001","healthPath":"x"},{"name":"b","healthPath":"/a b","maxConnections":-1,"tls":"yes","protocol":1}]"#,
+            ),
+        ),
+        (
+            "limits",
+            with(r#""limits":{"maxHeaderBytes":"1","maxBodyBytes":-5,"headerWaitS":-1,"idleWaitS":-0.5}"#),
+        ),
+        (
+            "tenant",
+            with(
+                r#""customers":[{},{"name":"t","keys":["", "x"],"rank":-1,"ratePerS":-1,"burst":-1},{"name":"u","keys":"k"}]"#,
+            ),
+        ),
+        ("shared key", with(r#""customers":[{"name":"t","keys":["k","k"]},{"name":"u","keys":["k"]}]"#)),
+        (
+            "same name",
+            with(r#""services":[{"name":"s"},{"name":"s"}],"customers":[{"name":"t"},{"name":"t"}]"#),
+        ),
+        (
+            "host",
+            with(r#""hosts":[{},{"host":""},{"host":3},{"host":"h","paths":{}},{"host":"g","paths":[3]}]"#),
+        ),
+    ]
+}
+
+/// Routes.
+fn route_cases() -> Vec<Case> {
+    vec![
+        ("route without anything", route("")),
+        (
+            "route with bad values",
+            route(r#""name":"","pathStart":"a","giveUpS":0,"goalS":0,"tries":0,"service":"s""#),
+        ),
+        (
+            "route with more bad values",
+            route(
+                r#""name":"r","pathStart":"/a","giveUpS":601,"kind":"other","rank":"1","public":1,"service":"s""#,
+            ),
+        ),
+        ("unknown service", route(&R.replace("\"s\"", "\"none\""))),
+        ("unknown service of a split", route(&format!(r#"{R},"split":[{{"service":"none","weight":1}}]"#))),
+        ("no target", route(&R.replace("\"s\"", "\"\""))),
+        ("split without weights", route(&format!(r#"{R},"split":[{{"service":"s","weight":0}}]"#))),
+        (
+            "split with faults",
+            route(&format!(r#"{R},"split":[{{}},{{"service":"s","weight":-1}},{{"service":""}}]"#)),
+        ),
+        (
+            "same place",
+            with(&format!(
+                r#""services":[{{"name":"s"}}],"hosts":[{{"host":"h","paths":[{{{R}}}]}},{{"host":"H:80","paths":[{{{R}}}]}}]"#
+            )),
+        ),
+    ]
+}
+
+/// Changes.
+fn change_cases() -> Vec<Case> {
+    vec![
+        ("change that is no object", base().change(b"3")),
+        ("change with old version", base().change(br#"{"version":"00000004"}"#)),
+        ("put and remove of the wrong type", changed(r#""put":[],"remove":3"#)),
+        ("put out of place", changed(r#""put":{"version":"1","routes":[]}"#)),
+        (
+            "put of items",
+            changed(r#""put":{"services":[{},3,{"name":4},{"name":"a"},{"name":"a"}],"customers":{}}"#),
+        ),
+        (
+            "put of hosts",
+            changed(r#""put":{"hosts":[{},3,{"host":4},{"host":"h","paths":3},{"host":"h","paths":[{}]}]}"#),
+        ),
+        ("remove of no names", changed(r#""remove":{"services":"a","customers":[3]}"#)),
+        ("remove of a service in use", changed(r#""remove":{"services":["search"]}"#)),
+    ]
+}
+
+#[test]
+fn validation_errors_have_their_texts() {
+    let mut covered = BTreeSet::new();
+    let mut texts = Vec::new();
+    let cases = [syntax_cases(), item_cases(), route_cases(), change_cases()];
+    for (name, result) in cases.into_iter().flatten() {
+        let errors = result.err().unwrap_or_else(|| panic!("{name}: it is rejected"));
+        covered.extend(errors.iter().map(variant_name));
+        let paths: Vec<&str> = errors.iter().map(ValidationError::at).collect();
+        texts.push((name.to_owned(), errors.to_string()));
+        texts.push((format!("{name}, places"), paths.join(", ")));
+    }
+    assert_eq!(covered.len(), 10, "each variant has a case: {covered:?}");
+    fixture::check(PACKAGE, "faults", &texts);
+}
--- /dev/null
+++ b/crates/brassport-config-store/tests/it/harness/scenarios.rs
@@ -0,0 +1,137 @@
+//! Single replicas, driven step by step to moments that the seeds would seldom meet.
+
+use brassport_config_store::consensus::*;
+use std::net::Ipv4Addr;
+
+fn ip(machine: usize) -> Ipv4Addr {
+    Ipv4Addr::new(10, 0, 0, machine as u8 + 1)
+}
+
+/// What one voter of three does, step by step, where the seeds would seldom meet the moment. Returns whether it held the
+/// leadership before its own promise was synced, whether it did once that was, and whether it judged before and behind the word
+/// of a majority.
+pub fn one_voter_step_by_step() -> [bool; 4] {
+    let id = |one: usize| VoterId { ip: ip(one), disk: DiskId(one as u64 + 1) };
+    let state = ReplicatedState::genesis((0..3).map(id).collect(), 4);
+    let found = DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None };
+    let mut replica = Replica::new(ip(0), DiskId(1), Some(found), 0);
+    let mut term = None;
+    for now in [100, 200, 300] {
+        for action in replica.tick(now) {
+            if let Action::Send(_, Message::Prepare { term: asked }) = action {
+                term = Some(asked);
+            }
+        }
+    }
+    let term = term.expect("the first in the order stands");
+    let promise = Message::Promise { term, index: LogIndex(1), accepted: None };
+    let mut actions = replica.step(301, id(1), promise.clone());
+    actions.extend(replica.step(302, id(2), promise));
+    let early = replica.is_leader();
+    let write = actions.iter().find_map(|action| match action {
+        Action::Persist(number, Record::Promised(_)) => Some(*number),
+        _ => None,
+    });
+    replica.on_persisted(303, write.expect("it writes its own promise"), true);
+    let held = replica.is_leader();
+    let answers = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Respond(9, _)));
+    let asked = replica.submit(304, 9, Command::Read);
+    let heartbeat = asked.iter().find_map(|action| match action {
+        Action::Send(_, Message::Heartbeat { heartbeat, .. }) => Some(*heartbeat),
+        _ => None,
+    });
+    let heartbeat = heartbeat.expect("it asks the others");
+    let unsure = answers(&asked);
+    let sure = answers(&replica.step(
+        305,
+        id(1),
+        Message::HeartbeatResponse { term, index: LogIndex(1), heartbeat },
+    ));
+    [early, held, unsure, sure]
+}
+
+/// A voter that is alone holds leadership and is asked for two changes at once, each of which would let another machine in.
+/// What it answers to both.
+pub fn two_changes_at_once() -> [Option<Outcome>; 2] {
+    let id = |one: usize| VoterId { ip: ip(one), disk: DiskId(one as u64 + 1) };
+    let state = ReplicatedState::genesis(vec![id(0)], 4);
+    let mut replica = Replica::new(
+        ip(0),
+        DiskId(1),
+        Some(DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None }),
+        0,
+    );
+    let mut answers = [None, None];
+    let mut actions = Vec::new();
+    // Alone it holds leadership as soon as its promise is synced.
+    for now in 100..400 {
+        let mut more = if now % 50 == 0 { replica.tick(now) } else { Vec::new() };
+        for action in actions.drain(..) {
+            match action {
+                Action::Persist(number, _) => more.extend(replica.on_persisted(now, number, true)),
+                Action::Respond(number @ 3..=4, outcome) => answers[number as usize - 3] = Some(outcome),
+                // The one that was let in accepts what it is asked to.
+                Action::Send(to, Message::Accept { term, index, .. }) if to == ip(3) => {
+                    more.extend(replica.step(now, id(3), Message::Accepted { term, index }));
+                }
+                Action::Send(to, Message::Heartbeat { term, index, heartbeat }) if to == ip(3) => {
+                    more.extend(replica.step(
+                        now,
+                        id(3),
+                        Message::HeartbeatResponse { term, index, heartbeat },
+                    ));
+                }
+                _ => {}
+            }
+        }
+        if now == 152 {
+            for new in [3, 4] {
+                let command = Command::ChangeVoters { voters: vec![id(0), id(new)], quota_shares: 4 };
+                more.extend(replica.submit(now, new as u64, command));
+            }
+        }
+        actions = more;
+    }
+    answers
+}
+
+fn of_three(one: usize) -> Replica {
+    let id = |one: usize| VoterId { ip: ip(one), disk: DiskId(one as u64 + 1) };
+    let state = ReplicatedState::genesis((0..3).map(id).collect(), 4);
+    Replica::new(
+        ip(one),
+        DiskId(one as u64 + 1),
+        Some(DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None }),
+        0,
+    )
+}
+
+/// The second of three voters, and who the first is.
+pub fn follower_of_three() -> (Replica, VoterId) {
+    (of_three(1), VoterId { ip: ip(0), disk: DiskId(1) })
+}
+
+/// The first of three voters, which leads from 300 ms on; who the second is; and the term.
+pub fn leader_of_three() -> (Replica, VoterId, Term) {
+    let (mut replica, other) = (of_three(0), VoterId { ip: ip(1), disk: DiskId(2) });
+    let mut led = None;
+    for now in (50..=300).step_by(50) {
+        let mut actions = replica.tick(now);
+        while let Some(action) = actions.pop() {
+            match action {
+                Action::Send(to, Message::Prepare { term }) if to == other.ip => {
+                    led = Some(term);
+                    actions.extend(replica.step(
+                        now,
+                        other,
+                        Message::Promise { term, index: LogIndex(1), accepted: None },
+                    ));
+                }
+                Action::Persist(number, _) => actions.extend(replica.on_persisted(now, number, true)),
+                _ => {}
+            }
+        }
+    }
+    assert!(replica.is_leader());
+    (replica, other, led.expect("it has campaigned"))
+}
--- a/crates/brassport-config-store/tests/it/harness/single_voter.rs
+++ b/crates/brassport-config-store/tests/it/harness/single_voter.rs
@@ -31,12 +31,12 @@
         while !alone.replica.is_leader() {
             alone.now += 50;
             let actions = alone.replica.tick(alone.now);
-            alone.carry_out(actions);
+            alone.execute(actions);
         }
         alone
     }
 
-    fn carry_out(&mut self, mut actions: Vec<Action>) -> Vec<(u64, Outcome)> {
+    fn execute(&mut self, mut actions: Vec<Action>) -> Vec<(u64, Outcome)> {
         let mut answers = Vec::new();
         while let Some(action) = (!actions.is_empty()).then(|| actions.remove(0)) {
             match action {
@@ -58,7 +58,7 @@
             body: body.clone(),
         });
         let actions = self.replica.submit(self.now, self.next, command);
-        let mut answers = self.carry_out(actions);
+        let mut answers = self.execute(actions);
         assert_eq!(answers.len(), 1, "one answer to one order");
         answers.remove(0).1
     }
@@ -73,7 +73,7 @@
 
 /// Takes more orders than are remembered and sends each of them again. What is wrong, if anything: one that is refused, or
 /// that has no clear answer although it is remembered.
-pub fn orders_of_long_ago_refused() -> Option<String> {
+pub fn forgotten_request_rejected() -> Option<String> {
     let mut leader = Alone::new();
     let beyond = 100;
     let versions = 1..=(REMEMBERED_REQUESTS as u32 + beyond);
--- a/crates/brassport-config-store/tests/it/leader_failover.rs
+++ b/crates/brassport-config-store/tests/it/leader_failover.rs
@@ -1,16 +1,18 @@
 //! How long it takes until another voter holds the role: 200 moments each of a kill, a freeze and a cut.
 
-use crate::harness::simulation::{Loss, Sizes, World};
+use crate::harness::simulation::{Loss, Simulation, Sizes};
 use test_case::test_case;
 
 #[test_case(3)]
 #[test_case(4)]
 #[test_case(8)]
 fn a_lost_leader_is_replaced_within_2_s(voters: usize) {
-    let sizes = Sizes { machines: voters, voters, wipes: 0, long: 60_000 };
+    let sizes = Sizes { machines: voters, voters, wipes: 0, fault_phase_ms: 60_000 };
     for loss in [Loss::Kill, Loss::Freeze, Loss::Cut] {
         let mut times: Vec<u64> = (0..200)
-            .map(|seed| World::new(seed, sizes, None).lose_leader(loss).expect("another holds leadership"))
+            .map(|seed| {
+                Simulation::new(seed, sizes, None).lose_leader(loss).expect("another holds leadership")
+            })
             .collect();
         times.sort_unstable();
         println!(
--- a/crates/brassport-config-store/tests/it/leadership.rs
+++ b/crates/brassport-config-store/tests/it/leadership.rs
@@ -1,12 +1,12 @@
 //! One voter, step by step: it holds leadership only once its own promise is on disk, and judges only once a majority has
 //! answered since it was asked.
 
-use crate::harness::simulation;
+use crate::harness::scenarios;
 use brassport_config_store::consensus::{Action, LogIndex, Message, Term};
 
 #[test]
 fn a_candidate_leads_after_its_own_promise_and_evaluates_after_a_quorum() {
-    let [early, held, unsure, sure] = simulation::one_voter_step_by_step();
+    let [early, held, unsure, sure] = scenarios::one_voter_step_by_step();
     assert!(!early, "it holds leadership before its own promise is synced");
     assert!(held, "with it, it does");
     assert!(!unsure, "it judges before a majority has answered");
@@ -16,7 +16,7 @@
 /// Of [0, 1, 2] and [0, 1, 4] majorities need not meet: a change that was asked for while another was open is refused.
 #[test]
 fn a_change_of_voters_overtaken_by_another_is_rejected() {
-    let [first, second] = simulation::two_changes_at_once();
+    let [first, second] = scenarios::two_changes_at_once();
     assert_eq!(first, Some(brassport_config_store::consensus::Outcome::Committed));
     assert_eq!(second, Some(brassport_config_store::consensus::Outcome::VersionConflict));
 }
@@ -24,7 +24,7 @@
 /// A heartbeat that comes again and again, late, is no sign of life: the follower campaigns all the same.
 #[test]
 fn a_duplicated_heartbeat_does_not_keep_a_lost_leader_alive() {
-    let (mut follower, leader) = simulation::follower_of_three();
+    let (mut follower, leader) = scenarios::follower_of_three();
     let term = Term::new(1, leader.disk);
     let heartbeat = Message::Heartbeat { term, index: LogIndex(1), heartbeat: 9 };
     let mut has_campaigned = false;
@@ -40,7 +40,7 @@
 /// Nor is an answer to one: a leader that nobody hears steps down, whatever comes late.
 #[test]
 fn a_duplicated_response_does_not_keep_a_leader_without_quorum() {
-    let (mut leader, other, term) = simulation::leader_of_three();
+    let (mut leader, other, term) = scenarios::leader_of_three();
     let answer = Message::HeartbeatResponse { term, index: LogIndex(1), heartbeat: 1 };
     for now in (400..2_000).step_by(50) {
         leader.step(now, other, answer.clone());
--- a/crates/brassport-config-store/tests/it/model_checking.rs
+++ b/crates/brassport-config-store/tests/it/model_checking.rs
@@ -16,33 +16,33 @@
     assert!(explored.states > least, "little was explored: {explored:?}");
 }
 
-const HELD: Sizes = Sizes { is_held: true, ..CALM };
+const WITH_LEADER: Sizes = Sizes { starts_with_leader: true, ..CALM };
 
 #[test_case(Sizes { depth: 10, ..CALM }; "the first in the agreed order leads")]
-#[test_case(HELD; "the leader falls silent with a proposal open")]
-#[test_case(Sizes { doubles: 1, depth: 10, ..HELD }; "a message is duplicated")]
+#[test_case(WITH_LEADER; "the leader falls silent with a proposal open")]
+#[test_case(Sizes { duplicates: 1, depth: 10, ..WITH_LEADER }; "a message is duplicated")]
 fn one_entry_is_committed_at_an_index_in_any_order_of_events(sizes: Sizes) {
     nothing_breaks(sizes, 4_000);
 }
 
-#[test_case(Sizes { crashes: 1, depth: 10, ..HELD }; "a voter crashes between a write and its sync")]
-#[test_case(Sizes { refusals: 1, depth: 11, ..HELD }; "a write fails")]
-#[test_case(Sizes { reads: 1, depth: 11, ..HELD }; "a read")]
-#[test_case(Sizes { words: 2, depth: 11, ..HELD }; "two writes race")]
-#[test_case(Sizes { wipes: 1, changes: 2, depth: 9, ..HELD }; "a disk is lost and the new one added")]
-#[test_case(Sizes { voters: 4, depth: 10, ..HELD }; "four voters")]
-#[test_case(Sizes { hand_overs: 1, laters: 1, depth: 11, ..HELD }; "leadership is transferred with a proposal open")]
-#[test_case(Sizes { spares: 1, departures: 1, changes: 2, depth: 9, ..HELD }; "one of three leaves and its successor is added")]
-#[test_case(Sizes { voters: 2, spares: 2, departures: 1, changes: 3, depth: 9, ..HELD }; "two add two and one leaves in between")]
+#[test_case(Sizes { crashes: 1, depth: 10, ..WITH_LEADER }; "a voter crashes between a write and its sync")]
+#[test_case(Sizes { write_failures: 1, depth: 11, ..WITH_LEADER }; "a write fails")]
+#[test_case(Sizes { reads: 1, depth: 11, ..WITH_LEADER }; "a read")]
+#[test_case(Sizes { configurations: 2, depth: 11, ..WITH_LEADER }; "two writes race")]
+#[test_case(Sizes { wipes: 1, changes: 2, depth: 9, ..WITH_LEADER }; "a disk is lost and the new one added")]
+#[test_case(Sizes { voters: 4, depth: 10, ..WITH_LEADER }; "four voters")]
+#[test_case(Sizes { transfers: 1, ticks: 1, depth: 11, ..WITH_LEADER }; "leadership is transferred with a proposal open")]
+#[test_case(Sizes { spares: 1, departures: 1, changes: 2, depth: 9, ..WITH_LEADER }; "one of three leaves and its successor is added")]
+#[test_case(Sizes { voters: 2, spares: 2, departures: 1, changes: 3, depth: 9, ..WITH_LEADER }; "two add two and one leaves in between")]
 fn one_entry_is_committed_at_an_index_under_faults(sizes: Sizes) {
     nothing_breaks(sizes, 4_000);
 }
 
 #[test]
 fn no_random_walk_breaks_an_invariant() {
-    let more = Sizes { words: 3, laters: 5, laters_each: 3, reads: 2, depth: 80, ..HELD };
-    let sizes = Sizes { crashes: 2, wipes: 1, refusals: 1, changes: 2, doubles: 1, ..more };
-    let broken = walk(Sizes { spares: 1, departures: 1, changes: 4, hand_overs: 2, ..sizes }, None, 2_000)
+    let more = Sizes { configurations: 3, ticks: 5, ticks_each: 3, reads: 2, depth: 80, ..WITH_LEADER };
+    let sizes = Sizes { crashes: 2, wipes: 1, write_failures: 1, changes: 2, duplicates: 1, ..more };
+    let broken = walk(Sizes { spares: 1, departures: 1, changes: 4, transfers: 2, ..sizes }, None, 2_000)
         .or_else(|| walk(sizes, None, 2_000));
     assert!(broken.is_none(), "{broken:?}");
 }
@@ -52,20 +52,20 @@
 fn the_full_exploration_breaks_no_invariant() {
     for sizes in [
         Sizes { depth: 22, ..CALM },
-        Sizes { doubles: 1, ..HELD },
-        Sizes { reads: 1, ..HELD },
-        Sizes { crashes: 1, depth: 15, ..HELD },
-        Sizes { refusals: 1, depth: 17, ..HELD },
-        Sizes { words: 2, depth: 17, ..HELD },
-        Sizes { words: 2, reads: 1, depth: 15, ..HELD },
-        Sizes { crashes: 2, depth: 12, ..HELD },
-        Sizes { wipes: 1, changes: 2, depth: 12, ..HELD },
-        Sizes { laters: 4, laters_each: 2, depth: 15, ..HELD },
-        Sizes { voters: 4, depth: 14, ..HELD },
-        Sizes { hand_overs: 1, ..HELD },
-        Sizes { spares: 1, departures: 1, changes: 2, depth: 12, ..HELD },
-        Sizes { spares: 1, departures: 1, wipes: 1, changes: 3, depth: 9, ..HELD },
-        Sizes { voters: 2, spares: 2, departures: 1, changes: 3, depth: 12, ..HELD },
+        Sizes { duplicates: 1, ..WITH_LEADER },
+        Sizes { reads: 1, ..WITH_LEADER },
+        Sizes { crashes: 1, depth: 15, ..WITH_LEADER },
+        Sizes { write_failures: 1, depth: 17, ..WITH_LEADER },
+        Sizes { configurations: 2, depth: 17, ..WITH_LEADER },
+        Sizes { configurations: 2, reads: 1, depth: 15, ..WITH_LEADER },
+        Sizes { crashes: 2, depth: 12, ..WITH_LEADER },
+        Sizes { wipes: 1, changes: 2, depth: 12, ..WITH_LEADER },
+        Sizes { ticks: 4, ticks_each: 2, depth: 15, ..WITH_LEADER },
+        Sizes { voters: 4, depth: 14, ..WITH_LEADER },
+        Sizes { transfers: 1, ..WITH_LEADER },
+        Sizes { spares: 1, departures: 1, changes: 2, depth: 12, ..WITH_LEADER },
+        Sizes { spares: 1, departures: 1, wipes: 1, changes: 3, depth: 9, ..WITH_LEADER },
+        Sizes { voters: 2, spares: 2, departures: 1, changes: 3, depth: 12, ..WITH_LEADER },
     ] {
         nothing_breaks(sizes, 100_000);
     }
--- a/crates/brassport-config-store/tests/it/mutants.rs
+++ b/crates/brassport-config-store/tests/it/mutants.rs
@@ -1,46 +1,49 @@
 //! The campaign can fail: each deliberate fault is found within some seeds.
 
 use crate::harness::model::{walk, Sizes as ModelSizes, CALM};
-use crate::harness::simulation::{one_voter_step_by_step, Sizes, World};
+use crate::harness::scenarios::one_voter_step_by_step;
+use crate::harness::simulation::{Simulation, Sizes};
 use brassport_config_store::consensus::mutants::{activate, Mutant, ALL};
 
+const SIZES: [Sizes; 3] = [
+    Sizes { machines: 3, voters: 3, wipes: 1, fault_phase_ms: 12_000 },
+    Sizes { machines: 4, voters: 4, wipes: 1, fault_phase_ms: 12_000 },
+    Sizes { machines: 5, voters: 2, wipes: 0, fault_phase_ms: 12_000 },
+];
+
+/// The first seed that a mutant breaks, and what broke.
+type Detection = Option<(u64, String)>;
+
+/// Detects a mutant, in this thread alone.
+fn detect(mutant: Mutant) -> Detection {
+    activate(Some(mutant));
+    match mutant {
+        // Two mutants need a moment that few seeds meet: they are shown step by step.
+        Mutant::LeadsBeforeOwnPromise | Mutant::EvaluatesWithoutQuorum => {
+            let [early, _, unsure, _] = one_voter_step_by_step();
+            (early || unsure).then(|| (0, format!("step by step: {mutant:?}")))
+        }
+        Mutant::ForgottenRequestRejected => {
+            crate::harness::single_voter::forgotten_request_rejected().map(|broken| (0, broken))
+        }
+        // Seeds that met it among 25,000.
+        Mutant::VoterChangeUnchecked => {
+            [5_143, 5_473, 5_670, 16_326].into_iter().find_map(|seed| run_seed(seed, SIZES[2], mutant))
+        }
+        _ => (0..4_000_u64).find_map(|seed| run_seed(seed, SIZES[seed as usize % SIZES.len()], mutant)),
+    }
+}
+
+fn run_seed(seed: u64, sizes: Sizes, mutant: Mutant) -> Detection {
+    let mut simulation = Simulation::new(seed, sizes, Some(mutant));
+    simulation.run();
+    simulation.violations.first().map(|broken| (seed, broken.clone()))
+}
+
 #[test]
 fn every_mutant_is_detected() {
-    let sizes = [
-        Sizes { machines: 3, voters: 3, wipes: 1, long: 12_000 },
-        Sizes { machines: 4, voters: 4, wipes: 1, long: 12_000 },
-        Sizes { machines: 5, voters: 2, wipes: 0, long: 12_000 },
-    ];
-    // A fault is let into one thread alone.
-    let found_by = |mutant| {
-        activate(Some(mutant));
-        // Two faults need a moment that few seeds meet: they are shown step by step.
-        match mutant {
-            Mutant::LeadsBeforeOwnPromise | Mutant::EvaluatesWithoutQuorum => {
-                let [early, _, unsure, _] = one_voter_step_by_step();
-                return (early || unsure).then(|| (0, format!("step by step: {mutant:?}")));
-            }
-            Mutant::ForgottenRequestRejected => {
-                return crate::harness::single_voter::orders_of_long_ago_refused().map(|broken| (0, broken));
-            }
-            // Seeds that met it among 25,000.
-            Mutant::VoterChangeUnchecked => {
-                return [5_143, 5_473, 5_670, 16_326].into_iter().find_map(|seed| {
-                    let mut world = World::new(seed, sizes[2], Some(mutant));
-                    world.run();
-                    world.broken.first().map(|broken| (seed, broken.clone()))
-                })
-            }
-            _ => {}
-        }
-        (0..4_000_u64).find_map(|seed| {
-            let mut world = World::new(seed, sizes[seed as usize % sizes.len()], Some(mutant));
-            world.run();
-            world.broken.first().map(|broken| (seed, broken.clone()))
-        })
-    };
     let missed: Vec<_> = std::thread::scope(|scope| {
-        let running: Vec<_> = ALL.map(|mutant| (mutant, scope.spawn(move || found_by(mutant)))).into();
+        let running: Vec<_> = ALL.map(|mutant| (mutant, scope.spawn(move || detect(mutant)))).into();
         running
             .into_iter()
             .filter_map(|(mutant, thread)| match thread.join().expect("the thread ends") {
@@ -57,12 +60,19 @@
 
 #[test]
 fn the_model_has_a_counterexample_for_six_mutants() {
-    let held = ModelSizes { is_held: true, words: 3, laters: 5, laters_each: 3, depth: 60, ..CALM };
+    let with_leader = ModelSizes {
+        starts_with_leader: true,
+        configurations: 3,
+        ticks: 5,
+        ticks_each: 3,
+        depth: 60,
+        ..CALM
+    };
     let walked = |mutant| match mutant {
-        Mutant::MessageBeforeSync => Some(ModelSizes { crashes: 1, ..held }),
-        Mutant::AcceptedEntryIgnored | Mutant::PromiseBroken | Mutant::QuorumOneShort => Some(held),
-        Mutant::LostDiskKeepsVote => Some(ModelSizes { wipes: 1, ..held }),
-        Mutant::EvaluatesWithoutQuorum => Some(ModelSizes { reads: 2, ..held }),
+        Mutant::MessageBeforeSync => Some(ModelSizes { crashes: 1, ..with_leader }),
+        Mutant::AcceptedEntryIgnored | Mutant::PromiseBroken | Mutant::QuorumOneShort => Some(with_leader),
+        Mutant::LostDiskKeepsVote => Some(ModelSizes { wipes: 1, ..with_leader }),
+        Mutant::EvaluatesWithoutQuorum => Some(ModelSizes { reads: 2, ..with_leader }),
         // Found step by step, and by seeds: 200,000 walks did not meet their moment.
         _ => None,
     };
