--- a/crates/brassport-config-store/src/configuration/difference.rs
+++ b/crates/brassport-config-store/src/configuration/difference.rs
@@ -1,7 +1,7 @@
 //! What differs between two configurations, for people.
 
 use super::{Configuration, Limits, Route, Tenant};
-use std::collections::{BTreeMap, HashSet};
+use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::fmt;
 
 /// One difference. `Display` gives one line; keys are counted, never named.
@@ -163,55 +163,68 @@
     }
 }
 
+/// What a name stands for in two maps.
+enum Pair<'a, V> {
+    Added(&'a V),
+    Removed(&'a V),
+    Both { from: &'a V, to: &'a V },
+}
+
 /// All names of two maps, sorted, with what they stand for.
 fn pairs<'a, V>(
     from: &'a BTreeMap<String, V>,
     to: &'a BTreeMap<String, V>,
-) -> Vec<(&'a String, Option<&'a V>, Option<&'a V>)> {
-    let mut names: Vec<&String> = from.keys().chain(to.keys()).collect();
-    names.sort_unstable();
-    names.dedup();
-    names.into_iter().map(|name| (name, from.get(name), to.get(name))).collect()
+) -> impl Iterator<Item = (String, Pair<'a, V>)> {
+    let names: BTreeSet<&String> = from.keys().chain(to.keys()).collect();
+    names.into_iter().filter_map(|name| {
+        let pair = match (from.get(name), to.get(name)) {
+            (Some(from), Some(to)) => Pair::Both { from, to },
+            (None, Some(to)) => Pair::Added(to),
+            (Some(from), None) => Pair::Removed(from),
+            (None, None) => return None,
+        };
+        Some((name.clone(), pair))
+    })
 }
 
 fn routes(from: &Configuration, to: &Configuration, found: &mut Vec<Difference>) {
     let by_name = |configuration: &Configuration| -> BTreeMap<String, Route> {
         configuration.routes.iter().map(|route| (route.name.clone(), route.clone())).collect()
     };
-    let location = |route: &Route| format!("{}{}", route.host, route.path_prefix);
     let (from, to) = (by_name(from), by_name(to));
-    for (name, from, to) in pairs(&from, &to) {
-        let name = name.clone();
-        let (from, to) = match (from, to) {
-            (Some(from), Some(to)) => (from, to),
-            (None, Some(to)) => {
-                found.push(Difference::RouteAdded { name, location: location(to) });
-                continue;
-            }
-            (Some(from), None) => {
-                found.push(Difference::RouteRemoved { name, location: location(from) });
-                continue;
-            }
-            (None, None) => continue,
-        };
-        if location(from) != location(to) {
-            found.push(Difference::RouteMoved { name: name.clone(), from: location(from), to: location(to) });
+    for (name, pair) in pairs(&from, &to) {
+        match pair {
+            Pair::Added(to) => found.push(Difference::RouteAdded { name, location: location(to) }),
+            Pair::Removed(from) => found.push(Difference::RouteRemoved { name, location: location(from) }),
+            Pair::Both { from, to } => route(from, to, found),
         }
-        if from.targets != to.targets {
-            let (from, to) = (targets(from), targets(to));
-            found.push(Difference::RouteRedirected { name: name.clone(), from, to });
-        }
-        let what = Fields::default()
-            .note("kind", from.kind, to.kind)
-            .note("giveUpS", from.timeout_s, to.timeout_s)
-            .note("goalS", from.latency_target_s, to.latency_target_s)
-            .note("rank", from.rank, to.rank)
-            .note("tries", from.max_attempts, to.max_attempts)
-            .note("public", from.public, to.public);
-        found.extend(what.what().map(|what| Difference::RouteChanged { name, what }));
     }
 }
 
+/// Host and prefix of a route.
+fn location(route: &Route) -> String {
+    format!("{}{}", route.host, route.path_prefix)
+}
+
+fn route(from: &Route, to: &Route, found: &mut Vec<Difference>) {
+    let name = to.name.clone();
+    if location(from) != location(to) {
+        found.push(Difference::RouteMoved { name: name.clone(), from: location(from), to: location(to) });
+    }
+    if from.targets != to.targets {
+        let (from, to) = (targets(from), targets(to));
+        found.push(Difference::RouteRedirected { name: name.clone(), from, to });
+    }
+    let what = Fields::default()
+        .note("kind", from.kind, to.kind)
+        .note("giveUpS", from.timeout_s, to.timeout_s)
+        .note("goalS", from.latency_target_s, to.latency_target_s)
+        .note("rank", from.rank, to.rank)
+        .note("tries", from.max_attempts, to.max_attempts)
+        .note("public", from.public, to.public);
+    found.extend(what.what().map(|what| Difference::RouteChanged { name, what }));
+}
+
 fn targets(route: &Route) -> String {
     let parts: Vec<String> =
         route.targets.iter().map(|(service, weight)| format!("{service} ({weight})")).collect();
@@ -219,10 +232,9 @@
 }
 
 fn services(from: &Configuration, to: &Configuration, found: &mut Vec<Difference>) {
-    for (name, from, to) in pairs(&from.services, &to.services) {
-        let name = name.clone();
-        match (from, to) {
-            (Some(from), Some(to)) => {
+    for (name, pair) in pairs(&from.services, &to.services) {
+        match pair {
+            Pair::Both { from, to } => {
                 let what = Fields::default()
                     .note("healthPath", &from.health_path, &to.health_path)
                     .note("maxConnections", &from.max_connections, &to.max_connections)
@@ -230,21 +242,18 @@
                     .note("tls", &from.tls, &to.tls);
                 found.extend(what.what().map(|what| Difference::ServiceChanged { name, what }));
             }
-            (None, Some(_)) => found.push(Difference::ServiceAdded { name }),
-            (Some(_), None) => found.push(Difference::ServiceRemoved { name }),
-            (None, None) => {}
+            Pair::Added(_) => found.push(Difference::ServiceAdded { name }),
+            Pair::Removed(_) => found.push(Difference::ServiceRemoved { name }),
         }
     }
 }
 
 fn tenants(from: &Configuration, to: &Configuration, found: &mut Vec<Difference>) {
-    for (name, from, to) in pairs(&from.tenants, &to.tenants) {
-        let name = name.clone();
-        match (from, to) {
-            (Some(from), Some(to)) => tenant(from, to, found),
-            (None, Some(to)) => found.push(Difference::TenantAdded { name, keys: to.keys.len() }),
-            (Some(from), None) => found.push(Difference::TenantRemoved { name, keys: from.keys.len() }),
-            (None, None) => {}
+    for (name, pair) in pairs(&from.tenants, &to.tenants) {
+        match pair {
+            Pair::Both { from, to } => tenant(from, to, found),
+            Pair::Added(to) => found.push(Difference::TenantAdded { name, keys: to.keys.len() }),
+            Pair::Removed(from) => found.push(Difference::TenantRemoved { name, keys: from.keys.len() }),
         }
     }
 }
--- a/crates/brassport-config-store/src/store/mod.rs
+++ b/crates/brassport-config-store/src/store/mod.rs
@@ -154,17 +154,17 @@
             Record::Promised(term) => rows.put_meta(META_PROMISED, term)?,
             Record::Accepted { term, index, entry } => {
                 rows.put_meta(META_PROMISED, term)?;
-                rows.put_entry(&LogRow::new(*index, *term, entry, false))?;
+                rows.put_entry(&LogRow::accepted(*index, *term, entry))?;
             }
             Record::Committed(CommittedEntry { index, entry }) => {
-                rows.put_entry(&LogRow::new(*index, Term::ZERO, entry, true))?;
+                rows.put_entry(&LogRow::committed(*index, entry))?;
             }
             Record::Snapshot(DurableState { promised, state, accepted }) => {
                 rows.put_meta(META_PROMISED, promised)?;
                 rows.put_state(state)?;
                 rows.clear_log()?;
                 if let Some(AcceptedEntry { term, entry }) = accepted {
-                    rows.put_entry(&LogRow::new(state.index + 1, *term, entry, false))?;
+                    rows.put_entry(&LogRow::accepted(state.index + 1, *term, entry))?;
                 }
             }
         }
--- a/crates/brassport-config-store/src/store/rows.rs
+++ b/crates/brassport-config-store/src/store/rows.rs
@@ -48,9 +48,14 @@
 }
 
 impl LogRow {
-    /// The row of an entry.
-    pub fn new(index: LogIndex, term: Term, entry: &Entry, is_committed: bool) -> LogRow {
-        LogRow { index, is_committed, term: encode(&term), entry: encode(entry) }
+    /// The row of an entry that is accepted under a term.
+    pub fn accepted(index: LogIndex, term: Term, entry: &Entry) -> LogRow {
+        LogRow { index, is_committed: false, term: encode(&term), entry: encode(entry) }
+    }
+
+    /// The row of an entry that is committed: under which term does not matter any more.
+    pub fn committed(index: LogIndex, entry: &Entry) -> LogRow {
+        LogRow { index, is_committed: true, term: encode(&Term::ZERO), entry: encode(entry) }
     }
 
     /// The entry.
--- a/crates/brassport-config-store/tests/it/consensus_seeds.rs
+++ b/crates/brassport-config-store/tests/it/consensus_seeds.rs
@@ -34,7 +34,7 @@
     });
     let acknowledged: usize = lanes.iter().map(|(acknowledged, _)| acknowledged).sum();
     let violations: Vec<_> = lanes.into_iter().flat_map(|(_, violations)| violations).collect();
-    println!("{acknowledged} words acknowledged");
+    println!("{acknowledged} writes acknowledged");
     assert!(violations.is_empty(), "{sizes:?}: {violations:?}");
     assert!(acknowledged > 0);
 }
--- a/crates/brassport-config-store/tests/it/golden/store.rs
+++ b/crates/brassport-config-store/tests/it/golden/store.rs
@@ -66,8 +66,8 @@
 const OLD_STORE: &str = "store-1.sqlite";
 const DISK: DiskId = DiskId(0xfeed_0000_0000_0001);
 
-/// What a voter kept, one record after another: a snapshot at index 5, two more versions, and one that is open.
-fn kept() -> Vec<Record> {
+/// What a voter appended, one record after another: a snapshot at index 5, two more versions, and one that is open.
+fn appended() -> Vec<Record> {
     let accepted = |term, index, entry| Record::Accepted { term, index: LogIndex(index), entry };
     let last = r#"{"version":"00000009","put":{"services":[{"name":"late"}]}}"#;
     vec![
@@ -86,7 +86,7 @@
 fn expected() -> DurableState {
     let mut state = state();
     let mut open = None;
-    for record in kept() {
+    for record in appended() {
         match record {
             Record::Committed(CommittedEntry { entry, .. }) => {
                 if let Some(AcceptedEntry { entry: before, .. }) = open.take() {
@@ -109,7 +109,7 @@
 /// Writes the store anew, as this code does.
 fn write_store(folder: &Path) {
     let (mut store, _) = Store::open(folder, DISK).expect("a new store");
-    kept().iter().for_each(|record| store.append(record).expect("it is kept"));
+    appended().iter().for_each(|record| store.append(record).expect("it is kept"));
 }
 
 /// Writes a store as format 1 had it: a state alone, whose orders stand under digests of 64 bits.
@@ -231,10 +231,10 @@
     ];
     let covered: BTreeSet<&str> = cases.iter().map(|(_, (fault, _))| store_fault_name(fault)).collect();
     assert_eq!(covered.len(), 4, "a kind of fault has no case");
-    let told = |(name, (fault, folder)): (&str, (StoreError, PathBuf))| {
+    let text = |(name, (fault, folder)): (&str, (StoreError, PathBuf))| {
         let help = miette::Diagnostic::help(&fault).map(|help| help.to_string()).unwrap_or_default();
         let text = fault.to_string().replace(&folder.display().to_string(), "FOLDER");
         (name.to_owned(), format!("{text}\n{help}"))
     };
-    fixture::check(PACKAGE, "store_faults", &cases.map(told));
+    fixture::check(PACKAGE, "store_faults", &cases.map(text));
 }
--- a/crates/brassport-config-store/tests/it/harness/model/cluster.rs
+++ b/crates/brassport-config-store/tests/it/harness/model/cluster.rs
@@ -32,9 +32,9 @@
 
     pub(super) fn sync(&mut self, one: usize, ignores_gap: bool) {
         let (number, record) = self.machines[one].writes.remove(0);
-        let kept = self.machines[one].append(record, ignores_gap);
+        let durable = self.machines[one].append(record, ignores_gap);
         let now = self.now(one);
-        let actions = self.machines[one].replica.on_persisted(now, number, kept);
+        let actions = self.machines[one].replica.on_persisted(now, number, durable);
         self.execute(one, actions);
     }
 
@@ -49,15 +49,15 @@
         let state = ReplicatedState::genesis((0..sizes.voters).map(id).collect(), 4);
         let machines = (0..sizes.voters + sizes.spares).map(|one| {
             let state = if one < sizes.voters { state.clone() } else { ReplicatedState::empty() };
-            let kept = DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None };
+            let durable = DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None };
             let disk = id(one).disk;
-            let replica = Replica::new(ip(one), disk, Some(kept.clone()), 0);
-            Machine { replica, disk, kept, has_gap: false, writes: Vec::new(), ticks: 0, is_gone: false }
+            let replica = Replica::new(ip(one), disk, Some(durable.clone()), 0);
+            Machine { replica, disk, durable, has_gap: false, writes: Vec::new(), ticks: 0, is_gone: false }
         });
         Cluster {
             machines: machines.collect(),
             in_flight: BTreeSet::new(),
-            chosen: BTreeMap::new(),
+            committed: BTreeMap::new(),
             configurations: 0,
             submitted: BTreeMap::new(),
             reads: BTreeMap::new(),
@@ -75,7 +75,7 @@
                 transfers: sizes.transfers,
             },
             leaders: BTreeSet::new(),
-            broken: None,
+            violation: None,
         }
     }
 
@@ -97,9 +97,9 @@
                 Action::FetchLog(_) => {}
                 Action::Persist(number, record) => self.machines[one].writes.push((number, record)),
                 Action::Applied(Some(CommittedEntry { index, entry })) => {
-                    let first = self.chosen.entry(index).or_insert_with(|| entry.clone());
+                    let first = self.committed.entry(index).or_insert_with(|| entry.clone());
                     if *first != entry {
-                        self.broken = Some("two entries at one index");
+                        self.violation = Some("two entries at one index");
                     }
                 }
                 Action::Applied(None) => {}
@@ -116,7 +116,7 @@
             .iter()
             .any(|digest| self.committed_requests().any(|committed_requests| committed_requests == *digest))
         {
-            self.broken = Some("what was refused is in force");
+            self.violation = Some("a rejected request is in force");
         }
     }
 
@@ -147,9 +147,9 @@
         self.in_flight.insert((to, from, Packet::Consensus(message)));
     }
 
-    /// Digests of all configurations that are chosen.
+    /// Digests of all requests that are committed.
     pub(super) fn committed_requests(&self) -> impl Iterator<Item = RequestDigest> + '_ {
-        self.chosen.values().filter_map(|entry| match entry {
+        self.committed.values().filter_map(|entry| match entry {
             Entry::Replace { base_version, body } => {
                 Some(RequestDigest::of(ChangeScope::Full, *base_version, body))
             }
@@ -161,7 +161,7 @@
         match (outcome, self.submitted.get(&number).copied(), self.reads.get(&number).copied()) {
             (Outcome::Committed, Some(digest), _) => {
                 if !self.committed_requests().any(|committed_requests| committed_requests == digest) {
-                    self.broken = Some("acknowledged and not chosen");
+                    self.violation = Some("acknowledged and not committed");
                 }
                 self.acknowledged.insert(digest, number as u32);
             }
@@ -169,7 +169,7 @@
                 self.refused.insert(digest);
             }
             (Outcome::Current(state), _, Some(newest)) if state.version() < newest => {
-                self.broken = Some("a read is older than what was acknowledged");
+                self.violation = Some("a read is older than what was acknowledged");
             }
             _ => {}
         }
@@ -182,9 +182,9 @@
             machine.append(record, false);
         }
         machine.has_gap = false;
-        let (disk, kept) = (machine.disk, machine.kept.clone());
+        let (disk, durable) = (machine.disk, machine.durable.clone());
         let now = self.now(one);
-        self.machines[one].replica = Replica::new(ip(one), disk, Some(kept), now);
+        self.machines[one].replica = Replica::new(ip(one), disk, Some(durable), now);
     }
 
     /// The change of voters that is due: a disk that was lost goes before the new one comes.
@@ -219,27 +219,27 @@
         }
         self.has_gap = false;
         match record {
-            Record::Promised(term) => self.kept.promised = self.kept.promised.max(term),
+            Record::Promised(term) => self.durable.promised = self.durable.promised.max(term),
             Record::Accepted { term, index, entry } => {
-                self.kept.promised = self.kept.promised.max(term);
+                self.durable.promised = self.durable.promised.max(term);
                 self.reach(index);
-                self.kept.accepted = Some(AcceptedEntry { term, entry });
+                self.durable.accepted = Some(AcceptedEntry { term, entry });
             }
             Record::Committed(CommittedEntry { index, entry }) => {
                 self.reach(index);
-                self.kept.accepted = None;
-                self.kept.state.apply(&entry);
+                self.durable.accepted = None;
+                self.durable.state.apply(&entry);
             }
-            Record::Snapshot(whole) => self.kept = whole,
+            Record::Snapshot(whole) => self.durable = whole,
         }
         true
     }
 
-    /// What stands before another was chosen when that was written.
+    /// What stands before another was committed when that was written.
     pub(super) fn reach(&mut self, index: LogIndex) {
-        while self.kept.state.index + 1 < index {
-            let Some(AcceptedEntry { entry: before, .. }) = self.kept.accepted.take() else { break };
-            self.kept.state.apply(&before);
+        while self.durable.state.index + 1 < index {
+            let Some(AcceptedEntry { entry: before, .. }) = self.durable.accepted.take() else { break };
+            self.durable.state.apply(&before);
         }
     }
 }
--- a/crates/brassport-config-store/tests/it/harness/model/mod.rs
+++ b/crates/brassport-config-store/tests/it/harness/model/mod.rs
@@ -44,7 +44,7 @@
     pub departures: u8,
     /// Leaders that hand over.
     pub transfers: u8,
-    /// Whether the first voter holds leadership at the beginning and all have heard so; else nobody has said anything.
+    /// Whether the first voter leads at the beginning and all know; else no message was sent yet.
     pub starts_with_leader: bool,
     /// Steps from the beginning.
     pub depth: usize,
@@ -72,8 +72,8 @@
 struct Machine {
     replica: Replica,
     disk: DiskId,
-    kept: DurableState,
-    /// Whether its store stands on a gap until all is written anew.
+    durable: DurableState,
+    /// Whether its store stands on a gap until a snapshot is written.
     has_gap: bool,
     /// Written, not yet synced, in their order.
     writes: Vec<(u64, Record)>,
@@ -95,8 +95,8 @@
 pub struct Cluster {
     machines: Vec<Machine>,
     in_flight: BTreeSet<Envelope>,
-    /// What stands at each index, by whoever said so first.
-    chosen: BTreeMap<LogIndex, Entry>,
+    /// What stands at each index, by whoever committed it first.
+    committed: BTreeMap<LogIndex, Entry>,
     configurations: u8,
     /// Digests of what was submitted, by number; of reads the newest version acknowledged when they began.
     submitted: BTreeMap<u64, RequestDigest>,
@@ -104,9 +104,9 @@
     acknowledged: BTreeMap<RequestDigest, u32>,
     refused: BTreeSet<RequestDigest>,
     left: Budget,
-    /// Holders, by term and the life of whoever holds.
+    /// Terms under which somebody led.
     leaders: BTreeSet<Term>,
-    pub broken: Option<&'static str>,
+    pub violation: Option<&'static str>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -134,10 +134,10 @@
     /// Killed; so many of its open writes reached the disk all the same.
     Crash(usize, usize),
     LoseDisk(usize),
-    /// A word on top of what the machine knows, submitted of whoever believes to hold leadership.
+    /// A configuration on top of what the machine knows, submitted to whoever believes to lead.
     Configure(usize),
     Read(usize),
-    /// Whoever holds leadership lets go of a disk that was lost, or lets the new one in.
+    /// The leader removes a disk that was lost, or adds the new one.
     ChangeVoters(usize),
     /// Gone for good.
     Depart(usize),
@@ -256,11 +256,11 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("the word holds", |_, cluster: &Cluster| cluster.broken.is_none()),
-            Property::sometimes("a word is acknowledged", |_, cluster: &Cluster| {
+            Property::always("no invariant is violated", |_, cluster: &Cluster| cluster.violation.is_none()),
+            Property::sometimes("a request is acknowledged", |_, cluster: &Cluster| {
                 !cluster.acknowledged.is_empty()
             }),
-            Property::sometimes("another takes leadership", |model: &Voters, cluster: &Cluster| {
+            Property::sometimes("another leads", |model: &Voters, cluster: &Cluster| {
                 let disks: BTreeSet<DiskId> = cluster.leaders.iter().map(|term| term.disk).collect();
                 disks.len() >= 2 || model.sizes.ticks < 2
             }),
@@ -298,7 +298,7 @@
             let step = steps.swap_remove(rng.rand_range(0..steps.len() as u64) as usize);
             path.push(step.clone());
             cluster = model.next_state(&cluster, step)?;
-            if let Some(why) = cluster.broken {
+            if let Some(why) = cluster.violation {
                 return Some((seed, path, why));
             }
         }
@@ -308,7 +308,7 @@
 
 fn broken(path: Option<stateright::Path<Cluster, Step>>) -> Option<(Vec<Step>, &'static str)> {
     path.map(|path| {
-        let why = path.last_state().broken.unwrap_or_default();
+        let why = path.last_state().violation.unwrap_or_default();
         (path.into_actions(), why)
     })
 }
@@ -319,5 +319,5 @@
     let checker =
         Voters { sizes, mutant }.checker().threads(threads).target_max_depth(sizes.depth).spawn_bfs().join();
     let explored = Explored { states: checker.unique_state_count(), depth: checker.max_depth() };
-    (explored, broken(checker.discovery("the word holds")))
+    (explored, broken(checker.discovery("no invariant is violated")))
 }
--- a/crates/brassport-config-store/tests/it/harness/model/steps.rs
+++ b/crates/brassport-config-store/tests/it/harness/model/steps.rs
@@ -56,7 +56,7 @@
         if mutant != Some(Mutant::LostDiskKeepsVote) {
             machine.disk.0 += 100;
         }
-        machine.kept = DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None };
+        machine.durable = DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None };
         self.crash(one, 0);
     }
 
@@ -113,7 +113,7 @@
         let actions = match packet {
             Packet::Consensus(message) => self.machines[to].replica.step(now, from, message),
             Packet::Fetch => {
-                // The answer is committed_requests in at once: what it says is chosen, whenever it comes.
+                // The answer is handled at once: what it contains is committed, whenever it comes.
                 let (asker, source) = (number(from.ip), self.machines[to].replica.state().clone());
                 let index = self.machines[asker].replica.state().index;
                 let entries = self.machines[to].replica.entries_after(index);
--- a/crates/brassport-config-store/tests/it/harness/scenarios.rs
+++ b/crates/brassport-config-store/tests/it/harness/scenarios.rs
@@ -7,10 +7,17 @@
     Ipv4Addr::new(10, 0, 0, machine as u8 + 1)
 }
 
-/// What one voter of three does, step by step, where the seeds would seldom meet the moment. Returns whether it held the
-/// leadership before its own promise was synced, whether it did once that was, and whether it judged before and behind the word
-/// of a majority.
-pub fn one_voter_step_by_step() -> [bool; 4] {
+/// What one voter of three does, step by step, where the seeds would seldom meet the moment.
+#[derive(Debug, Clone, Copy)]
+pub struct FirstTerm {
+    pub leads_before_own_promise: bool,
+    pub leads_after_own_promise: bool,
+    pub evaluates_before_quorum: bool,
+    pub evaluates_after_quorum: bool,
+}
+
+/// Lets one voter of three campaign, lead and read.
+pub fn one_voter_step_by_step() -> FirstTerm {
     let id = |one: usize| VoterId { ip: ip(one), disk: DiskId(one as u64 + 1) };
     let state = ReplicatedState::genesis((0..3).map(id).collect(), 4);
     let found = DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None };
@@ -27,13 +34,13 @@
     let promise = Message::Promise { term, index: LogIndex(1), accepted: None };
     let mut actions = replica.step(301, id(1), promise.clone());
     actions.extend(replica.step(302, id(2), promise));
-    let early = replica.is_leader();
+    let leads_before_own_promise = replica.is_leader();
     let write = actions.iter().find_map(|action| match action {
         Action::Persist(number, Record::Promised(_)) => Some(*number),
         _ => None,
     });
     replica.on_persisted(303, write.expect("it writes its own promise"), true);
-    let held = replica.is_leader();
+    let leads_after_own_promise = replica.is_leader();
     let answers = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Respond(9, _)));
     let asked = replica.submit(304, 9, Command::Read);
     let heartbeat = asked.iter().find_map(|action| match action {
@@ -41,16 +48,21 @@
         _ => None,
     });
     let heartbeat = heartbeat.expect("it asks the others");
-    let unsure = answers(&asked);
-    let sure = answers(&replica.step(
+    let evaluates_before_quorum = answers(&asked);
+    let evaluates_after_quorum = answers(&replica.step(
         305,
         id(1),
         Message::HeartbeatResponse { term, index: LogIndex(1), heartbeat },
     ));
-    [early, held, unsure, sure]
+    FirstTerm {
+        leads_before_own_promise,
+        leads_after_own_promise,
+        evaluates_before_quorum,
+        evaluates_after_quorum,
+    }
 }
 
-/// A voter that is alone holds leadership and is asked for two changes at once, each of which would let another machine in.
+/// A voter that is alone leads, and two changes are submitted at once, each of which would let another machine in.
 /// What it answers to both.
 pub fn two_changes_at_once() -> [Option<Outcome>; 2] {
     let id = |one: usize| VoterId { ip: ip(one), disk: DiskId(one as u64 + 1) };
@@ -63,7 +75,7 @@
     );
     let mut answers = [None, None];
     let mut actions = Vec::new();
-    // Alone it holds leadership as soon as its promise is synced.
+    // Alone it leads as soon as its promise is synced.
     for now in 100..400 {
         let mut more = if now % 50 == 0 { replica.tick(now) } else { Vec::new() };
         for action in actions.drain(..) {
--- a/crates/brassport-config-store/tests/it/harness/simulation/disk.rs
+++ b/crates/brassport-config-store/tests/it/harness/simulation/disk.rs
@@ -9,7 +9,7 @@
         Record::Accepted { term, index, entry } => {
             durable.promised = durable.promised.max(term);
             while durable.state.index + 1 < index {
-                // What stands before another was chosen when that was accepted.
+                // What stands before another was committed when that was accepted.
                 let Some(AcceptedEntry { entry: before, .. }) = durable.accepted.take() else { break };
                 durable.state.apply(&before);
             }
--- a/crates/brassport-config-store/tests/it/harness/simulation/faults.rs
+++ b/crates/brassport-config-store/tests/it/harness/simulation/faults.rs
@@ -105,7 +105,7 @@
 }
 
 impl Simulation {
-    /// In is_healed, loses the leader at a drawn moment. Returns how long it takes until another holds leadership.
+    /// Without other faults, loses the leader at a drawn moment. Returns how long it takes until another leads.
     pub fn lose_leader(&mut self, loss: Loss) -> Option<Millis> {
         self.is_healed = true;
         let at = 2_000 + self.draw(500);
--- a/crates/brassport-config-store/tests/it/harness/simulation/mod.rs
+++ b/crates/brassport-config-store/tests/it/harness/simulation/mod.rs
@@ -46,7 +46,7 @@
     replica: Option<Replica>,
     disk: DiskId,
     durable: DurableState,
-    /// Whether its store stands on a gap until all is written anew.
+    /// Whether its store stands on a gap until a snapshot is written.
     has_gap: bool,
     incarnation: u64,
     frozen_until: Millis,
@@ -87,9 +87,9 @@
     queue: BTreeMap<(Millis, u64), Step>,
     last: u64,
     machines: Vec<Machine>,
-    /// What stands at each index, by whoever said so first.
-    chosen: BTreeMap<LogIndex, Entry>,
-    asked: BTreeMap<u64, SubmittedWrite>,
+    /// What stands at each index, by whoever committed it first.
+    committed: BTreeMap<LogIndex, Entry>,
+    submitted_writes: BTreeMap<u64, SubmittedWrite>,
     next_call: u64,
     last_version: u32,
     acknowledged_writes: Vec<(RequestDigest, u32)>,
@@ -125,8 +125,8 @@
             queue: BTreeMap::new(),
             last: 0,
             machines: (0..sizes.machines).map(Machine::new).collect(),
-            chosen: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            committed: BTreeMap::new(),
+            submitted_writes: BTreeMap::new(),
             next_call: 0,
             last_version: 0,
             acknowledged_writes: Vec::new(),
@@ -205,14 +205,14 @@
         let machine = &mut self.machines[one];
         let ignored = self.mutant == Some(Mutant::WriteGapIgnored);
         let gap = machine.has_gap && !matches!(record, Record::Snapshot(_)) && !ignored;
-        let kept = !refuses && !gap;
-        machine.has_gap = !kept;
-        if kept {
+        let is_written = !refuses && !gap;
+        machine.has_gap = !is_written;
+        if is_written {
             append(&mut machine.durable, record);
         }
         let now = self.now;
         if let Some(replica) = &mut machine.replica {
-            let actions = replica.on_persisted(now, write, kept);
+            let actions = replica.on_persisted(now, write, is_written);
             self.execute(one, actions);
         }
     }
@@ -292,10 +292,10 @@
                 }
                 Action::Applied(entry) => {
                     if let Some(CommittedEntry { index, entry }) = entry {
-                        let first = self.chosen.entry(index).or_insert_with(|| entry.clone());
+                        let first = self.committed.entry(index).or_insert_with(|| entry.clone());
                         if *first != entry {
                             self.violations
-                                .push(format!("index {index}: {first:?} and {entry:?} are both chosen"));
+                                .push(format!("index {index}: {first:?} and {entry:?} are both committed"));
                         }
                     }
                 }
--- a/crates/brassport-config-store/tests/it/harness/simulation/operators.rs
+++ b/crates/brassport-config-store/tests/it/harness/simulation/operators.rs
@@ -37,7 +37,7 @@
     }
 
     pub(super) fn submit(&mut self) {
-        // Asked of anybody who believes to hold the role: there may be several.
+        // Submitted to anybody who believes to lead: there may be several.
         let leaders: Vec<usize> = (0..self.machines.len()).filter(|one| self.leads(*one)).collect();
         if leaders.is_empty() {
             return;
@@ -58,7 +58,7 @@
         let any = self.draw(self.machines.len() as u64) as usize;
         let known = self.machines[any].replica.as_ref().map_or(0, |replica| replica.state().version());
         let again = self.draw(8) == 0;
-        let (version, base_version) = match self.asked.values().last().filter(|_| again) {
+        let (version, base_version) = match self.submitted_writes.values().last().filter(|_| again) {
             Some(asked) => (asked.version, asked.base_version),
             None => {
                 self.last_version += 1 + self.draw(3) as u32;
@@ -67,7 +67,7 @@
         };
         let body = body(version);
         let digest = RequestDigest::of(ChangeScope::Full, base_version, &body);
-        self.asked.insert(number, SubmittedWrite { digest, version, base_version });
+        self.submitted_writes.insert(number, SubmittedWrite { digest, version, base_version });
         self.begin_call(number, versions::Asked::Write { version, built_on: base_version });
         if let Some(replica) = &mut self.machines[one].replica {
             let command =
@@ -93,7 +93,7 @@
             Outcome::Unknown => Answered::Open,
             Outcome::Current(state) => Answered::Newest(state.version()),
         };
-        if let (Answered::Taken, Some(asked)) = (operation.answered, self.asked.get(&number)) {
+        if let (Answered::Taken, Some(asked)) = (operation.answered, self.submitted_writes.get(&number)) {
             self.acknowledged_writes.push((asked.digest, asked.version));
             self.acknowledged += 1;
         }
--- a/crates/brassport-config-store/tests/it/harness/simulation/verdict.rs
+++ b/crates/brassport-config-store/tests/it/harness/simulation/verdict.rs
@@ -1,4 +1,4 @@
-//! What must hold at the end of a run.
+//! Invariants, checked at the end of a run.
 
 use super::Simulation;
 use brassport_checkers::versions::{self, Operation};
@@ -13,7 +13,7 @@
             }
             other => format!("{index}: {other:?}\n"),
         };
-        self.chosen.iter().map(line).collect()
+        self.committed.iter().map(line).collect()
     }
 
     pub(super) fn check_invariants(&mut self) {
@@ -21,7 +21,7 @@
         let Some(newest) = newest.max_by_key(|replica| replica.state().index) else { return };
         let state = newest.state().clone();
         if !self.machines.iter().any(|machine| machine.replica.as_ref().is_some_and(Replica::is_leader)) {
-            self.violations.push("8 s of is_healed and nobody holds leadership".to_owned());
+            self.violations.push("8 s without faults and nobody leads".to_owned());
         }
         for (digest, version) in &self.acknowledged_writes {
             if state.applied_requests.len() < 500 && state.applied_requests.get(version) != Some(digest) {
@@ -29,12 +29,12 @@
             }
         }
         let history: Vec<Operation> = self.history.values().copied().collect();
-        if let Err(violations) = versions::judge(&history) {
-            self.violations.push(format!("{violations:?}"));
+        if let Err(violation) = versions::judge(&history) {
+            self.violations.push(format!("{violation:?}"));
         }
-        // The chain is one chain: each version was built on the one before.
+        // The log is one chain: each version was built on the one before.
         let mut base_version = 0;
-        for entry in self.chosen.values() {
+        for entry in self.committed.values() {
             if let Entry::Replace { base_version: on, body } = entry {
                 if *on != base_version {
                     println!("{}", self.log_listing());
--- a/crates/brassport-config-store/tests/it/leader_failover.rs
+++ b/crates/brassport-config-store/tests/it/leader_failover.rs
@@ -10,9 +10,7 @@
     let sizes = Sizes { machines: voters, voters, wipes: 0, fault_phase_ms: 60_000 };
     for loss in [Loss::Kill, Loss::Freeze, Loss::Cut] {
         let mut times: Vec<u64> = (0..200)
-            .map(|seed| {
-                Simulation::new(seed, sizes, None).lose_leader(loss).expect("another holds leadership")
-            })
+            .map(|seed| Simulation::new(seed, sizes, None).lose_leader(loss).expect("another leads"))
             .collect();
         times.sort_unstable();
         println!(
--- a/crates/brassport-config-store/tests/it/leadership.rs
+++ b/crates/brassport-config-store/tests/it/leadership.rs
@@ -6,11 +6,11 @@
 
 #[test]
 fn a_candidate_leads_after_its_own_promise_and_evaluates_after_a_quorum() {
-    let [early, held, unsure, sure] = scenarios::one_voter_step_by_step();
-    assert!(!early, "it holds leadership before its own promise is synced");
-    assert!(held, "with it, it does");
-    assert!(!unsure, "it judges before a majority has answered");
-    assert!(sure, "with that, it does");
+    let first_term = scenarios::one_voter_step_by_step();
+    assert!(!first_term.leads_before_own_promise, "it leads before its own promise is synced");
+    assert!(first_term.leads_after_own_promise, "with it, it does");
+    assert!(!first_term.evaluates_before_quorum, "it evaluates before a majority has answered");
+    assert!(first_term.evaluates_after_quorum, "with that, it does");
 }
 
 /// Of [0, 1, 2] and [0, 1, 4] majorities need not meet: a change that was asked for while another was open is refused.
--- a/crates/brassport-config-store/tests/it/mutants.rs
+++ b/crates/brassport-config-store/tests/it/mutants.rs
@@ -20,11 +20,12 @@
     match mutant {
         // Two mutants need a moment that few seeds meet: they are shown step by step.
         Mutant::LeadsBeforeOwnPromise | Mutant::EvaluatesWithoutQuorum => {
-            let [early, _, unsure, _] = one_voter_step_by_step();
-            (early || unsure).then(|| (0, format!("step by step: {mutant:?}")))
+            let first_term = one_voter_step_by_step();
+            (first_term.leads_before_own_promise || first_term.evaluates_before_quorum)
+                .then(|| (0, format!("step by step: {mutant:?}")))
         }
         Mutant::ForgottenRequestRejected => {
-            crate::harness::single_voter::forgotten_request_rejected().map(|broken| (0, broken))
+            crate::harness::single_voter::forgotten_request_rejected().map(|violation| (0, violation))
         }
         // Seeds that met it among 25,000.
         Mutant::VoterChangeUnchecked => {
@@ -37,7 +38,7 @@
 fn run_seed(seed: u64, sizes: Sizes, mutant: Mutant) -> Detection {
     let mut simulation = Simulation::new(seed, sizes, Some(mutant));
     simulation.run();
-    simulation.violations.first().map(|broken| (seed, broken.clone()))
+    simulation.violations.first().map(|violation| (seed, violation.clone()))
 }
 
 #[test]
@@ -47,8 +48,8 @@
         running
             .into_iter()
             .filter_map(|(mutant, thread)| match thread.join().expect("the thread ends") {
-                Some((seed, broken)) => {
-                    println!("{mutant:?}: seed {seed}: {broken}");
+                Some((seed, violation)) => {
+                    println!("{mutant:?}: seed {seed}: {violation}");
                     None
                 }
                 None => Some(mutant),
@@ -78,8 +79,8 @@
     };
     let found_by = |mutant, sizes| {
         let found = walk(sizes, Some(mutant), 100_000);
-        let told = found.as_ref().map(|(seed, steps, why)| (seed, steps.len(), why));
-        println!("{mutant:?}: {told:?} (walk, steps, what broke)");
+        let summary = found.as_ref().map(|(seed, steps, why)| (seed, steps.len(), why));
+        println!("{mutant:?}: {summary:?} (walk, steps, what broke)");
         found.is_none().then_some(mutant)
     };
     let missed: Vec<_> = std::thread::scope(|scope| {
