--- a/crates/brassport-control-plane/tests/parts_of_limits.rs
+++ b/crates/brassport-control-plane/tests/parts_of_limits.rs
@@ -16,7 +16,7 @@
     let mut world = World::new(script::parse(&text).expect("it makes sense"));
     world.run();
     for machine in &world.machines {
-        let parts = machine.control.as_ref().expect("it runs").state().slots;
+        let parts = machine.control.as_ref().expect("it runs").state().quota_shares;
         assert_eq!(parts as usize, disks + plain);
     }
 }
--- a/crates/brassport-control-plane/tests/world/callers.rs
+++ b/crates/brassport-control-plane/tests/world/callers.rs
@@ -3,7 +3,7 @@
 
 use super::script::{Ask, Flaw, Millis};
 use super::{machine, Step, World, BEAT, CALLER};
-use brassport_config_store::consensus::RequestDigest;
+use brassport_config_store::consensus::{ChangeScope, RequestDigest};
 use brassport_control_plane::call::{Call, Reply};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 
 #[derive(Clone)]
 pub struct Put {
-    pub scope: bool,
+    pub scope: ChangeScope,
     pub version: u32,
     pub base_version: u32,
     pub body: Arc<Vec<u8>>,
@@ -102,7 +102,7 @@
         };
         let version = self.callers.highest + 1;
         let next = base_version.map(|base_version| Ask::Put {
-            scope: true,
+            scope: ChangeScope::Full,
             version,
             base_version,
             flaw: None,
@@ -200,7 +200,7 @@
         if started.len() > 1 {
             started.retain(|one| Some(*one) != last);
         }
-        let drawn = self.sample(started.len() as u64) as usize;
+        let drawn = self.draw(started.len() as u64) as usize;
         started.get(drawn).copied().unwrap_or_default()
     }
 
@@ -229,7 +229,10 @@
         let call = match &session.what {
             What::Put(put) => {
                 patience += put.body.len() as u64 / 50;
-                let path = if put.scope { "/Config.Replace" } else { "/Config.Change" };
+                let path = match put.scope {
+                    ChangeScope::Full => "/Config.Replace",
+                    ChangeScope::Partial => "/Config.Change",
+                };
                 let base_version = format!("{:08x}", put.base_version);
                 Call::decode("POST", path, Some(&base_version), put.body.to_vec())
             }
@@ -256,7 +259,7 @@
         let Some(index) = self.callers.tries.get(&number).copied() else { return };
         // An answer that is lost on its way: the caller goes on once its patience is over.
         let is_order = matches!(self.callers.sessions[index].what, What::Put(_));
-        if reply.is_some() && is_order && self.sample(100) < self.answers_lost {
+        if reply.is_some() && is_order && self.draw(100) < self.answers_lost {
             return;
         }
         self.callers.tries.remove(&number);
@@ -319,7 +322,7 @@
 }
 
 /// A configuration; each name gives another.
-fn body(scope: bool, version: u32, flaw: Option<Flaw>, routes: usize, name: &str) -> Vec<u8> {
+fn body(scope: ChangeScope, version: u32, flaw: Option<Flaw>, routes: usize, name: &str) -> Vec<u8> {
     let route = |number: usize| {
         let unknown = flaw == Some(Flaw::UnknownService) && number == 0;
         let index = if flaw == Some(Flaw::PrefixTwice) { 0 } else { number };
@@ -339,11 +342,11 @@
     let services = json!([{"name": "svc", "healthPath": "/health", "maxConnections": 100, "protocol": "h1", "tls": false}]);
     let version = format!("{version:08x}");
     let whole = match scope {
-        true => json!({
+        ChangeScope::Full => json!({
             "version": version, "note": name, "services": services, "limits": {}, "customers": customers,
             "hosts": hosts
         }),
-        false => {
+        ChangeScope::Partial => {
             let path = json!({
                 "name": format!("r-{name}"), "pathStart": format!("/{name}/"), "kind": "safe", "giveUpS": 2,
                 "goalS": 0.3, "rank": 1, "service": "svc", "tries": 2, "public": false
--- a/crates/brassport-control-plane/tests/world/judge.rs
+++ b/crates/brassport-control-plane/tests/world/judge.rs
@@ -142,7 +142,7 @@
             let told = format!("machine {one} has another state at index {index}: {}", differ(&known, state));
             self.breaks(now, told);
         }
-        for digest in state.taken.values() {
+        for digest in state.applied_requests.values() {
             if self.in_force.insert(*digest) {
                 if let Some(name) = self.refused.get(digest).cloned() {
                     self.breaks(now, format!("{name} was refused and is in force at machine {one}"));
@@ -224,7 +224,7 @@
                 faults.push(format!("machine {one} is in touch and does not have v{word}"));
             }
             for id in &ends {
-                let stage = self.state(one, id);
+                let stage = self.stage(one, id);
                 if matches!(stage, Some(BackendState::Ready | BackendState::Unresponsive)) {
                     faults.push(format!("machine {one} is in touch and takes {id} for {stage:?}"));
                 }
@@ -240,9 +240,9 @@
     /// At the end: nothing acknowledged is lost.
     pub fn at_end(&mut self, newest: &ReplicatedState, now: Millis) {
         for (version, digest, ..) in self.acknowledged.clone() {
-            let is_there = newest.taken.get(&version) == Some(&digest);
+            let is_there = newest.applied_requests.get(&version) == Some(&digest);
             // Of old versions nothing is remembered.
-            if !is_there && newest.taken.len() < 500 {
+            if !is_there && newest.applied_requests.len() < 500 {
                 self.breaks(now, format!("v{version} was acknowledged and is lost at the end"));
             }
         }
--- a/crates/brassport-control-plane/tests/world/mod.rs
+++ b/crates/brassport-control-plane/tests/world/mod.rs
@@ -10,14 +10,15 @@
 pub mod script;
 
 use brassport_config_store::consensus::{
-    CommittedEntry, DurableState, Entry, Message, Record, ReplicatedState,
+    AcceptedEntry, CommittedEntry, DurableState, Entry, Message, Record, ReplicatedState,
 };
 use brassport_control_plane::call::{Call, Reply};
 use brassport_control_plane::peer_message::{Envelope, PeerMessage};
 use brassport_control_plane::{
-    Action, ControlPlane, Event, FaultTolerance, SnapshotChunk, SnapshotId, Start,
+    Action, ControlPlane, Event, FaultTolerance, Options, SnapshotChunk, SnapshotId,
 };
 use brassport_transport::peer_sampling::PeerRecord;
+use brassport_types::{DiskId, Incarnation, LogIndex};
 use callers::Callers;
 use judge::Judge;
 use oorandom::Rand64;
@@ -70,7 +71,7 @@
 
 impl Store {
     fn empty() -> Store {
-        let kept = DurableState { promised: (0, 0), state: ReplicatedState::empty(), open: None };
+        let kept = DurableState::empty();
         Store {
             number: None,
             kept,
@@ -136,14 +137,31 @@
     usize::from(ip.octets()[3]).wrapping_sub(1)
 }
 
+/// One run of a machine's process: another with each start, and another at each machine.
+fn incarnation(machine: usize, starts: u64) -> Incarnation {
+    Incarnation(starts << 8 | machine as u64)
+}
+
 /// Whether a machine takes in a snapshot of which a byte was changed on its way, so that it still can be read.
 pub fn spoilt_snapshot_is_installed() -> bool {
-    let member = PeerRecord { ip: ip(0), life: 1, zone: "a".to_owned(), disk: 0, counted: false };
-    let survive = FaultTolerance::machines(1);
-    let start = Start { member, seeds: vec![ip(1)], first_start: false, survive, beat_ms: BEAT, seed: 1 };
-    let mut control = ControlPlane::new(start, 0);
-    let bytes = |slots: u32| {
-        let state = ReplicatedState { index: 9, slots, ..ReplicatedState::empty() };
+    let node = PeerRecord {
+        ip: ip(0),
+        incarnation: Incarnation(1),
+        zone: "a".to_owned(),
+        disk: DiskId::NONE,
+        is_core: false,
+    };
+    let options = Options {
+        node,
+        seeds: vec![ip(1)],
+        first_start: false,
+        fault_tolerance: FaultTolerance::machines(1),
+        heartbeat_interval_ms: BEAT,
+        seed: 1,
+    };
+    let mut control = ControlPlane::new(options, 0);
+    let bytes = |quota_shares: u32| {
+        let state = ReplicatedState { index: LogIndex(9), quota_shares, ..ReplicatedState::empty() };
         let mut bytes = Vec::new();
         ciborium::into_writer(&state, &mut bytes).expect("a state can be written");
         bytes
@@ -151,11 +169,13 @@
     let (sound, spoilt) = (bytes(4), bytes(5));
     let digest: u128 =
         Sha256::digest(&sound).iter().take(16).fold(0, |all, byte| all << 8 | u128::from(*byte));
-    let id = SnapshotId { index: 9, digest };
+    let id = SnapshotId { index: LogIndex(9), digest };
     let total = spoilt.len() as u64;
     let chunk = SnapshotChunk { id, total, offset: 0, bytes: spoilt };
-    control.handle(10, Event::PeerMessage(Envelope(ip(1), 1, PeerMessage::SnapshotChunk(chunk))));
-    control.state().index == 9
+    let message = PeerMessage::SnapshotChunk(chunk);
+    let envelope = Envelope { from: ip(1), incarnation: Incarnation(1), message };
+    control.handle(10, Event::PeerMessage(envelope));
+    control.state().index == LogIndex(9)
 }
 
 /// Plays a scenario. What broke, a line each.
@@ -272,7 +292,7 @@
             Step::Tick(one, life) => {
                 if self.lives(one, life) {
                     self.handle(one, Event::Tick);
-                    let wait = TICK + self.sample(6);
+                    let wait = TICK + self.draw(6);
                     self.at(wait, Step::Tick(one, life));
                 }
             }
@@ -315,35 +335,37 @@
         if self.machines[one].control.is_some() {
             return;
         }
-        let seed = self.sample(u64::MAX);
+        let seed = self.draw(u64::MAX);
         let machine = &mut self.machines[one];
         machine.life += 1;
         machine.born = self.now;
         machine.store.busy = self.now;
         machine.frozen_until = 0;
         let life = machine.life;
-        let member = PeerRecord {
+        let node = PeerRecord {
             ip: ip(one),
-            life: life << 8 | one as u64,
+            incarnation: incarnation(one, life),
             zone: machine.zone.clone(),
-            disk: 0,
-            counted: machine.counted,
+            disk: DiskId::NONE,
+            is_core: machine.counted,
         };
-        let start = Start {
-            member,
+        let options = Options {
+            node,
             seeds: machine.seeds.iter().map(|seed| ip(*seed)).collect(),
             first_start,
-            survive: FaultTolerance::machines(self.setup.survive.unwrap_or((self.setup.disks - 1) / 2)),
-            beat_ms: BEAT,
+            fault_tolerance: FaultTolerance::machines(
+                self.setup.survive.unwrap_or((self.setup.disks - 1) / 2),
+            ),
+            heartbeat_interval_ms: BEAT,
             seed,
         };
-        machine.control = Some(ControlPlane::new(start, 0));
+        machine.control = Some(ControlPlane::new(options, 0));
         let counted = machine.counted;
         self.judge.begins(one, counted, self.now);
-        let wait = 1 + self.sample(TICK);
+        let wait = 1 + self.draw(TICK);
         self.at(wait, Step::Tick(one, life));
         if counted {
-            let wait = self.setup.sync + self.sample(4);
+            let wait = self.setup.sync + self.draw(4);
             self.at(wait, Step::Open(one, life));
         }
     }
@@ -360,7 +382,7 @@
         // What was on its way to the disk is there up to some record.
         let hangs = self.now < machine.store.hangs_until;
         for (_, record) in pending {
-            if hangs || self.sample(2) == 0 || !keep(&mut self.machines[one].store, record) {
+            if hangs || self.draw(2) == 0 || !keep(&mut self.machines[one].store, record) {
                 break;
             }
         }
@@ -375,7 +397,7 @@
     pub fn stop(&mut self, one: usize, soonest: Millis) {
         if self.machines[one].control.is_some() {
             self.judge.trouble(one, self.machines[one].counted, self.now);
-            self.handle(one, Event::Leave);
+            self.handle(one, Event::Shutdown);
             self.at(TICK, Step::Ends(one, self.machines[one].life, self.now, soonest));
         }
     }
@@ -417,10 +439,10 @@
             if self.machines[one].store.full {
                 return self.at(500, Step::Open(one, life));
             }
-            self.machines[one].store.number = Some(self.sample(u64::MAX) | 1);
+            self.machines[one].store.number = Some(self.draw(u64::MAX) | 1);
         }
         let store = &self.machines[one].store;
-        let event = Event::Disk(store.number.unwrap_or(1), store.kept.clone());
+        let event = Event::StoreOpened(DiskId(store.number.unwrap_or(1)), store.kept.clone());
         self.handle(one, event);
     }
 
@@ -435,7 +457,7 @@
         let store = &mut self.machines[one].store;
         let Some((number, record)) = store.pending.pop_front() else { return };
         let kept = keep(store, record);
-        self.handle(one, Event::Written(number, kept));
+        self.handle(one, Event::Persisted(number, kept));
         self.triggers();
     }
 
@@ -445,23 +467,23 @@
         for action in control.handle(now, event) {
             match action {
                 Action::Send(to, message) => self.send(one, machine(to), message),
-                Action::Write(number, record) => {
-                    let wait = self.setup.sync + self.sample(3);
+                Action::Persist(number, record) => {
+                    let wait = self.setup.sync + self.draw(3);
                     let store = &mut self.machines[one].store;
                     store.busy = store.busy.max(self.now) + wait;
                     store.pending.push_back((number, record));
                     let (delay, life) = (store.busy - self.now, self.machines[one].life);
                     self.at(delay, Step::Synced(one, life));
                 }
-                Action::Reply(number, reply) => {
+                Action::Respond(number, reply) => {
                     if let Some(try_number) = self.machines[one].calls.remove(&number) {
                         self.at(CALLER, Step::Answer(try_number, Some(reply)));
                     }
                 }
-                Action::Configuration(state) => self.judge.word(one, &state, self.now),
-                Action::Backend(backend) => self.judge.backend(one, backend),
-                Action::Dropped(id) => self.judge.dropped(one, &id),
-                Action::Lent(..) => {}
+                Action::StateAdvanced(state) => self.judge.word(one, &state, self.now),
+                Action::BackendChanged(backend) => self.judge.backend(one, backend),
+                Action::BackendExpired(id) => self.judge.dropped(one, &id),
+                Action::QuotaGranted(_) => {}
             }
         }
     }
@@ -479,7 +501,7 @@
             return;
         }
         let same = self.machines[from].zone == self.machines[to].zone;
-        let mut delay = if same { 1 } else { self.setup.apart } + self.sample(2);
+        let mut delay = if same { 1 } else { self.setup.apart } + self.draw(2);
         if let Some(mbit) = self.setup.mbit {
             let bytes = size(&message);
             let free = &mut self.machines[from].sends_free;
@@ -489,12 +511,13 @@
         if self.now < self.machines[from].lag.0 {
             delay += self.machines[from].lag.1;
         }
-        let envelope = Envelope(ip(from), self.machines[from].life << 8 | from as u64, message);
-        if self.sample(100) < self.repeats.0 {
-            let late = 1 + self.sample(self.repeats.1);
+        let incarnation = incarnation(from, self.machines[from].life);
+        let envelope = Envelope { from: ip(from), incarnation, message };
+        if self.draw(100) < self.repeats.0 {
+            let late = 1 + self.draw(self.repeats.1);
             self.at(delay + late, Step::Arrive(to, envelope.clone()));
         }
-        if self.sample(100) >= self.loss {
+        if self.draw(100) >= self.loss {
             self.at(delay, Step::Arrive(to, envelope));
         }
     }
@@ -515,7 +538,7 @@
     pub fn set_seeds(&mut self, one: usize, seeds: Vec<usize>) {
         self.machines[one].seeds = seeds.clone();
         if self.machines[one].control.is_some() {
-            self.handle(one, Event::Seeds(seeds.into_iter().map(ip).collect()));
+            self.handle(one, Event::SeedsChanged(seeds.into_iter().map(ip).collect()));
         }
     }
 
@@ -589,10 +612,10 @@
     }
     let kept = &mut store.kept;
     // What stands before another was chosen when that was accepted.
-    let catch_up = |kept: &mut DurableState, index: u64| {
+    let catch_up = |kept: &mut DurableState, index: LogIndex| {
         while kept.state.index + 1 < index {
-            let Some((_, before)) = kept.open.take() else { break };
-            kept.state.apply(&before);
+            let Some(before) = kept.accepted.take() else { break };
+            kept.state.apply(&before.entry);
         }
     };
     match record {
@@ -600,11 +623,11 @@
         Record::Accepted { term, index, entry } => {
             kept.promised = kept.promised.max(term);
             catch_up(kept, index);
-            kept.open = Some((term, entry));
+            kept.accepted = Some(AcceptedEntry { term, entry });
         }
         Record::Committed(CommittedEntry { index, entry }) => {
             catch_up(kept, index);
-            kept.open = None;
+            kept.accepted = None;
             kept.state.apply(&entry);
         }
         Record::Snapshot(whole) => *kept = whole,
@@ -622,7 +645,7 @@
         PeerMessage::Entries(entries) => entries.iter().map(|chosen| of(&chosen.entry)).sum(),
         PeerMessage::SnapshotChunk(chunk) => chunk.bytes.len(),
         PeerMessage::Consensus(_, Message::Accept { entry, .. }) => of(entry),
-        PeerMessage::Consensus(_, Message::Promise { open: Some((_, entry)), .. }) => of(entry),
+        PeerMessage::Consensus(_, Message::Promise { accepted: Some(accepted), .. }) => of(&accepted.entry),
         PeerMessage::BackendRecords(records, _) => 150 * records.len(),
         _ => 300,
     };
--- a/crates/brassport-control-plane/tests/world/play.rs
+++ b/crates/brassport-control-plane/tests/world/play.rs
@@ -57,8 +57,8 @@
             _ => false,
         };
         let has = |kept: &brassport_config_store::consensus::DurableState| {
-            kept.state.taken.values().any(|taken| *taken == put.digest())
-                || kept.open.as_ref().is_some_and(|(_, entry)| holds(entry))
+            kept.state.applied_requests.values().any(|applied| *applied == put.digest())
+                || kept.accepted.as_ref().is_some_and(|accepted| holds(&accepted.entry))
         };
         self.machines.iter().filter(|machine| has(&machine.store.kept)).count()
     }
--- a/crates/brassport-control-plane/tests/world/script.rs
+++ b/crates/brassport-control-plane/tests/world/script.rs
@@ -15,6 +15,7 @@
 //! WHO is a number, `leader`, `follower` (the first other of the core that runs), `last` (the last of them), `core`,
 //! `every`, or a name given with `name WHO as NAME`.
 
+use brassport_config_store::consensus::ChangeScope;
 use std::fmt;
 
 pub type Millis = u64;
@@ -69,7 +70,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Ask {
     Put {
-        scope: bool,
+        scope: ChangeScope,
         version: u32,
         base_version: u32,
         flaw: Option<Flaw>,
@@ -203,7 +204,7 @@
         self.fail(&format!("`{word}`"))
     }
 
-    fn configuration<T>(&mut self, expected: &str, parse: impl Fn(&str) -> Option<T>) -> Read<T> {
+    fn parsed<T>(&mut self, expected: &str, parse: impl Fn(&str) -> Option<T>) -> Read<T> {
         match self.peek().and_then(parse) {
             Some(value) => {
                 self.at += 1;
@@ -480,7 +481,8 @@
                 routes = words.number()? as usize;
                 words.want("routes")?;
             }
-            Ask::Put { scope: verb == "put", version, base_version, flaw, routes }
+            let scope = if verb == "put" { ChangeScope::Full } else { ChangeScope::Partial };
+            Ask::Put { scope, version, base_version, flaw, routes }
         }
         "repeats" => Ask::Repeat(words.next("the name of a call")?.to_owned()),
         "next" => Ask::Next,
