--- /dev/null
+++ b/crates/brassport-control-plane/src/backends/dissemination.rs
@@ -0,0 +1,122 @@
+//! How changes of the endpoint table reach all nodes: at once to those known, and by digests where one was missed.
+
+use super::{Backend, MergeOutcome, Source, RANGES};
+use crate::control_plane::{ControlPlane, FULL_BROADCAST_PEERS};
+use crate::event::Action;
+use crate::peer_message::PeerMessage;
+use std::collections::BTreeSet;
+use std::net::Ipv4Addr;
+
+/// In a large cluster a node sends a change to so many peers of its own zone, and to one of each other zone.
+const ZONE_FANOUT: usize = 4;
+/// Who hears of a change in a large cluster forwards it to so many peers of its own zone.
+const FORWARD_FANOUT: usize = 2;
+/// More records than this at once are a repair, and are not forwarded.
+const MAX_FORWARDED_RECORDS: usize = 4;
+
+impl ControlPlane {
+    /// A peer sends records; with a number it wants them confirmed.
+    pub(crate) fn on_records(&mut self, from: Ipv4Addr, records: Vec<Backend>, confirmation: Option<u64>) {
+        if confirmation.is_none() && !records.is_empty() {
+            self.isolation.record_comparison();
+        }
+        let (changed, newer) = self.merge_records(records);
+        if let Some(number) = confirmation {
+            let index = self.replica.state().index;
+            self.outbox.send(from, PeerMessage::RecordsConfirmed(number, index));
+        }
+        if !newer.is_empty() {
+            // Whoever sent the outdated record sent it to others too.
+            self.disseminate(newer);
+        }
+        if !changed.is_empty() {
+            self.outbox.extend(changed.iter().cloned().map(Action::BackendChanged));
+            self.forward_records(from, &changed);
+        }
+    }
+
+    /// Merges records. Those that changed something here, and those of which this node knows better.
+    fn merge_records(&mut self, records: Vec<Backend>) -> (Vec<Backend>, Vec<Backend>) {
+        let (now, table) = (self.clock.now(), &mut self.backends.table);
+        let (mut changed, mut newer) = (Vec::new(), Vec::new());
+        for record in records {
+            let id = record.id.clone();
+            match table.merge(now, record, Source::Peer) {
+                MergeOutcome::Changed => changed.extend(table.get(now, &id)),
+                MergeOutcome::Stale => newer.extend(table.get(now, &id)),
+                MergeOutcome::Unchanged => {}
+            }
+        }
+        (changed, newer)
+    }
+
+    /// Forwards what a peer sent.
+    fn forward_records(&mut self, from: Ipv4Addr, records: &[Backend]) {
+        if self.view.len() <= FULL_BROADCAST_PEERS {
+            // The sender sent to all that it reaches; the others are repaired by the next exchange, which comes sooner.
+            self.gossip.bring_forward();
+        } else if records.len() <= MAX_FORWARDED_RECORDS {
+            let zone = &self.options.node.zone;
+            let to = self.view.sample(FORWARD_FANOUT, |peer| peer.zone == *zone && peer.ip != from);
+            self.send_records(to, records);
+        }
+    }
+
+    /// Sends records to all peers; in a large cluster to some of the own zone and to one of each other, who forward them.
+    pub(crate) fn disseminate(&mut self, records: Vec<Backend>) {
+        let to = if self.view.len() <= FULL_BROADCAST_PEERS {
+            self.view.sample(FULL_BROADCAST_PEERS, |_| true)
+        } else {
+            self.sample_zones()
+        };
+        self.send_records(to, &records);
+    }
+
+    fn sample_zones(&mut self) -> Vec<Ipv4Addr> {
+        let own = &self.options.node.zone;
+        let zones: BTreeSet<String> = self.view.peers().map(|peer| peer.zone.clone()).collect();
+        let mut to = self.view.sample(ZONE_FANOUT, |peer| peer.zone == *own);
+        for other in zones.iter().filter(|zone| *zone != own) {
+            to.extend(self.view.sample(1, |peer| peer.zone == *other));
+        }
+        to
+    }
+
+    fn send_records(&mut self, to: Vec<Ipv4Addr>, records: &[Backend]) {
+        for ip in to {
+            self.outbox.send(ip, PeerMessage::BackendRecords(records.to_vec(), None));
+        }
+    }
+
+    /// Marks the backends whose heartbeats have stopped, and drops the records whose lease has expired.
+    pub(crate) fn expire_backends(&mut self) {
+        let (now, interval) = (self.clock.now(), self.options.heartbeat_interval_ms);
+        // Two heartbeats were missed, and most of a third interval is over: its sender's clock and the link may lag.
+        let unresponsive = self.backends.table.mark_unresponsive(now, 2 * interval + interval * 7 / 10);
+        for backend in unresponsive {
+            self.outbox.push(Action::BackendChanged(backend.clone()));
+            self.disseminate(vec![backend]);
+        }
+        let expired = self.backends.table.expire(now);
+        self.outbox.extend(expired.into_iter().map(Action::BackendExpired));
+    }
+
+    /// A peer's table has this digest: begins a repair if it differs and a repair is due.
+    pub(crate) fn compare_tables(&mut self, from: Ipv4Addr, digest: u64) {
+        let (now, backends) = (self.clock.now(), &mut self.backends);
+        if digest == backends.table.digest() {
+            self.isolation.record_comparison();
+        } else if backends.repair.is_due(now, backends.table.changed_at()) {
+            backends.repair.record(now);
+            self.outbox.send(from, PeerMessage::TableDigests(backends.table.digests()));
+        }
+    }
+
+    /// A peer sends the digests of its table: it is answered with the records of the ranges that differ.
+    pub(crate) fn on_table_digests(&mut self, from: Ipv4Addr, digests: &[u32; RANGES]) {
+        let records = self.backends.table.differing(self.clock.now(), digests);
+        if !records.is_empty() {
+            self.outbox.send(from, PeerMessage::BackendRecords(records, None));
+        }
+    }
+}
--- a/crates/brassport-control-plane/src/confirmations.rs
+++ b/crates/brassport-control-plane/src/confirmations.rs
@@ -1,155 +1,169 @@
-//! That a backend leaves is acknowledged once a majority of the core knows: from there every door in touch hears of it.
+//! That a backend drains or ends is acknowledged once a majority of the core knows: from there every node in contact hears
+//! of it.
 //!
-//! The majority is one of the voters that this machine knows of. Who confirms says how far it knows the log; while
-//! somebody knows more of it than this machine, this machine may not know who votes, and acknowledges nothing.
+//! The majority is one of the voters that this node knows of. Who confirms says how far it knows the log; while somebody
+//! knows more of it than this node, this node may not know who votes, and acknowledges nothing.
 
 use crate::backends::{Backend, BackendState};
 use crate::call::Reply;
-use crate::control::ControlPlane;
-use crate::gossip::SPEAKS;
+use crate::control_plane::ControlPlane;
 use crate::peer_message::PeerMessage;
 use crate::Millis;
-use brassport_config_store::consensus::LogIndex;
+use brassport_types::LogIndex;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// A call waits for so long for the core, which is asked again so often.
-const PATIENCE: Millis = 900;
-const ASK_AGAIN: Millis = 120;
-/// Ends that are remembered as known to a majority of the core.
-const MOST_KNOWN_ENDS: usize = 10_000;
+/// A call waits so long for the core, in ms: its caller gives up after a second.
+const TIMEOUT_MS: Millis = 900;
+/// Between two requests to the core, in ms.
+const RETRY_INTERVAL_MS: Millis = 120;
+/// Ends that are remembered as known to a majority, so that a repeated call is answered at once.
+const MAX_CONFIRMED_ENDS: usize = 10_000;
 
-/// A call that is answered once a majority of the core knows of it.
+/// A call that is answered once a majority of the core knows of its record.
 #[derive(Debug)]
-struct Unconfirmed {
+struct Pending {
     call: u64,
     record: Backend,
     confirmed_by: BTreeSet<Ipv4Addr>,
     since: Millis,
-    asked: Option<Millis>,
+    requested_at: Option<Millis>,
 }
 
-/// What has become of a call.
-enum Fate {
-    Waits,
-    AskAgain,
-    Known,
-    GivenUp,
+/// What is to be done about a pending call.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Progress {
+    Wait,
+    Request,
+    Confirm,
+    TimeOut,
+}
+
+impl Pending {
+    fn progress(&self, now: Millis, core: &[Ipv4Addr], is_log_current: bool) -> Progress {
+        let confirmed = core.iter().filter(|ip| self.confirmed_by.contains(ip)).count();
+        if confirmed > core.len() / 2 && is_log_current {
+            Progress::Confirm
+        } else if now >= self.since + TIMEOUT_MS {
+            Progress::TimeOut
+        } else if self.requested_at.is_none_or(|at| now >= at + RETRY_INTERVAL_MS) {
+            Progress::Request
+        } else {
+            Progress::Wait
+        }
+    }
+}
+
+/// A backend, and whether it terminated (else it drains).
+type End = (String, bool);
+
+fn end_of(record: &Backend) -> End {
+    (record.id.clone(), record.state == BackendState::Terminated)
 }
 
 /// Calls that wait for the core.
 #[derive(Debug)]
 pub(crate) struct Confirmations {
-    open: BTreeMap<u64, Unconfirmed>,
-    last: u64,
+    pending: BTreeMap<u64, Pending>,
+    last_number: u64,
     /// The highest index that one who confirmed knew of.
-    newest: LogIndex,
-    known_ends: BTreeSet<(String, bool)>,
+    newest_index: LogIndex,
+    confirmed_ends: BTreeSet<End>,
 }
 
 impl Confirmations {
-    /// Numbers begin anywhere. Guards against a confirmation that an earlier life of this machine asked for.
+    /// Numbers start anywhere. Guards against a confirmation that an earlier incarnation of this node asked for.
     pub(crate) fn new(seed: u64) -> Confirmations {
-        let last = seed >> 16;
-        Confirmations { open: BTreeMap::new(), last, newest: LogIndex(0), known_ends: BTreeSet::new() }
+        Confirmations {
+            pending: BTreeMap::new(),
+            last_number: seed >> 16,
+            newest_index: LogIndex(0),
+            confirmed_ends: BTreeSet::new(),
+        }
     }
 
-    fn note_known_end(&mut self, record: &Backend) {
-        self.known_ends.insert(end_of(record));
-        while self.known_ends.len() > MOST_KNOWN_ENDS {
-            self.known_ends.pop_first();
-        }
+    fn begin(&mut self, pending: Pending) {
+        self.last_number += 1;
+        self.pending.insert(self.last_number, pending);
     }
-}
 
-fn end_of(record: &Backend) -> (String, bool) {
-    (record.id.clone(), record.state == BackendState::Terminated)
-}
+    /// A peer confirms a record. Whether it is still pending.
+    fn confirm(&mut self, number: u64, from: Ipv4Addr, index: LogIndex) -> bool {
+        let Some(pending) = self.pending.get_mut(&number) else { return false };
+        pending.confirmed_by.insert(from);
+        self.newest_index = self.newest_index.max(index);
+        true
+    }
 
-impl Unconfirmed {
-    fn fate(&self, now: Millis, core: &[Ipv4Addr], is_current: bool) -> Fate {
-        let known = core.iter().filter(|ip| self.confirmed_by.contains(ip)).count();
-        if known > core.len() / 2 && is_current {
-            Fate::Known
-        } else if now >= self.since + PATIENCE {
-            Fate::GivenUp
-        } else if self.asked.is_none_or(|at| now >= at + ASK_AGAIN) {
-            Fate::AskAgain
-        } else {
-            Fate::Waits
+    fn record_end(&mut self, record: &Backend) {
+        self.confirmed_ends.insert(end_of(record));
+        while self.confirmed_ends.len() > MAX_CONFIRMED_ENDS {
+            self.confirmed_ends.pop_first();
         }
     }
 }
 
 impl ControlPlane {
-    /// Answers a call once a majority of the core has this record; at once, if none of the core is heard.
+    /// Answers a call once a majority of the core has this record; with a failure at once, if none of the core is heard.
     pub(crate) fn confirm_by_core(&mut self, call: u64, record: Backend) {
-        if self.confirmations.known_ends.contains(&end_of(&record)) {
-            return self.done(call);
+        if self.confirmations.confirmed_ends.contains(&end_of(&record)) {
+            return self.outbox.respond_done(call);
         }
-        if self.is_cut_off() {
-            return self.reply(call, Reply::Unavailable("none of the core is heard"));
+        if self.is_core_unheard() {
+            return self.outbox.respond(call, Reply::Unavailable("none of the core is heard"));
         }
-        let me = self.options.node.ip;
-        let confirmed_by = self.core().into_iter().filter(|ip| *ip == me).collect();
-        let unconfirmed = Unconfirmed { call, record, confirmed_by, since: self.now, asked: None };
-        self.confirmations.last += 1;
-        self.confirmations.open.insert(self.confirmations.last, unconfirmed);
-        self.review_unconfirmed();
-    }
-
-    /// Whether other machines of the core are known and none of them was heard of late.
-    pub(crate) fn is_cut_off(&self) -> bool {
-        let others: Vec<Ipv4Addr> =
-            self.core().into_iter().filter(|ip| *ip != self.options.node.ip).collect();
-        let heard = |ip: &Ipv4Addr| self.heard.get(ip).is_some_and(|at| self.now < at + SPEAKS);
-        !others.is_empty() && self.now >= self.born + SPEAKS && !others.iter().any(heard)
+        let own = self.options.node.ip;
+        let confirmed_by = self.core().into_iter().filter(|ip| *ip == own).collect();
+        let since = self.clock.now();
+        self.confirmations.begin(Pending { call, record, confirmed_by, since, requested_at: None });
+        self.review_confirmations();
     }
 
-    /// A machine has taken in records under this number.
-    pub(crate) fn confirmed(&mut self, number: u64, from: Ipv4Addr, index: LogIndex) {
-        let Some(unconfirmed) = self.confirmations.open.get_mut(&number) else { return };
-        unconfirmed.confirmed_by.insert(from);
-        self.confirmations.newest = self.confirmations.newest.max(index);
+    /// A peer has merged the records with this number.
+    pub(crate) fn on_records_confirmed(&mut self, number: u64, from: Ipv4Addr, index: LogIndex) {
+        if !self.confirmations.confirm(number, from, index) {
+            return;
+        }
         if index > self.replica.state().index {
-            self.fetch(from);
+            self.fetch_entries(from);
         }
-        self.review_unconfirmed();
+        self.review_confirmations();
     }
 
-    /// Looks what has become of each call that waits.
-    pub(crate) fn review_unconfirmed(&mut self) {
-        let (now, core) = (self.now, self.core());
-        let is_current = self.replica.state().index >= self.confirmations.newest;
-        let numbers: Vec<u64> = self.confirmations.open.keys().copied().collect();
-        for number in numbers {
-            let Some(unconfirmed) = self.confirmations.open.get(&number) else { continue };
-            match unconfirmed.fate(now, &core, is_current) {
-                Fate::Waits => {}
-                Fate::AskAgain => self.ask_core(number, &core),
-                Fate::Known => self.conclude(number, true),
-                Fate::GivenUp => self.conclude(number, false),
+    /// Takes each pending call a step further.
+    pub(crate) fn review_confirmations(&mut self) {
+        let (now, core) = (self.clock.now(), self.core());
+        let is_log_current = self.replica.state().index >= self.confirmations.newest_index;
+        let progress =
+            |(number, pending): (&u64, &Pending)| (*number, pending.progress(now, &core, is_log_current));
+        let steps: Vec<(u64, Progress)> = self.confirmations.pending.iter().map(progress).collect();
+        for (number, step) in steps {
+            match step {
+                Progress::Wait => {}
+                Progress::Request => self.request_confirmation(number, &core),
+                Progress::Confirm => self.conclude_confirmed(number),
+                Progress::TimeOut => self.conclude_timed_out(number),
             }
         }
     }
 
-    fn ask_core(&mut self, number: u64, core: &[Ipv4Addr]) {
-        let now = self.now;
-        let Some(unconfirmed) = self.confirmations.open.get_mut(&number) else { return };
-        unconfirmed.asked = Some(now);
-        let message = PeerMessage::BackendRecords(vec![unconfirmed.record.clone()], Some(number));
-        let to: Vec<Ipv4Addr> =
-            core.iter().copied().filter(|ip| !unconfirmed.confirmed_by.contains(ip)).collect();
-        to.into_iter().for_each(|ip| self.send(ip, message.clone()));
+    fn request_confirmation(&mut self, number: u64, core: &[Ipv4Addr]) {
+        let Some(pending) = self.confirmations.pending.get_mut(&number) else { return };
+        pending.requested_at = Some(self.clock.now());
+        let message = PeerMessage::BackendRecords(vec![pending.record.clone()], Some(number));
+        for ip in core.iter().filter(|ip| !pending.confirmed_by.contains(ip)) {
+            self.outbox.send(*ip, message.clone());
+        }
     }
 
-    fn conclude(&mut self, number: u64, is_known: bool) {
-        let Some(unconfirmed) = self.confirmations.open.remove(&number) else { return };
-        if is_known {
-            self.confirmations.note_known_end(&unconfirmed.record);
-            self.done(unconfirmed.call);
-        } else {
-            self.reply(unconfirmed.call, Reply::Unavailable("too few of the core answer"));
-        }
+    fn conclude_confirmed(&mut self, number: u64) {
+        let Some(pending) = self.confirmations.pending.remove(&number) else { return };
+        self.confirmations.record_end(&pending.record);
+        self.outbox.respond_done(pending.call);
+    }
+
+    fn conclude_timed_out(&mut self, number: u64) {
+        let Some(pending) = self.confirmations.pending.remove(&number) else { return };
+        self.outbox.respond(pending.call, Reply::Unavailable("too few of the core answer"));
     }
 }
--- /dev/null
+++ b/crates/brassport-control-plane/src/consensus_host.rs
@@ -0,0 +1,107 @@
+//! The host of consensus: commands go in, and what the replica asks for is executed.
+
+use crate::call::Reply;
+use crate::control_plane::ControlPlane;
+use crate::event::Action;
+use crate::peer_message::PeerMessage;
+use crate::Millis;
+use brassport_config_store::consensus::{self, Command, Outcome};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+/// For so many ms after its start a leader takes no command while too few vote: the core still meets.
+const MEETING_MS: Millis = 4_000;
+/// Where the numbers of this node's own commands start: far above those of calls, which the host counts from 1.
+const FIRST_OWN_NUMBER: u64 = 1 << 62;
+
+/// Commands that this node submits for itself, whose outcomes answer no call.
+#[derive(Debug)]
+pub(crate) struct OwnProposals {
+    pending: BTreeSet<u64>,
+    last: u64,
+}
+
+impl Default for OwnProposals {
+    fn default() -> OwnProposals {
+        OwnProposals { pending: BTreeSet::new(), last: FIRST_OWN_NUMBER }
+    }
+}
+
+impl OwnProposals {
+    /// The number for another command.
+    pub(crate) fn begin(&mut self) -> u64 {
+        self.last += 1;
+        self.pending.insert(self.last);
+        self.last
+    }
+
+    pub(crate) fn is_pending(&self) -> bool {
+        !self.pending.is_empty()
+    }
+
+    /// A command has its outcome. Whether it was one of these.
+    fn conclude(&mut self, number: u64) -> bool {
+        self.pending.remove(&number)
+    }
+}
+
+/// The answer to the call behind a command.
+fn reply_of(outcome: Outcome) -> Reply {
+    match outcome {
+        Outcome::Committed => Reply::Done(Arc::new(b"{}".to_vec())),
+        Outcome::VersionConflict => Reply::VersionConflict,
+        Outcome::Invalid(why) => Reply::Invalid(why),
+        Outcome::Unknown => Reply::Unavailable("the outcome is open"),
+        Outcome::Current(state) => Reply::Done(Arc::new(state.document.to_bytes())),
+    }
+}
+
+impl ControlPlane {
+    /// Submits an operator's command, if this node leads; else the call is redirected to the leader.
+    pub(crate) fn submit(&mut self, call: u64, command: Command) {
+        if self.replica.is_leader() {
+            // Guards a configuration against being kept by fewer than it takes to tolerate a loss.
+            if !self.is_fault_tolerant() && self.clock.is_within_start(MEETING_MS) {
+                return self.outbox.respond(call, Reply::Unavailable("the core still meets"));
+            }
+            let actions = self.replica.submit(self.clock.now(), call, command);
+            return self.execute(actions);
+        }
+        let reply = match self.leader() {
+            Some((_, ip)) if ip != self.options.node.ip => Reply::Redirect(ip),
+            _ => Reply::Unavailable("nobody leads"),
+        };
+        self.outbox.respond(call, reply);
+    }
+
+    /// Executes what the replica asks for.
+    pub(crate) fn execute(&mut self, actions: Vec<consensus::Action>) {
+        let mut applied = Vec::new();
+        for action in actions {
+            match action {
+                consensus::Action::Send(to, message) => {
+                    let disk = self.options.node.disk;
+                    self.outbox.send(to, PeerMessage::Consensus(disk, message));
+                }
+                consensus::Action::Persist(number, record) => {
+                    self.outbox.push(Action::Persist(number, record));
+                }
+                consensus::Action::FetchLog(from) => self.fetch_entries(from),
+                consensus::Action::Applied(entry) => applied.push(entry),
+                consensus::Action::Respond(number, outcome) => {
+                    if !self.own_proposals.conclude(number) {
+                        self.outbox.respond(number, reply_of(outcome));
+                    }
+                }
+            }
+        }
+        if applied.is_empty() {
+            return;
+        }
+        let state = self.replica.state().clone();
+        self.quota.configure(state.document.configuration());
+        // Before any answer to the operator: this node goes by the configuration that it acknowledges.
+        self.outbox.push_front(Action::StateAdvanced(state));
+        self.disseminate_entries(applied.into_iter().flatten().collect());
+    }
+}
--- a/crates/brassport-control-plane/src/isolation.rs
+++ b/crates/brassport-control-plane/src/isolation.rs
@@ -1,85 +1,131 @@
-//! A machine that was cut off from the core comes back with a table of long ago: backends whose end was acknowledged
-//! meanwhile still stand in it as live. Where the core was lost besides, nobody else may remember their end.
+//! A node that was isolated from the core comes back with an endpoint table of long ago: backends whose end was
+//! acknowledged meanwhile are still live in it. Where the core was lost besides, nobody else may remember their end.
 //!
-//! So what it knows of live backends is doubted when it hears the core again, but for those whose beats came to it just now.
-//! It tells nobody of them, and uses them on, until another machine tells of them too. What nobody has told again soon is
-//! dropped: a backend that lives calls some machine within one interval.
+//! So its live backends are quarantined when it hears the core again, but for those whose heartbeats came to it just now.
+//! It sends them to nobody, and uses them on, until another node confirms them. What nobody confirms is dropped: a
+//! backend that lives calls some node within one heartbeat interval.
 
-use crate::control::{Action, ControlPlane, ALL};
+use crate::contacts::CONTACT_MS;
+use crate::control_plane::{ControlPlane, FULL_BROADCAST_PEERS};
+use crate::event::Action;
+use crate::gossip::Exchange;
 use crate::Millis;
 use brassport_config_store::consensus::mutants::{is_active, Mutant};
 use std::net::Ipv4Addr;
 
-/// What is doubted is dropped after so long, once the table was compared with another machine's; where there are many
-/// machines, of whom each tells few, later.
-const DROPPED_AFTER: Millis = 500;
-const DROPPED_AFTER_AMONG_MANY: Millis = 2_000;
-/// Without any comparison it is dropped after so long.
-const DROPPED_AT_LAST: Millis = 2_500;
+/// So long after the isolation the quarantined is dropped, once the table was compared with a peer's, in ms.
+const DROP_AFTER_MS: Millis = 500;
+/// The same in a large cluster, where each node sends to few others.
+const DROP_AFTER_IN_LARGE_CLUSTER_MS: Millis = 2_000;
+/// The same without any comparison.
+const DROP_DEADLINE_MS: Millis = 2_500;
 
-/// Since when this machine doubts what it knows.
+/// Quarantine after an isolation.
 #[derive(Debug)]
-pub(crate) struct Doubt {
+struct Quarantine {
     since: Millis,
     is_compared: bool,
 }
 
+/// Whether this node is isolated from the core, or was of late.
+#[derive(Debug, Default)]
+pub(crate) struct Isolation {
+    is_isolated: bool,
+    quarantine: Option<Quarantine>,
+}
+
+impl Isolation {
+    /// Notes whether the core is heard. Whether an isolation begins.
+    fn observe(&mut self, is_core_heard: bool) -> bool {
+        let begins = !self.is_isolated && !is_core_heard;
+        self.is_isolated |= begins;
+        begins
+    }
+
+    /// The core is heard again.
+    fn end(&mut self, now: Millis) {
+        self.is_isolated = false;
+        self.quarantine = Some(Quarantine { since: now, is_compared: false });
+    }
+
+    /// The endpoint table was compared with a peer's.
+    pub(crate) fn record_comparison(&mut self) {
+        if let Some(quarantine) = &mut self.quarantine {
+            quarantine.is_compared = true;
+        }
+    }
+
+    /// Ends the quarantine when that is due. Whether it did.
+    fn end_quarantine(&mut self, now: Millis, peers: usize) -> bool {
+        let is_due = |quarantine: &mut Quarantine| {
+            let after = match (quarantine.is_compared, peers <= FULL_BROADCAST_PEERS) {
+                (true, true) => DROP_AFTER_MS,
+                (true, false) => DROP_AFTER_IN_LARGE_CLUSTER_MS,
+                (false, _) => DROP_DEADLINE_MS,
+            };
+            now >= quarantine.since + after
+        };
+        self.quarantine.take_if(is_due).is_some()
+    }
+}
+
 impl ControlPlane {
-    /// Looks whether this machine hears none of the core: from then on it tells nobody of live backends but of its own, so
-    /// that two who were cut off do not take each other's word for news.
-    pub(crate) fn watch_isolation(&mut self) {
-        if !self.is_isolated && self.is_cut_off() && !is_active(Mutant::IsolationTrusted) {
-            self.is_isolated = true;
-            self.table.doubt(self.own_since());
+    /// Whether other nodes of the core are known and none of them was heard of late.
+    pub(crate) fn is_core_unheard(&self) -> bool {
+        let (now, others) = (self.clock.now(), self.core_peers());
+        !others.is_empty()
+            && !self.clock.is_within_start(CONTACT_MS)
+            && !others.iter().any(|ip| self.contacts.is_in_contact(*ip, now))
+    }
+
+    /// Begins an isolation when none of the core is heard: from then on this node sends only the live backends whose
+    /// heartbeats it receives, so that two that were partitioned together do not confirm each other's.
+    pub(crate) fn detect_isolation(&mut self) {
+        let is_core_heard = !self.is_core_unheard() || is_active(Mutant::IsolationTrusted);
+        if self.isolation.observe(is_core_heard) {
+            self.quarantine_backends();
         }
     }
 
-    /// A machine is heard: if it is the first of the core for long, what is known here is doubted.
+    /// A peer is heard: if it is the first of the core for long, the live backends are quarantined.
     pub(crate) fn end_isolation(&mut self, from: Ipv4Addr) {
-        if !self.is_isolated || !self.core().contains(&from) {
+        if !self.isolation.is_isolated || !self.core().contains(&from) {
             return;
         }
-        self.is_isolated = false;
-        self.table.doubt(self.own_since());
-        self.doubt = Some(Doubt { since: self.now, is_compared: false });
-        // The table is compared at once. Others may have been cut off as well, and doubt what lives: each tells of its own.
-        self.repaired = None;
-        self.gossip_to(from, true);
-        let own = self.table.own(self.now, self.own_since());
-        if !own.is_empty() {
-            self.spread(own, None);
+        self.quarantine_backends();
+        let now = self.clock.now();
+        self.isolation.end(now);
+        // Tables are compared at once. Others may have been isolated as well, with live backends in quarantine: each sends
+        // those that it receives heartbeats of.
+        self.backends.repair.reset();
+        self.gossip_to(from, Exchange::Begin);
+        let received = self.backends.table.received_here(now, self.heartbeats_since());
+        if !received.is_empty() {
+            self.disseminate(received);
         }
     }
 
-    /// A beat that came here since shows that its backend lives: it is no older than an interval and some more.
-    fn own_since(&self) -> Millis {
-        let interval = self.options.heartbeat_interval_ms + self.options.heartbeat_interval_ms / 4;
-        match self.stood_still {
-            // Beats that were missed then were renewed: none of them shows anything.
-            Some(at) if self.now < at + interval => Millis::MAX,
-            _ => self.now.saturating_sub(interval),
-        }
+    fn quarantine_backends(&mut self) {
+        let since = self.heartbeats_since();
+        self.backends.table.quarantine(since);
     }
 
-    /// The table was compared with that of another machine.
-    pub(crate) fn compared(&mut self) {
-        if let Some(doubt) = &mut self.doubt {
-            doubt.is_compared = true;
+    /// A heartbeat that came here since then shows that its backend lives: it is no older than an interval and a quarter,
+    /// which allows for a late one.
+    fn heartbeats_since(&self) -> Millis {
+        let window = self.options.heartbeat_interval_ms + self.options.heartbeat_interval_ms / 4;
+        // Heartbeats that were missed in a stall were renewed: none of them shows anything.
+        if self.clock.is_within_resumption(window) {
+            return Millis::MAX;
         }
+        self.clock.now().saturating_sub(window)
     }
 
-    /// Drops what is doubted still, once that is due.
-    pub(crate) fn tend_doubt(&mut self) {
-        let Some(doubt) = &self.doubt else { return };
-        let due = match (doubt.is_compared, self.views.len() <= ALL) {
-            (true, true) => DROPPED_AFTER,
-            (true, false) => DROPPED_AFTER_AMONG_MANY,
-            (false, _) => DROPPED_AT_LAST,
-        };
-        if self.now >= doubt.since + due {
-            self.doubt = None;
-            let dropped = self.table.drop_doubted().into_iter().map(Action::BackendExpired);
-            self.actions.extend(dropped);
+    /// Drops what is still quarantined, once that is due.
+    pub(crate) fn drop_quarantined(&mut self) {
+        if self.isolation.end_quarantine(self.clock.now(), self.view.len()) {
+            let dropped = self.backends.table.drop_quarantined();
+            self.outbox.extend(dropped.into_iter().map(Action::BackendExpired));
         }
     }
 }
--- a/crates/brassport-control-plane/src/peer_message.rs
+++ b/crates/brassport-control-plane/src/peer_message.rs
@@ -2,7 +2,7 @@
 //! would weigh more than what they stand for.
 
 use crate::backends::{Backend, RANGES};
-use crate::ring_position::Rank;
+use crate::ring_rank::Rank;
 use crate::snapshots::{SnapshotChunk, SnapshotId};
 use brassport_config_store::consensus::{CommittedEntry, Message};
 use brassport_quota::{QuotaGrant, UsageReport};
--- /dev/null
+++ b/crates/brassport-control-plane/src/quota.rs
@@ -0,0 +1,88 @@
+//! The leader grants shares of tenants' rate limits; nobody else does.
+
+use crate::control_plane::{ControlPlane, FULL_BROADCAST_PEERS};
+use crate::event::Action;
+use crate::gossip::Exchange;
+use crate::peer_message::{GrantResponse, PeerMessage};
+use brassport_config_store::configuration::Configuration;
+use brassport_quota::{Lender, QuotaGrant, RateLimit, UsageReport};
+use brassport_types::{Incarnation, TenantId};
+use std::collections::BTreeMap;
+use std::net::Ipv4Addr;
+
+/// The lender, and the limits that it lends from.
+#[derive(Debug, Default)]
+pub(crate) struct Quota {
+    lender: Lender,
+    is_lending: bool,
+    limits: BTreeMap<TenantId, RateLimit>,
+}
+
+impl Quota {
+    /// Takes the limits of a configuration.
+    pub(crate) fn configure(&mut self, configuration: &Configuration) {
+        let limit = |rate_per_s, burst| RateLimit { rate_per_s, burst };
+        self.limits = configuration
+            .tenants
+            .values()
+            .map(|tenant| (TenantId::of_name(&tenant.name), limit(tenant.rate_per_s, tenant.burst)))
+            .collect();
+    }
+
+    /// How many nodes have reported usage of late.
+    pub(crate) fn reporting_nodes(&self, now: crate::Millis) -> usize {
+        self.lender.doors(now)
+    }
+}
+
+impl ControlPlane {
+    /// Begins to lend when this node becomes leader, and ends with its leadership.
+    pub(crate) fn follow_leadership(&mut self) {
+        let is_leader = self.replica.is_leader();
+        let was_lending = std::mem::replace(&mut self.quota.is_lending, is_leader);
+        if is_leader && !was_lending {
+            self.quota.lender.begin(self.clock.now());
+            self.ring_rank.reset_registry();
+            // All whom it knows hear at once who leads.
+            for ip in self.view.sample(FULL_BROADCAST_PEERS, |_| true) {
+                self.gossip_to(ip, Exchange::Notify);
+            }
+        } else if !is_leader && was_lending {
+            self.quota.lender.end();
+        }
+    }
+
+    /// This node's data plane reports its usage.
+    pub(crate) fn on_own_usage(&mut self, report: u32, usage: Vec<UsageReport>) {
+        let Some((term, leader)) = self.leader() else { return };
+        if leader != self.options.node.ip {
+            return self.outbox.send(leader, PeerMessage::UsageReport(report, usage));
+        }
+        let grants = self.lend(leader, self.options.node.incarnation, &usage);
+        self.outbox.push(Action::QuotaGranted(GrantResponse { term, report, grants }));
+    }
+
+    /// A peer reports its usage to the leader.
+    pub(crate) fn on_peer_usage(
+        &mut self,
+        from: Ipv4Addr,
+        incarnation: Incarnation,
+        report: u32,
+        usage: &[UsageReport],
+    ) {
+        let leader = self.replica.leader(self.clock.now());
+        let Some((term, _)) = leader.filter(|(_, ip)| *ip == self.options.node.ip) else { return };
+        let grants = self.lend(from, incarnation, usage);
+        self.outbox.send(from, PeerMessage::QuotaGrant(GrantResponse { term, report, grants }));
+    }
+
+    fn lend(&mut self, node: Ipv4Addr, incarnation: Incarnation, usage: &[UsageReport]) -> Vec<QuotaGrant> {
+        let now = self.clock.now();
+        // Guards against a leader that was stalled and leads no more: it lends only while a majority answers.
+        if !self.replica.has_quorum(now) {
+            return Vec::new();
+        }
+        let Quota { lender, limits, .. } = &mut self.quota;
+        lender.lend(now, (node, incarnation), usage, |tenant| limits.get(&tenant).copied())
+    }
+}
--- /dev/null
+++ b/crates/brassport-control-plane/src/snapshots/chunk.rs
@@ -0,0 +1,66 @@
+//! Chunks of snapshots on the wire.
+
+use brassport_types::LogIndex;
+use serde::{Deserialize, Serialize};
+use sha2::{Digest, Sha256};
+
+/// What identifies a snapshot.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SnapshotId {
+    /// The index of its state.
+    #[serde(rename = "p")]
+    pub index: LogIndex,
+    /// The first 128 bits of the SHA-256 of its bytes.
+    #[serde(rename = "d")]
+    pub digest: u128,
+}
+
+/// A chunk of a snapshot.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SnapshotChunk {
+    /// The snapshot.
+    #[serde(rename = "i")]
+    pub id: SnapshotId,
+    /// Bytes of the complete snapshot.
+    #[serde(rename = "t")]
+    pub total: u64,
+    /// The byte offset of this chunk.
+    #[serde(rename = "o")]
+    pub offset: u64,
+    /// The bytes of the chunk.
+    #[serde(rename = "b", with = "bytes")]
+    pub bytes: Vec<u8>,
+}
+
+/// Chunks as byte strings: the default writes a list of numbers.
+mod bytes {
+    use serde::{de, Deserializer, Serializer};
+    use std::fmt;
+
+    pub fn serialize<S: Serializer>(bytes: &[u8], to: S) -> Result<S::Ok, S::Error> {
+        to.serialize_bytes(bytes)
+    }
+
+    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<u8>, D::Error> {
+        struct Bytes;
+        impl de::Visitor<'_> for Bytes {
+            type Value = Vec<u8>;
+            fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+                f.write_str("bytes")
+            }
+            fn visit_bytes<E: de::Error>(self, bytes: &[u8]) -> Result<Vec<u8>, E> {
+                Ok(bytes.to_vec())
+            }
+            fn visit_byte_buf<E: de::Error>(self, bytes: Vec<u8>) -> Result<Vec<u8>, E> {
+                Ok(bytes)
+            }
+        }
+        from.deserialize_byte_buf(Bytes)
+    }
+}
+
+/// The digest of a snapshot's bytes: the first 128 bits of their SHA-256.
+pub(super) fn digest(bytes: &[u8]) -> u128 {
+    let hash = Sha256::digest(bytes);
+    hash.iter().take(16).fold(0, |digest, byte| digest << 8 | u128::from(*byte))
+}
--- /dev/null
+++ b/crates/brassport-control-plane/src/snapshots/source.rs
@@ -0,0 +1,48 @@
+//! The snapshot that is served to peers.
+
+use super::chunk::digest;
+use super::{SnapshotChunk, SnapshotId, CHUNK_BYTES};
+use crate::Millis;
+use brassport_config_store::consensus::ReplicatedState;
+use brassport_types::LogIndex;
+
+/// An encoded snapshot that nobody asked for is kept for so many ms.
+const IDLE_MS: Millis = 10_000;
+
+/// A state, encoded.
+#[derive(Debug)]
+pub(super) struct Source {
+    id: SnapshotId,
+    bytes: Vec<u8>,
+    used_at: Millis,
+}
+
+impl Source {
+    pub(super) fn encode(state: &ReplicatedState) -> Source {
+        let mut bytes = Vec::new();
+        // A vector takes all that is written to it.
+        let _ = ciborium::into_writer(state, &mut bytes);
+        Source { id: SnapshotId { index: state.index, digest: digest(&bytes) }, bytes, used_at: 0 }
+    }
+
+    /// The same, used at this time.
+    pub(super) fn used(self, now: Millis) -> Source {
+        Source { used_at: now, ..self }
+    }
+
+    pub(super) fn index(&self) -> LogIndex {
+        self.id.index
+    }
+
+    pub(super) fn is_idle(&self, now: Millis) -> bool {
+        now >= self.used_at + IDLE_MS
+    }
+
+    /// The chunk at a byte offset; `None` behind the end.
+    pub(super) fn chunk(&self, offset: u64) -> Option<SnapshotChunk> {
+        let from = usize::try_from(offset).ok().filter(|from| *from < self.bytes.len())?;
+        let to = (from + CHUNK_BYTES).min(self.bytes.len());
+        let bytes = self.bytes[from..to].to_vec();
+        Some(SnapshotChunk { id: self.id, total: self.bytes.len() as u64, offset, bytes })
+    }
+}
--- a/crates/brassport-control-plane/src/status.rs
+++ b/crates/brassport-control-plane/src/status.rs
@@ -1,46 +1,26 @@
-//! What a machine knows of the system, for the people who run it: who votes, who leads, which version is in force
-//! at which door, who lags. Nothing here names a key.
+//! What a node knows of the cluster, for its operators: who votes, who leads, which version is in force, which node lags.
+//! Nothing here names a key.
 
 use crate::backends::BackendState;
-use crate::control::ControlPlane;
+use crate::control_plane::ControlPlane;
 use serde_json::{json, Value};
 
 impl ControlPlane {
-    /// As JSON. Places and ages are as they were heard last; a door that was not heard for 12 s is not named.
+    /// The status as JSON. Indexes and ages are as they were heard last; a node that was not heard for 12 s is left out.
     pub fn status(&self) -> Value {
-        let state = self.replica.state();
-        let (me, now) = (&self.options.node, self.now);
-        let count = |stage| self.table.all(now).filter(|(backend, _)| backend.state == stage).count();
-        let doors: Vec<Value> = self
-            .heard
-            .iter()
-            .map(|(ip, at)| {
-                let index = self.indexes.get(ip);
-                json!({
-                    "ip": ip,
-                    "zone": self.views.peer(*ip).map(|member| member.zone.as_str()),
-                    "index": index,
-                    "behind": index.map(|index| state.index.saturating_sub(*index)),
-                    "heardMsAgo": now.saturating_sub(*at),
-                })
-            })
-            .collect();
-        let voters: Vec<Value> = state
-            .voters
-            .iter()
-            .map(|voter| json!({ "ip": voter.ip, "disk": voter.disk.to_string() }))
-            .collect();
+        let (state, node) = (self.replica.state(), &self.options.node);
+        let count = |state| self.backends.table.count(state);
         json!({
-            "ip": me.ip,
-            "zone": me.zone,
+            "ip": node.ip,
+            "zone": node.zone,
             "version": state.document.version().to_string(),
             "index": state.index,
             "votes": self.replica.is_voter(),
             "leader": self.leader().map(|(term, ip)| json!({ "ip": ip, "term": term.number })),
-            "voters": voters,
+            "voters": self.voter_status(),
             "parts": state.quota_shares,
             "snapshot": self.snapshots.progress(),
-            "doors": doors,
+            "doors": self.node_status(),
             "backends": {
                 "ready": count(BackendState::Ready),
                 "silent": count(BackendState::Unresponsive),
@@ -48,4 +28,24 @@
             },
         })
     }
+
+    fn voter_status(&self) -> Vec<Value> {
+        let voters = self.replica.state().voters.iter();
+        voters.map(|voter| json!({ "ip": voter.ip, "disk": voter.disk.to_string() })).collect()
+    }
+
+    fn node_status(&self) -> Vec<Value> {
+        let (now, own_index) = (self.clock.now(), self.replica.state().index);
+        let node = |(ip, heard_at)| {
+            let index = self.contacts.index(ip);
+            json!({
+                "ip": ip,
+                "zone": self.view.peer(ip).map(|peer| peer.zone.as_str()),
+                "index": index,
+                "behind": index.map(|index| own_index.saturating_sub(index)),
+                "heardMsAgo": now.saturating_sub(heard_at),
+            })
+        };
+        self.contacts.iter().map(node).collect()
+    }
 }
--- a/crates/brassport-control-plane/tests/golden.rs
+++ b/crates/brassport-control-plane/tests/golden.rs
@@ -12,7 +12,7 @@
 use brassport_control_plane::backends::{Backend, BackendState, RANGES};
 use brassport_control_plane::call::{Call, Reply};
 use brassport_control_plane::peer_message::{Envelope, Gossip, GrantResponse, LeaderHint, PeerMessage};
-use brassport_control_plane::ring_position::Rank;
+use brassport_control_plane::ring_rank::Rank;
 use brassport_control_plane::{
     Action, ControlPlane, Event, FaultTolerance, Millis, Options, SnapshotChunk, SnapshotId,
 };
