--- a/crates/brassport-control-plane/src/backends/table.rs
+++ b/crates/brassport-control-plane/src/backends/table.rs
@@ -20,7 +20,7 @@
 pub(crate) enum Source {
     /// The backend itself called this node.
     Backend,
-    /// Another node told of it.
+    /// Another node sent it.
     Peer,
 }
 
@@ -119,7 +119,7 @@
             heartbeat_at: (source == Source::Backend).then_some(now),
             warm_at: now + Millis::from(backend.warmup_left_ms),
         };
-        // Guards against a record that goes round for ever: who has dropped it would be told of it again.
+        // Guards against a record that goes round for ever: who has dropped it would take it again.
         if now >= update.renewed_at + backend.state.lease_ms() {
             return MergeOutcome::Unchanged;
         }
--- a/crates/brassport-control-plane/src/call.rs
+++ b/crates/brassport-control-plane/src/call.rs
@@ -1,4 +1,4 @@
-//! What backends and operators call, as command objects: decoded here, run by the owner of the state.
+//! The calls of backends and operators, and the replies: decoded here, run by the owner of the state.
 
 use crate::backends::{Backend, BackendState};
 use brassport_config_store::consensus::{ChangeScope, ConfigurationRequest};
@@ -7,6 +7,9 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
+/// A backend warms up for so many seconds at the most; more is taken for a mistake of its settings.
+const MAX_WARMUP_S: f64 = 600.0;
+
 /// A call of a backend or of the operator, decoded.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Call {
@@ -42,7 +45,7 @@
 pub enum DecodeError {
     /// There is no such call.
     UnknownCall,
-    /// It makes no sense; why.
+    /// It can't be decoded; why, for the caller.
     Malformed(String),
 }
 
@@ -55,6 +58,7 @@
     }
 }
 
+/// The body of a heartbeat. The names of these structs are part of error texts.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct CheckIn {
@@ -71,11 +75,12 @@
     version: String,
     #[serde(default)]
     zone: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_capacity")]
     capacity: u32,
 }
 
-fn one() -> u32 {
+/// A backend that does not say its capacity handles one request at once.
+fn default_capacity() -> u32 {
     1
 }
 
@@ -88,11 +93,13 @@
     warmup_left_s: f64,
 }
 
+impl std::error::Error for DecodeError {}
+
 impl Call {
     /// Decodes a call.
     ///
     /// # Errors
-    /// There is no such call, or it makes no sense.
+    /// There is no such call, or it can't be decoded.
     pub fn decode(
         method: &str,
         path: &str,
@@ -103,7 +110,7 @@
         let mut parts = path.trim_start_matches('/').splitn(2, '/');
         let (name, rest) = (parts.next().unwrap_or_default(), parts.next().unwrap_or_default());
         match (method, name) {
-            ("POST", "Servers.CheckIn") if !rest.is_empty() => check_in(rest, &body),
+            ("POST", "Servers.CheckIn") if !rest.is_empty() => decode_heartbeat(rest, &body),
             ("POST", "Servers.SignOff") if !rest.is_empty() => Ok(Call::Deregister(rest.to_owned())),
             ("POST", "Config.Replace" | "Config.Change") if rest.is_empty() => {
                 let text = base_version.ok_or_else(|| malformed("X-Built-On is missing"))?.trim();
@@ -123,10 +130,10 @@
     DecodeError::Malformed(what.to_owned())
 }
 
-fn check_in(id: &str, body: &[u8]) -> Result<Call, DecodeError> {
-    let told: CheckIn =
+fn decode_heartbeat(id: &str, body: &[u8]) -> Result<Call, DecodeError> {
+    let check_in: CheckIn =
         serde_json::from_slice(body).map_err(|error| DecodeError::Malformed(format!("the beat: {error}")))?;
-    let stage = match told.status.state.as_str() {
+    let state = match check_in.status.state.as_str() {
         "ready" => BackendState::Ready,
         "emptying" => BackendState::Draining,
         other => {
@@ -135,16 +142,16 @@
             )))
         }
     };
-    let warmup_left_ms = (told.status.warmup_left_s.clamp(0.0, 600.0) * 1000.0) as u32;
+    let warmup_left_ms = (check_in.status.warmup_left_s.clamp(0.0, MAX_WARMUP_S) * 1000.0) as u32;
     Ok(Call::Heartbeat(Backend {
         id: id.to_owned(),
-        service: told.details.service,
-        address: told.address,
-        zone: told.details.zone,
-        version: told.details.version,
-        capacity: told.details.capacity.max(1),
-        state: stage,
-        call_count: told.status.call_count,
+        service: check_in.details.service,
+        address: check_in.address,
+        zone: check_in.details.zone,
+        version: check_in.details.version,
+        capacity: check_in.details.capacity.max(1),
+        state,
+        call_count: check_in.status.call_count,
         warmup_left_ms,
         age_ms: 0,
     }))
--- a/crates/brassport-control-plane/src/clock.rs
+++ b/crates/brassport-control-plane/src/clock.rs
@@ -15,7 +15,7 @@
     Resumed,
 }
 
-/// The time that the control plane goes by. It never runs backwards.
+/// The time of the control plane. It never runs backwards.
 #[derive(Debug)]
 pub(crate) struct Clock {
     now: Millis,
--- a/crates/brassport-control-plane/src/consensus_host.rs
+++ b/crates/brassport-control-plane/src/consensus_host.rs
@@ -1,4 +1,4 @@
-//! The host of consensus: commands go in, and what the replica asks for is executed.
+//! The host of consensus: commands are submitted, and the actions of the replica are executed.
 
 use crate::call::Reply;
 use crate::control_plane::ControlPlane;
@@ -74,7 +74,7 @@
         self.outbox.respond(call, reply);
     }
 
-    /// Executes what the replica asks for.
+    /// Executes the actions of the replica.
     pub(crate) fn execute(&mut self, actions: Vec<consensus::Action>) {
         let mut applied = Vec::new();
         for action in actions {
@@ -100,7 +100,7 @@
         }
         let state = self.replica.state().clone();
         self.quota.configure(state.document.configuration());
-        // Before any answer to the operator: this node goes by the configuration that it acknowledges.
+        // Before any answer to the operator: this node applies the configuration that it acknowledges.
         self.outbox.push_front(Action::StateAdvanced(state));
         self.disseminate_entries(applied.into_iter().flatten().collect());
     }
--- a/crates/brassport-control-plane/src/event.rs
+++ b/crates/brassport-control-plane/src/event.rs
@@ -19,7 +19,7 @@
     pub node: PeerRecord,
     /// Addresses of the nodes to contact first.
     pub seeds: Vec<Ipv4Addr>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the complete cluster starts for the first time.
     pub first_start: bool,
     /// The losses that the voters must tolerate.
     pub fault_tolerance: FaultTolerance,
@@ -50,7 +50,7 @@
     Shutdown,
 }
 
-/// What a node asks of its host.
+/// What the host is to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a message to a node.
--- a/crates/brassport-control-plane/src/log_sync/fetch.rs
+++ b/crates/brassport-control-plane/src/log_sync/fetch.rs
@@ -23,7 +23,7 @@
 }
 
 impl ControlPlane {
-    /// Asks a peer for the entries that this node lacks.
+    /// Requests from a peer the entries that this node lacks.
     pub(crate) fn fetch_entries(&mut self, from: Ipv4Addr) {
         let now = self.clock.now();
         // A snapshot in flight brings more.
--- a/crates/brassport-control-plane/src/membership/leave.rs
+++ b/crates/brassport-control-plane/src/membership/leave.rs
@@ -35,7 +35,7 @@
             return;
         }
         self.membership.own.sent_at = now;
-        // A leader that leaves is not its own judge: the next one is asked.
+        // A leader that leaves is not its own judge: it asks the next one.
         if let Some((_, leader)) = self.leader().filter(|(_, ip)| *ip != self.options.node.ip) {
             let (disk, index) = (self.options.node.disk, self.replica.state().index);
             self.outbox.send(leader, PeerMessage::LeaveRequest(disk, index));
--- a/crates/brassport-control-plane/src/peer_message.rs
+++ b/crates/brassport-control-plane/src/peer_message.rs
@@ -32,7 +32,7 @@
     /// A message between voters, with the sender's disk.
     #[serde(rename = "c")]
     Consensus(DiskId, Message),
-    /// Asks for the entries behind this index.
+    /// Requests the entries behind this index.
     #[serde(rename = "f")]
     FetchEntries(LogIndex),
     /// Committed entries, one behind the other.
@@ -41,10 +41,10 @@
     /// A chunk of a snapshot, as the entries are no longer kept, or are too long.
     #[serde(rename = "s")]
     SnapshotChunk(SnapshotChunk),
-    /// Asks for the chunk of a snapshot at this byte offset.
+    /// Requests the chunk of a snapshot at this byte offset.
     #[serde(rename = "k")]
     FetchSnapshotChunk(SnapshotId, u64),
-    /// The digests of the sender's table of backends, by range: asks for the records of those that differ.
+    /// The digests of the sender's table of backends, by range: requests the records of those that differ.
     #[serde(rename = "r")]
     TableDigests([u32; RANGES]),
     /// Records of backends; with a number, a confirmation is wanted.
@@ -53,10 +53,10 @@
     /// The records with this number were merged, by a node that knows the log up to this index.
     #[serde(rename = "a")]
     RecordsConfirmed(u64, LogIndex),
-    /// Begin the log with this number of quota shares. Only one machine is ever told to.
+    /// Begin the log with this number of quota shares. The first seed sends it to one node only.
     #[serde(rename = "g")]
     Bootstrap(u32),
-    /// A core machine asks the leader for a vote; its disk, and how far it knows the log.
+    /// A node of the core requests a vote from the leader; its disk, and how far it knows the log.
     #[serde(rename = "j")]
     JoinRequest(DiskId, LogIndex),
     /// A voter is about to shut down; its disk, and how far it knows the log.
@@ -71,7 +71,7 @@
     /// The answer to a usage report.
     #[serde(rename = "l")]
     QuotaGrant(GrantResponse),
-    /// A node of this zone asks the leader for its rank there.
+    /// A node of this zone requests its rank there from the leader.
     #[serde(rename = "p")]
     RankRequest(String),
     /// The answer to [`RankRequest`](PeerMessage::RankRequest), with the leader's term.
@@ -79,7 +79,7 @@
     RankResponse(Term, Rank),
 }
 
-/// What a node tells in a gossip exchange.
+/// One side of a gossip exchange.
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct Gossip {
     /// The sender.
--- a/crates/brassport-control-plane/src/ring_rank.rs
+++ b/crates/brassport-control-plane/src/ring_rank.rs
@@ -28,13 +28,14 @@
     /// Nodes of the zone that come before it, in the order of their addresses.
     pub before: u16,
     /// All nodes of the zone.
-    pub doors: u16,
+    #[serde(rename = "doors")]
+    pub nodes: u16,
 }
 
 impl Rank {
     /// The middle of the node's part, when the ring is cut evenly among the nodes of the zone.
     fn position(self) -> f64 {
-        (f64::from(self.before) + 0.5) / f64::from(self.doors.max(1))
+        (f64::from(self.before) + 0.5) / f64::from(self.nodes.max(1))
     }
 }
 
@@ -81,7 +82,7 @@
         let count = |nodes: usize| u16::try_from(nodes).unwrap_or(u16::MAX);
         Some(Rank {
             before: count(of_zone().filter(|ip| *ip < node).count()),
-            doors: count(of_zone().count()),
+            nodes: count(of_zone().count()),
         })
     }
 
@@ -112,7 +113,7 @@
         let node = &self.options.node;
         let of_zone = || self.view.peers().filter(|peer| peer.zone == node.zone);
         let before = of_zone().filter(|peer| peer.ip < node.ip).count();
-        Rank { before: before as u16, doors: of_zone().count() as u16 + 1 }
+        Rank { before: before as u16, nodes: of_zone().count() as u16 + 1 }
     }
 
     /// Requests the rank from the leader when that is due.
--- a/crates/brassport-control-plane/src/snapshots/download.rs
+++ b/crates/brassport-control-plane/src/snapshots/download.rs
@@ -11,9 +11,9 @@
 use std::fmt;
 use std::net::Ipv4Addr;
 
-/// After so many ms without a chunk another source is asked: five chunks' time on a slow link.
+/// After so many ms without a chunk the next source is tried: five chunks' time on a slow link.
 const SOURCE_TIMEOUT_MS: Millis = 600;
-/// After so many ms without a chunk the download is given up, and a newer snapshot may take its place.
+/// After so many ms without a chunk the download is given up, and a newer snapshot may replace it.
 const STALL_MS: Millis = 5_000;
 
 /// Why a snapshot is refused.
@@ -85,7 +85,7 @@
         Progress { index: self.id.index, bytes: self.bytes.len() as u64, of: self.total, from: self.from }
     }
 
-    /// Whether a chunk of another snapshot may take its place: a newer one, or any, once this one is stalled.
+    /// Whether a chunk of another snapshot may replace this one: a newer one, or any, once this one is stalled.
     pub(super) fn may_be_replaced_by(&self, chunk: &SnapshotChunk, now: Millis) -> bool {
         self.id != chunk.id && (chunk.id.index > self.id.index || self.is_stalled(now))
     }
--- a/crates/brassport-control-plane/src/snapshots/source.rs
+++ b/crates/brassport-control-plane/src/snapshots/source.rs
@@ -6,7 +6,7 @@
 use brassport_config_store::consensus::ReplicatedState;
 use brassport_types::LogIndex;
 
-/// An encoded snapshot that nobody asked for is kept for so many ms.
+/// An encoded snapshot that nobody requested is kept for so many ms.
 const IDLE_MS: Millis = 10_000;
 
 /// A state, encoded.
--- a/crates/brassport-control-plane/tests/it/catch_up.rs
+++ b/crates/brassport-control-plane/tests/it/catch_up.rs
@@ -27,7 +27,7 @@
     let acknowledged = sim.judge.acknowledged.len();
     println!("{acknowledged} changes, the newest v{newest}");
     assert!(acknowledged > changes, "only {acknowledged} changes were taken");
-    let at = sim.judge.went_by(machine, newest);
+    let at = sim.judge.applied_at(machine, newest);
     at.map_or(u64::MAX, |at| at.saturating_sub(since))
 }
 
@@ -90,7 +90,7 @@
     let (bytes, of) = (bytes.as_u64().expect("it says so"), of.as_u64().expect("it says so"));
     assert!(bytes > 1_500_000 && bytes < of, "{status}");
     sim.run();
-    let at = sim.judge.went_by(2, 1).expect("it comes in the end") - 24_000;
+    let at = sim.judge.applied_at(2, 1).expect("it comes in the end") - 24_000;
     println!("35,000 routes: {at} ms for {of} bytes");
     assert!(at <= of * 8 / 2_000 * 11 / 10 + BOUND, "{at} ms");
 }
@@ -112,5 +112,5 @@
     assert_ne!(before["from"], after["from"]);
     assert!(after["bytes"].as_u64() > before["bytes"].as_u64(), "{after}");
     sim.run();
-    assert!(sim.judge.went_by(3, 1).is_some(), "{}", sim.status(3));
+    assert!(sim.judge.applied_at(3, 1).is_some(), "{}", sim.status(3));
 }
--- a/crates/brassport-control-plane/tests/it/configuration_latency.rs
+++ b/crates/brassport-control-plane/tests/it/configuration_latency.rs
@@ -21,7 +21,7 @@
     times
 }
 
-fn told(what: &str, times: &[u64], most: u64) {
+fn report(what: &str, times: &[u64], most: u64) {
     let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
     println!(
         "{what}: half {} ms, 99 in 100 {} ms, most {} ms of {}",
@@ -48,7 +48,7 @@
     );
     // Sent 1 to 1,000 ms behind the loss.
     let times = times(100, &text, |sim| acknowledged(sim, 1).saturating_sub(9_000));
-    told(&format!("confirmed, {loss}"), &times, 2_000);
+    report(&format!("confirmed, {loss}"), &times, 2_000);
 }
 
 #[test_case("3"; "a machine with a disk")]
@@ -61,9 +61,9 @@
     let one: usize = machine.parse().expect("a number");
     let times = times(100, &text, |sim| {
         let version = sim.judge.acknowledged.iter().map(|(version, ..)| *version).max().unwrap_or_default();
-        sim.judge.went_by(one, version).map_or(u64::MAX, |at| at.saturating_sub(13_000))
+        sim.judge.applied_at(one, version).map_or(u64::MAX, |at| at.saturating_sub(13_000))
     });
-    told(&format!("caught up, machine {machine}"), &times, 2_000);
+    report(&format!("caught up, machine {machine}"), &times, 2_000);
 }
 
 #[test]
@@ -72,5 +72,5 @@
         "machines 4 disks, 7 plain, zones a b c\nat 4.0 operator put v5 on 0 as first\nat MOMENT kill every\n\
                 at 10.0 start every\nat 10.0 operator put v7 on 5 as second\nlasts 24s\n";
     let times = times(100, text, |sim| acknowledged(sim, 1).saturating_sub(10_000));
-    told("taken behind a restart of all", &times, 7_500);
+    report("taken behind a restart of all", &times, 7_500);
 }
--- a/crates/brassport-control-plane/tests/it/golden/frames.rs
+++ b/crates/brassport-control-plane/tests/it/golden/frames.rs
@@ -29,7 +29,7 @@
         framed("member without a disk", &member(OTHER, 0)),
         framed("snapshot id", &id),
         framed("chunk", &SnapshotChunk { id, total: 3, offset: 0, bytes: b"abc".to_vec() }),
-        framed("rank", &Rank { before: 0, doors: 1 }),
+        framed("rank", &Rank { before: 0, nodes: 1 }),
         framed("use", &usage(7, 6, 5, 4)),
         framed("loan", &grant(7, 6, 5)),
     ];
--- a/crates/brassport-control-plane/tests/it/golden/machine.rs
+++ b/crates/brassport-control-plane/tests/it/golden/machine.rs
@@ -55,12 +55,12 @@
     }
 
     pub fn reply(&self, number: u64) -> String {
-        self.replies.get(&number).map_or_else(|| "none".to_owned(), told)
+        self.replies.get(&number).map_or_else(|| "none".to_owned(), text)
     }
 }
 
 /// A reply as one line.
-pub fn told(reply: &Reply) -> String {
+pub fn text(reply: &Reply) -> String {
     match reply {
         Reply::Done(body) => format!("done {}", String::from_utf8_lossy(body)),
         Reply::Redirect(ip) => format!("at {ip}"),
--- a/crates/brassport-control-plane/tests/it/golden/messages.rs
+++ b/crates/brassport-control-plane/tests/it/golden/messages.rs
@@ -131,7 +131,7 @@
             }),
         ),
         ("", PeerMessage::RankRequest("zone-a".to_owned())),
-        ("", PeerMessage::RankResponse(TERM, Rank { before: 2, doors: 300 })),
+        ("", PeerMessage::RankResponse(TERM, Rank { before: 2, nodes: 300 })),
     ]
 }
 
--- a/crates/brassport-control-plane/tests/it/scenarios.rs
+++ b/crates/brassport-control-plane/tests/it/scenarios.rs
@@ -124,7 +124,7 @@
 
 #[test]
 fn a_malformed_line_is_reported_with_its_number_and_what_was_expected() {
-    let told = |text: &str| script::parse(text).err().map(|fault| fault.to_string()).unwrap_or_default();
+    let report = |text: &str| script::parse(text).err().map(|fault| fault.to_string()).unwrap_or_default();
     let cases = [
         ("machines 3 disks\n\nat 1.0 explode 2", "line 3: expected a statement such as"),
         (
@@ -143,7 +143,7 @@
         ("at 1 join", "line 1: expected a line `machines N disks`"),
     ];
     for (text, expected) in cases {
-        let found = told(text);
+        let found = report(text);
         assert!(found.starts_with(expected), "{text:?} gave {found:?}");
     }
 }
--- a/crates/brassport-control-plane/tests/it/sim/callers.rs
+++ b/crates/brassport-control-plane/tests/it/sim/callers.rs
@@ -1,15 +1,15 @@
-//! The operator and the backends, as the protocol says: they follow 307 twice, move to another door after a failure, a
+//! The operator and the backends, as the protocol says: they follow 307 twice, move to another node after a failure, a
 //! 5xx or a second of silence, and pause for a growing time.
 
 use super::script::{Ask, Flaw, Millis};
-use super::{machine, Sim, Step, BEAT, CALLER};
+use super::{machine, Sim, Step, CALLER, HEARTBEAT_INTERVAL};
 use brassport_config_store::consensus::{ChangeScope, RequestDigest};
 use brassport_control_plane::call::{Call, Reply};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The operator's list of doors lags by so much (`seedDelayS`): then one that is down is off it.
+/// The operator's list of nodes lags by so much (`seedDelayS`): then one that is down is off it.
 const LIST_LAG: Millis = 3_000;
 /// So long an operator goes on, and a backend that leaves.
 const OPERATOR: Millis = 15_000;
@@ -33,7 +33,7 @@
 pub enum What {
     Put(Put),
     Read,
-    Beat(String),
+    Heartbeat(String),
     Empty(String),
     SignOff(String),
 }
@@ -47,9 +47,9 @@
     since: Millis,
     tries: u32,
     hops: u32,
-    /// The try whose answer is awaited, and the door that it went to.
+    /// The try whose answer is awaited, and the node that it went to.
     open: Option<(u64, usize)>,
-    /// The door that was asked last.
+    /// The node that was asked last.
     last: Option<usize>,
     /// The answer; 0: none.
     pub code: Option<u16>,
@@ -58,7 +58,7 @@
 
 pub struct Server {
     service: String,
-    door: usize,
+    node: usize,
     count: u64,
     state: &'static str,
     alive: bool,
@@ -121,8 +121,8 @@
     fn next_put(&mut self, ask: &Ask) -> Option<Ask> {
         let base_version = match ask {
             Ask::Next => {
-                let door = self.any_door(None);
-                Some(self.judge.version(door))
+                let node = self.any_node(None);
+                Some(self.judge.version(node))
             }
             Ask::Append => {
                 Some(self.judge.acknowledged.iter().map(|(version, ..)| *version).max().unwrap_or_default())
@@ -150,15 +150,15 @@
             body,
         };
         self.callers.sessions.push(session);
-        self.try_again(self.callers.sessions.len() - 1);
+        self.retry(self.callers.sessions.len() - 1);
     }
 
     pub fn begin_backend(&mut self, id: &str, service: &str, via: Option<usize>) {
-        let door = via.unwrap_or_else(|| self.any_door(None));
+        let node = via.unwrap_or_else(|| self.any_node(None));
         let service = service.to_owned();
-        let server = Server { service, door, count: 0, state: "ready", alive: true };
+        let server = Server { service, node, count: 0, state: "ready", alive: true };
         self.callers.servers.insert(id.to_owned(), server);
-        self.beat(id);
+        self.heartbeat(id);
     }
 
     pub fn dies(&mut self, id: &str) {
@@ -168,32 +168,32 @@
     }
 
     /// A beat that was sent before the last one comes now.
-    pub fn late_beat(&mut self, id: &str, to: usize) -> Result<(), String> {
+    pub fn late_heartbeat(&mut self, id: &str, to: usize) -> Result<(), String> {
         let server = self.callers.servers.get(id).ok_or_else(|| format!("there is no backend {id}"))?;
-        let call = beat(id, server, server.count.saturating_sub(1), "ready");
+        let call = heartbeat(id, server, server.count.saturating_sub(1), "ready");
         self.callers.last_try += 1;
         let number = self.callers.last_try;
         self.at(0, Step::Call(to, number, call));
         Ok(())
     }
 
-    pub fn beat(&mut self, id: &str) {
+    pub fn heartbeat(&mut self, id: &str) {
         let Some(server) = self.callers.servers.get(id) else { return };
         if server.alive {
-            let (name, what) = (format!("beat of {id}"), What::Beat(id.to_owned()));
-            let door = server.door;
-            self.begin_session(what, Some(door), false, &name);
-            self.at(BEAT, Step::Beat(id.to_owned()));
+            let (name, what) = (format!("beat of {id}"), What::Heartbeat(id.to_owned()));
+            let node = server.node;
+            self.begin_session(what, Some(node), false, &name);
+            self.at(HEARTBEAT_INTERVAL, Step::Heartbeat(id.to_owned()));
         }
     }
 
-    /// A door of the operator's list, which lags: it may be down. Not the one that was asked last: a caller moves on.
-    fn any_door(&mut self, last: Option<usize>) -> usize {
+    /// A node of the operator's list, which lags: it may be down. Not the one that was asked last: a caller moves on.
+    fn any_node(&mut self, last: Option<usize>) -> usize {
         let (now, machines) = (self.now, &self.machines);
         let is_listed = |one: &usize| {
             let machine = &machines[*one];
             let is_gone = machine.control.is_none() && now >= machine.ended + LIST_LAG;
-            machine.life > 0 && !machine.retired && !is_gone
+            machine.starts > 0 && !machine.retired && !is_gone
         };
         let mut started: Vec<usize> = (0..machines.len()).filter(is_listed).collect();
         if started.len() > 1 {
@@ -203,31 +203,31 @@
         started.get(drawn).copied().unwrap_or_default()
     }
 
-    /// The next try of a session, at its door or at any.
-    pub fn try_again(&mut self, index: usize) {
+    /// The next try of a session, at its node or at any.
+    pub fn retry(&mut self, index: usize) {
         let last = self.callers.sessions[index].last;
-        let any = self.any_door(last);
+        let any = self.any_node(last);
         let session = &mut self.callers.sessions[index];
         if session.code.is_some() {
             return;
         }
-        let door = session.via.take().unwrap_or(any);
+        let node = session.via.take().unwrap_or(any);
         session.tries += 1;
         session.hops = 0;
-        self.try_at(index, door);
+        self.attempt_at(index, node);
     }
 
-    fn try_at(&mut self, index: usize, door: usize) {
+    fn attempt_at(&mut self, index: usize, node: usize) {
         self.callers.last_try += 1;
         let number = self.callers.last_try;
         self.callers.tries.insert(number, index);
         let session = &mut self.callers.sessions[index];
-        session.open = Some((number, door));
-        session.last = Some(door);
-        let mut patience = 1_000;
+        session.open = Some((number, node));
+        session.last = Some(node);
+        let mut timeout = 1_000;
         let call = match &session.what {
             What::Put(put) => {
-                patience += put.body.len() as u64 / 50;
+                timeout += put.body.len() as u64 / 50;
                 let path = match put.scope {
                     ChangeScope::Full => "/Config.Replace",
                     ChangeScope::Partial => "/Config.Change",
@@ -237,26 +237,26 @@
             }
             What::Read => Call::decode("GET", "/Config.Read", None, Vec::new()),
             What::SignOff(id) => Call::decode("POST", &format!("/Servers.SignOff/{id}"), None, Vec::new()),
-            What::Beat(id) | What::Empty(id) => {
+            What::Heartbeat(id) | What::Empty(id) => {
                 let Some(server) = self.callers.servers.get_mut(id) else { return };
                 server.count += 1;
-                server.door = door;
-                Ok(beat(id, server, server.count, server.state))
+                server.node = node;
+                Ok(heartbeat(id, server, server.count, server.state))
             }
         };
         match call {
             Ok(call) => {
-                self.at(CALLER, Step::Call(door, number, call));
-                self.at(patience, Step::Timeout(number));
+                self.at(CALLER, Step::Call(node, number, call));
+                self.at(timeout, Step::Timeout(number));
             }
             Err(fault) => self.failed.push(format!("a call could not be decoded: {fault}")),
         }
     }
 
     /// An answer came, or none did.
-    pub fn answered(&mut self, number: u64, reply: Option<Reply>) {
+    pub fn on_answer(&mut self, number: u64, reply: Option<Reply>) {
         let Some(index) = self.callers.tries.get(&number).copied() else { return };
-        // An answer that is lost on its way: the caller goes on once its patience is over.
+        // An answer that is lost on its way: the caller goes on once its timeout is over.
         let is_order = matches!(self.callers.sessions[index].what, What::Put(_));
         if reply.is_some() && is_order && self.draw(100) < self.answers_lost {
             return;
@@ -274,23 +274,23 @@
             Some(Reply::VersionConflict) => 412,
             Some(Reply::Redirect(ip)) if session.hops < 2 && !session.once => {
                 session.hops += 1;
-                return self.try_at(index, machine(ip));
+                return self.attempt_at(index, machine(ip));
             }
             Some(Reply::Unavailable(_)) => 503,
             Some(Reply::Redirect(_)) => 307,
             None => 0,
         };
-        let patience = match &session.what {
-            What::Beat(_) => BEAT,
+        let timeout = match &session.what {
+            What::Heartbeat(_) => HEARTBEAT_INTERVAL,
             What::Empty(_) | What::SignOff(_) => LEAVING,
             What::Put(_) | What::Read => OPERATOR,
         };
-        if matches!(code, 200 | 400 | 412) || session.once || now >= session.since + patience {
+        if matches!(code, 200 | 400 | 412) || session.once || now >= session.since + timeout {
             session.code = Some(code);
             return self.concluded(index, code);
         }
         let pause = (50 << session.tries.min(4)).min(800);
-        let pause = if matches!(session.what, What::Beat(_)) { 0 } else { pause };
+        let pause = if matches!(session.what, What::Heartbeat(_)) { 0 } else { pause };
         self.at(pause, Step::Again(index));
     }
 
@@ -310,7 +310,7 @@
     }
 }
 
-fn beat(id: &str, server: &Server, count: u64, state: &str) -> Call {
+fn heartbeat(id: &str, server: &Server, count: u64, state: &str) -> Call {
     let body = json!({
         "address": "10.128.0.9:8080",
         "details": {"service": server.service, "version": "v1", "zone": "a", "capacity": 4},
--- a/crates/brassport-control-plane/tests/it/sim/corruption.rs
+++ b/crates/brassport-control-plane/tests/it/sim/corruption.rs
@@ -1,6 +1,6 @@
 //! A snapshot of which a byte was changed in flight.
 
-use super::{ip, BEAT};
+use super::{ip, HEARTBEAT_INTERVAL};
 use brassport_config_store::consensus::ReplicatedState;
 use brassport_control_plane::peer_message::{Envelope, PeerMessage};
 use brassport_control_plane::{ControlPlane, Event, FaultTolerance, Options, SnapshotChunk, SnapshotId};
@@ -22,7 +22,7 @@
         seeds: vec![ip(1)],
         first_start: false,
         fault_tolerance: FaultTolerance::machines(1),
-        heartbeat_interval_ms: BEAT,
+        heartbeat_interval_ms: HEARTBEAT_INTERVAL,
         seed: 1,
     };
     let mut control = ControlPlane::new(options, 0);
--- a/crates/brassport-control-plane/tests/it/sim/host.rs
+++ b/crates/brassport-control-plane/tests/it/sim/host.rs
@@ -8,10 +8,10 @@
 pub struct Host {
     pub control: Option<ControlPlane>,
     /// How often it was started.
-    pub life: u64,
-    pub born: Millis,
+    pub starts: u64,
+    pub started_at: Millis,
     pub frozen_until: Millis,
-    pub counted: bool,
+    pub is_core: bool,
     /// Gone for good.
     pub retired: bool,
     /// When its process ended last.
@@ -34,10 +34,10 @@
     pub fn new(number: usize, setup: &Setup) -> Host {
         Host {
             control: None,
-            life: 0,
-            born: 0,
+            starts: 0,
+            started_at: 0,
             frozen_until: 0,
-            counted: number < setup.disks,
+            is_core: number < setup.disks,
             retired: false,
             ended: 0,
             zone: setup.zones[number % setup.zones.len()].clone(),
--- a/crates/brassport-control-plane/tests/it/sim/mod.rs
+++ b/crates/brassport-control-plane/tests/it/sim/mod.rs
@@ -29,8 +29,8 @@
 
 /// Between two ticks of a process; between two looks of the judge; between two beats of a backend.
 const TICK: Millis = 60;
-const LOOK: Millis = 50;
-pub const BEAT: Millis = 1_000;
+const CHECK_INTERVAL: Millis = 50;
+pub const HEARTBEAT_INTERVAL: Millis = 1_000;
 /// A machine that was told to end does so by then (`graceS`).
 const GRACE: Millis = 6_000;
 /// One way between a caller and a machine.
@@ -49,12 +49,12 @@
     Timeout(u64),
     /// A caller's next try.
     Again(usize),
-    Beat(String),
+    Heartbeat(String),
     Line(usize),
     Thawed(usize),
     /// A machine that was told to end looks whether it may: since when it was told, and how long it stays at the least.
     Ends(usize, u64, Millis, Millis),
-    Look,
+    Check,
 }
 
 pub struct Sim {
@@ -128,7 +128,7 @@
         for number in sim.setup.up.clone().unwrap_or_else(|| (0..all).collect()) {
             sim.start(number, true);
         }
-        sim.at(LOOK, Step::Look);
+        sim.at(CHECK_INTERVAL, Step::Check);
         sim.schedule_lines();
         sim
     }
@@ -145,7 +145,7 @@
     pub fn run(&mut self) {
         let end = self.end();
         self.run_until(end);
-        self.last_looks();
+        self.check_at_end();
     }
 
     pub fn run_until(&mut self, end: Millis) {
@@ -184,30 +184,30 @@
             return self.at(until - self.now, step);
         }
         match step {
-            Step::Tick(one, life) => {
-                if self.lives(one, life) {
+            Step::Tick(one, starts) => {
+                if self.lives(one, starts) {
                     self.handle(one, Event::Tick);
                     let wait = TICK + self.draw(6);
-                    self.at(wait, Step::Tick(one, life));
+                    self.at(wait, Step::Tick(one, starts));
                 }
             }
-            Step::Open(one, life) => self.open(one, life),
-            Step::Synced(one, life) => self.synced(one, life),
+            Step::Open(one, starts) => self.open(one, starts),
+            Step::Synced(one, starts) => self.synced(one, starts),
             // Dropped by `handle` if the machine does not run.
             Step::Arrive(one, envelope) => self.handle(one, Event::PeerMessage(envelope)),
             Step::Call(one, try_number, call) => {
                 self.call(one, try_number, call);
             }
-            Step::Answer(try_number, reply) => self.answered(try_number, reply),
-            Step::Timeout(try_number) => self.answered(try_number, None),
-            Step::Again(session) => self.try_again(session),
-            Step::Beat(id) => self.beat(&id),
+            Step::Answer(try_number, reply) => self.on_answer(try_number, reply),
+            Step::Timeout(try_number) => self.on_answer(try_number, None),
+            Step::Again(session) => self.retry(session),
+            Step::Heartbeat(id) => self.heartbeat(&id),
             Step::Line(index) => self.line(index),
-            Step::Ends(one, life, since, soonest) => self.end_if_released(one, life, since, soonest),
-            Step::Thawed(one) => self.judge.trouble(one, self.machines[one].counted, self.now),
-            Step::Look => {
-                self.look();
-                self.at(LOOK, Step::Look);
+            Step::Ends(one, starts, since, soonest) => self.end_if_released(one, starts, since, soonest),
+            Step::Thawed(one) => self.judge.fault_until(one, self.machines[one].is_core, self.now),
+            Step::Check => {
+                self.check();
+                self.at(CHECK_INTERVAL, Step::Check);
             }
         }
     }
@@ -224,12 +224,12 @@
         self.handle(one, Event::Call(number, call));
     }
 
-    fn lives(&self, one: usize, life: u64) -> bool {
-        self.machines[one].life == life && self.machines[one].control.is_some()
+    fn lives(&self, one: usize, starts: u64) -> bool {
+        self.machines[one].starts == starts && self.machines[one].control.is_some()
     }
 
     pub fn handle(&mut self, one: usize, event: Event) {
-        let now = self.now - self.machines[one].born;
+        let now = self.now - self.machines[one].started_at;
         let Some(control) = &mut self.machines[one].control else { return };
         for action in control.handle(now, event) {
             match action {
@@ -239,15 +239,15 @@
                     let store = &mut self.machines[one].store;
                     store.busy = store.busy.max(self.now) + wait;
                     store.pending.push_back((number, record));
-                    let (delay, life) = (store.busy - self.now, self.machines[one].life);
-                    self.at(delay, Step::Synced(one, life));
+                    let (delay, starts) = (store.busy - self.now, self.machines[one].starts);
+                    self.at(delay, Step::Synced(one, starts));
                 }
                 Action::Respond(number, reply) => {
                     if let Some(try_number) = self.machines[one].calls.remove(&number) {
                         self.at(CALLER, Step::Answer(try_number, Some(reply)));
                     }
                 }
-                Action::StateAdvanced(state) => self.judge.word(one, &state, self.now),
+                Action::StateAdvanced(state) => self.judge.applied(one, &state, self.now),
                 Action::BackendChanged(backend) => self.judge.backend(one, backend),
                 Action::BackendExpired(id) => self.judge.dropped(one, &id),
                 Action::QuotaGranted(_) => {}
@@ -261,7 +261,7 @@
 
     /// The machines of the core: those that were started and are not gone for good.
     pub fn core(&self) -> Vec<usize> {
-        let is_member = |one: &usize| self.machines[*one].life > 0 && !self.machines[*one].retired;
+        let is_member = |one: &usize| self.machines[*one].starts > 0 && !self.machines[*one].retired;
         (0..self.setup.disks).filter(is_member).collect()
     }
 
@@ -273,20 +273,20 @@
         core.iter().copied().filter(|one| reaches(*one) > members.len() / 2).collect()
     }
 
-    fn look(&mut self) {
+    fn check(&mut self) {
         if self.loss > 0 {
-            self.judge.core_trouble(self.now);
+            self.judge.core_fault(self.now);
         }
         let good = self.good_core();
         if good.len() <= self.core().len() / 2 {
-            self.judge.core_trouble(self.now);
+            self.judge.core_fault(self.now);
         }
         for one in 0..self.machines.len() {
             let connected = self.runs(one) && good.iter().all(|other| self.both_ways(one, *other));
             if !connected || self.machines[one].store.full {
-                self.judge.trouble(one, false, self.now);
+                self.judge.fault_until(one, false, self.now);
             }
         }
-        self.judge.look(self.now);
+        self.judge.check(self.now);
     }
 }
--- a/crates/brassport-control-plane/tests/it/sim/network.rs
+++ b/crates/brassport-control-plane/tests/it/sim/network.rs
@@ -13,7 +13,7 @@
 
     pub fn send(&mut self, from: usize, to: usize, message: PeerMessage) {
         if let PeerMessage::Entries(entries) = &message {
-            self.judge.chosen(from, entries, self.now);
+            self.judge.committed(from, entries, self.now);
         }
         if to >= self.machines.len() || !self.hears(from, to) {
             return;
@@ -29,7 +29,7 @@
         if self.now < self.machines[from].lag.0 {
             delay += self.machines[from].lag.1;
         }
-        let incarnation = incarnation(from, self.machines[from].life);
+        let incarnation = incarnation(from, self.machines[from].starts);
         let envelope = Envelope { from: ip(from), incarnation, message };
         if self.draw(100) < self.repeats.0 {
             let late = 1 + self.draw(self.repeats.1);
@@ -50,7 +50,7 @@
 
     pub fn set_lag(&mut self, one: usize, by: Millis, long: Millis) {
         self.machines[one].lag = (self.now + long, by);
-        self.judge.trouble(one, self.machines[one].counted, self.now + long + by);
+        self.judge.fault_until(one, self.machines[one].is_core, self.now + long + by);
     }
 
     pub fn set_cut(&mut self, from: usize, to: usize, cut: bool) {
@@ -61,8 +61,8 @@
             true => self.machines[to].deaf_to.insert(from),
             false => self.machines[to].deaf_to.remove(&from),
         };
-        if changed && self.machines[from].counted && self.machines[to].counted {
-            self.judge.core_trouble(self.now);
+        if changed && self.machines[from].is_core && self.machines[to].is_core {
+            self.judge.core_fault(self.now);
         }
     }
 
@@ -78,7 +78,7 @@
         _ => 64,
     };
     let bytes = match message {
-        PeerMessage::Entries(entries) => entries.iter().map(|chosen| of(&chosen.entry)).sum(),
+        PeerMessage::Entries(entries) => entries.iter().map(|committed| of(&committed.entry)).sum(),
         PeerMessage::SnapshotChunk(chunk) => chunk.bytes.len(),
         PeerMessage::Consensus(_, Message::Accept { entry, .. }) => of(entry),
         PeerMessage::Consensus(_, Message::Promise { accepted: Some(accepted), .. }) => of(&accepted.entry),
--- a/crates/brassport-control-plane/tests/it/sim/play.rs
+++ b/crates/brassport-control-plane/tests/it/sim/play.rs
@@ -117,14 +117,14 @@
                 let via = via.as_ref().map(|who| self.one(who)).transpose()?;
                 self.ask(ask, via, *once, name)?;
             }
-            Statement::Beats { id, service, via } => {
+            Statement::Heartbeats { id, service, via } => {
                 let via = via.as_ref().map(|who| self.one(who)).transpose()?;
                 self.begin_backend(id, service, via);
             }
             Statement::Dies(id) => self.dies(id),
-            Statement::LateBeat(id, who) => {
+            Statement::LateHeartbeat(id, who) => {
                 let one = self.one(who)?;
-                self.late_beat(id, one)?;
+                self.late_heartbeat(id, one)?;
             }
             Statement::Expect(expect) => self.expect(expect)?,
             Statement::Name(..)
@@ -331,7 +331,7 @@
     }
 
     /// The end: the newest is read back where a majority of the core meets, and what was acknowledged is there.
-    pub fn last_looks(&mut self) {
+    pub fn check_at_end(&mut self) {
         // A run that was given up for its many faults is read back no more.
         let meets = self.good_core().len() > self.core().len() / 2 && !self.is_given_up();
         for index in 0..self.lines.len() {
@@ -379,8 +379,8 @@
         let newest = self.judge.acknowledged.iter().map(|(version, ..)| *version).max();
         let found = self.last_read();
         if found.is_none() || found < newest {
-            let told = format!("{found:?} was read at the end, and v{newest:?} was acknowledged");
-            self.judge.broken.push(told);
+            let text = format!("{found:?} was read at the end, and v{newest:?} was acknowledged");
+            self.judge.broken.push(text);
         }
     }
 }
--- a/crates/brassport-control-plane/tests/it/sim/process.rs
+++ b/crates/brassport-control-plane/tests/it/sim/process.rs
@@ -2,7 +2,7 @@
 
 use super::script::Millis;
 use super::store::{keep, Store};
-use super::{incarnation, ip, Sim, Step, BEAT, CALLER, GRACE, TICK};
+use super::{incarnation, ip, Sim, Step, CALLER, GRACE, HEARTBEAT_INTERVAL, TICK};
 use brassport_control_plane::{ControlPlane, Event, FaultTolerance, Options};
 use brassport_transport::peer_sampling::PeerRecord;
 use brassport_types::DiskId;
@@ -14,17 +14,17 @@
         }
         let seed = self.draw(u64::MAX);
         let machine = &mut self.machines[one];
-        machine.life += 1;
-        machine.born = self.now;
+        machine.starts += 1;
+        machine.started_at = self.now;
         machine.store.busy = self.now;
         machine.frozen_until = 0;
-        let life = machine.life;
+        let starts = machine.starts;
         let node = PeerRecord {
             ip: ip(one),
-            incarnation: incarnation(one, life),
+            incarnation: incarnation(one, starts),
             zone: machine.zone.clone(),
             disk: DiskId::NONE,
-            is_core: machine.counted,
+            is_core: machine.is_core,
         };
         let options = Options {
             node,
@@ -33,17 +33,17 @@
             fault_tolerance: FaultTolerance::machines(
                 self.setup.survive.unwrap_or((self.setup.disks - 1) / 2),
             ),
-            heartbeat_interval_ms: BEAT,
+            heartbeat_interval_ms: HEARTBEAT_INTERVAL,
             seed,
         };
         machine.control = Some(ControlPlane::new(options, 0));
-        let counted = machine.counted;
-        self.judge.begins(one, counted, self.now);
+        let is_core = machine.is_core;
+        self.judge.begins(one, is_core, self.now);
         let wait = 1 + self.draw(TICK);
-        self.at(wait, Step::Tick(one, life));
-        if counted {
+        self.at(wait, Step::Tick(one, starts));
+        if is_core {
             let wait = self.setup.sync + self.draw(4);
-            self.at(wait, Step::Open(one, life));
+            self.at(wait, Step::Open(one, starts));
         }
     }
 
@@ -67,20 +67,20 @@
         for try_number in calls.into_values() {
             self.at(CALLER, Step::Answer(try_number, None));
         }
-        self.judge.ends(one, self.machines[one].counted, self.now);
+        self.judge.ends(one, self.machines[one].is_core, self.now);
     }
 
     /// Tells a machine to end.
     pub fn stop(&mut self, one: usize, soonest: Millis) {
         if self.machines[one].control.is_some() {
-            self.judge.trouble(one, self.machines[one].counted, self.now);
+            self.judge.fault_until(one, self.machines[one].is_core, self.now);
             self.handle(one, Event::Shutdown);
-            self.at(TICK, Step::Ends(one, self.machines[one].life, self.now, soonest));
+            self.at(TICK, Step::Ends(one, self.machines[one].starts, self.now, soonest));
         }
     }
 
-    pub fn end_if_released(&mut self, one: usize, life: u64, since: Millis, soonest: Millis) {
-        if !self.lives(one, life) {
+    pub fn end_if_released(&mut self, one: usize, starts: u64, since: Millis, soonest: Millis) {
+        if !self.lives(one, starts) {
             return;
         }
         let may = self.machines[one].control.as_ref().is_some_and(ControlPlane::is_released);
@@ -88,7 +88,7 @@
             self.ended.push((one, self.now - since));
             self.kill(one);
         } else {
-            self.at(TICK, Step::Ends(one, life, since, soonest));
+            self.at(TICK, Step::Ends(one, starts, since, soonest));
         }
     }
 
@@ -100,21 +100,21 @@
     pub fn freeze(&mut self, one: usize, long: Millis) {
         let until = self.now + long;
         self.machines[one].frozen_until = self.machines[one].frozen_until.max(until);
-        self.judge.trouble(one, self.machines[one].counted, self.now);
+        self.judge.fault_until(one, self.machines[one].is_core, self.now);
         self.at(long, Step::Thawed(one));
     }
 
-    pub fn open(&mut self, one: usize, life: u64) {
-        if !self.lives(one, life) {
+    pub fn open(&mut self, one: usize, starts: u64) {
+        if !self.lives(one, starts) {
             return;
         }
         let hangs_until = self.machines[one].store.hangs_until;
         if self.now < hangs_until {
-            return self.at(hangs_until - self.now, Step::Open(one, life));
+            return self.at(hangs_until - self.now, Step::Open(one, starts));
         }
         if self.machines[one].store.number.is_none() {
             if self.machines[one].store.full {
-                return self.at(500, Step::Open(one, life));
+                return self.at(500, Step::Open(one, starts));
             }
             self.machines[one].store.number = Some(self.draw(u64::MAX) | 1);
         }
@@ -123,13 +123,13 @@
         self.handle(one, event);
     }
 
-    pub fn synced(&mut self, one: usize, life: u64) {
-        if !self.lives(one, life) {
+    pub fn synced(&mut self, one: usize, starts: u64) {
+        if !self.lives(one, starts) {
             return;
         }
         let hangs_until = self.machines[one].store.hangs_until;
         if self.now < hangs_until {
-            return self.at(hangs_until - self.now, Step::Synced(one, life));
+            return self.at(hangs_until - self.now, Step::Synced(one, starts));
         }
         let store = &mut self.machines[one].store;
         let Some((number, record)) = store.pending.pop_front() else { return };
@@ -149,7 +149,7 @@
         let store = &mut self.machines[one].store;
         store.full = full.unwrap_or(store.full);
         store.hangs_until = store.hangs_until.max(self.now + hangs);
-        // A disk in trouble is the machine's own; the core stays settled.
-        self.judge.trouble(one, false, self.now + hangs);
+        // A disk in fault_until is the machine's own; the core stays settled.
+        self.judge.fault_until(one, false, self.now + hangs);
     }
 }
--- a/crates/brassport-control-plane/tests/it/sim/script/mod.rs
+++ b/crates/brassport-control-plane/tests/it/sim/script/mod.rs
@@ -81,7 +81,7 @@
         flaw: Option<Flaw>,
         routes: usize,
     },
-    /// The next version, on top of the one that some door goes by.
+    /// The next version, on top of the one that some node goes by.
     Next,
     /// The next version, on top of the newest that was acknowledged.
     Append,
@@ -124,13 +124,13 @@
         once: bool,
         name: String,
     },
-    Beats {
+    Heartbeats {
         id: String,
         service: String,
         via: Option<String>,
     },
     Dies(String),
-    LateBeat(String, String),
+    LateHeartbeat(String, String),
     Expect(Expect),
 }
 
--- a/crates/brassport-control-plane/tests/it/sim/script/parse.rs
+++ b/crates/brassport-control-plane/tests/it/sim/script/parse.rs
@@ -129,7 +129,7 @@
             asked(words, ask)?
         }
         "backend" => backend(words)?,
-        "late" => late_beat(words)?,
+        "late" => late_heartbeat(words)?,
         "expect" => Statement::Expect(expect(words)?),
         "seeds" => seeds(words)?,
         fault => return fault_statement(fault, words),
@@ -212,12 +212,12 @@
     Ok(Statement::Seeds(machine, words.machines()?))
 }
 
-fn late_beat(words: &mut Words) -> Read<Statement> {
+fn late_heartbeat(words: &mut Words) -> Read<Statement> {
     words.want("beat")?;
     words.want("of")?;
     let id = words.next("a backend")?.to_owned();
     words.want("reaches")?;
-    Ok(Statement::LateBeat(id, words.next(WHO)?.to_owned()))
+    Ok(Statement::LateHeartbeat(id, words.next(WHO)?.to_owned()))
 }
 
 fn operator(words: &mut Words) -> Read<Ask> {
@@ -275,7 +275,7 @@
             true => Some(words.next("a machine")?.to_owned()),
             false => None,
         };
-        return Ok(Statement::Beats { id, service, via });
+        return Ok(Statement::Heartbeats { id, service, via });
     }
     if words.take("dies") {
         return Ok(Statement::Dies(id));
