--- a/crates/brassport-control-plane/tests/it/catch_up.rs
+++ b/crates/brassport-control-plane/tests/it/catch_up.rs
@@ -1,4 +1,4 @@
-//! A machine that was away over many changes goes by the newest soon after it is back: half of `catchUpS` (4 s), where the
+//! A machine that was away over many changes applies the newest soon after it is back: half of `catchUpS` (4 s), where the
 //! bytes that it lacks fit through the link by then.
 
 use crate::sim::{self, script, Sim};
@@ -17,7 +17,7 @@
         .collect()
 }
 
-/// Plays it; the milliseconds from a time until the machine goes by the newest version.
+/// Plays it; the milliseconds from a time until the machine applies the newest version.
 fn caught_up(text: &str, machine: usize, since: u64, changes: usize) -> u64 {
     let mut sim = Sim::new(script::parse(text).expect("it makes sense"));
     sim.run();
@@ -41,7 +41,7 @@
 #[test_case(AWAY, 2; "one with a disk that was away")]
 #[test_case(WIPED, 2; "one whose disk was lost")]
 #[test_case(CUT, 2; "one that was cut off")]
-#[test_case(PLAIN, 4; "a door without a disk")]
+#[test_case(PLAIN, 4; "a node without a disk")]
 #[test_case(FULL, 2; "one whose disk was full")]
 fn a_node_catches_up_over_a_thousand_changes(loss: &str, machine: usize) {
     let text = format!(
@@ -95,7 +95,7 @@
     assert!(at <= of * 8 / 2_000 * 11 / 10 + BOUND, "{at} ms");
 }
 
-/// The source of a snapshot falls silent when a part of it is there: another goes on where it ended.
+/// The source of a snapshot falls silent when a part of it is there: another continues at that offset.
 #[test]
 fn a_download_continues_from_another_source() {
     let text = "machines 1 disks, 3 plain, zones a\nlink 2mbit\nsurvive 0\nup 0 1 2\n\
--- a/crates/brassport-control-plane/tests/it/configuration_latency.rs
+++ b/crates/brassport-control-plane/tests/it/configuration_latency.rs
@@ -1,6 +1,6 @@
-//! The operators' other bounds on a word, each held with half to spare: `confirmS` (4 s) from sending to the
-//! acknowledgement, over the loss of the leader; `catchUpS` (4 s) until a machine that comes back goes by the newest word;
-//! `recoverS` (15 s) until a word is taken behind a restart of all.
+//! The operators' other bounds on a configuration, each kept with half to spare: `confirmS` (4 s) from sending to the
+//! acknowledgement, over the loss of the leader; `catchUpS` (4 s) until a machine that comes back applies the newest configuration;
+//! `recoverS` (15 s) until a configuration is committed after a restart of all.
 
 use crate::sim::{script, Sim};
 use test_case::test_case;
@@ -33,7 +33,7 @@
     assert!(at(1.0) <= most, "{what}: {} ms, and {most} are half of what is allowed", at(1.0));
 }
 
-/// When the `nth` word was acknowledged.
+/// When the `nth` configuration was acknowledged.
 fn acknowledged(sim: &Sim, nth: usize) -> u64 {
     sim.judge.acknowledged.get(nth).map_or(u64::MAX, |(.., at)| *at)
 }
@@ -52,7 +52,7 @@
 }
 
 #[test_case("3"; "a machine with a disk")]
-#[test_case("10"; "a door without one")]
+#[test_case("10"; "a node without one")]
 fn a_node_that_returns_applies_the_newest_configuration_in_time(machine: &str) {
     let text = format!(
         "machines 4 disks, 7 plain, zones a b c\nat 4.0 operator next as first\nat MOMENT kill {machine}\n\
--- a/crates/brassport-control-plane/tests/it/golden/frames.rs
+++ b/crates/brassport-control-plane/tests/it/golden/frames.rs
@@ -47,7 +47,7 @@
     fixture::check(PACKAGE, "message_parts", &cases);
 }
 
-/// A record of an older process says nothing of its age.
+/// A record of an older process has no age.
 #[test]
 fn a_backend_without_an_age_is_read() {
     let bytes = frame::encode(&backend(BackendState::Ready));
--- a/crates/brassport-control-plane/tests/it/golden/mod.rs
+++ b/crates/brassport-control-plane/tests/it/golden/mod.rs
@@ -1,4 +1,4 @@
-//! Golden bytes: what processes say to one another as frames, what is lent, and what callers read and send, held against
+//! Golden bytes: what processes say to one another as frames, quota grants, and what callers read and send, compared with
 //! fixtures in `tests/golden`. A change of names in the sources must not change one of them.
 
 #[path = "../../../../brassport-transport/tests/common/fixture.rs"]
--- a/crates/brassport-control-plane/tests/it/mutants.rs
+++ b/crates/brassport-control-plane/tests/it/mutants.rs
@@ -1,4 +1,4 @@
-//! Each fault that is let into the control plane on purpose is found by a scenario.
+//! Each deliberate fault of the control plane is detected by a scenario.
 
 use crate::sim::{self, script};
 use brassport_config_store::consensus::mutants::{activate, Mutant};
--- a/crates/brassport-control-plane/tests/it/propagation_latency.rs
+++ b/crates/brassport-control-plane/tests/it/propagation_latency.rs
@@ -1,27 +1,27 @@
-//! How long behind its acknowledgement a word is in force at each door: the operators' bound is `applyS`, 2 s on the small
-//! sites. Half of that must hold at every door, with nothing wrong and with loss.
+//! How long after its acknowledgement a configuration is in force at each node: the bound is `applyS`, 2 s on the small
+//! sites. Half of that must hold at every node, with nothing wrong and with loss.
 
 use crate::sim::{script, Sim};
 use std::fmt::Write;
 use test_case::test_case;
 
-/// Ten words, one each second.
-fn words(disks: usize, plain: usize, seed: u64, more: &str) -> String {
+/// Ten configurations, one each second.
+fn configurations(disks: usize, plain: usize, seed: u64, more: &str) -> String {
     let mut text = format!("machines {disks} disks, {plain} plain, zones a b c\nseed {seed}\n{more}");
-    for word in 0..10 {
-        let (at, below) = (8 + word, if word == 0 { 0 } else { 9 + word });
+    for number in 0..10 {
+        let (at, below) = (8 + number, if number == 0 { 0 } else { 9 + number });
         let ms = (seed * 37) % 1000;
-        let _ = writeln!(text, "at {at}.{ms:03} operator put v{} on {below} as w{word}", 10 + word);
+        let _ = writeln!(text, "at {at}.{ms:03} operator put v{} on {below} as w{number}", 10 + number);
     }
     text + "lasts 22s\n"
 }
 
-#[test_case(3, 9, "", 20; "12 doors")]
-#[test_case(4, 7, "sync 5ms\n", 20; "11 doors with slow disks")]
-#[test_case(3, 9, "at 6 loss 5%\n", 20; "12 doors and one message in twenty lost")]
-#[test_case(8, 58, "link 2mbit\n", 4; "66 doors with narrow links")]
-#[test_case(8, 88, "link 2mbit\n", 4; "96 doors with narrow links")]
-#[test_case(8, 88, "link 2mbit\nat 6 loss 2%\n", 4; "96 doors with narrow links and loss")]
+#[test_case(3, 9, "", 20; "12 nodes")]
+#[test_case(4, 7, "sync 5ms\n", 20; "11 nodes with slow disks")]
+#[test_case(3, 9, "at 6 loss 5%\n", 20; "12 nodes and one message in twenty lost")]
+#[test_case(8, 58, "link 2mbit\n", 4; "66 nodes with narrow links")]
+#[test_case(8, 88, "link 2mbit\n", 4; "96 nodes with narrow links")]
+#[test_case(8, 88, "link 2mbit\nat 6 loss 2%\n", 4; "96 nodes with narrow links and loss")]
 fn a_configuration_is_in_force_at_every_node_within_half_of_the_bound(
     disks: usize,
     plain: usize,
@@ -30,7 +30,7 @@
 ) {
     let mut delays = Vec::new();
     for seed in 0..seeds {
-        let script = script::parse(&words(disks, plain, seed, more)).expect("it makes sense");
+        let script = script::parse(&configurations(disks, plain, seed, more)).expect("it makes sense");
         let mut sim = Sim::new(script);
         sim.run();
         assert!(sim.judge.broken.is_empty(), "seed {seed}: {:?}", sim.judge.broken);
@@ -39,14 +39,14 @@
     }
     delays.sort_unstable();
     let all = delays.len();
-    assert_eq!(all as u64, seeds * 10 * (disks + plain) as u64, "some door never had a word");
+    assert_eq!(all as u64, seeds * 10 * (disks + plain) as u64, "some node never had a configuration");
     let at = |share: f64| delays[((all - 1) as f64 * share) as usize];
     println!(
-        "{} doors {more:?}: half {} ms, 99 in 100 {} ms, most {} ms of {all}",
+        "{} nodes {more:?}: half {} ms, 99 in 100 {} ms, most {} ms of {all}",
         disks + plain,
         at(0.5),
         at(0.99),
         at(1.0)
     );
-    assert!(at(1.0) <= 1_000, "a door had a word only after {} ms", at(1.0));
+    assert!(at(1.0) <= 1_000, "a node had a configuration only after {} ms", at(1.0));
 }
--- a/crates/brassport-control-plane/tests/it/sim/callers.rs
+++ b/crates/brassport-control-plane/tests/it/sim/callers.rs
@@ -167,7 +167,7 @@
         }
     }
 
-    /// A beat that was sent before the last one comes now.
+    /// A heartbeat that was sent before the last one comes now.
     pub fn late_heartbeat(&mut self, id: &str, to: usize) -> Result<(), String> {
         let server = self.callers.servers.get(id).ok_or_else(|| format!("there is no backend {id}"))?;
         let call = heartbeat(id, server, server.count.saturating_sub(1), "ready");
@@ -317,7 +317,7 @@
         "status": {"state": state, "callCount": count, "warmupLeftS": 0}
     });
     let path = format!("/Servers.CheckIn/{id}");
-    Call::decode("POST", &path, None, body.to_string().into_bytes()).expect("a beat can be decoded")
+    Call::decode("POST", &path, None, body.to_string().into_bytes()).expect("a heartbeat can be decoded")
 }
 
 /// A configuration; each name gives another.
--- a/crates/brassport-control-plane/tests/it/sim/judge.rs
+++ b/crates/brassport-control-plane/tests/it/sim/judge.rs
@@ -1,4 +1,4 @@
-//! What must hold in every run, whatever the scenario says. The bounds are stricter than the operators' pages: a word or
+//! What must hold in every run, whatever the scenario says. The bounds are stricter than the operators' pages: a configuration or
 //! an end that was acknowledged is known within 1 s at each machine in touch (the pages: `applyS`, `drainS` of 2 s).
 //!
 //! A machine is in touch once its own fault_until is over for 1 s (it ran, was not frozen, and had a path both ways to each
@@ -100,7 +100,7 @@
         self.first_applied.get(&(one, version)).copied()
     }
 
-    /// For each acknowledged word and each machine: how long behind the acknowledgement the machine went by it, or by a
+    /// For each acknowledged configuration and each machine: how long after it the machine applied it, or by a
     /// newer one. A machine that never did is left out.
     pub fn delays(&self) -> Vec<Millis> {
         let mut delays = Vec::new();
@@ -214,8 +214,8 @@
 
     pub fn check(&mut self, now: Millis) {
         let due = |at: Millis| now >= at + KNOWN_WITHIN;
-        let word = self.acknowledged.iter().filter(|(.., at)| due(*at)).map(|(version, ..)| *version).max();
-        let word = word.unwrap_or_default();
+        let newest = self.acknowledged.iter().filter(|(.., at)| due(*at)).map(|(version, ..)| *version).max();
+        let newest = newest.unwrap_or_default();
         let ends: Vec<String> =
             self.ends.iter().filter(|(_, at)| due(*at)).map(|(id, _)| id.clone()).collect();
         for one in 0..self.seen.len() {
@@ -223,8 +223,8 @@
                 continue;
             }
             let mut faults = Vec::new();
-            if self.version(one) < word {
-                faults.push(format!("machine {one} is in touch and does not have v{word}"));
+            if self.version(one) < newest {
+                faults.push(format!("machine {one} is in touch and does not have v{newest}"));
             }
             for id in &ends {
                 let state = self.state(one, id);
--- a/crates/brassport-control-plane/tests/it/sim/mod.rs
+++ b/crates/brassport-control-plane/tests/it/sim/mod.rs
@@ -27,11 +27,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// Between two ticks of a process; between two looks of the judge; between two beats of a backend.
+/// Between two ticks of a process; between two checks of the judge; between two heartbeats of a backend.
 const TICK: Millis = 60;
 const CHECK_INTERVAL: Millis = 50;
 pub const HEARTBEAT_INTERVAL: Millis = 1_000;
-/// A machine that was told to end does so by then (`graceS`).
+/// A machine that shuts down has ended by then, in ms (`graceS`).
 const GRACE: Millis = 6_000;
 /// One way between a caller and a machine.
 const CALLER: Millis = 3;
@@ -52,7 +52,7 @@
     Heartbeat(String),
     Line(usize),
     Thawed(usize),
-    /// A machine that was told to end looks whether it may: since when it was told, and how long it stays at the least.
+    /// A machine that shuts down checks whether it may end: its start, since when, and how long it stays at the least.
     Ends(usize, u64, Millis, Millis),
     Check,
 }
@@ -72,7 +72,7 @@
     pub names: BTreeMap<String, usize>,
     pub callers: Callers,
     pub judge: Judge,
-    /// Machines that were told to end, and how long they took.
+    /// Machines that were shut down, and how many ms they took.
     pub ended: Vec<(usize, Millis)>,
     /// What was expected and is not so.
     pub failed: Vec<String>,
