--- a/crates/brassport-control-plane/src/backends/mod.rs
+++ b/crates/brassport-control-plane/src/backends/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! The table is soft state under leases. Two copies of a record are compared by the count of calls that made them, so that
 //! copies merge in any order to the same: a late heartbeat undoes nothing, and a deregistration ends an incarnation for
-//! good. Changes are disseminated at once ([`dissemination`]), and what is missed is repaired by digests of the table's
-//! ranges ([`repair`]).
+//! good. Changes are disseminated at once (`dissemination`), and what is missed is repaired by digests of the table's
+//! ranges (`repair`).
 
 mod calls;
 mod dissemination;
--- a/crates/brassport-control-plane/src/membership/mod.rs
+++ b/crates/brassport-control-plane/src/membership/mod.rs
@@ -1,12 +1,12 @@
 //! Who votes: the leader reconciles the set of voters with the nodes that there are, by one committed step at a time.
 //!
 //! - A node of the core that has no vote requests one from the leader, again and again, and says how far it knows the log
-//!   ([`join`]). It is let in once it has caught up.
+//!   (`join`). It is let in once it has caught up.
 //! - A voter that does not answer heartbeats is removed as soon as those who stay and those who wait for a vote tolerate the
-//!   losses that are required ([`reconcile`]). It goes *before* its successor comes: so a successor that is lost at once
+//!   losses that are required (`reconcile`). It goes *before* its successor comes: so a successor that is lost at once
 //!   leaves no second unresponsive voter behind.
 //! - A voter that is shutting down says so, and ends once a majority of those who stay knows all that it knows
-//!   ([`leave`]).
+//!   (`leave`).
 //!
 //! The leader decides, and each decision is an entry of the log like any other.
 
