--- a/crates/brassport-control-plane/src/backends/calls.rs
+++ b/crates/brassport-control-plane/src/backends/calls.rs
@@ -9,7 +9,7 @@
 
 impl ControlPlane {
     /// The port that backends call on every node: from here on a backend is redirected to a node of its own zone.
-    pub fn call_near(&mut self, control_port: u16) {
+    pub fn set_control_port(&mut self, control_port: u16) {
         self.backends.control_port = Some(control_port);
     }
 
--- a/crates/brassport-control-plane/src/gossip.rs
+++ b/crates/brassport-control-plane/src/gossip.rs
@@ -138,7 +138,7 @@
             index: self.replica.state().index,
             table_digest: self.backends.table.digest(),
             leader: self.leader_hint(),
-            peers: self.view.sample_for_exchange(now, to),
+            peers: self.view.shuffle_sample(now, to),
             wants_reply: exchange == Exchange::Begin,
         };
         self.outbox.send(to, PeerMessage::Gossip(gossip));
--- a/crates/brassport-control-plane/src/membership/fault_tolerance.rs
+++ b/crates/brassport-control-plane/src/membership/fault_tolerance.rs
@@ -23,7 +23,7 @@
 
     /// Whether voters in these zones keep a majority over each loss. A voter whose zone is unknown counts as one in a zone
     /// of its own.
-    pub fn is_borne_by(&self, zones: &[Option<&str>]) -> bool {
+    pub fn is_tolerated_by(&self, zones: &[Option<&str>]) -> bool {
         let lost_with_zones = largest_groups(zones.iter().copied(), self.zones);
         let region = |zone: &Option<&str>| zone.and_then(|zone| self.region_of.get(zone)).map(String::as_str);
         let lost_with_regions = largest_groups(zones.iter().map(region), self.regions);
--- a/crates/brassport-control-plane/src/membership/reconcile.rs
+++ b/crates/brassport-control-plane/src/membership/reconcile.rs
@@ -47,7 +47,7 @@
     /// Whether the voters tolerate all losses that are required.
     pub(crate) fn is_fault_tolerant(&self) -> bool {
         let zones = self.membership.zones_of(self.replica.state().voters.iter());
-        self.options.fault_tolerance.is_borne_by(&zones)
+        self.options.fault_tolerance.is_tolerated_by(&zones)
     }
 
     /// Changes the set of voters by one, if it is not as it ought to be; cuts quota shares anew with it, or for more nodes.
@@ -129,7 +129,7 @@
         let joining: Vec<VoterId> = self.caught_up().collect();
         let after: Vec<&VoterId> = voters.iter().filter(|other| **other != voter).chain(&joining).collect();
         let zones = self.membership.zones_of(after.iter().copied());
-        self.options.fault_tolerance.is_borne_by(&zones)
+        self.options.fault_tolerance.is_tolerated_by(&zones)
             || (!self.is_fault_tolerant() && after.len() >= voters.len())
     }
 
--- a/crates/brassport-control-plane/src/quota.rs
+++ b/crates/brassport-control-plane/src/quota.rs
@@ -31,7 +31,7 @@
 
     /// How many nodes have reported usage of late.
     pub(crate) fn reporting_nodes(&self, now: crate::Millis) -> usize {
-        self.lender.doors(now)
+        self.lender.live_nodes(now)
     }
 }
 
--- a/crates/brassport-control-plane/tests/it/golden/replies.rs
+++ b/crates/brassport-control-plane/tests/it/golden/replies.rs
@@ -113,7 +113,7 @@
 #[test]
 fn a_heartbeat_from_another_zone_is_redirected_to_a_node_there() {
     let mut machine = Machine::leading();
-    machine.control.call_near(8_381);
+    machine.control.set_control_port(8_381);
     let near = PeerRecord { zone: "zone-b".to_owned(), ..member(OTHER, 0) };
     machine.take(from(OTHER, gossip(near, 0, false)));
     machine.call(1, Call::Heartbeat(backend(BackendState::Ready)));
--- a/crates/brassport-data-plane/src/policy_settings.rs
+++ b/crates/brassport-data-plane/src/policy_settings.rs
@@ -153,7 +153,7 @@
             classes: self.classes.0.iter().map(ClassKey::class).collect(),
             plans: self.plans.plans.clone(),
             max_units: UNITS,
-            meter_period: brassport_quota::PERIOD as f64,
+            meter_period: brassport_quota::METER_PERIOD_MS as f64,
             max_attempts,
             may_duplicate: false,
             may_cancel: true,
--- a/crates/brassport-data-plane/src/tenant_quotas.rs
+++ b/crates/brassport-data-plane/src/tenant_quotas.rs
@@ -4,7 +4,7 @@
 use brassport_policy::{CustomerId, Millis, Settings};
 use brassport_proxy::clock::Clock;
 use brassport_proxy::dispatch;
-use brassport_quota::{Borrower, QuotaGrant, RateLimit, TenantId, UsageReport, PERIOD};
+use brassport_quota::{Borrower, QuotaGrant, RateLimit, TenantId, UsageReport, METER_PERIOD_MS};
 use brassport_types::Term;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -59,7 +59,7 @@
     /// Counts a request that came, whatever becomes of it.
     pub fn record_offered(&self, tenant: TenantId) {
         if tenant != NO_TENANT {
-            self.borrower.borrow_mut().offered(self.now(), tenant);
+            self.borrower.borrow_mut().count_offered(self.now(), tenant);
         }
     }
 
@@ -70,7 +70,7 @@
         let is_near = borrower
             .reading(now, tenant)
             .is_some_and(|sent| f64::from(sent) >= NEAR_LIMIT * limit.rate_per_s);
-        limit.rate_per_s > 0.0 && (is_near || borrower.refused_lately(now, tenant))
+        limit.rate_per_s > 0.0 && (is_near || borrower.rejected_recently(now, tenant))
     }
 
     /// Whether some tenant has little left here: its usage is to be reported without delay.
@@ -95,7 +95,7 @@
     /// Takes one attempt of a tenant's quota, also where nothing is left: those that come next make up for it.
     pub(crate) fn force_take(&self, tenant: TenantId) {
         if tenant != NO_TENANT {
-            self.borrower.borrow_mut().take_anyway(self.now(), tenant);
+            self.borrower.borrow_mut().overdraw(self.now(), tenant);
         }
     }
 
@@ -108,7 +108,7 @@
             return Ok(());
         }
         let limit = self.limit(tenant);
-        self.borrower.borrow_mut().take(self.now(), tenant, limit, self.shares.get())
+        self.borrower.borrow_mut().try_acquire(self.now(), tenant, limit, self.shares.get())
     }
 }
 
@@ -142,7 +142,7 @@
     fn reading(&mut self, _: Millis, customer: CustomerId, plan: usize) -> Option<f64> {
         let rate = self.rates_per_s.get(plan).copied().filter(|rate| *rate > 0.0)?;
         let sent = self.quotas.borrower.borrow().reading(self.quotas.now(), tenant_of(customer))?;
-        Some(f64::from(sent) / (rate * PERIOD as f64 / 1000.0))
+        Some(f64::from(sent) / (rate * METER_PERIOD_MS as f64 / 1000.0))
     }
 
     fn apply_settings(&mut self, settings: &Settings) {
--- a/crates/brassport-gateway/src/node/build.rs
+++ b/crates/brassport-gateway/src/node/build.rs
@@ -131,7 +131,7 @@
     };
     let mut control = ControlPlane::new(options, 0);
     if let Some(at) = settings.listen_on.control {
-        control.call_near(at.port());
+        control.set_control_port(at.port());
     }
     control
 }
--- a/crates/brassport-quota/src/account.rs
+++ b/crates/brassport-quota/src/account.rs
@@ -3,7 +3,7 @@
 use crate::rate_limit::NodeShare;
 use crate::retry_advice::{LenderContact, RetryAdvice};
 use crate::token_bucket::TokenBucket;
-use crate::{Millis, QuotaGrant, TenantId, UsageReport, PERIOD};
+use crate::{Millis, QuotaGrant, TenantId, UsageReport, METER_PERIOD_MS};
 
 /// What all nodes sent in the last complete meter period, and when that was received.
 #[derive(Debug)]
@@ -96,7 +96,7 @@
     /// What all nodes sent in the last complete meter period, unless the reading is older than two periods.
     pub(crate) fn reading(&self, now: Millis) -> Option<u32> {
         let reading = self.reading.as_ref()?;
-        (now < reading.received_at + 2 * PERIOD).then_some(reading.sent_by_all)
+        (now < reading.received_at + 2 * METER_PERIOD_MS).then_some(reading.sent_by_all)
     }
 
     /// The report for the lender; none if it would say the same as the last one and asks for nothing.
--- a/crates/brassport-quota/src/borrower.rs
+++ b/crates/brassport-quota/src/borrower.rs
@@ -3,7 +3,7 @@
 use crate::account::Account;
 use crate::mutants::{is_active, Mutant};
 use crate::retry_advice::LenderContact;
-use crate::{Millis, QuotaGrant, RateLimit, TenantId, Term, UsageReport, GRANT_TIMEOUT_MS, PERIOD};
+use crate::{Millis, QuotaGrant, RateLimit, TenantId, Term, UsageReport, GRANT_TIMEOUT_MS, METER_PERIOD_MS};
 use std::collections::BTreeMap;
 
 /// A tenant without a request for so long is forgotten, so that the table holds those in use alone.
@@ -16,7 +16,7 @@
 
 /// One node's counts and shares of all tenants.
 ///
-/// The host calls [`Borrower::take`] for each request, sends [`Borrower::report`] to the lender at its period and at once
+/// The host calls [`Borrower::try_acquire`] for each request, sends [`Borrower::report`] to the lender at its period and at once
 /// when [`Borrower::is_urgent`] says so, and passes the answer to [`Borrower::apply_grants`].
 #[derive(Debug, Default)]
 pub struct Borrower {
@@ -32,7 +32,7 @@
 
 impl Borrower {
     /// Counts a request that came.
-    pub fn offered(&mut self, now: Millis, tenant: TenantId) {
+    pub fn count_offered(&mut self, now: Millis, tenant: TenantId) {
         self.account(now, tenant).count_offered();
     }
 
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     /// The part is used up: the milliseconds after which the client should retry.
-    pub fn take(
+    pub fn try_acquire(
         &mut self,
         now: Millis,
         tenant: TenantId,
@@ -78,7 +78,7 @@
     }
 
     /// Counts a request that passes in any case; those that come next make up for it.
-    pub fn take_anyway(&mut self, now: Millis, tenant: TenantId) {
+    pub fn overdraw(&mut self, now: Millis, tenant: TenantId) {
         self.account(now, tenant).overdraw();
     }
 
@@ -88,9 +88,9 @@
     }
 
     /// Whether a request of the tenant was rejected here within the last two meter periods.
-    pub fn refused_lately(&self, now: Millis, tenant: TenantId) -> bool {
+    pub fn rejected_recently(&self, now: Millis, tenant: TenantId) -> bool {
         let rejected = self.accounts.get(&tenant).and_then(Account::last_rejection);
-        rejected.is_some_and(|at| now < at + 2 * PERIOD)
+        rejected.is_some_and(|at| now < at + 2 * METER_PERIOD_MS)
     }
 
     /// What all nodes sent of a tenant in the last complete meter period; none if nothing fresh is known of it.
--- a/crates/brassport-quota/src/lender.rs
+++ b/crates/brassport-quota/src/lender.rs
@@ -3,7 +3,7 @@
 
 use crate::mutants::{is_active, Mutant};
 use crate::token_bucket::TokenBucket;
-use crate::{Incarnation, Millis, QuotaGrant, RateLimit, TenantId, UsageReport, PERIOD};
+use crate::{Incarnation, Millis, QuotaGrant, RateLimit, TenantId, UsageReport, METER_PERIOD_MS};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -99,7 +99,7 @@
     }
 
     /// How many nodes have reported lately.
-    pub fn doors(&self, now: Millis) -> usize {
+    pub fn live_nodes(&self, now: Millis) -> usize {
         self.nodes.values().filter(|node| now < node.last_report + NODE_TIMEOUT_MS).count()
     }
 
@@ -134,7 +134,7 @@
 
     /// Ends a meter period that is over, and forgets nodes that are gone for good.
     fn end_period_if_over(&mut self, now: Millis) {
-        if now < self.period_start + PERIOD {
+        if now < self.period_start + METER_PERIOD_MS {
             return;
         }
         self.period_start = now;
--- a/crates/brassport-quota/src/lib.rs
+++ b/crates/brassport-quota/src/lib.rs
@@ -20,7 +20,7 @@
 //! lender.begin(0);
 //!
 //! // With nothing granted, one of ten nodes has its base.
-//! assert!(node.take(1_000, tenant, limit, 10).is_ok());
+//! assert!(node.try_acquire(1_000, tenant, limit, 10).is_ok());
 //!
 //! // It reports, is granted what it wants, and spends that first.
 //! let (number, usage) = node.report(1_000);
@@ -29,7 +29,7 @@
 //! assert!(grants[0].requests > 0);
 //! node.apply_grants(1_004, Term::ZERO, number, &grants);
 //! for _ in 0..grants[0].requests {
-//!     assert!(node.take(1_005, tenant, limit, 10).is_ok());
+//!     assert!(node.try_acquire(1_005, tenant, limit, 10).is_ok());
 //! }
 //! ```
 #![forbid(unsafe_code)]
@@ -55,4 +55,4 @@
 /// may be under way: several periods of the reports, and longer than a lender without a majority goes on (600 ms).
 pub const GRANT_TIMEOUT_MS: Millis = 900;
 /// The meter period, in milliseconds: how often a reading is made.
-pub const PERIOD: Millis = 1_000;
+pub const METER_PERIOD_MS: Millis = 1_000;
--- a/crates/brassport-quota/tests/it/borrower.rs
+++ b/crates/brassport-quota/tests/it/borrower.rs
@@ -1,7 +1,7 @@
 //! A node's side: which grants count, what is reported, and what is urgent.
 
 use brassport_quota::{
-    Borrower, Millis, QuotaGrant, RateLimit, TenantId, Term, UsageReport, GRANT_TIMEOUT_MS, PERIOD,
+    Borrower, Millis, QuotaGrant, RateLimit, TenantId, Term, UsageReport, GRANT_TIMEOUT_MS, METER_PERIOD_MS,
 };
 use brassport_types::DiskId;
 
@@ -24,7 +24,7 @@
 
 /// How many requests pass until one is rejected.
 fn passing(node: &mut Borrower, now: Millis) -> usize {
-    (0..1_000).take_while(|_| node.take(now, TENANT, LIMIT, QUOTA_SHARES).is_ok()).count()
+    (0..1_000).take_while(|_| node.try_acquire(now, TENANT, LIMIT, QUOTA_SHARES).is_ok()).count()
 }
 
 #[test]
@@ -67,14 +67,14 @@
     let (mut node, number) = exhausted(1_000);
     node.apply_grants(1_001, TERM, number, &grant(3));
     let lowered = RateLimit { rate_per_s: 10.0, burst: 4.0 };
-    let passed = (0..10).filter(|_| node.take(1_001, TENANT, lowered, QUOTA_SHARES).is_ok()).count();
+    let passed = (0..10).filter(|_| node.try_acquire(1_001, TENANT, lowered, QUOTA_SHARES).is_ok()).count();
     assert_eq!(passed, 1);
 }
 
 #[test]
 fn an_overdraft_is_made_up_for_by_later_grants() {
     let (mut node, number) = exhausted(1_000);
-    node.take_anyway(1_001, TENANT);
+    node.overdraw(1_001, TENANT);
     node.apply_grants(1_002, TERM, number, &grant(3));
     assert_eq!(passing(&mut node, 1_002), 2);
 }
@@ -84,8 +84,8 @@
     let mut node = Borrower::default();
     let unlimited = RateLimit { rate_per_s: 0.0, burst: 0.0 };
     for _ in 0..500 {
-        node.offered(1_000, TENANT);
-        assert_eq!(node.take(1_000, TENANT, unlimited, QUOTA_SHARES), Ok(()));
+        node.count_offered(1_000, TENANT);
+        assert_eq!(node.try_acquire(1_000, TENANT, unlimited, QUOTA_SHARES), Ok(()));
     }
     let (_, usage) = node.report(1_000);
     assert_eq!(usage, [UsageReport { tenant: TENANT, offered: 500, sent: 500, wanted: 0 }]);
@@ -94,7 +94,7 @@
 #[test]
 fn unchanged_counts_are_reported_once() {
     let mut node = Borrower::default();
-    node.offered(1_000, TENANT);
+    node.count_offered(1_000, TENANT);
     assert_eq!(node.report(1_000), (1, vec![UsageReport { tenant: TENANT, offered: 1, sent: 0, wanted: 0 }]));
     assert_eq!(node.report(1_400), (2, Vec::new()));
 }
@@ -102,9 +102,9 @@
 #[test]
 fn an_idle_tenant_is_forgotten() {
     let mut node = Borrower::default();
-    node.offered(1_000, TENANT);
+    node.count_offered(1_000, TENANT);
     node.report(61_001);
-    node.offered(61_002, TENANT);
+    node.count_offered(61_002, TENANT);
     let (_, usage) = node.report(61_003);
     assert_eq!(usage[0].offered, 1);
 }
@@ -123,7 +123,7 @@
 fn readings_and_rejections_are_fresh_for_two_meter_periods() {
     let (mut node, number) = exhausted(1_000);
     node.apply_grants(1_000, TERM, number, &grant(0));
-    let (last, over) = (1_000 + 2 * PERIOD - 1, 1_000 + 2 * PERIOD);
+    let (last, over) = (1_000 + 2 * METER_PERIOD_MS - 1, 1_000 + 2 * METER_PERIOD_MS);
     assert_eq!((node.reading(last, TENANT), node.reading(over, TENANT)), (Some(40), None));
-    assert!(node.refused_lately(last, TENANT) && !node.refused_lately(over, TENANT));
+    assert!(node.rejected_recently(last, TENANT) && !node.rejected_recently(over, TENANT));
 }
--- a/crates/brassport-quota/tests/it/cluster/mod.rs
+++ b/crates/brassport-quota/tests/it/cluster/mod.rs
@@ -169,8 +169,8 @@
         self.offered += 1;
         let quota_shares = self.nodes.len() as u32;
         let borrower = &mut self.nodes[node].borrower;
-        borrower.offered(self.now, TENANT);
-        if borrower.take(self.now, TENANT, self.limit, quota_shares).is_ok() {
+        borrower.count_offered(self.now, TENANT);
+        if borrower.try_acquire(self.now, TENANT, self.limit, quota_shares).is_ok() {
             self.passed.push(self.now);
         }
         if borrower.is_urgent() {
--- a/crates/brassport-quota/tests/it/golden.rs
+++ b/crates/brassport-quota/tests/it/golden.rs
@@ -59,8 +59,8 @@
     for step in 1..=6_u64 {
         let now = step * 400;
         for _ in 0..40 {
-            node.offered(now, tenant);
-            let _ = node.take(now, tenant, limit, 4);
+            node.count_offered(now, tenant);
+            let _ = node.try_acquire(now, tenant, limit, 4);
         }
         let (number, used) = node.report(now);
         let grants = lender.lend(now, ([10, 0, 0, 1].into(), Incarnation(1)), &used, |_| Some(limit));
--- a/crates/brassport-quota/tests/it/lender.rs
+++ b/crates/brassport-quota/tests/it/lender.rs
@@ -1,6 +1,8 @@
 //! The lender's side: what it grants, and how it counts nodes and periods.
 
-use brassport_quota::{Incarnation, Lender, Millis, QuotaGrant, RateLimit, TenantId, UsageReport, PERIOD};
+use brassport_quota::{
+    Incarnation, Lender, Millis, QuotaGrant, RateLimit, TenantId, UsageReport, METER_PERIOD_MS,
+};
 use std::net::Ipv4Addr;
 
 const TENANT: TenantId = TenantId(7);
@@ -66,8 +68,8 @@
     report(&mut lender, 100, (OTHER_NODE, 2), 900, 0);
     report(&mut lender, 400, (NODE, 1), 510, 0);
     assert_eq!(report(&mut lender, 400, (OTHER_NODE, 2), 907, 0).sent_by_all, 0);
-    assert_eq!(report(&mut lender, PERIOD, (NODE, 1), 511, 0).sent_by_all, 17);
-    assert_eq!(report(&mut lender, 2 * PERIOD, (NODE, 1), 511, 0).sent_by_all, 1);
+    assert_eq!(report(&mut lender, METER_PERIOD_MS, (NODE, 1), 511, 0).sent_by_all, 17);
+    assert_eq!(report(&mut lender, 2 * METER_PERIOD_MS, (NODE, 1), 511, 0).sent_by_all, 1);
 }
 
 #[test]
@@ -75,7 +77,7 @@
     let mut lender = lender();
     report(&mut lender, 100, (NODE, 1), 500, 0);
     report(&mut lender, 400, (NODE, 9), 3, 0);
-    assert_eq!(report(&mut lender, PERIOD, (NODE, 9), 3, 0).sent_by_all, 3);
+    assert_eq!(report(&mut lender, METER_PERIOD_MS, (NODE, 9), 3, 0).sent_by_all, 3);
 }
 
 #[test]
@@ -83,7 +85,7 @@
     let mut lender = lender();
     report(&mut lender, 100, (NODE, 1), 0, 0);
     report(&mut lender, 1_100, (OTHER_NODE, 2), 0, 0);
-    assert_eq!(lender.doors(1_100), 2);
-    assert_eq!(lender.doors(4_100), 1);
-    assert_eq!(lender.doors(5_100), 0);
+    assert_eq!(lender.live_nodes(1_100), 2);
+    assert_eq!(lender.live_nodes(4_100), 1);
+    assert_eq!(lender.live_nodes(5_100), 0);
 }
--- a/crates/brassport-quota/tests/it/retry_advice.rs
+++ b/crates/brassport-quota/tests/it/retry_advice.rs
@@ -7,7 +7,7 @@
 
 /// The advice, in milliseconds, to those of so many requests at one moment that are rejected.
 fn advice(node: &mut Borrower, now: u64, count: usize) -> Vec<u64> {
-    (0..count).filter_map(|_| node.take(now, TenantId(7), LIMIT, QUOTA_SHARES).err()).collect()
+    (0..count).filter_map(|_| node.try_acquire(now, TenantId(7), LIMIT, QUOTA_SHARES).err()).collect()
 }
 
 #[test]
@@ -41,7 +41,9 @@
     // A share that takes far longer for one request than either advice.
     let slow = RateLimit { rate_per_s: 1.0, burst: 0.0 };
     let first_advice = |mut node: Borrower, now: u64| {
-        (0..10).find_map(|_| node.take(now, TenantId(7), slow, QUOTA_SHARES).err()).expect("a rejection")
+        (0..10)
+            .find_map(|_| node.try_acquire(now, TenantId(7), slow, QUOTA_SHARES).err())
+            .expect("a rejection")
     };
     assert_eq!(first_advice(Borrower::default(), NOW), 450);
     let with_lender = |answered_at: u64| {
--- a/crates/brassport-transport/src/links/listener.rs
+++ b/crates/brassport-transport/src/links/listener.rs
@@ -1,6 +1,6 @@
 //! The side of connections that receives.
 
-use super::{Inbound, IDLE_TIMEOUT};
+use super::{InboundFrames, IDLE_TIMEOUT};
 use crate::frame::MAX_FRAME_BYTES;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -15,7 +15,7 @@
 const READ_IDLE_TIMEOUT: Duration = IDLE_TIMEOUT.saturating_mul(2);
 
 /// Accepts connections and owns their readers.
-pub(super) async fn accept(listener: TcpListener, inbound: Inbound) {
+pub(super) async fn accept(listener: TcpListener, inbound: InboundFrames) {
     let mut readers = JoinSet::new();
     loop {
         match listener.accept().await {
@@ -30,7 +30,7 @@
 }
 
 /// Reads one connection's frames until its end or a fault.
-async fn read(mut stream: TcpStream, inbound: Inbound) {
+async fn read(mut stream: TcpStream, inbound: InboundFrames) {
     loop {
         let Ok(Ok(length)) = timeout(READ_IDLE_TIMEOUT, stream.read_u32()).await else { return };
         if length as usize > MAX_FRAME_BYTES {
--- a/crates/brassport-transport/src/links/mod.rs
+++ b/crates/brassport-transport/src/links/mod.rs
@@ -41,7 +41,7 @@
 const LISTEN_BACKLOG: u32 = 256;
 
 /// Where the bytes of frames that came in are sent to.
-pub type Inbound = mpsc::UnboundedSender<Vec<u8>>;
+pub type InboundFrames = mpsc::UnboundedSender<Vec<u8>>;
 
 /// This machine's address, and how others are reached.
 struct Addresses {
@@ -77,7 +77,7 @@
         me: Ipv4Addr,
         port: u16,
         reached_at: BTreeMap<Ipv4Addr, Ipv4Addr>,
-        inbound: Inbound,
+        inbound: InboundFrames,
     ) -> io::Result<Rc<Links>> {
         let addresses = Rc::new(Addresses { local: me, port, reached_at });
         let at = SocketAddrV4::new(me, port);
@@ -118,7 +118,7 @@
     }
 }
 
-async fn receive_datagrams(datagrams: Rc<UdpSocket>, inbound: Inbound) {
+async fn receive_datagrams(datagrams: Rc<UdpSocket>, inbound: InboundFrames) {
     let mut buffer = vec![0; DATAGRAM_BUFFER_BYTES];
     loop {
         match datagrams.recv_from(&mut buffer).await {
--- a/crates/brassport-transport/src/peer_sampling/view.rs
+++ b/crates/brassport-transport/src/peer_sampling/view.rs
@@ -113,7 +113,7 @@
     }
 
     /// Draws the records of a shuffle with a neighbour, with their ages. The neighbour's own is not among them.
-    pub fn sample_for_exchange(&mut self, now: Millis, with: Ipv4Addr) -> Vec<AgedRecord> {
+    pub fn shuffle_sample(&mut self, now: Millis, with: Ipv4Addr) -> Vec<AgedRecord> {
         let drawn = self.sample(SHUFFLE_RECORDS, |peer| peer.ip != with);
         let aged = |ip: &Ipv4Addr| {
             let entry = self.entries.get(ip)?;
--- a/crates/brassport-transport/tests/it/golden.rs
+++ b/crates/brassport-transport/tests/it/golden.rs
@@ -28,7 +28,7 @@
     for number in 1..4 {
         view.merge(1_000, AgedRecord { peer: peer_record(number), age_ms: 100 });
     }
-    let shuffled = view.sample_for_exchange(1_250, peer_record(1).ip);
+    let shuffled = view.shuffle_sample(1_250, peer_record(1).ip);
     assert_eq!(shuffled.len(), 2);
     let cases = [
         framed("member without a disk", &peer_record(1)),
--- a/crates/brassport-transport/tests/it/peer_sampling.rs
+++ b/crates/brassport-transport/tests/it/peer_sampling.rs
@@ -91,7 +91,7 @@
 fn a_shuffle_leaves_out_the_neighbour_and_ages_the_records() {
     let mut view = view_of(1..4);
     for _ in 0..100 {
-        let records = view.sample_for_exchange(NOW + 250, peer_record(1).ip);
+        let records = view.shuffle_sample(NOW + 250, peer_record(1).ip);
         assert_eq!(records.len(), 2);
         assert!(records.iter().all(|record| record.peer.ip != peer_record(1).ip && record.age_ms == 350));
     }
