--- a/crates/brassport-config-store/src/store/error.rs
+++ b/crates/brassport-config-store/src/store/error.rs
@@ -50,7 +50,15 @@
     }
 }
 
-impl std::error::Error for StoreError {}
+impl std::error::Error for StoreError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            StoreError::UnsupportedFormat { .. } | StoreError::Corrupt { .. } => None,
+            StoreError::SyncFolder { error, .. } => Some(error),
+            StoreError::Sqlite(error) => Some(error),
+        }
+    }
+}
 
 impl From<rusqlite::Error> for StoreError {
     fn from(error: rusqlite::Error) -> StoreError {
--- a/crates/brassport-config-store/tests/it/store.rs
+++ b/crates/brassport-config-store/tests/it/store.rs
@@ -220,3 +220,18 @@
     file.execute("DELETE FROM log", []).expect("it is kept");
     file.execute("UPDATE meta SET value = ?1 WHERE key = 'format'", [format]).expect("it is kept");
 }
+
+/// The cause of an error is at hand for whoever handles it by its kind.
+#[test]
+fn errors_of_disk_and_folder_have_their_source() {
+    use std::error::Error;
+    let missing = Path::new("/nonexistent/folder");
+    let error = Store::open(missing, DiskId(1)).expect_err("there is no folder");
+    let source = error.source().expect("the disk's error is its source");
+    assert!(source.is::<rusqlite::Error>(), "{source}");
+    let folder =
+        StoreError::SyncFolder { folder: missing.to_owned(), error: std::io::Error::other("no disk") };
+    assert!(folder.source().is_some_and(|source| source.is::<std::io::Error>()));
+    let format = StoreError::UnsupportedFormat { file: missing.to_owned(), found: 9 };
+    assert!(format.source().is_none());
+}
