--- a/crates/brassport-config-store/tests/it/configuration/changes.rs
+++ b/crates/brassport-config-store/tests/it/configuration/changes.rs
@@ -1,6 +1,6 @@
 //! Changes of named items.
 
-use super::{bytes, example, first, route, set, told, KEYS};
+use super::{bytes, error_text, example, first, route, set, KEYS};
 use brassport_config_store::configuration::{
     difference, Configuration, Document, Limits, RouteTable, Version,
 };
@@ -33,10 +33,10 @@
         Configuration { version: Version(7), ..after.configuration().clone() },
         *before.configuration()
     );
-    let left: Value = serde_json::from_slice(&after.to_bytes()).unwrap();
-    assert_eq!(left["hosts"].as_array().unwrap().len(), 2, "the host without routes goes");
-    assert_eq!(left["note"], example()["note"]);
-    assert_eq!(left["hosts"][0]["paths"][0], example()["hosts"][0]["paths"][0]);
+    let remaining: Value = serde_json::from_slice(&after.to_bytes()).unwrap();
+    assert_eq!(remaining["hosts"].as_array().unwrap().len(), 2, "the host without routes goes");
+    assert_eq!(remaining["note"], example()["note"]);
+    assert_eq!(remaining["hosts"][0]["paths"][0], example()["hosts"][0]["paths"][0]);
 }
 
 #[test]
@@ -70,8 +70,8 @@
     let index = RouteTable::new(after.configuration());
     assert!(index.route("jepu9.example", "/lepu270/2f").is_none());
     assert_eq!(index.route("hulo84.example", "/lepu270/2f").unwrap().name, "r-one");
-    let left: Value = serde_json::from_slice(&after.to_bytes()).unwrap();
-    assert_eq!(left["hosts"].as_array().unwrap().len(), 1);
+    let remaining: Value = serde_json::from_slice(&after.to_bytes()).unwrap();
+    assert_eq!(remaining["hosts"].as_array().unwrap().len(), 1);
 }
 
 #[test]
@@ -89,36 +89,37 @@
     assert!(index.route("jepu9.example", "/new/").is_none());
 }
 
-/// Bytes set to others: nothing panics, no key is told, and what is taken comes back the same.
+/// Bytes set to others: nothing panics, no key is printed, and what is accepted round-trips.
 #[test]
 fn corrupted_bodies_neither_panic_nor_print_keys() {
     let before = first();
-    let whole = bytes(&set("/version", json!("00000009")));
+    let complete = bytes(&set("/version", json!("00000009")));
     let change = bytes(&json!({"version": "00000009", "remove": {"routes": ["r-two"]}, "put": {
         "limits": {"idleWaitS": 4},
         "customers": [{"name": "third", "keys": ["another-key"]}],
         "hosts": [{"host": "x.example", "paths": [route("r-one", "/", "kafi81c")]}]
     }}));
-    let mut taken = 0;
-    for (body, apply) in [(whole, Document::replace as fn(&Document, &[u8]) -> _), (change, Document::change)]
+    let mut accepted = 0;
+    for (body, apply) in
+        [(complete, Document::replace as fn(&Document, &[u8]) -> _), (change, Document::change)]
     {
-        for place in 0..body.len() {
+        for position in 0..body.len() {
             for byte in *b"0-\"[]{}:,e \x00\xff" {
-                let mut spoilt = body.clone();
-                spoilt[place] = byte;
-                match apply(&before, &spoilt) {
+                let mut corrupted = body.clone();
+                corrupted[position] = byte;
+                match apply(&before, &corrupted) {
                     Ok(document) => {
                         assert_eq!(Document::from_bytes(&document.to_bytes()).as_ref(), Ok(&document));
-                        taken += 1;
+                        accepted += 1;
                     }
-                    Err(faults) => {
-                        told(&faults);
+                    Err(errors) => {
+                        error_text(&errors);
                     }
                 }
             }
         }
     }
-    assert!(taken > 0);
+    assert!(accepted > 0);
 }
 
 #[test]
@@ -152,7 +153,7 @@
 
 #[test_case(json!({"remove": {"services": ["huvo11a"]}}), "hosts[0].paths[0].split[0].service"; "a service in use goes")]
 #[test_case(json!({"put": {"hosts": [{"host": "x.example", "paths": [route("n", "/", "gone")]}]}}), "hosts[2].paths[0].service"; "unknown service")]
-#[test_case(json!({"put": {"hosts": [{"host": "JEPU9.EXAMPLE", "paths": [route("n", "/lepu270/", "huvo11a")]}]}}), "hosts[0].paths[1]"; "same place")]
+#[test_case(json!({"put": {"hosts": [{"host": "JEPU9.EXAMPLE", "paths": [route("n", "/lepu270/", "huvo11a")]}]}}), "hosts[0].paths[1]"; "same position")]
 #[test_case(json!({"put": {"hosts": [{"host": "", "paths": [route("n", "/", "huvo11a")]}]}}), "hosts[2].host"; "empty host")]
 #[test_case(json!({"put": {"hosts": [{"paths": [route("n", "/", "huvo11a")]}]}}), "put.hosts[0].host"; "no host")]
 #[test_case(json!({"put": {"hosts": [{"host": "x.example", "paths": [{"pathStart": "/"}]}]}}), "put.hosts[0].paths[0].name"; "no name")]
@@ -170,9 +171,9 @@
     let fields = change.as_object_mut().unwrap();
     fields.entry("version").or_insert(json!("00000009"));
     let before = first();
-    let faults = before.change(&bytes(&change)).unwrap_err();
-    let text = told(&faults);
-    assert_eq!(faults.0.len(), 1, "{text}");
-    assert_eq!(faults.0[0].at(), at, "{text}");
+    let errors = before.change(&bytes(&change)).unwrap_err();
+    let text = error_text(&errors);
+    assert_eq!(errors.0.len(), 1, "{text}");
+    assert_eq!(errors.0[0].at(), at, "{text}");
     assert_eq!(before, first());
 }
--- a/crates/brassport-config-store/tests/it/configuration/mod.rs
+++ b/crates/brassport-config-store/tests/it/configuration/mod.rs
@@ -86,11 +86,11 @@
     }
 }
 
-/// What a refused body's faults say, one a line.
-fn told(faults: &ValidationErrors) -> String {
-    assert!(!faults.0.is_empty());
-    let text = faults.to_string();
+/// What a refused body's errors say, one a line.
+fn error_text(errors: &ValidationErrors) -> String {
+    assert!(!errors.0.is_empty());
+    let text = errors.to_string();
     no_key_in(&text);
-    no_key_in(&format!("{faults:?}"));
+    no_key_in(&format!("{errors:?}"));
     text
 }
--- a/crates/brassport-config-store/tests/it/configuration/validation.rs
+++ b/crates/brassport-config-store/tests/it/configuration/validation.rs
@@ -1,6 +1,6 @@
 //! Documents that are rejected, and why.
 
-use super::{bytes, example, first, route, set, told, without, KEYS};
+use super::{bytes, error_text, example, first, route, set, without, KEYS};
 use brassport_config_store::configuration::{Document, ValidationError};
 use serde_json::{json, Value};
 use test_case::test_case;
@@ -54,12 +54,12 @@
 #[test_case(set("/version", json!("00x00007")), "version", "eight hexadecimal digits"; "version of other letters")]
 #[test_case(set("/version", json!("00000000")), "version", "not above the current 00000000"; "version 0")]
 fn an_invalid_document_is_rejected_with_its_one_error(document: Value, at: &str, what: &str) {
-    let faults = Document::empty().replace(&bytes(&document)).unwrap_err();
-    let text = told(&faults);
-    assert_eq!(faults.0.len(), 1, "{text}");
-    assert_eq!(faults.0[0].at(), at);
+    let errors = Document::empty().replace(&bytes(&document)).unwrap_err();
+    let text = error_text(&errors);
+    assert_eq!(errors.0.len(), 1, "{text}");
+    assert_eq!(errors.0[0].at(), at);
     assert!(text.contains(what), "{text}");
-    assert!(!faults.0[0].help().is_empty());
+    assert!(!errors.0[0].help().is_empty());
 }
 
 #[test_case("00000007", false; "the same")]
@@ -81,23 +81,23 @@
 #[test_case(b"{\"version\":\"00000009\",\"put\":{\"hosts\":[1e999]}}"; "a number out of range")]
 #[test_case(b"\xff\xfe"; "no text")]
 fn a_body_that_is_no_json_object_is_rejected(body: &[u8]) {
-    told(&Document::empty().replace(body).unwrap_err());
-    told(&first().change(body).unwrap_err());
-    told(&Document::from_bytes(body).unwrap_err());
+    error_text(&Document::empty().replace(body).unwrap_err());
+    error_text(&first().change(body).unwrap_err());
+    error_text(&Document::from_bytes(body).unwrap_err());
 }
 
 #[test]
 fn a_truncated_body_is_rejected_with_line_and_column() {
-    let whole = bytes(&example());
-    for end in 0..whole.len() {
-        let faults = Document::empty().replace(&whole[..end]).unwrap_err();
+    let complete = bytes(&example());
+    for end in 0..complete.len() {
+        let errors = Document::empty().replace(&complete[..end]).unwrap_err();
         assert!(
-            matches!(faults.0[..], [ValidationError::Unreadable { line: 1, column, .. }] if column <= end)
+            matches!(errors.0[..], [ValidationError::Unreadable { line: 1, column, .. }] if column <= end)
         );
-        told(&faults);
+        error_text(&errors);
     }
-    let faults = Document::empty().replace(b"{\n  \"version\": ?\n}").unwrap_err();
-    assert!(matches!(faults.0[..], [ValidationError::Unreadable { line: 2, column: 14, .. }]), "{faults:?}");
+    let errors = Document::empty().replace(b"{\n  \"version\": ?\n}").unwrap_err();
+    assert!(matches!(errors.0[..], [ValidationError::Unreadable { line: 2, column: 14, .. }]), "{errors:?}");
 }
 
 #[test]
@@ -111,9 +111,9 @@
     document["hosts"][1]["paths"][0]["service"] = json!("gone");
     document["customers"][1]["keys"] = json!([KEYS[0], 5]);
     document["customers"][1]["burst"] = json!(-1);
-    let faults = Document::empty().replace(&bytes(&document)).unwrap_err();
-    let text = told(&faults);
-    let at: Vec<&str> = faults.iter().map(ValidationError::at).collect();
+    let errors = Document::empty().replace(&bytes(&document)).unwrap_err();
+    let text = error_text(&errors);
+    let at: Vec<&str> = errors.iter().map(ValidationError::at).collect();
     let expected = [
         "version",
         "services[0].tls",
--- a/crates/brassport-config-store/tests/it/golden/store.rs
+++ b/crates/brassport-config-store/tests/it/golden/store.rs
@@ -130,7 +130,7 @@
     file.execute("UPDATE meta SET value = ?1 WHERE key = 'format'", [encode(&1_u32)]).expect("it is kept");
 }
 
-/// Writes a store as a fixture, with its write-ahead log taken in, if that is asked for; whether it was.
+/// Writes a store as a fixture, with its write-ahead log merged, if GOLDEN_WRITE asks for that; whether it did.
 fn write_if_asked(name: &str, write: fn(&Path)) -> bool {
     let is_asked = std::env::var("GOLDEN_WRITE").is_ok_and(|value| value == "1");
     if is_asked {
@@ -189,9 +189,9 @@
     }
 }
 
-/// The kind of a store's fault; one that is new does not compile here until it has a case below too.
-fn store_fault_name(fault: &StoreError) -> &'static str {
-    match fault {
+/// The name of a store's error; one that is new does not compile here until it has a case below too.
+fn error_name(error: &StoreError) -> &'static str {
+    match error {
         StoreError::UnsupportedFormat { .. } => "format",
         StoreError::Corrupt { .. } => "spoilt",
         StoreError::SyncFolder { .. } => "folder",
@@ -206,8 +206,8 @@
         let file = rusqlite::Connection::open(folder.0.join(FILE_NAME)).expect("the file opens");
         file.execute(sql, []).expect("it is changed");
         drop(file);
-        let fault = Store::open(&folder.0, DiskId(99)).expect_err("it is refused");
-        (fault, folder.0.clone())
+        let error = Store::open(&folder.0, DiskId(99)).expect_err("it is rejected");
+        (error, folder.0.clone())
     };
     let torn = || {
         let folder = Folder::new("torn");
@@ -229,11 +229,11 @@
         ("behind a gap", (behind, torn)),
         ("folder", (StoreError::SyncFolder { folder: at.clone(), error }, at)),
     ];
-    let covered: BTreeSet<&str> = cases.iter().map(|(_, (fault, _))| store_fault_name(fault)).collect();
-    assert_eq!(covered.len(), 4, "a kind of fault has no case");
-    let text = |(name, (fault, folder)): (&str, (StoreError, PathBuf))| {
-        let help = miette::Diagnostic::help(&fault).map(|help| help.to_string()).unwrap_or_default();
-        let text = fault.to_string().replace(&folder.display().to_string(), "FOLDER");
+    let covered: BTreeSet<&str> = cases.iter().map(|(_, (error, _))| error_name(error)).collect();
+    assert_eq!(covered.len(), 4, "a variant has no case");
+    let text = |(name, (error, folder)): (&str, (StoreError, PathBuf))| {
+        let help = miette::Diagnostic::help(&error).map(|help| help.to_string()).unwrap_or_default();
+        let text = error.to_string().replace(&folder.display().to_string(), "FOLDER");
         (name.to_owned(), format!("{text}\n{help}"))
     };
     fixture::check(PACKAGE, "store_faults", &cases.map(text));
--- a/crates/brassport-config-store/tests/it/harness/model/cluster.rs
+++ b/crates/brassport-config-store/tests/it/harness/model/cluster.rs
@@ -62,7 +62,7 @@
             submitted: BTreeMap::new(),
             reads: BTreeMap::new(),
             acknowledged: BTreeMap::new(),
-            refused: BTreeSet::new(),
+            rejected: BTreeSet::new(),
             left: Budget {
                 ticks: sizes.ticks,
                 reads: sizes.reads,
@@ -112,7 +112,7 @@
             self.leaders.insert(term);
         }
         if self
-            .refused
+            .rejected
             .iter()
             .any(|digest| self.committed_requests().any(|committed_requests| committed_requests == *digest))
         {
@@ -166,7 +166,7 @@
                 self.acknowledged.insert(digest, number as u32);
             }
             (Outcome::VersionConflict | Outcome::Invalid(_), Some(digest), _) => {
-                self.refused.insert(digest);
+                self.rejected.insert(digest);
             }
             (Outcome::Current(state), _, Some(newest)) if state.version() < newest => {
                 self.violation = Some("a read is older than what was acknowledged");
@@ -212,7 +212,7 @@
 }
 
 impl Machine {
-    /// Whether the store keeps a record; behind one that it refused it takes nothing but the whole.
+    /// Whether the store keeps a record; after one that failed it accepts nothing but a snapshot.
     pub(super) fn append(&mut self, record: Record, ignores_gap: bool) -> bool {
         if self.has_gap && !matches!(record, Record::Snapshot(_)) && !ignores_gap {
             return false;
@@ -230,7 +230,7 @@
                 self.durable.accepted = None;
                 self.durable.state.apply(&entry);
             }
-            Record::Snapshot(whole) => self.durable = whole,
+            Record::Snapshot(snapshot) => self.durable = snapshot,
         }
         true
     }
--- a/crates/brassport-config-store/tests/it/harness/model/mod.rs
+++ b/crates/brassport-config-store/tests/it/harness/model/mod.rs
@@ -42,7 +42,7 @@
     pub spares: usize,
     /// Machines that go for good.
     pub departures: u8,
-    /// Leaders that hand over.
+    /// Transfers of leadership.
     pub transfers: u8,
     /// Whether the first voter leads at the beginning and all know; else no message was sent yet.
     pub starts_with_leader: bool,
@@ -102,7 +102,7 @@
     submitted: BTreeMap<u64, RequestDigest>,
     reads: BTreeMap<u64, u32>,
     acknowledged: BTreeMap<RequestDigest, u32>,
-    refused: BTreeSet<RequestDigest>,
+    rejected: BTreeSet<RequestDigest>,
     left: Budget,
     /// Terms under which somebody led.
     leaders: BTreeSet<Term>,
@@ -124,7 +124,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// A voter's clock moves on, and it looks.
+    /// A voter's clock moves on, and it ticks.
     Tick(usize),
     Deliver(Envelope),
     /// The message stays, and may come again.
@@ -141,7 +141,7 @@
     ChangeVoters(usize),
     /// Gone for good.
     Depart(usize),
-    /// Whoever leads hands over.
+    /// Whoever leads transfers leadership.
     TransferLeadership(usize),
 }
 
--- a/crates/brassport-config-store/tests/it/harness/scenarios.rs
+++ b/crates/brassport-config-store/tests/it/harness/scenarios.rs
@@ -25,8 +25,8 @@
     let mut term = None;
     for now in [100, 200, 300] {
         for action in replica.tick(now) {
-            if let Action::Send(_, Message::Prepare { term: asked }) = action {
-                term = Some(asked);
+            if let Action::Send(_, Message::Prepare { term: prepared }) = action {
+                term = Some(prepared);
             }
         }
     }
@@ -42,13 +42,13 @@
     replica.on_persisted(303, write.expect("it writes its own promise"), true);
     let leads_after_own_promise = replica.is_leader();
     let answers = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Respond(9, _)));
-    let asked = replica.submit(304, 9, Command::Read);
-    let heartbeat = asked.iter().find_map(|action| match action {
+    let actions_of_read = replica.submit(304, 9, Command::Read);
+    let heartbeat = actions_of_read.iter().find_map(|action| match action {
         Action::Send(_, Message::Heartbeat { heartbeat, .. }) => Some(*heartbeat),
         _ => None,
     });
     let heartbeat = heartbeat.expect("it asks the others");
-    let evaluates_before_quorum = answers(&asked);
+    let evaluates_before_quorum = answers(&actions_of_read);
     let evaluates_after_quorum = answers(&replica.step(
         305,
         id(1),
@@ -82,7 +82,7 @@
             match action {
                 Action::Persist(number, _) => more.extend(replica.on_persisted(now, number, true)),
                 Action::Respond(number @ 3..=4, outcome) => answers[number as usize - 3] = Some(outcome),
-                // The one that was let in accepts what it is asked to.
+                // The one that was added accepts what is proposed.
                 Action::Send(to, Message::Accept { term, index, .. }) if to == ip(3) => {
                     more.extend(replica.step(now, id(3), Message::Accepted { term, index }));
                 }
--- a/crates/brassport-config-store/tests/it/harness/simulation/operators.rs
+++ b/crates/brassport-config-store/tests/it/harness/simulation/operators.rs
@@ -59,7 +59,7 @@
         let known = self.machines[any].replica.as_ref().map_or(0, |replica| replica.state().version());
         let again = self.draw(8) == 0;
         let (version, base_version) = match self.submitted_writes.values().last().filter(|_| again) {
-            Some(asked) => (asked.version, asked.base_version),
+            Some(last) => (last.version, last.base_version),
             None => {
                 self.last_version += 1 + self.draw(3) as u32;
                 (self.last_version, known)
@@ -93,8 +93,8 @@
             Outcome::Unknown => Answered::Open,
             Outcome::Current(state) => Answered::Newest(state.version()),
         };
-        if let (Answered::Taken, Some(asked)) = (operation.answered, self.submitted_writes.get(&number)) {
-            self.acknowledged_writes.push((asked.digest, asked.version));
+        if let (Answered::Taken, Some(write)) = (operation.answered, self.submitted_writes.get(&number)) {
+            self.acknowledged_writes.push((write.digest, write.version));
             self.acknowledged += 1;
         }
     }
--- a/crates/brassport-config-store/tests/it/model_checking.rs
+++ b/crates/brassport-config-store/tests/it/model_checking.rs
@@ -9,9 +9,9 @@
 fn nothing_breaks(sizes: Sizes, least: usize) {
     let since = Instant::now();
     let (explored, broken) = explore(sizes, None);
-    let whole = if explored.depth < sizes.depth { "all of it" } else { "all up to that depth" };
+    let extent = if explored.depth < sizes.depth { "all of it" } else { "all up to that depth" };
     let took = since.elapsed().as_secs_f64();
-    println!("{} states, depth {}, {whole}, {took:.1} s: {sizes:?}", explored.states, explored.depth);
+    println!("{} states, depth {}, {extent}, {took:.1} s: {sizes:?}", explored.states, explored.depth);
     assert!(broken.is_none(), "{broken:?}");
     assert!(explored.states > least, "little was explored: {explored:?}");
 }
--- a/crates/brassport-config-store/tests/it/mutants.rs
+++ b/crates/brassport-config-store/tests/it/mutants.rs
@@ -1,4 +1,4 @@
-//! The campaign can fail: each deliberate fault is found within some seeds.
+//! The tests can fail: each mutant is detected within some seeds.
 
 use crate::harness::model::{walk, Sizes as ModelSizes, CALM};
 use crate::harness::scenarios::one_voter_step_by_step;
