--- a/crates/brassport-config-store/tests/it/golden/documents.rs
+++ b/crates/brassport-config-store/tests/it/golden/documents.rs
@@ -2,7 +2,7 @@
 
 use super::{CHANGE, DOCUMENT, PACKAGE};
 use crate::fixture;
-use brassport_config_store::configuration::{difference, Document, Idempotency, Version};
+use brassport_config_store::configuration::{difference, Configuration, Document, Idempotency, Version};
 
 #[test]
 fn documents_and_differences_have_their_texts() {
@@ -29,7 +29,11 @@
         ("difference back", differences(&changed, &first)),
     ];
     fixture::check(PACKAGE, "documents", &cases.map(|(name, text)| (name.to_owned(), text)));
-    let parsed = first.configuration();
+    check_fields(first.configuration());
+}
+
+/// The fields of [`DOCUMENT`], as the gateway reads them.
+fn check_fields(parsed: &Configuration) {
     assert_eq!((parsed.version, parsed.has_keys), (Version(5), true));
     let (search, pay) = (&parsed.services["search"], &parsed.services["pay"]);
     assert_eq!((search.health_path.as_str(), search.max_connections, search.tls), ("/ok", 7, true));
