--- a/crates/brassport-testbed/src/door.rs
+++ b/crates/brassport-testbed/src/door.rs
@@ -85,6 +85,16 @@
         SocketAddrV4::new(self.ip, self.ports.metrics)
     }
 
+    /// The program that the next start runs.
+    pub fn program(&self) -> &Path {
+        &self.program
+    }
+
+    /// Has the next start run another build's program, on the same settings file and data folder.
+    pub fn set_program(&mut self, program: &Path) {
+        self.program = program.into();
+    }
+
     /// Starts the process with these settings.
     ///
     /// # Errors
--- a/crates/brassport-testbed/src/history.rs
+++ b/crates/brassport-testbed/src/history.rs
@@ -118,6 +118,30 @@
     pub until: f64,
 }
 
+/// The version that a door reported as its own.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct ObservedVersion {
+    /// The control address of the door.
+    pub door: SocketAddrV4,
+    /// Seconds since the beginning, when the queries began: first whether it is ready, then its version.
+    pub began: f64,
+    /// When the last response came.
+    pub ended: f64,
+    /// The version of the configuration that the door's own replica holds.
+    pub version: u32,
+    /// Whether the door reported ready just before.
+    pub is_ready: bool,
+}
+
+/// A process of a door that was started in place of an earlier one.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct ProcessStart {
+    /// The control address of the door.
+    pub door: SocketAddrV4,
+    /// Seconds since the beginning.
+    pub at: f64,
+}
+
 /// All of it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct History {
@@ -133,6 +157,10 @@
     pub read_back: Option<ReadBack>,
     /// What was done to doors beyond planned work.
     pub disturbances: Vec<Disturbance>,
+    /// The versions that doors reported, in the order of the queries; only of plays that observe them.
+    pub observed_versions: Vec<ObservedVersion>,
+    /// The processes started anew in such plays.
+    pub process_starts: Vec<ProcessStart>,
     /// When the last request was made.
     pub end: f64,
 }
--- a/crates/brassport-testbed/src/main.rs
+++ b/crates/brassport-testbed/src/main.rs
@@ -27,6 +27,12 @@
     headless: bool,
     #[options(no_short, meta = "PROGRAM", help = "the gateway (the brassport-gateway beside this program)")]
     gateway: Option<PathBuf>,
+    #[options(
+        no_short,
+        meta = "PROGRAM",
+        help = "another build of the gateway, for the door that is rolled (the same)"
+    )]
+    other_gateway: Option<PathBuf>,
 }
 
 fn seconds(text: &str) -> Result<Duration, String> {
@@ -73,6 +79,7 @@
         has_faults: true,
         kill: words.kill.map(|door| door - 1),
         program: words.gateway.map_or_else(gateway_beside, Ok)?,
+        other_program: words.other_gateway,
     };
     let report = block_on(async {
         let told = |kind| signal(kind).map_err(|error| miette!("signals: {error}"));
--- a/crates/brassport-testbed/src/operator.rs
+++ b/crates/brassport-testbed/src/operator.rs
@@ -5,7 +5,7 @@
 use crate::history::{Journal, ReadBack, Sent};
 use crate::http::{self, Answer};
 use serde_json::Value;
-use std::net::SocketAddrV4;
+use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
@@ -61,6 +61,24 @@
     None
 }
 
+/// What a door reports of itself (`Status`).
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct NodeStatus {
+    /// The version of the configuration that its own replica holds.
+    pub version: u32,
+    /// The addresses of the voters, as it has them.
+    pub voters: Vec<Ipv4Addr>,
+}
+
+/// Queries a door's status; nothing if it gives none.
+pub async fn node_status(control: SocketAddrV4) -> Option<NodeStatus> {
+    let answer = http::call(control, "GET", "/Status", &[], Vec::new(), PATIENCE).await.ok()?;
+    let status: Value = serde_json::from_slice(&answer.body).ok().filter(|_| answer.status == 200)?;
+    let voters = status["voters"].as_array()?.iter().filter_map(|voter| voter["ip"].as_str()?.parse().ok());
+    let version = u32::from_str_radix(status["version"].as_str()?, 16).ok()?;
+    Some(NodeStatus { version, voters: voters.collect() })
+}
+
 impl Operator {
     /// One that calls the doors at these addresses.
     pub fn new(controls: Vec<SocketAddrV4>, journal: Rc<Journal>) -> Operator {
--- a/crates/brassport-testbed/src/play.rs
+++ b/crates/brassport-testbed/src/play.rs
@@ -31,6 +31,8 @@
     pub kill: Option<usize>,
     /// The gateway's program.
     pub program: PathBuf,
+    /// Another build's program: the door that is rolled is started again with it.
+    pub other_program: Option<PathBuf>,
 }
 
 /// Runs what is given on this thread, with tasks beside it.
@@ -261,6 +263,9 @@
         let in_order = site.doors[rolled].ended(GRACE).await;
         let how = if in_order { "ended by itself" } else { "had to be killed" };
         faults.push((journal.now(), format!("door {} {how}", rolled + 1)));
+        if let Some(program) = &terms.other_program {
+            site.doors[rolled].set_program(program);
+        }
         site.start(rolled)?;
         faults.push((journal.now(), format!("door {} is started again", rolled + 1)));
         sleep(terms.length.mul_f64(0.45).saturating_sub(since.elapsed())).await;
--- a/crates/brassport-testbed/src/rules.rs
+++ b/crates/brassport-testbed/src/rules.rs
@@ -1,9 +1,10 @@
 //! The rules, judged on what everybody saw. Each is a plain function that can fail.
 
-use crate::history::{History, Outcome, Run, Try};
+use crate::history::{History, ObservedVersion, Outcome, Run, Try};
 use crate::http::Failure;
 use std::collections::{HashMap, HashSet};
 use std::fmt;
+use std::net::SocketAddrV4;
 
 /// Within so many seconds of its acknowledgement a configuration is in force.
 pub const APPLY_S: f64 = 2.0;
@@ -274,3 +275,37 @@
     }
     Ok(())
 }
+
+/// The version that a door reports does not go back: never while one process runs, and over a restart not once the door is
+/// ready again. Not among [`ALL`], since only plays that observe versions have what it judges.
+///
+/// # Errors
+/// It did, or no version was observed.
+pub fn version_never_goes_back(history: &History) -> Result<(), Broken> {
+    if history.observed_versions.is_empty() {
+        return broken("no version was observed".into());
+    }
+    let is_started = |door, from: f64, until: f64| {
+        let of_door = history.process_starts.iter().filter(|start| start.door == door);
+        of_door.into_iter().any(|start| from <= start.at && start.at <= until)
+    };
+    let mut newest: HashMap<SocketAddrV4, u32> = HashMap::new();
+    let mut last: HashMap<SocketAddrV4, ObservedVersion> = HashMap::new();
+    for now in &history.observed_versions {
+        let newest = newest.entry(now.door).or_default();
+        // Across a start, one process may have reported ready and the next one its version.
+        if !is_started(now.door, now.began, now.ended) {
+            let same_process = |before: &ObservedVersion| !is_started(now.door, before.ended, now.began);
+            let before = last.insert(now.door, *now).filter(same_process);
+            let went_back_in_process = before.is_some_and(|before| now.version < before.version);
+            if went_back_in_process || (now.is_ready && now.version < *newest) {
+                return broken(format!(
+                    "{} reported version {:08x} at {:.3} s, after {newest:08x}",
+                    now.door, now.version, now.ended
+                ));
+            }
+        }
+        *newest = now.version.max(*newest);
+    }
+    Ok(())
+}
--- a/crates/brassport-testbed/tests/common/mod.rs
+++ b/crates/brassport-testbed/tests/it/common.rs
@@ -1,8 +1,5 @@
 //! What the tests share: the gateway's program, a site that serves, and one request at a door.
 
-// Each test program uses some of it.
-#![allow(dead_code)]
-
 use brassport_testbed::backend::Backend;
 use brassport_testbed::configuration::Plan;
 use brassport_testbed::history::Journal;
@@ -19,6 +16,11 @@
 /// How long a site may take to come up.
 pub const TO_COME_UP: Duration = Duration::from_secs(15);
 
+/// A number that an environment variable sets.
+pub fn number_from(variable: &str, otherwise: u64) -> u64 {
+    std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(otherwise)
+}
+
 /// The folder that this build's programs lie in.
 pub fn programs() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_brassport-testbed")).parent().expect("a folder")
@@ -60,14 +62,19 @@
     pub site: Site,
     pub journal: Rc<Journal>,
     pub operator: Operator,
-    pub backends: Vec<Backend>,
+    // Dropped, they crash.
+    _backends: Vec<Backend>,
     // The last field: let go of when the doors are gone.
     _alone: MutexGuard<'static, ()>,
 }
 
 impl Serving {
     pub async fn start() -> Serving {
-        let program = gateway_program();
+        Serving::start_on(gateway_program()).await
+    }
+
+    /// The same, on a given build's program.
+    pub async fn start_on(program: &Path) -> Serving {
         let alone = ALONE.lock().await;
         let mut site = Site::lay(&Layout::of_five(program)).expect("free ports");
         let journal = Journal::begin();
@@ -75,7 +82,7 @@
         site.start_all().expect("the doors start");
         let backends = backends(&site, &journal).await.expect("backends listen");
         let operator = Operator::new(site.controls(), journal.clone());
-        let mut serving = Serving { site, journal, operator, backends, _alone: alone };
+        let mut serving = Serving { site, journal, operator, _backends: backends, _alone: alone };
         serving.put(Plan::first(1)).await;
         let taken = since.elapsed();
         for door in 0..serving.site.doors.len() {
--- a/crates/brassport-testbed/tests/losses.rs
+++ b/crates/brassport-testbed/tests/it/losses.rs
@@ -1,13 +1,11 @@
 //! Losses of processes and disks, operators in each other's way, and clients that stop in the middle.
 
-mod common;
-
+use crate::common::{Serving, TO_COME_UP};
 use brassport_testbed::clients::{Client, Platform, Wish};
 use brassport_testbed::configuration::{digits, Plan, HOST};
 use brassport_testbed::history::Ending;
 use brassport_testbed::operator::{call, Operator, Said};
 use brassport_testbed::play::block_on;
-use common::{Serving, TO_COME_UP};
 use serde_json::{json, Value};
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
--- /dev/null
+++ b/crates/brassport-testbed/tests/it/main.rs
@@ -0,0 +1,11 @@
+//! Tests of the testbed and, by real processes on loopback, of the gateway.
+#![forbid(unsafe_code)]
+
+mod common;
+mod losses;
+mod metrics;
+mod rolling;
+mod rules;
+mod schedules;
+mod soak;
+mod whole_site;
--- a/crates/brassport-testbed/tests/metrics.rs
+++ b/crates/brassport-testbed/tests/it/metrics.rs
@@ -1,11 +1,9 @@
 //! What a door's counters say of clients that leave.
 
-mod common;
-
+use crate::common::Serving;
 use brassport_testbed::clients::{Client, Platform, Wish};
 use brassport_testbed::http;
 use brassport_testbed::play::block_on;
-use common::Serving;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
--- a/crates/brassport-testbed/tests/rules.rs
+++ b/crates/brassport-testbed/tests/it/rules.rs
@@ -1,9 +1,11 @@
 //! Each rule passes a sound history, and shows red on one that breaks just this rule.
 
 use brassport_testbed::configuration::Plan;
-use brassport_testbed::history::{Disturbance, History, Outcome, Run, Sent, Try};
+use brassport_testbed::history::{
+    Disturbance, History, ObservedVersion, Outcome, ProcessStart, Run, Sent, Try,
+};
 use brassport_testbed::http::Failure;
-use brassport_testbed::rules::ALL;
+use brassport_testbed::rules::{version_never_goes_back, ALL};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 const DOOR: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(127, 64, 1, 1), 12_000);
@@ -72,6 +74,8 @@
             Sent { plan: second, at: 4.0, acknowledged: Some(4.2) },
         ],
         disturbances: Vec::new(),
+        observed_versions: Vec::new(),
+        process_starts: Vec::new(),
         end: 8.0,
     }
 }
@@ -248,3 +252,58 @@
     killed.disturbances.push(Disturbance { door: DOOR, from: 1.25, until: 2.0 });
     assert!(ALL.iter().all(|(_, rule)| rule(&killed).is_ok()));
 }
+
+/// Versions that a door reports one second after the other, with whether it is ready.
+fn observing(reports: &[(u32, bool)]) -> History {
+    let mut history = sound();
+    history.observed_versions = reports
+        .iter()
+        .enumerate()
+        .map(|(second, (version, is_ready))| ObservedVersion {
+            door: DOOR,
+            began: second as f64,
+            ended: second as f64 + 0.1,
+            version: *version,
+            is_ready: *is_ready,
+        })
+        .collect();
+    history
+}
+
+fn restarted(mut history: History, at: f64) -> History {
+    history.process_starts.push(ProcessStart { door: DOOR, at });
+    history
+}
+
+#[test]
+fn a_version_that_goes_back_within_a_process_is_reported() {
+    assert!(version_never_goes_back(&observing(&[(1, true), (3, true), (3, false)])).is_ok());
+    assert!(version_never_goes_back(&observing(&[(3, true), (1, true)])).is_err());
+    assert!(version_never_goes_back(&observing(&[(3, true), (1, false)])).is_err());
+    let restarted_before = restarted(observing(&[(1, true), (3, true), (1, false)]), 0.5);
+    assert!(version_never_goes_back(&restarted_before).is_err());
+}
+
+#[test]
+fn a_restarted_door_that_is_ready_with_an_older_version_is_reported() {
+    let catching_up = restarted(observing(&[(3, true), (1, false), (3, true)]), 0.5);
+    assert!(version_never_goes_back(&catching_up).is_ok());
+    let stale = restarted(observing(&[(3, true), (1, false), (1, true)]), 0.5);
+    assert!(version_never_goes_back(&stale).is_err());
+}
+
+#[test]
+fn a_query_across_a_restart_is_not_attributed_to_either_process() {
+    let across = restarted(observing(&[(3, true), (1, true), (3, true)]), 1.05);
+    assert!(version_never_goes_back(&across).is_ok());
+    let behind_it = restarted(observing(&[(3, true), (1, true), (1, true)]), 1.05);
+    assert!(version_never_goes_back(&behind_it).is_err());
+    // What it reported counts all the same.
+    let newer_across = restarted(observing(&[(1, true), (3, true), (1, true)]), 1.05);
+    assert!(version_never_goes_back(&newer_across).is_err());
+}
+
+#[test]
+fn a_history_without_observed_versions_is_not_judged_as_good() {
+    assert!(version_never_goes_back(&sound()).is_err());
+}
--- a/crates/brassport-testbed/tests/schedules.rs
+++ b/crates/brassport-testbed/tests/it/schedules.rs
@@ -2,10 +2,9 @@
 //! write on top of what they last read. Kills, freezes, one-way cuts, the whole core killed, and at the end a disk lost
 //! right behind an acknowledgement. What the operators saw is judged for linearizability.
 //!
-//! `TESTBED_SCHEDULES=100 TESTBED_FIRST=1 cargo test --release -p brassport-testbed --test schedules -- --nocapture`
-
-mod common;
+//! `TESTBED_SCHEDULES=100 TESTBED_FIRST=1 cargo test --release -p brassport-testbed --test it schedules:: -- --nocapture`
 
+use crate::common::{gateway_program, number_from, ALONE};
 use brassport_checkers::versions::{judge, Answered, Asked, Operation};
 use brassport_testbed::configuration::{read, Plan};
 use brassport_testbed::operator::call;
@@ -22,10 +21,6 @@
 
 const DOORS: usize = 5;
 
-fn number(name: &str, otherwise: u64) -> u64 {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(otherwise)
-}
-
 /// What the operators share.
 struct Shared {
     controls: Vec<SocketAddrV4>,
@@ -114,7 +109,7 @@
 }
 
 async fn schedule(seed: u64) -> Seen {
-    let program = common::gateway_program();
+    let program = gateway_program();
     let layout = Layout { counted: DOORS, others: 0, program: program.into(), has_relays: true };
     let mut site = Site::lay(&layout).expect("free ports");
     let relays = Relays::begin(&site).await.expect("the relays' addresses are free");
@@ -209,8 +204,9 @@
 
 #[test]
 fn what_operators_see_of_real_processes_is_linearizable() {
-    let (first, count) = (number("TESTBED_FIRST", 1), number("TESTBED_SCHEDULES", 3));
-    let lanes = number("TESTBED_LANES", 3).min(count);
+    let _alone = ALONE.blocking_lock();
+    let (first, count) = (number_from("TESTBED_FIRST", 1), number_from("TESTBED_SCHEDULES", 3));
+    let lanes = number_from("TESTBED_LANES", 3).min(count);
     let lane = move |lane: u64| {
         let seeds: Vec<u64> = (first + lane..first + count).step_by(lanes as usize).collect();
         let played = seeds.into_iter().map(|seed| (seed, block_on(schedule(seed)).expect("a runtime")));
--- a/crates/brassport-testbed/tests/soak.rs
+++ b/crates/brassport-testbed/tests/it/soak.rs
@@ -2,10 +2,9 @@
 //! middle; doors are told to end, killed, frozen and sent SIGHUP, in series that overlap; backends come, leave and crash;
 //! the configuration changes in bursts. What everybody saw is judged by the rules.
 //!
-//! `TESTBED_SOAKS=50 TESTBED_FIRST=1 TESTBED_DOORS=5 cargo test --release -p brassport-testbed --test soak -- --nocapture`
-
-mod common;
+//! `TESTBED_SOAKS=50 TESTBED_FIRST=1 TESTBED_DOORS=5 cargo test --release -p brassport-testbed --test it soak:: -- --nocapture`
 
+use crate::common::{gateway_program, number_from, ALONE, TO_COME_UP};
 use brassport_testbed::backend::Backend;
 use brassport_testbed::clients::{Client, Platform, Wish};
 use brassport_testbed::configuration::{Plan, SERVICES};
@@ -37,10 +36,6 @@
 /// The least share of what was due that is served.
 const LEAST_SERVED: f64 = 0.8;
 
-fn number(name: &str, otherwise: u64) -> u64 {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(otherwise)
-}
-
 /// What is due at a moment.
 #[derive(Debug)]
 enum Step {
@@ -288,7 +283,7 @@
 
 /// What came of one seed: the report, and what else was found.
 async fn soak(seed: u64, doors: usize) -> (Report, Vec<String>, String) {
-    let program = common::gateway_program();
+    let program = gateway_program();
     let layout =
         Layout { counted: COUNTED, others: doors - COUNTED, program: program.into(), has_relays: false };
     let mut site = Site::lay(&layout).expect("free ports");
@@ -297,14 +292,10 @@
     let stand_ins = backends(&site, &journal).await.expect("backends listen");
     let mut operator = Operator::new(site.controls(), journal.clone());
     let first = Plan::first(1);
-    let said = operator.put(first.clone(), common::TO_COME_UP).await;
+    let said = operator.put(first.clone(), TO_COME_UP).await;
     assert!(said.is_some_and(|said| said.status == 200), "seed {seed}: {said:?}\n{}", site.said());
     for door in 0..doors {
-        assert!(
-            site.is_ready_within(door, common::TO_COME_UP).await,
-            "seed {seed}: door {} is not ready",
-            door + 1
-        );
+        assert!(site.is_ready_within(door, TO_COME_UP).await, "seed {seed}: door {} is not ready", door + 1);
     }
     let watched: Vec<_> = site.doors.iter().map(|door| (door.ready(), door.front())).collect();
     let platform = Platform::watch(&watched);
@@ -354,9 +345,10 @@
 
 #[test]
 fn what_overlaps_breaks_no_rule() {
-    let (first, count) = (number("TESTBED_FIRST", 1), number("TESTBED_SOAKS", SOAKS));
-    let lanes = number("TESTBED_LANES", SOAKS).min(count);
-    let doors = number("TESTBED_DOORS", DOORS) as usize;
+    let _alone = ALONE.blocking_lock();
+    let (first, count) = (number_from("TESTBED_FIRST", 1), number_from("TESTBED_SOAKS", SOAKS));
+    let lanes = number_from("TESTBED_LANES", SOAKS).min(count);
+    let doors = number_from("TESTBED_DOORS", DOORS) as usize;
     let lane = move |lane: u64| {
         let seeds = (first + lane..first + count).step_by(lanes as usize);
         seeds
--- a/crates/brassport-testbed/tests/whole_site.rs
+++ b/crates/brassport-testbed/tests/it/whole_site.rs
@@ -1,9 +1,7 @@
 //! A whole site under traffic.
 
-mod common;
-
+use crate::common::{gateway_program, ALONE};
 use brassport_testbed::play::{block_on, play, Terms};
-use common::{gateway_program, ALONE};
 use std::process::Command;
 use std::time::Duration;
 
@@ -14,6 +12,7 @@
         has_faults: false,
         kill: None,
         program: gateway_program().into(),
+        other_program: None,
     };
     let _alone = ALONE.blocking_lock();
     let report = block_on(play(&terms)).expect("a runtime").expect("the site comes up");
