--- a/crates/brassport-leases/tests/golden.rs
+++ b/crates/brassport-leases/tests/it/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of what is told of leases, against committed fixtures: a lease is the body of a change in the fleet's log and
-//! so a part of its snapshots; why nobody acts goes into an instance's report.
+//! The bytes of leases and reasons, against committed fixtures: a lease is the body of a change in the fleet's log and
+//! so a part of its snapshots; why a process may not act goes into an instance's report.
 //!
 //! The fixtures lie in `tests/golden/`. They are written only with `GOLDEN_WRITE=1`, and the test that writes one fails.
 
@@ -92,7 +92,7 @@
     same_cases("leases.txt", &cases);
 }
 
-/// Every event that there is, and the leases that a task then wants published: the bodies that the fleet's log keeps.
+/// Every event that there is, and the leases that a task then publishes: the bodies that the fleet's log keeps.
 #[test]
 fn a_task_publishes_the_leases_that_it_published() {
     let mut task = Task::new("i1", 9, Terms { length: 1000, renewal: 250, drift_permille: 100 }, 0);
