--- a/crates/brassport-state/examples/fill.rs
+++ b/crates/brassport-state/examples/fill.rs
@@ -7,8 +7,8 @@
 use std::path::Path;
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let [directory, nodes, changes] = words.as_slice() else {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let [directory, nodes, changes] = arguments.as_slice() else {
         return Err("fill DIRECTORY NODES CHANGES".into());
     };
     let (nodes, changes): (u64, u64) = (nodes.parse()?, changes.parse()?);
@@ -36,8 +36,8 @@
     for first in (0..changes).step_by(1000) {
         let batch =
             Batch { changes: (first..changes.min(first + 1000)).map(change).collect(), ..Batch::default() };
-        for made in store.write(&batch)? {
-            made?;
+        for outcome in store.write(&batch)? {
+            outcome?;
         }
     }
     println!("revision {}", store.state().revision);
--- a/crates/brassport-state/src/files.rs
+++ b/crates/brassport-state/src/files.rs
@@ -1,4 +1,4 @@
-//! The seam to the directory that the state lies in.
+//! The seam to the directory that the files of the state are in; tests implement it by a disk that loses power.
 
 use redb::backends::FileBackend;
 use redb::StorageBackend;
@@ -9,63 +9,63 @@
 
 /// A directory of files, addressed by name.
 ///
-/// The host of an implementation owes what POSIX does, and no more: what was written is durable once the file is
-/// synced, a name once the directory is.
+/// An implementation guarantees what POSIX does, and no more: what was written is durable once the file is synced, a
+/// name once the directory is.
 pub trait Files {
     /// An open file.
     type File: StorageBackend;
 
-    /// Opens a file that is there.
+    /// Opens an existing file.
     ///
     /// # Errors
-    /// [`io::ErrorKind::NotFound`], or what the system says.
+    /// [`io::ErrorKind::NotFound`] if there is none, or the error of the system.
     fn open(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Makes an empty file, in the place of one that had the name.
+    /// Creates an empty file, replacing one of that name.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
     /// The length in bytes, or `None` if there is no such file.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn length(&self, name: &str) -> io::Result<Option<u64>>;
 
-    /// Gives a file another name, in the place of one that had it.
+    /// Renames a file, replacing one of the new name.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Removes a file; none of that name is no error.
+    /// Removes a file; that there is none is no error.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn remove(&self, name: &str) -> io::Result<()>;
 
     /// Makes the names durable.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     fn sync(&self) -> io::Result<()>;
 
-    /// How a person finds the file.
+    /// The file's path for people, in messages.
     fn describe(&self, name: &str) -> String;
 }
 
-/// A directory of the system's. Its files are readable by their owner alone.
+/// A directory of the file system. Files that it creates are readable by their owner alone.
 #[derive(Debug, Clone)]
 pub struct Directory {
     path: PathBuf,
 }
 
 impl Directory {
-    /// A directory that is there.
+    /// Opens an existing directory.
     ///
     /// # Errors
-    /// What the system says.
+    /// The error of the system.
     pub fn open(path: &Path) -> io::Result<Directory> {
         if !fs::metadata(path)?.is_dir() {
             return Err(io::ErrorKind::NotADirectory.into());
--- a/crates/brassport-state/src/log.rs
+++ b/crates/brassport-state/src/log.rs
@@ -1,63 +1,64 @@
-//! A replicated log's durable side: entries by index, the state of its votes, a snapshot and the entries behind it.
+//! A replicated log's durable side: entries by index, the state of its votes, a snapshot and the entries after it.
 //!
 //! What the bytes mean is the consensus engine's business. One [`Write`] is one transaction, durable when
-//! [`LogStore::write`] returns: a vote and the entries that go with it are on disk before anybody is told of them.
+//! [`LogStore::write`] returns: a vote and the entries that go with it are on disk before any peer is notified of them.
 
+use crate::database::{
+    begin_write, catch_panic, check_absent, create_atomically, open_database, open_file, store_error,
+};
 use crate::files::Files;
-use crate::store::{begin, failed, place, StoreError};
-use redb::{Builder, Database, ReadableDatabase, ReadableTable, TableDefinition};
-use std::io;
-use std::panic::{catch_unwind, AssertUnwindSafe};
+use crate::store::StoreError;
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
 const VOTES: &str = "votes";
 const SNAPSHOT: &str = "snapshot";
 const FORMAT: &str = "format";
-/// The form of the file that this version writes and reads.
+/// The format of the file that this version writes and reads.
 const VERSION: &[u8] = b"1";
-const CACHE: usize = 1 << 20;
 
-/// What is written at once, in this order.
+/// What one transaction writes, in this order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Write {
-    /// Takes the place of all entries and of the snapshot that was there.
+    /// A snapshot that replaces the one before and all entries.
     pub snapshot: Option<Vec<u8>>,
-    /// Entries from the first one's index on; what stood there or behind it goes.
+    /// Entries with their indices, ascending. Entries in the file from the first of these indices on are removed.
     pub entries: Vec<(u64, Vec<u8>)>,
+    /// The state of the votes, which replaces the one before.
     pub votes: Option<Vec<u8>>,
-    /// A snapshot of the entries below this index, which go.
+    /// A snapshot of the entries below this index, which are removed.
     pub compact: Option<(u64, Vec<u8>)>,
 }
 
-/// All that a log's file holds.
+/// All that a log's file has.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Image {
+    /// The state of the votes, if one was written.
     pub votes: Option<Vec<u8>>,
+    /// The last snapshot, if one was written.
     pub snapshot: Option<Vec<u8>>,
+    /// The entries after the snapshot, with their indices, ascending.
     pub entries: Vec<(u64, Vec<u8>)>,
 }
 
-/// A log's file.
+/// A log's open file.
 pub struct LogStore {
     database: Database,
     file: String,
-    /// What went wrong first: from then on it is not known what the file holds.
-    broken: Option<String>,
+    /// The first error of a write: after it, what the file has isn't certain before it is opened again.
+    first_write_error: Option<String>,
 }
 
 impl LogStore {
-    /// Makes an empty log, durable when this returns.
+    /// Creates an empty log, durable when this returns.
     ///
     /// # Errors
-    /// The file is there already, or cannot be written.
+    /// The file exists already, or can't be written.
     pub fn create<F: Files>(files: &F, name: &str) -> Result<(), StoreError> {
-        let io = |error| StoreError::Io { doing: "look at", file: files.describe(name), error };
-        if files.length(name).map_err(io)?.is_some() {
-            return Err(StoreError::Exists { file: files.describe(name) });
-        }
-        place(files, name, |database| {
-            let transaction = begin(database)?;
+        check_absent(files, name)?;
+        create_atomically(files, name, |database| {
+            let transaction = begin_write(database)?;
             transaction.open_table(ENTRIES)?;
             transaction.open_table(FACTS)?.insert(FORMAT, VERSION)?;
             Ok(transaction.commit()?)
@@ -70,46 +71,29 @@
     /// What is wrong with the file, which is left as it is.
     pub fn open<F: Files>(files: &F, name: &str) -> Result<(LogStore, Image), StoreError> {
         let file = files.describe(name);
-        let io = |error| StoreError::Io { doing: "open", file: file.clone(), error };
-        match files.length(name).map_err(io)? {
-            None => return Err(StoreError::Missing { file }),
-            Some(0) => return Err(StoreError::Empty { file }),
-            Some(_) => {}
-        }
-        let backend = files.open(name).map_err(|error| match error.kind() {
-            io::ErrorKind::WouldBlock => StoreError::InUse { file: file.clone() },
-            _ if error.to_string().contains("already open") => StoreError::InUse { file: file.clone() },
-            _ => StoreError::Io { doing: "open", file: file.clone(), error },
-        })?;
-        // Guards against a page that is damaged in such a way that the embedded store gives up in a panic.
-        let opened = catch_unwind(AssertUnwindSafe(|| {
-            let builder = &mut Builder::new();
-            let builder = builder.set_cache_size(CACHE).set_check_integrity_on_open(true);
-            let database =
-                builder.create_with_backend(backend).map_err(|error| failed("open", &file, error))?;
-            let image = read(&database).map_err(|error| failed("read", &file, error))?;
-            Ok((LogStore { database, file: file.clone(), broken: None }, image))
-        }));
-        opened.unwrap_or_else(|_| {
-            Err(StoreError::Corrupt { file, detail: "reading it ends in a panic".to_string() })
+        let backend = open_file(files, name)?;
+        catch_panic(&file, || {
+            let database = open_database(backend).map_err(|error| store_error("open", &file, error))?;
+            let image = read_image(&database).map_err(|error| store_error("read", &file, error))?;
+            Ok((LogStore { database, file: file.clone(), first_write_error: None }, image))
         })
     }
 
-    /// Writes, durable when this returns.
+    /// Writes one transaction, durable when this returns.
     ///
     /// # Errors
-    /// It could not be written; from then on nothing is, and the next start finds out what the file holds.
+    /// It could not be written. From then on nothing is, and what the file has shows when it is opened again.
     pub fn write(&mut self, write: &Write) -> Result<(), StoreError> {
-        if let Some(first) = &self.broken {
+        if let Some(first) = &self.first_write_error {
             return Err(StoreError::Broken { file: self.file.clone(), first: first.clone() });
         }
-        let written = put(&self.database, write).map_err(|error| failed("write", &self.file, error));
-        self.broken = written.as_ref().err().map(ToString::to_string);
-        written
+        let result = commit(&self.database, write).map_err(|error| store_error("write", &self.file, error));
+        self.first_write_error = result.as_ref().err().map(ToString::to_string);
+        result
     }
 }
 
-fn read(database: &Database) -> Result<Image, redb::Error> {
+fn read_image(database: &Database) -> Result<Image, redb::Error> {
     let transaction = database.begin_read()?;
     let facts = transaction.open_table(FACTS)?;
     let fact = |name| Ok::<_, redb::Error>(facts.get(name)?.map(|bytes| bytes.value().to_vec()));
@@ -120,8 +104,8 @@
     Ok(Image { votes: fact(VOTES)?, snapshot: fact(SNAPSHOT)?, entries })
 }
 
-fn put(database: &Database, write: &Write) -> Result<(), redb::Error> {
-    let transaction = begin(database)?;
+fn commit(database: &Database, write: &Write) -> Result<(), redb::Error> {
+    let transaction = begin_write(database)?;
     {
         let mut facts = transaction.open_table(FACTS)?;
         let mut entries = transaction.open_table(ENTRIES)?;
--- a/crates/brassport-state/src/mutants.rs
+++ b/crates/brassport-state/src/mutants.rs
@@ -1,11 +1,11 @@
 //! Deliberate faults of the store, to show that the power-cut tests can fail. Compiled only with the feature
 //! `mutants`; without it `mutant!` is the constant `false`.
 
-/// Whether a mutant is on.
+/// Whether a mutant is active.
 #[cfg(feature = "mutants")]
 macro_rules! mutant {
     ($which:ident) => {
-        $crate::mutants::ACTIVE.get() == Some($crate::mutants::Mutant::$which)
+        $crate::mutants::is_active($crate::mutants::Mutant::$which)
     };
 }
 #[cfg(not(feature = "mutants"))]
@@ -16,28 +16,46 @@
 }
 pub(crate) use mutant;
 
-/// One deliberate fault.
 #[cfg(feature = "mutants")]
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mutant {
-    /// A file takes its name, and the directory is not synced behind it.
-    NoDirectorySync,
-    /// A file takes its name before its content is synced.
-    RenameBeforeSync,
-    /// A change is acknowledged before it is durable.
-    AcknowledgeBeforeSync,
-    /// The checksums of the state file are not looked at when it is opened.
-    ChecksumIgnored,
-    /// A commit's pages are synced together with the header that points to them.
-    OnePhaseCommit,
-    /// A change sent twice is made twice.
-    NotIdempotent,
-    /// The last-known list is written in two commits: what goes, then what comes.
-    KnownInTwoSteps,
-}
+pub use active::{activate, Mutant};
+
+#[cfg(feature = "mutants")]
+pub(crate) use active::is_active;
 
 #[cfg(feature = "mutants")]
-thread_local! {
-    /// The mutant that is on, on this thread.
-    pub static ACTIVE: std::cell::Cell<Option<Mutant>> = const { std::cell::Cell::new(None) };
+mod active {
+    use std::cell::Cell;
+
+    /// One deliberate fault.
+    #[derive(Debug, Clone, Copy, PartialEq, Eq)]
+    pub enum Mutant {
+        /// A file takes its name, and the directory is not synced after it.
+        NoDirectorySync,
+        /// A file takes its name before its content is synced.
+        RenameBeforeSync,
+        /// A change is acknowledged before it is durable.
+        AcknowledgeBeforeSync,
+        /// The checksums of the state file are not verified when it is opened.
+        ChecksumIgnored,
+        /// A commit's pages are synced together with the header that points to them.
+        OnePhaseCommit,
+        /// A change requested twice is made twice.
+        NotIdempotent,
+        /// The last-known list is written in two commits: the removals, then the rest.
+        CachedNodesInTwoCommits,
+    }
+
+    thread_local! {
+        // A thread's own: the tests of other threads run without it.
+        static ACTIVE: Cell<Option<Mutant>> = const { Cell::new(None) };
+    }
+
+    /// Activates a mutant on this thread, or none.
+    pub fn activate(mutant: Option<Mutant>) {
+        ACTIVE.set(mutant);
+    }
+
+    pub(crate) fn is_active(mutant: Mutant) -> bool {
+        ACTIVE.get() == Some(mutant)
+    }
 }
--- a/crates/brassport-state/tests/golden.rs
+++ b/crates/brassport-state/tests/it/golden.rs
@@ -1,96 +1,20 @@
-//! The bytes of the store's file, of the log's file and of every kind of row, against committed fixtures: what an earlier
-//! version wrote is read to the same model, and the same model is written in the same bytes.
-//!
-//! The fixtures lie in `tests/golden/`. They are written only with `GOLDEN_WRITE=1`, and the test that writes one fails.
+//! The bytes of the store's file and of every kind of row, against committed fixtures: what an earlier version wrote is
+//! read to the same model, and the same model is written in the same bytes.
 
-use brassport_state::files::Directory;
+use crate::fixture::{fixture, json, same_cases, same_text, Folder};
 use brassport_state::known::{KnownList, KnownNode};
-use brassport_state::log::{Image, LogStore, Write};
 use brassport_state::model::{Action, Change, Lifecycle, NewNode, Node, Refusal, State};
 use brassport_state::store::{Batch, ChangeError, Done, Entry, Sent, Store, StoreError};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
-use std::fmt::Debug;
 use std::fmt::Write as _;
 use std::fs;
 use std::io::{Error, ErrorKind};
-use std::path::{Path, PathBuf};
-
-/// The committed bytes of a fixture; with `GOLDEN_WRITE=1` they become `made`, and the test fails.
-fn fixture(name: &str, made: &[u8]) -> Vec<u8> {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
-    if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") {
-        fs::create_dir_all(path.parent().expect("it lies in a folder")).expect("the folder is made");
-        fs::write(&path, made).expect("the fixture is written");
-        panic!("wrote {}: look at it, commit it, and run without GOLDEN_WRITE", path.display());
-    }
-    fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
-}
-
-/// Compares text with its fixture line by line, so that the first line that differs is named.
-fn same_text(name: &str, made: &str) -> String {
-    let committed = String::from_utf8(fixture(name, made.as_bytes())).expect("the fixture is text");
-    for (number, (made, committed)) in made.lines().zip(committed.lines()).enumerate() {
-        assert_eq!(made, committed, "{name}, line {}", number + 1);
-    }
-    assert_eq!(made, committed, "{name}");
-    committed
-}
-
-/// One value in its form in JSON.
-struct Case {
-    name: String,
-    text: String,
-    /// Reads a text, which has to give the value, and encodes what was read.
-    again: Box<dyn Fn(&str) -> String>,
-}
-
-fn json<T: Serialize + DeserializeOwned + PartialEq + Debug + 'static>(name: &str, value: T) -> Case {
-    let encode = |value: &T| serde_json::to_string(value).expect("plain data has a form in JSON");
-    let text = encode(&value);
-    let again = move |text: &str| {
-        let read: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{text}: {error}"));
-        assert_eq!(read, value);
-        encode(&read)
-    };
-    Case { name: name.into(), text, again: Box::new(again) }
-}
-
-/// Compares all cases with a fixture of lines `name: text`, then reads and encodes what the fixture holds.
-fn same_cases(name: &str, cases: &[Case]) {
-    let made: String = cases.iter().map(|case| format!("{}: {}\n", case.name, case.text)).collect();
-    let committed = same_text(name, &made);
-    for (line, case) in committed.lines().zip(cases) {
-        let text = line.strip_prefix(&format!("{}: ", case.name)).expect("the line has its name");
-        assert_eq!((case.again)(text), text, "{}", case.name);
-    }
-}
-
-/// A folder of its own for one test, gone at its end.
-struct Folder(PathBuf);
-
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("brassport-state-golden-{}-{name}", std::process::id()));
-        fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
-    }
-
-    fn directory(&self) -> Directory {
-        Directory::open(&self.0).expect("it is there")
-    }
-}
-
-impl Drop for Folder {
-    fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
-    }
-}
+use std::path::Path;
 
 const STORE: &str = "state.redb";
-const LOG: &str = "log.redb";
 
 fn new_node(name: &str, endpoint: &str, zone: &str, group: u16, size: f64) -> NewNode {
     let endpoint = endpoint.parse().expect("an address");
@@ -179,7 +103,7 @@
     list.into_iter().map(|(name, node)| (name.to_string(), node)).collect()
 }
 
-/// Writes a store with every kind of row: the first two requests are of an earlier life, the third is in hand.
+/// Writes a store with every kind of row: the first two requests are of an earlier run, the third is in flight.
 fn write_store(folder: &Folder) {
     let files = folder.directory();
     Store::create(&files, STORE).expect("a new store");
@@ -354,7 +278,7 @@
 }
 
 #[test]
-fn refusals_and_faults_say_what_they_said() {
+fn rejections_and_errors_have_their_texts() {
     let name = || "attic-1".to_string();
     let refusals = [
         Refusal::Invalid("size of 'a': 0 is not above 0 and at most 1000000".into()),
@@ -409,75 +333,3 @@
     }
     same_text("messages.txt", &made);
 }
-
-/// Every part of a write: a snapshot, entries, entries in the place of others, votes, and a snapshot that compacts.
-fn writes() -> Vec<Write> {
-    let entry = |index: u64| (index, vec![index as u8, 0, 0xff, b'e']);
-    vec![
-        Write { snapshot: Some(b"snapshot one\0".to_vec()), ..Write::default() },
-        Write { entries: (2..8).map(entry).collect(), votes: Some(vec![1, 0, 255]), ..Write::default() },
-        Write { entries: vec![(6, b"another leader's".to_vec()), (7, Vec::new())], ..Write::default() },
-        Write { compact: Some((4, b"snapshot two".to_vec())), votes: Some(vec![2; 40]), ..Write::default() },
-    ]
-}
-
-fn expected_image() -> Image {
-    Image {
-        votes: Some(vec![2; 40]),
-        snapshot: Some(b"snapshot two".to_vec()),
-        entries: vec![
-            (4, vec![4, 0, 0xff, b'e']),
-            (5, vec![5, 0, 0xff, b'e']),
-            (6, b"another leader's".to_vec()),
-            (7, Vec::new()),
-        ],
-    }
-}
-
-fn write_log(folder: &Folder) {
-    let files = folder.directory();
-    LogStore::create(&files, LOG).expect("a new log");
-    let (mut log, image) = LogStore::open(&files, LOG).expect("it opens");
-    assert_eq!(image, Image::default());
-    for write in writes() {
-        log.write(&write).expect("it is written");
-    }
-}
-
-/// All rows of a log's file, their bytes in hexadecimal.
-fn log_rows(file: &Path) -> String {
-    let database = Database::open(file).expect("the embedded store opens it");
-    let transaction = database.begin_read().expect("it is read");
-    let hexadecimal = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
-    let mut text = String::new();
-    let facts = TableDefinition::<&str, &[u8]>::new("facts");
-    for row in transaction.open_table(facts).expect("the table").iter().expect("its rows") {
-        let (key, value) = row.expect("a row");
-        writeln!(text, "facts {}: {}", key.value(), hexadecimal(value.value())).expect("text takes it");
-    }
-    let entries = TableDefinition::<u64, &[u8]>::new("entries");
-    for row in transaction.open_table(entries).expect("the table").iter().expect("its rows") {
-        let (key, value) = row.expect("a row");
-        writeln!(text, "entries {}: {}", key.value(), hexadecimal(value.value())).expect("text takes it");
-    }
-    text
-}
-
-#[test]
-fn a_committed_log_has_its_rows_and_opens_to_what_was_written() {
-    let made = Folder::new("log-made");
-    write_log(&made);
-    let committed = fixture(LOG, &fs::read(made.0.join(LOG)).expect("it was made"));
-    let folder = Folder::new("log-committed");
-    fs::write(folder.0.join(LOG), committed).expect("a copy");
-    assert_eq!(log_rows(&folder.0.join(LOG)), log_rows(&made.0.join(LOG)));
-    let (_, image) = LogStore::open(&folder.directory(), LOG).expect("it opens");
-    assert_eq!(image, expected_image());
-}
-
-#[test]
-fn a_log_that_is_written_afresh_has_the_committed_rows() {
-    let folder = Folder::new("log-rows");
-    write_log(&folder);
-    same_text("log.txt", &log_rows(&folder.0.join(LOG)));
-}
--- /dev/null
+++ b/crates/brassport-state/tests/it/golden_log.rs
@@ -0,0 +1,83 @@
+//! The bytes of the log's file against committed fixtures: what an earlier version wrote is read to the same image, and the
+//! same image is written in the same bytes.
+
+use crate::fixture::{fixture, same_text, Folder};
+use brassport_state::log::{Image, LogStore, Write};
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
+use std::fmt::Write as _;
+use std::fs;
+use std::path::Path;
+
+const LOG: &str = "log.redb";
+
+/// Every part of a write: a snapshot, entries, entries that replace others, votes, and a snapshot that compacts.
+fn writes() -> Vec<Write> {
+    let entry = |index: u64| (index, vec![index as u8, 0, 0xff, b'e']);
+    vec![
+        Write { snapshot: Some(b"snapshot one\0".to_vec()), ..Write::default() },
+        Write { entries: (2..8).map(entry).collect(), votes: Some(vec![1, 0, 255]), ..Write::default() },
+        Write { entries: vec![(6, b"another leader's".to_vec()), (7, Vec::new())], ..Write::default() },
+        Write { compact: Some((4, b"snapshot two".to_vec())), votes: Some(vec![2; 40]), ..Write::default() },
+    ]
+}
+
+fn expected_image() -> Image {
+    Image {
+        votes: Some(vec![2; 40]),
+        snapshot: Some(b"snapshot two".to_vec()),
+        entries: vec![
+            (4, vec![4, 0, 0xff, b'e']),
+            (5, vec![5, 0, 0xff, b'e']),
+            (6, b"another leader's".to_vec()),
+            (7, Vec::new()),
+        ],
+    }
+}
+
+fn write_log(folder: &Folder) {
+    let files = folder.directory();
+    LogStore::create(&files, LOG).expect("a new log");
+    let (mut log, image) = LogStore::open(&files, LOG).expect("it opens");
+    assert_eq!(image, Image::default());
+    for write in writes() {
+        log.write(&write).expect("it is written");
+    }
+}
+
+/// All rows of a log's file, their bytes in hexadecimal.
+fn log_rows(file: &Path) -> String {
+    let database = Database::open(file).expect("the embedded store opens it");
+    let transaction = database.begin_read().expect("it is read");
+    let hexadecimal = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
+    let mut text = String::new();
+    let facts = TableDefinition::<&str, &[u8]>::new("facts");
+    for row in transaction.open_table(facts).expect("the table").iter().expect("its rows") {
+        let (key, value) = row.expect("a row");
+        writeln!(text, "facts {}: {}", key.value(), hexadecimal(value.value())).expect("text takes it");
+    }
+    let entries = TableDefinition::<u64, &[u8]>::new("entries");
+    for row in transaction.open_table(entries).expect("the table").iter().expect("its rows") {
+        let (key, value) = row.expect("a row");
+        writeln!(text, "entries {}: {}", key.value(), hexadecimal(value.value())).expect("text takes it");
+    }
+    text
+}
+
+#[test]
+fn a_committed_log_has_its_rows_and_opens_to_what_was_written() {
+    let made = Folder::new("log-made");
+    write_log(&made);
+    let committed = fixture(LOG, &fs::read(made.0.join(LOG)).expect("it was made"));
+    let folder = Folder::new("log-committed");
+    fs::write(folder.0.join(LOG), committed).expect("a copy");
+    assert_eq!(log_rows(&folder.0.join(LOG)), log_rows(&made.0.join(LOG)));
+    let (_, image) = LogStore::open(&folder.directory(), LOG).expect("it opens");
+    assert_eq!(image, expected_image());
+}
+
+#[test]
+fn a_log_that_is_written_afresh_has_the_committed_rows() {
+    let folder = Folder::new("log-rows");
+    write_log(&folder);
+    same_text("log.txt", &log_rows(&folder.0.join(LOG)));
+}
--- a/crates/brassport-state/tests/log.rs
+++ b/crates/brassport-state/tests/it/log.rs
@@ -1,15 +1,14 @@
-//! A replicated log's file behind power cuts, by the disk of the other tests.
-
-mod common;
+//! A replicated log's file after power cuts.
 
+use crate::campaign::FILE;
+use crate::disk::{Disk, Fault};
 use brassport_state::log::{Image, LogStore, Write};
-use common::{Disk, Fault, FILE};
 
 fn entry(index: u64, what: u8) -> (u64, Vec<u8>) {
     (index, vec![what; 40])
 }
 
-fn play(write: &Write, image: &mut Image) {
+fn apply(write: &Write, image: &mut Image) {
     if let Some(snapshot) = &write.snapshot {
         image.entries.clear();
         image.snapshot = Some(snapshot.clone());
@@ -30,7 +29,7 @@
     vec![
         Write { votes: Some(b"term 1".to_vec()), ..Write::default() },
         Write { entries: entries(1..5, 1), votes: Some(b"term 1, 4".to_vec()), ..Write::default() },
-        // Another leader's entries in the place of the last two.
+        // Another leader's entries that replace the last two.
         Write { entries: entries(3..9, 2), votes: Some(b"term 2".to_vec()), ..Write::default() },
         Write { compact: Some((6, b"up to 5".to_vec())), ..Write::default() },
         Write { snapshot: Some(b"up to 20".to_vec()), ..Write::default() },
@@ -39,7 +38,7 @@
 }
 
 #[test]
-fn what_was_written_is_read_again() {
+fn a_log_is_read_as_it_was_written() {
     let disk = Disk::default();
     LogStore::create(&disk, FILE).expect("a new log");
     let mut expected = Image::default();
@@ -47,43 +46,43 @@
         let (mut log, image) = LogStore::open(&disk, FILE).expect("it opens");
         assert_eq!(image, expected);
         log.write(&write).expect("it is written");
-        play(&write, &mut expected);
+        apply(&write, &mut expected);
     }
     assert_eq!(LogStore::open(&disk, FILE).expect("it opens").1, expected);
     assert_eq!(expected.entries.len(), 2);
 }
 
 #[test]
-fn a_power_cut_at_any_operation_leaves_the_log_as_before_a_write_or_as_behind_it() {
-    let (mut before, mut behind) = (0, 0);
-    for place in 0..writes().len() {
+fn a_power_cut_at_any_operation_leaves_the_log_as_before_a_write_or_as_after_it() {
+    let (mut before, mut after) = (0, 0);
+    for position in 0..writes().len() {
         let start = Disk::default();
         LogStore::create(&start, FILE).expect("a new log");
         let (mut old, writes) = (Image::default(), writes());
-        for write in &writes[..place] {
+        for write in &writes[..position] {
             LogStore::open(&start, FILE).expect("it opens").0.write(write).expect("it is written");
-            play(write, &mut old);
+            apply(write, &mut old);
         }
         let mut new = old.clone();
-        play(&writes[place], &mut new);
+        apply(&writes[position], &mut new);
         for at in 0.. {
             let disk = start.copy();
             let (mut log, _) = LogStore::open(&disk, FILE).expect("it opens");
             disk.arm(disk.operations() + at, Fault::Cut);
-            let written = log.write(&writes[place]).is_ok();
+            let written = log.write(&writes[position]).is_ok();
             drop(log);
             let found = disk.after_power_cut(&mut oorandom::Rand64::new(u128::from(at)));
             let image = LogStore::open(&found, FILE).expect("what a cut leaves is sound").1;
             assert!(
                 image == new || image == old && !written,
-                "write {place}, cut at operation {at}: {image:?}"
+                "write {position}, cut at operation {at}: {image:?}"
             );
-            (before, behind) = (before + u32::from(image == old), behind + u32::from(image == new));
+            (before, after) = (before + u32::from(image == old), after + u32::from(image == new));
             if written {
                 break;
             }
         }
     }
-    println!("{before} cuts left the log as before, {behind} as behind the write");
-    assert!(before > 20 && behind >= 6);
+    println!("{before} cuts left the log as before, {after} as after the write");
+    assert!(before > 20 && after >= 6);
 }
--- a/crates/brassport-state/tests/mutants.rs
+++ b/crates/brassport-state/tests/it/mutants.rs
@@ -1,17 +1,13 @@
 //! The power-cut campaigns can fail: each deliberate fault of the store is found.
 
-#![cfg(feature = "mutants")]
+use crate::campaign::{cut_every_operation, cut_file_creation, flip_bits, Counts};
+use brassport_state::mutants::{activate, Mutant};
 
-mod common;
-
-use brassport_state::mutants::{Mutant, ACTIVE};
-use common::{play, play_files, play_flips, Tally};
-
-/// The first seed at which a campaign finds the mutant, and what it says.
+/// The first seed at which a campaign finds the mutant, and the problem it reports.
 fn found(mutant: Mutant, seeds: u64, campaign: impl Fn(u64) -> Result<(), String>) -> Option<(u64, String)> {
-    ACTIVE.set(Some(mutant));
+    activate(Some(mutant));
     let found = (0..seeds).find_map(|seed| campaign(seed).err().map(|problem| (seed, problem)));
-    ACTIVE.set(None);
+    activate(None);
     println!(
         "{mutant:?}: {}",
         found.as_ref().map_or("not found".into(), |(seed, problem)| {
@@ -23,14 +19,14 @@
 
 #[test]
 fn every_mutant_is_found() {
-    let cuts = |seed| play(seed, &mut Tally::default());
-    let files = |seed| play_files(seed, &mut Tally::default());
-    let flips = |seed| play_flips(seed, 400).map(drop);
+    let cuts = |seed| cut_every_operation(seed, &mut Counts::default());
+    let files = |seed| cut_file_creation(seed, &mut Counts::default());
+    let flips = |seed| flip_bits(seed, 400).map(drop);
     assert!(found(Mutant::NoDirectorySync, 50, files).is_some());
     assert!(found(Mutant::RenameBeforeSync, 50, files).is_some());
     assert!(found(Mutant::AcknowledgeBeforeSync, 50, cuts).is_some());
     assert!(found(Mutant::NotIdempotent, 50, cuts).is_some());
-    assert!(found(Mutant::KnownInTwoSteps, 50, cuts).is_some());
+    assert!(found(Mutant::CachedNodesInTwoCommits, 50, cuts).is_some());
     assert!(found(Mutant::ChecksumIgnored, 50, flips).is_some());
     assert!(found(Mutant::OnePhaseCommit, 50, flips).is_some());
 }
--- a/crates/brassport-state/tests/power_cuts.rs
+++ b/crates/brassport-state/tests/it/power_cuts.rs
@@ -1,11 +1,11 @@
-//! What a restart finds behind a power cut, a disk that fails, and a file that is damaged.
-
-mod common;
+//! What a restart finds after a power cut, a disk that fails, and a file that is damaged.
 
+use crate::campaign::{cut_every_operation, cut_file_creation, flip_bits, Counts, FILE};
+use crate::disk::{Disk, Fault};
+use crate::draw::durable;
 use brassport_state::files::Files;
 use brassport_state::model::{Action, Change, Lifecycle};
 use brassport_state::store::{Batch, ChangeError, Store, StoreError};
-use common::{play, play_files, play_flips, whole, Disk, Fault, Tally, FILE};
 use std::io::ErrorKind;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
@@ -33,50 +33,50 @@
     const SEEDS: u64 = 500;
     let next = AtomicU64::new(0);
     let work = || {
-        let mut tally = Tally::default();
+        let mut counts = Counts::default();
         loop {
             let seed = next.fetch_add(1, Ordering::Relaxed);
             if seed >= SEEDS {
-                return tally;
+                return counts;
             }
-            play(seed, &mut tally).unwrap_or_else(|problem| panic!("{problem}"));
+            cut_every_operation(seed, &mut counts).unwrap_or_else(|problem| panic!("{problem}"));
         }
     };
-    let tally = thread::scope(|scope| {
+    let counts = thread::scope(|scope| {
         let workers: Vec<_> = (0..4).map(|_| scope.spawn(work)).collect();
         workers
             .into_iter()
             .map(|worker| worker.join().expect("no violation"))
-            .fold(Tally::default(), Tally::and)
+            .fold(Counts::default(), Counts::plus)
     });
-    println!("{tally:?}");
-    assert_eq!(tally.histories, SEEDS);
-    assert!(tally.recovered_old > 1000 && tally.recovered_new > 1000, "{tally:?}");
+    println!("{counts:?}");
+    assert_eq!(counts.histories, SEEDS);
+    assert!(counts.recovered_old > 1000 && counts.recovered_new > 1000, "{counts:?}");
 }
 
 #[test]
-fn a_file_is_made_whole_or_not_at_all() {
-    let mut tally = Tally::default();
+fn a_file_is_created_atomically() {
+    let mut counts = Counts::default();
     for seed in 0..50 {
-        play_files(seed, &mut tally).unwrap_or_else(|problem| panic!("{problem}"));
+        cut_file_creation(seed, &mut counts).unwrap_or_else(|problem| panic!("{problem}"));
     }
-    assert!(tally.cuts > 500, "{tally:?}");
+    assert!(counts.cuts > 500, "{counts:?}");
 }
 
 #[test]
-fn a_flipped_bit_is_told_and_changes_nothing() {
+fn a_flipped_bit_is_detected_and_changes_nothing() {
     let damaged: u64 =
-        (0..4).map(|seed| play_flips(seed, 400).unwrap_or_else(|problem| panic!("{problem}"))).sum();
+        (0..4).map(|seed| flip_bits(seed, 400).unwrap_or_else(|problem| panic!("{problem}"))).sum();
     // The others hit pages that nothing points to.
     assert!(damaged > 100, "{damaged} of 1600 flips were found");
 }
 
 #[test]
-fn behind_a_failed_operation_nothing_counts_as_durable_until_a_restart() {
+fn after_a_failed_operation_nothing_counts_as_durable_until_a_restart() {
     let rest = with_one_node();
-    let life = |disk: &Disk| -> Result<Store, StoreError> { Store::open(disk, FILE) };
+    let restart = |disk: &Disk| -> Result<Store, StoreError> { Store::open(disk, FILE) };
     let trial = rest.copy();
-    let mut store = life(&trial).expect("it opens");
+    let mut store = restart(&trial).expect("it opens");
     let first = trial.operations();
     store.apply(drain("2", "a")).expect("a sound change");
     let last = trial.operations();
@@ -84,14 +84,14 @@
     for kind in [ErrorKind::Other, ErrorKind::StorageFull, ErrorKind::ReadOnlyFilesystem] {
         for at in first..last {
             let disk = rest.copy();
-            let mut store = life(&disk).expect("it opens");
+            let mut store = restart(&disk).expect("it opens");
             disk.arm(at, Fault::Error(kind));
-            let refused = store.apply(drain("2", "a"));
+            let rejected = store.apply(drain("2", "a"));
             assert!(
-                matches!(refused, Err(ChangeError::Store(StoreError::Io { .. }))),
-                "{kind:?} {at} {refused:?}"
+                matches!(rejected, Err(ChangeError::Store(StoreError::Io { .. }))),
+                "{kind:?} {at} {rejected:?}"
             );
-            // The disk works again, and still nothing is taken.
+            // The disk works again, and still nothing is accepted.
             let again = store.apply(drain("3", "a"));
             assert!(
                 matches!(again, Err(ChangeError::Store(StoreError::Broken { .. }))),
@@ -100,8 +100,8 @@
             assert!(store.broken().is_some());
             assert_eq!(store.state().nodes["a"].lifecycle, Lifecycle::Ready, "the list is as it was");
             drop(store);
-            // A restart has the one or the other, and makes a change that is sent again at most once.
-            let mut store = life(&disk).unwrap_or_else(|error| panic!("{kind:?} {at}: {error}"));
+            // A restart has the one or the other, and makes a change that is requested again at most once.
+            let mut store = restart(&disk).unwrap_or_else(|error| panic!("{kind:?} {at}: {error}"));
             store.apply(drain("2", "a")).expect("a sound change");
             assert_eq!(store.state().revision, 2);
         }
@@ -109,26 +109,26 @@
 }
 
 #[test]
-fn a_file_that_is_wrong_is_named_with_the_way_out() {
-    let told = |disk: &Disk| Store::open(disk, FILE).expect_err("it is wrong").to_string();
-    assert!(told(&Disk::default()).contains("`init`"));
+fn an_invalid_file_is_named_with_the_way_out() {
+    let message = |disk: &Disk| Store::open(disk, FILE).expect_err("it is wrong").to_string();
+    assert!(message(&Disk::default()).contains("`init`"));
     let disk = Disk::default();
     disk.put(FILE, Vec::new());
-    assert!(told(&disk).contains("is empty"));
+    assert!(message(&disk).contains("is empty"));
     assert_eq!(disk.bytes(FILE), b"", "it is left as it is");
     disk.put(FILE, b"not a state at all".repeat(1000));
-    assert!(told(&disk).contains("is damaged"));
+    assert!(message(&disk).contains("is damaged"));
     let sound = with_one_node();
     let mut bytes = sound.bytes(FILE);
     bytes.truncate(bytes.len() / 2);
     disk.put(FILE, bytes);
-    assert!(told(&disk).contains("is damaged"));
+    assert!(message(&disk).contains("is damaged"));
     assert!(matches!(Store::create(&sound, FILE), Err(StoreError::Exists { .. })));
     assert_eq!(Store::open(&sound, FILE).expect("it opens").state().nodes.len(), 1);
 }
 
 #[test]
-fn a_file_of_a_newer_version_is_left_alone() {
+fn a_file_of_a_newer_version_is_rejected() {
     let disk = Disk::default();
     let database =
         redb::Builder::new().create_with_backend(disk.create(FILE).expect("a file")).expect("made");
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_change_sent_twice_is_made_once_and_its_id_names_no_other() {
+fn a_change_requested_twice_is_made_once_and_its_id_names_no_other() {
     let disk = with_one_node();
     let mut store = Store::open(&disk, FILE).expect("it opens");
     let done = store.apply(drain("2", "a")).expect("made");
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn the_history_keeps_its_order_when_the_wall_clock_goes_back_by_a_day() {
+fn the_history_keeps_its_order_when_the_wall_clock_is_set_back_by_a_day() {
     let disk = with_one_node();
     let mut store = Store::open(&disk, FILE).expect("it opens");
     let day = 86_400_000;
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn requests_in_hand_at_the_cut_are_known_until_they_are_cleared() {
+fn requests_in_flight_at_the_cut_are_unfinished_until_they_are_cleared() {
     let disk = with_one_node();
     let mut store = Store::open(&disk, FILE).expect("it opens");
     let sent = |request: &str| brassport_state::store::Sent {
@@ -191,5 +191,5 @@
     assert_eq!(store.unfinished_count(), 0);
     let copy = Disk::default();
     store.snapshot().and_then(|all| all.copy_to(&copy, FILE)).expect("copied");
-    assert_eq!(whole(&Store::open(&copy, FILE).expect("it opens")), whole(&store));
+    assert_eq!(durable(&Store::open(&copy, FILE).expect("it opens")), durable(&store));
 }
