--- a/crates/brassport-leases/tests/it/mutants.rs
+++ b/crates/brassport-leases/tests/it/mutants.rs
@@ -1,4 +1,7 @@
 //! The model can fail: each deliberate fault of the transition function has a shortest sequence of events that breaks it.
+//!
+//! An active fault is the whole process's, as the model is explored by several threads. So this module runs by itself:
+//! cargo test --release -p brassport-leases --features mutants --test it mutants::
 
 use crate::fleet::{Fleet, Sizes, HAND_OVERS, LOSSES, RESTARTS, SMALL};
 use brassport_leases::mutants::{activate, Mutant, ALL};
