--- a/crates/brassport-testbed/src/rules.rs
+++ b/crates/brassport-testbed/src/rules.rs
@@ -15,6 +15,8 @@
 pub const WORK_ENDS_S: f64 = 0.5;
 /// A node counts as disturbed for so many seconds after a kill, a start or a suspension.
 pub const IN_TOUCH_S: f64 = 3.0;
+/// A process that starts has so long, in seconds, to learn what it missed (`catchUpS`).
+pub const CATCH_UP_S: f64 = 4.0;
 
 /// How a rule was broken.
 #[derive(Debug, Clone, PartialEq, Eq, miette::Diagnostic)]
@@ -335,6 +337,25 @@
     stale
 }
 
+/// A node that is ready has no older version than it reported before, over restarts too, later than `catchUpS` after the
+/// start of its process. Not among [`ALL`], as above.
+///
+/// # Errors
+/// One has, or no version was observed.
+pub fn ready_node_catches_up(history: &History) -> Result<(), Violation> {
+    if history.observed_versions.is_empty() {
+        return violation("no version was observed".into());
+    }
+    let catches_up = |it: &ObservedVersion| is_started(history, it.node, it.began - CATCH_UP_S, it.began);
+    match stale_reports(history).iter().find(|it| !catches_up(it)) {
+        Some(it) => violation(format!(
+            "{} reported version {:08x} at {:.3} s while ready, after a newer one, later than {CATCH_UP_S} s after its start",
+            it.node, it.version, it.ended
+        )),
+        None => Ok(()),
+    }
+}
+
 /// A node that is ready has no older version than it reported before, over restarts too. Stricter than what is promised: a
 /// node that starts has `catchUpS`. Not among [`ALL`], as above.
 ///
--- a/crates/brassport-testbed/tests/it/rules.rs
+++ b/crates/brassport-testbed/tests/it/rules.rs
@@ -5,7 +5,9 @@
     Attempt, AttemptOutcome, FaultWindow, History, ObservedVersion, ProcessStart, Run, SubmittedConfiguration,
 };
 use brassport_testbed::http::Failure;
-use brassport_testbed::rules::{ready_node_is_not_stale, version_never_goes_back, ALL};
+use brassport_testbed::rules::{
+    ready_node_catches_up, ready_node_is_not_stale, version_never_goes_back, ALL, CATCH_UP_S,
+};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 const NODE: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(127, 64, 1, 1), 12_000);
@@ -294,6 +296,14 @@
     assert!(ready_node_is_not_stale(&stale).is_err());
 }
 
+#[test]
+fn restarted_node_that_stays_stale_beyond_the_catch_up_time_is_reported() {
+    let stale = observing(&[(3, true), (1, false), (1, true)]);
+    let began = stale.observed_versions[2].began;
+    assert!(ready_node_catches_up(&restarted(stale.clone(), 0.5)).is_ok());
+    assert!(ready_node_catches_up(&restarted(stale, began - CATCH_UP_S - 0.1)).is_err());
+}
+
 #[test]
 fn query_across_a_restart_is_attributed_to_no_process() {
     let across = restarted(observing(&[(3, true), (1, true), (3, true)]), 1.05);
@@ -309,4 +319,5 @@
 fn history_without_observed_versions_is_rejected() {
     assert!(version_never_goes_back(&sound()).is_err());
     assert!(ready_node_is_not_stale(&sound()).is_err());
+    assert!(ready_node_catches_up(&sound()).is_err());
 }
