--- a/crates/brassport-membership/tests/book.rs
+++ b/crates/brassport-membership/tests/it/book.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_drain_of_any_authority_wins_at_once_whichever_is_first() {
+fn draining_by_any_authority_takes_effect_at_once_in_either_source_order() {
     for (says, other) in [(0, 1), (1, 0)] {
         let mut book = two();
         book.take(at(0), other, Report::whole(vec![node("a", 1, State::Ready)]));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_one_source_calls_gone_stays_gone_while_another_still_lists_it() {
+fn a_node_reported_gone_stays_gone_while_another_source_lists_it() {
     let mut book = two();
     book.take(at(0), 0, Report::whole(vec![node("a", 1, State::Ready)]));
     book.take(at(0), 1, Report::whole(vec![node("a", 1, State::Ready)]));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_node_goes_when_the_last_source_lists_it_no_longer() {
+fn a_node_is_removed_when_the_last_source_withdraws_it() {
     let mut book = two();
     book.take(at(0), 0, Report::whole(vec![node("a", 1, State::Ready), node("b", 2, State::Ready)]));
     book.take(at(0), 1, Report::whole(vec![node("a", 1, State::Ready)]));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn another_life_is_not_held_to_what_was_said_of_the_old_one() {
+fn a_new_incarnation_is_not_bound_by_reports_of_the_previous_one() {
     let mut book = two();
     let old = Entry { boot_ms: 100.0, ..node("a", 1, State::Draining) };
     book.take(at(0), 0, Report::whole(vec![old]));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_kept_list_fills_in_until_each_authority_has_spoken_and_never_against_one() {
+fn an_advisory_list_counts_until_each_authority_has_reported_and_never_against_one() {
     let mut book =
         Book::new(vec![Source::authority("nomad"), Source::authority("file"), Source::advisory("kept")]);
     let kept = ["a", "b", "c"].map(|id| node(id, id.as_bytes()[0].into(), State::Ready));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn of_two_nodes_at_one_address_the_later_start_has_it() {
+fn of_two_nodes_at_one_address_the_later_started_owns_it() {
     let mut book = two();
     let old = Entry { boot_ms: 100.0, ..node("old", 1, State::Ready) };
     let new = Entry { boot_ms: 200.0, ..node("new", 1, State::Ready) };
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_node_at_two_addresses_is_where_the_first_source_says_and_cold_where_it_moves_to() {
+fn the_first_source_decides_the_address_and_a_moved_node_counts_as_newly_started() {
     let mut book = two();
     book.take(at(0), 0, Report::whole(vec![node("a", 1, State::Ready)]));
     assert_eq!(book.take(at(1), 1, Report::whole(vec![node("a", 2, State::Ready)])).nodes, []);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_node_without_an_address_gets_nothing() {
+fn a_node_without_an_address_is_draining() {
     let mut book = two();
     let update =
         book.take(at(0), 0, Report::whole(vec![Entry { address: None, ..node("a", 1, State::Ready) }]));
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn the_only_source_is_passed_on_as_it_is_in_its_order() {
+fn a_sole_verbatim_source_is_passed_through_in_its_order() {
     let mut book = Book::new(vec![Source::as_told("platform")]);
     let list = [node("b", 1, State::Ready), node("a", 1, State::Ready), node("c", 2, State::Draining)];
     let update = book.take(at(0), 0, Report::whole(list.to_vec()));
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn names_that_go_take_no_memory() {
+fn removed_nodes_are_remembered_within_a_bound() {
     let mut book = two();
     book.take(at(0), 0, Report::whole(vec![]));
     for life in 0..2_000u64 {
@@ -187,7 +187,7 @@
 
 proptest! {
     #[test]
-    fn the_list_depends_on_the_last_words_and_not_on_how_the_sources_interleave(
+    fn the_list_depends_on_the_last_reports_and_not_on_their_interleaving(
         words in prop::collection::vec(word(), 1..40),
         first in any::<bool>(),
     ) {
@@ -221,7 +221,7 @@
     }
 
     #[test]
-    fn the_precedence_rule_holds_after_every_word(words in prop::collection::vec(word(), 1..60)) {
+    fn the_precedence_rule_holds_after_every_report(words in prop::collection::vec(word(), 1..60)) {
         let mut book = two();
         for source in 0..2 { book.take(at(0), source, Report::whole(vec![])); }
         let mut told: std::collections::BTreeMap<Id, State> = Default::default();
@@ -271,7 +271,7 @@
     }
 
     #[test]
-    fn a_node_that_dns_lists_and_nomad_drained_and_forgot_stays_out_until_dns_drops_it_too() {
+    fn a_node_drained_and_withdrawn_by_nomad_stays_draining_until_dns_withdraws_it() {
         let mut book = book();
         book.take(at_ms(0), 1, Report::whole(vec![found("n1:1", 1, 1e12)]));
         book.take(at_ms(1), 0, Report::whole(vec![draining("alloc", 1)]));
@@ -290,7 +290,7 @@
     }
 
     #[test]
-    fn a_drain_under_the_same_name_stands_too_and_ends_when_nomad_lists_it_ready() {
+    fn a_remembered_drain_of_the_same_name_ends_when_nomad_lists_the_address_ready() {
         let mut book = book();
         book.take(at_ms(0), 1, Report::whole(vec![found("n1:1", 1, 1e12)]));
         book.take(at_ms(1), 0, Report::whole(vec![draining("n1:1", 1)]));
@@ -307,7 +307,7 @@
     }
 
     #[test]
-    fn a_gone_node_that_dns_brings_back_late_stays_out() {
+    fn a_terminated_node_listed_late_by_dns_stays_draining() {
         let mut book = book();
         book.take(at_ms(0), 0, Report::whole(vec![found("alloc", 1, 1.0)]));
         book.take(at_ms(1), 1, Report::whole(vec![]));
@@ -323,7 +323,7 @@
     }
 
     #[test]
-    fn what_is_shut_out_stands_in_the_book_with_the_reason_and_another_source_may_tell_its_address() {
+    fn a_denied_address_is_listed_with_the_reason_and_another_source_may_supply_one() {
         let mut book = book();
         let mut report = Report::whole(vec![found("n1:1", 1, 0.0), found("n2:2", 2, 0.0)]);
         report.shut_out(|_| Err::<(), _>("192.0.2.1 is within 192.0.2.0/24, which 'deny' names"));
@@ -337,7 +337,7 @@
     }
 
     #[test]
-    fn remembered_drains_are_bounded_and_those_that_hold_a_node_back_go_last() {
+    fn remembered_drains_are_bounded_and_those_in_effect_are_evicted_last() {
         let mut book = book();
         book.take(at_ms(0), 1, Report::whole(vec![found("n1:1", 1, 0.0)]));
         book.take(at_ms(0), 0, Report::whole(vec![draining("first", 1)]));
--- a/crates/brassport-membership/tests/golden.rs
+++ b/crates/brassport-membership/tests/it/golden.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_the_book_tells_has_its_bytes() {
+fn states_explanations_and_sources_keep_their_bytes() {
     let mut cases = Vec::new();
     for state in [State::Ready, State::Draining, State::Gone] {
         let variant = match state {
@@ -110,7 +110,7 @@
 
 /// A book with every kind of source: what it says of nodes that are listed for different reasons, and of one that went.
 #[test]
-fn a_book_tells_what_it_told() {
+fn explanations_of_all_kinds_of_sources_keep_their_bytes() {
     let mut book = Book::new(vec![
         Source::advisory("last-known"),
         Source::authority("nomad"),
--- a/crates/brassport-membership/tests/mutants.rs
+++ b/crates/brassport-membership/tests/it/mutants.rs
@@ -1,5 +1,4 @@
 //! The rules between sources can fail: a book that breaks one is found.
-#![cfg(feature = "mutants")]
 
 use brassport_membership::book::{Book, Entry, Moment, Report, Source, State};
 use brassport_membership::mutants::{choose, Mutant};
@@ -16,7 +15,7 @@
 }
 
 #[test]
-fn a_book_that_hears_its_first_source_only_is_found() {
+fn first_source_wins_is_detected() {
     assert!(a_drain_of_the_second_source_is_kept());
     choose(Some(Mutant::FirstSourceWins));
     assert!(!a_drain_of_the_second_source_is_kept());
--- a/crates/brassport-membership/tests/nomad.rs
+++ b/crates/brassport-membership/tests/it/nomad.rs
@@ -1,5 +1,4 @@
 //! What follows from Nomad's answers, and readers that bear any bytes.
-#![cfg(feature = "nomad")]
 
 use brassport_membership::book::{Moment, Report, State};
 use brassport_membership::nomad::api;
@@ -67,7 +66,7 @@
 }
 
 #[test]
-fn a_node_has_what_its_registration_its_tags_and_its_allocation_tell() {
+fn an_entry_is_joined_from_registration_tags_and_allocation() {
     let report = follower(&["n"]).report(at(0)).expect("a first report");
     assert!(report.whole);
     let entry = &report.entries[0];
@@ -77,7 +76,7 @@
 }
 
 #[test]
-fn each_fact_of_its_client_and_its_allocation_has_its_state() {
+fn each_client_and_allocation_status_maps_to_its_state() {
     let mut follower = follower(&["n"]);
     follower.report(at(0));
     let mut index = 20;
@@ -121,7 +120,7 @@
 }
 
 #[test]
-fn an_ineligible_client_drains_where_the_operator_wants_it() {
+fn an_ineligible_client_is_draining_where_configured() {
     let mut follower = Follower::new(Options { ineligible_drains: true, ..Options::of("render") });
     follower.take_list(at(0), List::Allocs, fresh(9), &list(&[alloc("n", "running", 5)])).unwrap();
     let ineligible =
@@ -132,7 +131,7 @@
 }
 
 #[test]
-fn the_first_report_waits_for_all_lists_but_no_longer_than_a_drain_may_take() {
+fn the_first_report_waits_for_all_lists_up_to_the_time_out() {
     let mut follower = Follower::new(Options::of("render"));
     follower.take_list(at(0), List::Services, fresh(9), &list(&[service("n", 6)])).unwrap();
     assert_eq!(follower.report(at(0)), None);
@@ -145,7 +144,7 @@
 }
 
 #[test]
-fn what_is_off_is_told_before_there_is_a_list() {
+fn draining_and_terminated_nodes_are_reported_before_the_first_list() {
     let mut follower = Follower::new(Options::of("render"));
     let registered = format!(r#"{{"Service":{}}}"#, service("n", 6));
     follower.take_line(at(0), &event("Service", "ServiceRegistration", 6, &registered)).unwrap();
@@ -159,7 +158,7 @@
 }
 
 #[test]
-fn a_rolling_update_under_new_names_takes_no_memory() {
+fn a_rolling_update_under_new_names_is_remembered_within_a_bound() {
     let mut follower = Follower::new(Options {
         rules: Rules { most_gone: 100, ..Rules::default() },
         ..Options::of("render")
@@ -196,7 +195,7 @@
 }
 
 #[test]
-fn other_services_and_topics_are_passed_over_and_what_cannot_be_read_leaves_all_in_force() {
+fn other_services_and_topics_are_ignored_and_malformed_answers_change_nothing() {
     let mut follower = follower(&["n"]);
     follower.report(at(0));
     let other = service("x", 20).replace("render", "web");
@@ -214,7 +213,7 @@
 }
 
 #[test]
-fn a_line_without_end_is_cut_at_its_limit() {
+fn an_unterminated_line_is_rejected_at_the_limit() {
     let mut lines = Lines::new(100);
     assert_eq!(lines.push(&[b'x'; 60], |_| panic!("no line ended")), Ok(()));
     assert_eq!(lines.push(&[b'x'; 41], |_| panic!("no line ended")), Err(TooLong));
@@ -250,7 +249,7 @@
 
 proptest! {
     #[test]
-    fn lines_come_whole_however_the_bytes_are_cut(
+    fn lines_are_complete_however_the_bytes_are_split(
         bytes in prop::collection::vec(prop_oneof![4 => Just(b'x'), 1 => Just(b'\n')], 0..300),
         cuts in prop::collection::vec(1usize..40, 0..40),
     ) {
@@ -266,7 +265,7 @@
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused_and_hold_no_more_than_the_limit(
+    fn any_bytes_are_read_or_rejected_within_the_buffer_limit(
         bytes in prop::collection::vec(any::<u8>(), 0..400),
         most in 1usize..64,
     ) {
@@ -280,7 +279,7 @@
     }
 
     #[test]
-    fn a_spoilt_answer_is_refused_or_is_a_list_and_never_more_than_it_says(bytes in spoilt()) {
+    fn a_corrupted_answer_is_rejected_or_changes_only_what_it_names(bytes in spoilt()) {
         let mut follower = follower(&["n", "m"]);
         follower.report(at(0));
         for table in [List::Services, List::Clients, List::Allocs] {
--- a/crates/brassport-membership/tests/table.rs
+++ b/crates/brassport-membership/tests/it/table.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_older_list_from_a_restarted_server_brings_no_drained_row_back_and_drops_no_living_one() {
+fn an_older_list_from_a_restarted_server_restores_no_draining_row_and_removes_none() {
     let mut table = table();
     tell(&mut table, 0, 10, Standing::Fresh, &[("a", 1, UP), ("b", 10, UP)]);
     table.tell(1, "a", 12, Some(DRAINS));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_source_that_was_restored_counts_after_a_while_and_what_drained_waits_for_a_new_word() {
+fn a_restored_source_is_accepted_after_a_delay_and_draining_rows_wait_for_a_new_write() {
     let mut table = table();
     tell(&mut table, 0, 10, Standing::Fresh, &[("a", 1, UP), ("b", 10, UP), ("c", 2, UP)]);
     table.tell(1, "a", 12, Some(DRAINS));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_row_that_was_held_over_a_restore_is_taken_up_again_in_another_life() {
+fn a_row_retained_over_a_restore_is_replaced_by_a_new_incarnation() {
     let mut table = table();
     tell(&mut table, 0, 10, Standing::Fresh, &[("a", 10, DRAINS)]);
     let reborn = Word { life: 1, ..UP };
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_stale_list_drops_nothing_and_undoes_nothing_and_what_it_has_that_is_newer_counts() {
+fn a_stale_list_removes_nothing_and_only_its_newer_rows_apply() {
     let mut table = table();
     tell(&mut table, 0, 10, Standing::Fresh, &[("a", 1, UP), ("b", 2, UP)]);
     table.tell(1, "b", 12, Some(DRAINS));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn an_event_that_is_old_or_comes_twice_changes_nothing() {
+fn an_old_or_repeated_event_changes_nothing() {
     let mut table = table();
     tell(&mut table, 0, 10, Standing::Fresh, &[("a", 1, UP)]);
     assert!(table.tell(1, "a", 12, Some(DRAINS)));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_list_behind_an_event_keeps_what_the_event_told() {
+fn a_list_older_than_an_event_keeps_the_event() {
     let mut table = table();
     tell(&mut table, 0, 10, Standing::Fresh, &[("a", 1, UP)]);
     table.tell(1, "a", 15, Some(DRAINS));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn what_only_an_event_told_is_given_up_when_the_lists_lack_it_for_long() {
+fn a_row_known_by_event_alone_is_dropped_when_lists_lack_it_past_the_delay() {
     let mut table = table();
     tell(&mut table, 0, 10, Standing::Fresh, &[("a", 1, UP)]);
     table.tell(1, "b", 16, Some(UP));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn an_empty_list_is_believed_when_it_is_told_for_long_and_not_when_a_server_is_broken_for_a_moment() {
+fn an_empty_list_is_accepted_after_a_delay_and_not_for_a_moment() {
     let mut table = table();
     tell(&mut table, 0, 10, Standing::Fresh, &[("a", 1, UP)]);
     // Broken: empty for a moment, then whole again.
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn what_is_remembered_of_the_gone_is_bounded() {
+fn removed_rows_are_remembered_within_a_bound() {
     let mut table = table();
     tell(&mut table, 0, 1, Standing::Fresh, &[("a", 1, UP)]);
     for life in 0..1_000 {
@@ -206,7 +206,7 @@
 
 proptest! {
     #[test]
-    fn any_order_and_repetition_of_the_same_words_ends_in_the_same_table(
+    fn any_order_and_repetition_of_the_same_updates_converges(
         history in history(),
         picks in prop::collection::vec((any::<prop::sample::Index>(), 0u8..3), 0..60),
         shuffle in any::<u64>(),
@@ -237,7 +237,7 @@
     }
 
     #[test]
-    fn no_word_undoes_a_later_one(history in history(), words in prop::collection::vec((any::<prop::sample::Index>(), 0u8..3), 1..60)) {
+    fn no_update_undoes_a_later_one(history in history(), words in prop::collection::vec((any::<prop::sample::Index>(), 0u8..3), 1..60)) {
         let mut table = Table::new(Rules { empty_for: 0, ..Rules::default() });
         let mut newest = 0;
         for (index, kind) in words {
