--- a/crates/brassport-membership/src/lib.rs
+++ b/crates/brassport-membership/src/lib.rs
@@ -1,11 +1,11 @@
-//! Which nodes there are: what several sources report, merged into one list by stated rules.
+//! Which nodes there are: the reports of several sources, merged into one membership list by stated rules.
 //!
-//! - [`table`] orders what one source tells: lists and events, fresh and stale, old and new.
+//! - [`table`] orders the updates of one source: lists and events, fresh and stale, old and new.
 //! - [`book`] merges the sources into one list, and explains each of its lines.
 //! - `nomad`, a feature, turns the answers of Nomad's API into such reports.
 //!
-//! Nothing here does I/O or reads a clock, and nothing chooses a node for a request: the decision module does, among
-//! the nodes that the book offers it.
+//! Not for I/O or clocks: answers are bytes that the host brings, and time is an argument. It chooses no node for a
+//! request: the policy does, among the nodes that the list offers it.
 //!
 //! ```
 //! use brassport_membership::book::{Book, Entry, Moment, Report, Source, State};
@@ -19,6 +19,7 @@
 //! assert_eq!(book.explain("a", at(15)).unwrap().because, "'file' says draining");
 //! ```
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
 pub mod book;
 pub mod mutants;
--- a/crates/brassport-membership/src/mutants.rs
+++ b/crates/brassport-membership/src/mutants.rs
@@ -5,23 +5,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mutant {
-    /// A list with a lower index counts at once.
+    /// A list with a lower index applies at once.
     TrustLowerIndex = 1,
-    /// An absence from a stale answer drops the node.
+    /// An absence from a stale answer removes the node.
     DropOnStaleAbsence,
-    /// A node that drained takes requests again when a server tells an older state for long.
+    /// A drained node is ready again after a server reports an older state for long.
     ReadyAgainAfterRestore,
     /// An old event undoes a newer one.
     TakeOldEvents,
-    /// An empty answer drops all nodes at once.
+    /// An empty answer removes all nodes at once.
     TrustEmptyList,
-    /// The first source's word on the lifecycle counts, whatever the others say.
+    /// The first source's state of a node counts, whatever the others report.
     FirstSourceWins,
-    /// A node that drains on its Nomad client goes on taking requests while its registration stands.
+    /// A node whose Nomad client is draining stays ready while its registration is present.
     IgnoreClientDrain,
-    /// A drain is forgotten with the node, whoever else lists one there.
+    /// A drain is forgotten with the node, whoever else lists one at its address.
     ForgetDrains,
-    /// A node of a source that only lists takes an address from one that drains there.
+    /// A node of a source that only lists owns an address before one that is draining there.
     ListerOutranks,
 }
 
@@ -39,41 +39,41 @@
 ];
 
 #[cfg(feature = "mutants")]
-mod chosen {
+mod active {
     use super::Mutant;
     use std::cell::Cell;
 
     thread_local! {
-        static CHOSEN: Cell<u8> = const { Cell::new(0) };
+        static ACTIVE: Cell<u8> = const { Cell::new(0) };
     }
 
-    /// Puts this fault, or none, into the rules on this thread.
+    /// Activates this fault, or none, on this thread.
     pub fn choose(mutant: Option<Mutant>) {
-        CHOSEN.set(mutant.map_or(0, |mutant| mutant as u8));
+        ACTIVE.set(mutant.map_or(0, |mutant| mutant as u8));
     }
 
-    pub(crate) fn is_chosen(mutant: Mutant) -> bool {
-        CHOSEN.get() == mutant as u8
+    pub(crate) fn is_active(mutant: Mutant) -> bool {
+        ACTIVE.get() == mutant as u8
     }
 }
 
 #[cfg(feature = "mutants")]
-pub use chosen::choose;
+pub use active::choose;
 
 #[cfg(feature = "mutants")]
-pub(crate) fn is_chosen(mutant: Mutant) -> bool {
-    chosen::is_chosen(mutant)
+pub(crate) fn is_active(mutant: Mutant) -> bool {
+    active::is_active(mutant)
 }
 
 #[cfg(not(feature = "mutants"))]
 #[inline(always)]
-pub(crate) fn is_chosen(_: Mutant) -> bool {
+pub(crate) fn is_active(_: Mutant) -> bool {
     false
 }
 
 macro_rules! mutant {
     ($fault:ident) => {
-        $crate::mutants::is_chosen($crate::mutants::Mutant::$fault)
+        $crate::mutants::is_active($crate::mutants::Mutant::$fault)
     };
 }
 pub(crate) use mutant;
--- a/crates/brassport-membership/src/nomad/api.rs
+++ b/crates/brassport-membership/src/nomad/api.rs
@@ -1,24 +1,48 @@
-//! What Nomad's answers say. Fields that are not used are passed over; one that is missing is taken for what an old
-//! server means by leaving it out.
+//! Reads Nomad's answers. Fields that are not used are ignored; one that is missing is read as what an old server means
+//! by leaving it out.
 //!
 //! Sources: the API pages *Services* (`/v1/service/:name`), *Nodes* (`/v1/nodes`), *Allocations* (`/v1/allocations`)
 //! and *Events* (`/v1/event/stream`) of Nomad's documentation.
 
-use crate::table::{Fact, Id};
+use crate::table::{ListRow, Value};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
+use std::fmt;
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
 /// Why an answer could not be read.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unreadable(pub String);
+#[derive(Debug)]
+pub enum ReadError {
+    /// It is not the JSON that was expected.
+    Malformed(serde_json::Error),
+    /// The server ends the stream, with this reason.
+    StreamEnded(String),
+}
+
+impl fmt::Display for ReadError {
+    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ReadError::Malformed(error) => error.fmt(to),
+            ReadError::StreamEnded(reason) => reason.fmt(to),
+        }
+    }
+}
 
-impl std::fmt::Display for Unreadable {
-    fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        self.0.fmt(to)
+impl std::error::Error for ReadError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            ReadError::Malformed(error) => Some(error),
+            ReadError::StreamEnded(_) => None,
+        }
+    }
+}
+
+impl From<serde_json::Error> for ReadError {
+    fn from(error: serde_json::Error) -> ReadError {
+        ReadError::Malformed(error)
     }
 }
 
@@ -29,7 +53,7 @@
     /// `_nomad-task-<allocation>-...`: another one for each allocation.
     #[serde(rename = "ID")]
     pub id: String,
-    /// The service's name; an event may tell of other services.
+    /// The service's name; an event may be of other services.
     #[serde(default)]
     pub service_name: String,
     /// Its Nomad client.
@@ -65,18 +89,18 @@
     /// `eligible` or `ineligible`.
     #[serde(default)]
     pub scheduling_eligibility: String,
-    /// Whether it drains, as lists tell it.
+    /// Whether it is draining, as lists have it.
     #[serde(default)]
     pub drain: bool,
-    /// How it drains, as events tell it; `null` if it does not.
-    #[serde(default, deserialize_with = "is_there")]
+    /// Whether it has a drain strategy, as events have it; `null` if it is not draining.
+    #[serde(default, deserialize_with = "is_present")]
     pub drain_strategy: bool,
     /// When it was last written.
     #[serde(default)]
     pub modify_index: u64,
 }
 
-/// An allocation: one life of a node.
+/// An allocation: one incarnation of a node.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Alloc {
@@ -104,18 +128,18 @@
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Task {
-    /// When it was last started; a task that was started again in place runs cold.
+    /// When it was last started; a task that was started again in place is warming up.
     #[serde(default, deserialize_with = "null_is_default")]
     pub started_at: String,
 }
 
 impl Alloc {
-    /// Whether it ended, and will not come back.
-    pub fn is_over(&self) -> bool {
+    /// Whether it is terminated, for good.
+    pub fn is_terminated(&self) -> bool {
         matches!(self.client_status.as_str(), "complete" | "failed" | "lost")
     }
 
-    /// Unix time in milliseconds at which its last task was started, or it was made; 0: not told.
+    /// Unix time in milliseconds at which its last task was started, or it was created; 0: not reported.
     pub fn boot_ms(&self) -> f64 {
         let started = |task: &Task| {
             let at = OffsetDateTime::parse(&task.started_at, &Rfc3339).ok()?;
@@ -127,25 +151,25 @@
     }
 }
 
-impl Fact for Service {
-    fn holds_back(&self) -> bool {
+impl Value for Service {
+    fn is_restrictive(&self) -> bool {
         false
     }
 }
 
-impl Fact for Client {
-    fn holds_back(&self) -> bool {
+impl Value for Client {
+    fn is_restrictive(&self) -> bool {
         self.drain || self.drain_strategy || self.status == "down"
     }
 }
 
-impl Fact for Alloc {
-    fn holds_back(&self) -> bool {
-        self.desired_status != "run" || self.is_over()
+impl Value for Alloc {
+    fn is_restrictive(&self) -> bool {
+        self.desired_status != "run" || self.is_terminated()
     }
 }
 
-/// A change that a line of the event stream tells.
+/// A change in a line of the event stream.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
     /// A registration was written.
@@ -155,18 +179,27 @@
     /// A client was written.
     Client(Client),
     /// A client was removed.
-    ClientGone(Client),
+    ClientRemoved(Client),
     /// An allocation was written.
     Alloc(Alloc),
 }
 
+/// A change, with Nomad's index of it.
+#[derive(Debug, Clone, PartialEq)]
+pub struct IndexedChange {
+    /// The index.
+    pub index: u64,
+    /// The change.
+    pub change: Change,
+}
+
 /// A line of the event stream.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Line {
     /// `{}`: the stream is alive.
     Heartbeat,
-    /// Changes, each with its index.
-    Changes(Vec<(u64, Change)>),
+    /// Changes, in the stream's order.
+    Changes(Vec<IndexedChange>),
 }
 
 #[derive(Deserialize)]
@@ -213,48 +246,94 @@
 /// Reads a list of rows. An answer of `null` is an empty list, as Go writes one.
 ///
 /// # Errors
-/// It is no such list; none of it counts.
-pub fn list<T: DeserializeOwned>(body: &[u8]) -> Result<Vec<T>, Unreadable> {
-    let rows: Option<Vec<T>> = serde_json::from_slice(body).map_err(|error| Unreadable(error.to_string()))?;
+/// It is no such list; none of it applies.
+pub fn parse_list<T: DeserializeOwned>(body: &[u8]) -> Result<Vec<T>, ReadError> {
+    let rows: Option<Vec<T>> = serde_json::from_slice(body)?;
     Ok(rows.unwrap_or_default())
 }
 
-/// Rows as a table takes them.
-pub fn rows<T>(list: Vec<T>, id: impl Fn(&T) -> &str, revision: impl Fn(&T) -> u64) -> Vec<(Id, u64, T)> {
-    list.into_iter().map(|row| (id(&row).into(), revision(&row), row)).collect()
+/// A value that Nomad's lists have in rows.
+pub trait Listed: DeserializeOwned {
+    /// Its id.
+    fn id(&self) -> &str;
+    /// When it was last written.
+    fn modify_index(&self) -> u64;
+}
+
+impl Listed for Service {
+    fn id(&self) -> &str {
+        &self.id
+    }
+    fn modify_index(&self) -> u64 {
+        self.modify_index
+    }
+}
+
+impl Listed for Client {
+    fn id(&self) -> &str {
+        &self.id
+    }
+    fn modify_index(&self) -> u64 {
+        self.modify_index
+    }
+}
+
+impl Listed for Alloc {
+    fn id(&self) -> &str {
+        &self.id
+    }
+    fn modify_index(&self) -> u64 {
+        self.modify_index
+    }
+}
+
+/// Reads a list as the rows of a [`Table`](crate::table::Table).
+///
+/// # Errors
+/// It is no such list; none of it applies.
+pub fn parse_rows<T: Listed>(body: &[u8]) -> Result<Vec<ListRow<T>>, ReadError> {
+    let row = |value: T| ListRow { id: value.id().into(), revision: value.modify_index(), value };
+    Ok(parse_list(body)?.into_iter().map(row).collect())
 }
 
-/// Reads a line of the event stream. Events of other topics are passed over, and so is one that cannot be read: the
-/// others of its line still count, and the lists bring what it would have told.
+/// Reads a line of the event stream. Events of other topics are ignored, and so is one that cannot be read: the
+/// others of its line still apply, and the lists bring what it would have changed.
 ///
 /// # Errors
 /// The line is not one of the stream, or the server says that it ends it.
-pub fn line(line: &[u8]) -> Result<Line, Unreadable> {
-    let raw: RawLine = serde_json::from_slice(line).map_err(|error| Unreadable(error.to_string()))?;
-    if let Some(error) = raw.error {
-        return Err(Unreadable(error));
+pub fn parse_line(line: &[u8]) -> Result<Line, ReadError> {
+    let raw: RawLine = serde_json::from_slice(line)?;
+    if let Some(reason) = raw.error {
+        return Err(ReadError::StreamEnded(reason));
     }
     let Some(events) = raw.events else { return Ok(Line::Heartbeat) };
-    let index = raw.index;
-    Ok(Line::Changes(
-        events.iter().filter_map(|event| Some((event.index.max(index), change(event)?))).collect(),
-    ))
+    let indexed =
+        |event: &RawEvent| Some(IndexedChange { index: event.index.max(raw.index), change: change(event)? });
+    Ok(Line::Changes(events.iter().filter_map(indexed).collect()))
 }
 
 fn change(event: &RawEvent) -> Option<Change> {
     let payload = event.payload?.get();
-    let gone = event.r#type.ends_with("Deregistration");
+    let is_removed = event.r#type.ends_with("Deregistration");
     match event.topic.as_str() {
         "Service" => {
-            let told: ServicePayload = serde_json::from_str(payload).ok()?;
-            Some(if gone { Change::Deregistered(told.service) } else { Change::Registered(told.service) })
+            let payload: ServicePayload = serde_json::from_str(payload).ok()?;
+            Some(if is_removed {
+                Change::Deregistered(payload.service)
+            } else {
+                Change::Registered(payload.service)
+            })
         }
         "Node" => {
-            let told: ClientPayload = serde_json::from_str(payload).ok()?;
-            Some(if gone { Change::ClientGone(told.client) } else { Change::Client(told.client) })
+            let payload: ClientPayload = serde_json::from_str(payload).ok()?;
+            Some(if is_removed {
+                Change::ClientRemoved(payload.client)
+            } else {
+                Change::Client(payload.client)
+            })
         }
         "Allocation" => {
-            serde_json::from_str::<AllocPayload>(payload).ok().map(|told| Change::Alloc(told.alloc))
+            serde_json::from_str::<AllocPayload>(payload).ok().map(|payload| Change::Alloc(payload.alloc))
         }
         _ => None,
     }
@@ -264,6 +343,6 @@
     Ok(Option::<T>::deserialize(from)?.unwrap_or_default())
 }
 
-fn is_there<'de, D: Deserializer<'de>>(from: D) -> Result<bool, D::Error> {
+fn is_present<'de, D: Deserializer<'de>>(from: D) -> Result<bool, D::Error> {
     Ok(Option::<serde::de::IgnoredAny>::deserialize(from)?.is_some())
 }
--- a/crates/brassport-membership/src/nomad/follower.rs
+++ b/crates/brassport-membership/src/nomad/follower.rs
@@ -1,9 +1,9 @@
-//! Follows one Nomad service: keeps what the API told of its registrations, of clients and of allocations, joins them
-//! to nodes, and says from which index each list is to be asked next. No I/O, no clock.
+//! Follows one Nomad service: owns the tables of its registrations, of clients and of allocations, joins them
+//! to nodes, and says from which index each list is to be queried next. No I/O, no clock.
 //!
-//! A node is a registration, under its id. What it is:
+//! A node is a registration, under its id. Its state:
 //!
-//! | told | state |
+//! | reported | state |
 //! | --- | --- |
 //! | its allocation is `complete`, `failed` or `lost`; its client is `down` | gone |
 //! | its client drains; its allocation is to `stop` or be evicted, or is `pending` | draining |
@@ -11,24 +11,21 @@
 //! | its client is ineligible, where the configuration says that this counts | draining |
 //! | else, `unknown` and `disconnected` among it: Nomad does not know, and nothing is proven | ready |
 //!
-//! A registration that is gone is withdrawn. One of whose allocation nothing is known is taken for started when it
-//! came: a token that cannot read allocations makes the whole fleet look cold at each start of the front door.
+//! A registration that is removed is withdrawn. One whose allocation is not known counts as started when it
+//! was first seen: with a token that cannot read allocations the whole fleet is warming up after each start of the proxy.
 
-use super::api::{self, Alloc, Change, Client, Line, Service, Unreadable};
+use super::api::{self, Alloc, Change, Client, IndexedChange, Line, ReadError, Service};
+use super::join::{removed_entry, Ineligible, Join};
+use super::links::Links;
 use crate::book::{Entry, Moment, Report, State};
-use crate::mutants::mutant;
-use crate::table::{Id, Millis, Row, Rules, Standing, Table, Taken};
-use std::collections::{BTreeMap, BTreeSet};
-use std::net::{IpAddr, SocketAddr};
+use crate::table::{Freshness, Id, Millis, Rules, Table, Taken};
+use std::collections::BTreeSet;
 
-/// So long the first list of registrations waits for the others. What it tells counts as told from the start, and
-/// must count within the 500 ms that a drain has.
-pub const PATIENCE: Millis = 250;
+/// How long the first list of registrations waits for the others, in milliseconds. What it reports counts from the
+/// start, and must count within the 500 ms that a drain has.
+pub const FIRST_REPORT_TIMEOUT_MS: Millis = 250;
 
-/// No address of a node.
-const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
-
-/// Which list.
+/// A list of the API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum List {
     /// `/v1/service/:name`.
@@ -46,20 +43,20 @@
     pub index: u64,
     /// `X-Nomad-KnownLeader`; a server without a leader vouches for nothing.
     pub known_leader: bool,
-    /// `X-Nomad-LastContact`: milliseconds since the server heard of the leader.
+    /// `X-Nomad-LastContact`: milliseconds since the server had contact with the leader.
     pub last_contact: Millis,
 }
 
-/// What the operator chose.
+/// What the operator configures.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
     /// The service's name.
     pub service: String,
-    /// Whether a client that is ineligible, and does not drain, takes nothing new.
+    /// Whether a client that is ineligible, and not draining, takes nothing new.
     pub ineligible_drains: bool,
-    /// An answer of a server that heard of its leader longer ago than this is stale. Milliseconds.
-    pub most_contact: Millis,
-    /// When strange answers are believed.
+    /// An answer of a server whose last contact with its leader is longer ago than this is stale. Milliseconds.
+    pub max_last_contact_ms: Millis,
+    /// When suspicious answers are accepted.
     pub rules: Rules,
 }
 
@@ -69,47 +66,40 @@
         Options {
             service: service.into(),
             ineligible_drains: false,
-            most_contact: 2_000,
+            max_last_contact_ms: 2_000,
             rules: Rules::default(),
         }
     }
 }
 
-/// What to do after an answer.
+/// What to query after an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Ask for what is newer than this index; 0: for the list as it is.
+    /// What is newer than this index; 0: the list as it is.
     From(u64),
-    /// Ask another server for the list as it is: this one is behind or does not know its leader.
+    /// The list as it is, of another server: this one is behind or does not know its leader.
     Elsewhere,
-    /// Ask again soon for the list as it is: the answer is strange, and not believed yet.
+    /// The list as it is, after a short pause: the answer is suspicious, and not accepted yet.
     Again,
 }
 
-/// A follower.
+/// The state of one service's nodes, as the API's answers have it.
 pub struct Follower {
     options: Options,
     services: Table<Service>,
     clients: Table<Client>,
     allocs: Table<Alloc>,
-    on_client: BTreeMap<String, BTreeSet<Id>>,
-    of_alloc: BTreeMap<String, BTreeSet<Id>>,
-    /// By registration: its client, its allocation, and the Unix time at which it came.
-    links: BTreeMap<Id, Link>,
+    links: Links,
+    /// Registrations that may have changed since the last report.
     dirty: BTreeSet<Id>,
+    /// Lists that cannot be had.
     excused: BTreeSet<List>,
-    reported_whole: bool,
-    first_list: Option<Millis>,
-}
-
-struct Link {
-    client: String,
-    alloc: String,
-    came: u64,
+    has_reported: bool,
+    first_list_ms: Option<Millis>,
 }
 
 impl Follower {
-    /// A follower that has heard nothing.
+    /// A follower that has no answer yet.
     pub fn new(options: Options) -> Follower {
         let rules = options.rules;
         Follower {
@@ -117,17 +107,15 @@
             services: Table::new(rules),
             clients: Table::new(rules),
             allocs: Table::new(rules),
-            on_client: BTreeMap::new(),
-            of_alloc: BTreeMap::new(),
-            links: BTreeMap::new(),
+            links: Links::default(),
             dirty: BTreeSet::new(),
             excused: BTreeSet::new(),
-            reported_whole: false,
-            first_list: None,
+            has_reported: false,
+            first_list_ms: None,
         }
     }
 
-    /// The index from which this list is to be asked on; 0: as it is.
+    /// The index from which this list is to be queried; 0: as it is.
     pub fn index(&self, list: List) -> u64 {
         let index = match list {
             List::Services => self.services.index(),
@@ -137,181 +125,158 @@
         index.unwrap_or(0)
     }
 
-    /// Takes in a list.
+    /// Applies a list.
     ///
     /// # Errors
-    /// The body is no such list; what was told before stays in force.
+    /// The body is no such list; what was known before stays in force.
     pub fn take_list(
         &mut self,
         now: Moment,
         list: List,
         meta: Meta,
         body: &[u8],
-    ) -> Result<(Taken, Next), Unreadable> {
-        let fresh = meta.known_leader && meta.last_contact <= self.options.most_contact;
-        let standing = if fresh { Standing::Fresh } else { Standing::Stale };
+    ) -> Result<(Taken, Next), ReadError> {
+        let is_fresh = meta.known_leader && meta.last_contact <= self.options.max_last_contact_ms;
+        let freshness = if is_fresh { Freshness::Fresh } else { Freshness::Stale };
+        let (at, index) = (now.monotonic, meta.index);
         let mut changed = Vec::new();
         let taken = match list {
             List::Services => {
-                let rows = api::rows(api::list::<Service>(body)?, |row| &row.id, |row| row.modify_index);
-                self.services_change(now, |services, changed| {
-                    services.tell_all(now.monotonic, meta.index, standing, rows, changed)
-                })
+                let rows = api::parse_rows(body)?;
+                let taken = self.services.apply_list(at, index, freshness, rows, &mut changed);
+                changed.into_iter().for_each(|id| self.service_changed(now, id));
+                taken
             }
             List::Clients => {
-                let rows = api::rows(api::list::<Client>(body)?, |row| &row.id, |row| row.modify_index);
-                let taken = self.clients.tell_all(now.monotonic, meta.index, standing, rows, &mut changed);
-                changed.iter().for_each(|id| self.touch_client(id));
+                let rows = api::parse_rows(body)?;
+                let taken = self.clients.apply_list(at, index, freshness, rows, &mut changed);
+                changed.iter().for_each(|id| self.client_changed(id));
                 taken
             }
             List::Allocs => {
-                let rows = api::rows(api::list::<Alloc>(body)?, |row| &row.id, |row| row.modify_index);
-                let taken = self.allocs.tell_all(now.monotonic, meta.index, standing, rows, &mut changed);
+                let rows = api::parse_rows(body)?;
+                let taken = self.allocs.apply_list(at, index, freshness, rows, &mut changed);
                 changed.iter().for_each(|id| self.alloc_changed(now, id));
                 taken
             }
         };
         let next = match taken {
-            Taken::Whole | Taken::Anew => Next::From(meta.index),
+            Taken::Whole | Taken::Anew => Next::From(index),
             Taken::Newer => Next::Elsewhere,
             Taken::Behind | Taken::Empty => Next::Again,
         };
         Ok((taken, next))
     }
 
-    /// Takes in a line of the event stream. Whether it was a heartbeat.
+    /// Applies a line of the event stream. Whether it was a heartbeat.
     ///
     /// # Errors
-    /// The line cannot be read, or ends the stream; what was told before stays in force.
-    pub fn take_line(&mut self, now: Moment, line: &[u8]) -> Result<bool, Unreadable> {
-        let Line::Changes(changes) = api::line(line)? else { return Ok(true) };
-        for (index, change) in changes {
-            self.take_change(now, index, change);
+    /// The line cannot be read, or ends the stream; what was known before stays in force.
+    pub fn take_line(&mut self, now: Moment, line: &[u8]) -> Result<bool, ReadError> {
+        let Line::Changes(changes) = api::parse_line(line)? else { return Ok(true) };
+        for change in changes {
+            self.apply_change(now, change);
         }
         Ok(false)
     }
 
-    fn take_change(&mut self, now: Moment, index: u64, change: Change) {
+    fn apply_change(&mut self, now: Moment, change: IndexedChange) {
+        let (at, IndexedChange { index, change }) = (now.monotonic, change);
         match change {
             Change::Registered(service) | Change::Deregistered(service)
                 if service.service_name != self.options.service => {}
             Change::Registered(service) => {
                 let id = service.id.clone();
-                self.services_change(now, |table, changed| {
-                    if table.tell(now.monotonic, &id, index, Some(service)) {
-                        changed.push(id.as_str().into());
-                    }
-                });
+                if self.services.apply(at, &id, index, Some(service)) {
+                    self.service_changed(now, id.into());
+                }
             }
-            Change::Deregistered(service) => self.services_change(now, |table, changed| {
-                let is_news = table.row(&service.id).is_none();
-                if table.tell(now.monotonic, &service.id, index, None) || is_news {
-                    changed.push(service.id.as_str().into());
+            Change::Deregistered(service) => {
+                // Of one that was never listed it is reported too: the reader may know it from an earlier run.
+                let is_unknown = self.services.row(&service.id).is_none();
+                if self.services.apply(at, &service.id, index, None) || is_unknown {
+                    self.service_changed(now, service.id.into());
                 }
-            }),
+            }
             Change::Client(client) => {
                 let id = client.id.clone();
-                if self.clients.tell(now.monotonic, &id, index, Some(client)) {
-                    self.touch_client(&id);
+                if self.clients.apply(at, &id, index, Some(client)) {
+                    self.client_changed(&id);
                 }
             }
-            Change::ClientGone(client) => {
-                if self.clients.tell(now.monotonic, &client.id, index, None) {
-                    self.touch_client(&client.id);
+            Change::ClientRemoved(client) => {
+                if self.clients.apply(at, &client.id, index, None) {
+                    self.client_changed(&client.id);
                 }
             }
             Change::Alloc(alloc) => {
                 let id = alloc.id.clone();
-                if self.allocs.tell(now.monotonic, &id, index, Some(alloc)) {
+                if self.allocs.apply(at, &id, index, Some(alloc)) {
                     self.alloc_changed(now, &id);
                 }
             }
         }
     }
 
-    /// Changes the registrations, and keeps what stands on which client and belongs to which allocation.
-    fn services_change<T>(
-        &mut self,
-        now: Moment,
-        change: impl FnOnce(&mut Table<Service>, &mut Vec<Id>) -> T,
-    ) -> T {
-        let mut changed = Vec::new();
-        let result = change(&mut self.services, &mut changed);
-        for id in changed {
-            let came = self.links.get(&id).map_or(now.unix, |link| link.came);
-            if let Some(alloc) = self.unlink(&id).filter(|_| self.services.get(&id).is_none()) {
-                self.forget_alloc(now, &alloc);
-            }
-            if let Some(Service { node: client, alloc, .. }) = self.services.get(&id) {
-                self.on_client.entry(client.clone()).or_default().insert(id.clone());
-                self.of_alloc.entry(alloc.clone()).or_default().insert(id.clone());
-                self.links.insert(id.clone(), Link { client: client.clone(), alloc: alloc.clone(), came });
-            }
-            self.dirty.insert(id);
-        }
-        result
-    }
-
-    /// Guards the memory: a registration that went is no longer looked up by its client and allocation.
-    /// Its allocation.
-    fn unlink(&mut self, id: &Id) -> Option<String> {
-        let Link { client, alloc, .. } = self.links.remove(id)?;
-        for (index, key) in [(&mut self.on_client, &client), (&mut self.of_alloc, &alloc)] {
-            if let Some(ids) = index.get_mut(key) {
-                ids.remove(id);
-                if ids.is_empty() {
-                    index.remove(key);
+    /// Brings a registration's link in line with its row.
+    fn service_changed(&mut self, now: Moment, id: Id) {
+        let seen_unix_ms = self.links.seen_unix_ms(&id).unwrap_or(now.unix);
+        let alloc = self.links.remove(&id);
+        match self.services.get(&id) {
+            Some(service) => self.links.insert(&id, service, seen_unix_ms),
+            None => {
+                if let Some(alloc) = alloc {
+                    self.forget_alloc(now, &alloc);
                 }
             }
         }
-        Some(alloc)
+        self.dirty.insert(id);
     }
 
-    fn touch_client(&mut self, id: &str) {
-        self.dirty.extend(self.on_client.get(id).into_iter().flatten().cloned());
+    fn client_changed(&mut self, id: &str) {
+        self.dirty.extend(self.links.on_client(id).cloned());
     }
 
     fn alloc_changed(&mut self, now: Moment, id: &str) {
-        self.dirty.extend(self.of_alloc.get(id).into_iter().flatten().cloned());
+        self.dirty.extend(self.links.of_alloc(id).cloned());
         self.forget_alloc(now, id);
     }
 
-    /// Guards the memory: an allocation that is over and has no registration is not needed any more.
+    /// Guards the memory: an allocation that is terminated and has no registration is not needed any more.
     fn forget_alloc(&mut self, now: Moment, id: &str) {
-        if self.allocs.get(id).is_some_and(Alloc::is_over) && !self.of_alloc.contains_key(id) {
+        if self.allocs.get(id).is_some_and(Alloc::is_terminated) && !self.links.has_alloc(id) {
             self.allocs.forget(now.monotonic, id);
         }
     }
 
-    /// This list cannot be had: the nodes are told without it until it can.
+    /// This list cannot be had: the nodes are reported without it until it can.
     pub fn excuse(&mut self, list: List) {
         self.excused.insert(list);
     }
 
-    /// Whether there was a report.
+    /// Whether there was a full report.
     pub fn has_reported(&self) -> bool {
-        self.reported_whole
+        self.has_reported
     }
 
-    /// What is news since the last report; `None` where nothing is. The first whole report waits for a whole list of
-    /// each kind that can be had, or [`PATIENCE`]; what must get nothing new is told before.
+    /// What is new since the last report; `None` where nothing is. The first full report waits for a full list of
+    /// each kind that can be had, or [`FIRST_REPORT_TIMEOUT_MS`]; what must get nothing new is reported before.
     pub fn report(&mut self, now: Moment) -> Option<Report> {
         if self.services.index().is_none() {
-            return self.early();
+            return self.early_report();
         }
-        let waited = now.monotonic.saturating_sub(*self.first_list.get_or_insert(now.monotonic));
-        let told = |list, index: Option<u64>| index.is_some() || self.excused.contains(&list);
-        // Guards a node that drains, or is cold, against requests while only its registration is known.
-        let all = told(List::Clients, self.clients.index()) && told(List::Allocs, self.allocs.index());
-        if !self.reported_whole && !all && waited < PATIENCE {
-            return self.early();
+        let waited_ms = now.monotonic.saturating_sub(*self.first_list_ms.get_or_insert(now.monotonic));
+        let is_settled = |list, index: Option<u64>| index.is_some() || self.excused.contains(&list);
+        // Guards a node that drains, or is warming up, against requests while only its registration is known.
+        let all_settled =
+            is_settled(List::Clients, self.clients.index()) && is_settled(List::Allocs, self.allocs.index());
+        if !self.has_reported && !all_settled && waited_ms < FIRST_REPORT_TIMEOUT_MS {
+            return self.early_report();
         }
-        let whole = !std::mem::replace(&mut self.reported_whole, true);
         let dirty = std::mem::take(&mut self.dirty);
-        if whole {
-            return Some(Report::whole(
-                self.services.living().map(|(id, row)| self.entry(id, row)).collect(),
-            ));
+        if !std::mem::replace(&mut self.has_reported, true) {
+            let entries = self.services.present().map(|(id, service)| self.entry(id, service));
+            return Some(Report::whole(entries.collect()));
         }
         if dirty.is_empty() {
             return None;
@@ -326,7 +291,7 @@
         Some(report)
     }
 
-    /// Registrations that are there.
+    /// Registrations that are present.
     pub fn len(&self) -> usize {
         self.services.len()
     }
@@ -336,86 +301,29 @@
         self.services.is_empty()
     }
 
-    /// Rows remembered in all three tables, there or gone.
+    /// Rows remembered in all three tables, present or removed.
     pub fn remembered(&self) -> usize {
         self.services.remembered() + self.clients.remembered() + self.allocs.remembered()
     }
 
-    /// What is told before the first whole report. Guards nodes that the front door knows from an earlier time: a
-    /// stream or a stale list may tell that they drain or went long before there is a list that is fresh.
-    fn early(&mut self) -> Option<Report> {
+    /// What is reported before the first full report. Guards nodes that the proxy knows from an earlier run: a
+    /// stream or a stale list may say that they drain or went long before there is a list that is fresh.
+    fn early_report(&mut self) -> Option<Report> {
         let dirty = std::mem::take(&mut self.dirty);
-        let off = |id: Id| match self.services.get(&id) {
+        let restricted = |id: Id| match self.services.get(&id) {
             Some(service) => Some(self.entry(&id, service)).filter(|entry| entry.state != State::Ready),
-            None => Some(Entry {
-                address: None,
-                state: State::Gone,
-                revision: self.services.row(&id).map_or(0, |row| row.revision),
-                note: "its registration was removed".into(),
-                ..Entry::ready(&id, NOWHERE)
-            }),
+            None => Some(removed_entry(&id, self.services.row(&id).map_or(0, |row| row.revision))),
         };
-        let entries: Vec<Entry> = dirty.into_iter().filter_map(off).collect();
+        let entries: Vec<Entry> = dirty.into_iter().filter_map(restricted).collect();
         (!entries.is_empty()).then(|| Report::changes(entries))
     }
 
     fn entry(&self, id: &Id, service: &Service) -> Entry {
+        let ineligible =
+            if self.options.ineligible_drains { Ineligible::Draining } else { Ineligible::Ready };
         let client = self.clients.row(&service.node);
         let alloc = self.allocs.row(&service.alloc);
-        let revision =
-            [service.modify_index, client.map_or(0, |row| row.revision), alloc.map_or(0, |row| row.revision)];
-        let (state, note) = self.state(client, alloc);
-        let started = alloc.and_then(|row| row.told.as_ref()).map(Alloc::boot_ms);
-        // Guards a node that may be cold while its allocation is not known.
-        let came = self.links.get(id).map(|link| link.came as f64);
-        let address = service.address.parse::<IpAddr>().ok().filter(|_| service.port != 0);
-        let tag = |name: &str| {
-            service.tags.iter().find_map(|tag| tag.strip_prefix(name)?.strip_prefix('=')).map(str::trim)
-        };
-        Entry {
-            id: id.clone(),
-            address: address.map(|ip| SocketAddr::new(ip, service.port)),
-            zone: tag("zone").unwrap_or_default().to_string(),
-            group: tag("group").and_then(|text| text.parse().ok()).unwrap_or(0),
-            size: tag("weight")
-                .and_then(|text| text.parse::<f64>().ok())
-                .filter(|size| size.is_finite() && *size > 0.0)
-                .unwrap_or(0.0),
-            boot_ms: started.or(came).unwrap_or(0.0),
-            state,
-            revision: revision.into_iter().max().unwrap_or(0),
-            note,
-        }
-    }
-
-    fn state(&self, client: Option<&Row<Client>>, alloc: Option<&Row<Alloc>>) -> (State, String) {
-        if let Some(row) = alloc {
-            let Some(alloc) = &row.told else {
-                return (State::Draining, "its allocation is no longer known".into());
-            };
-            match (alloc.client_status.as_str(), alloc.desired_status.as_str()) {
-                (over, _) if alloc.is_over() => {
-                    return (State::Gone, format!("its allocation is {over}"));
-                }
-                (_, wish @ ("stop" | "evict")) => {
-                    return (State::Draining, format!("its allocation is to {wish}"));
-                }
-                ("pending", _) => return (State::Draining, "its allocation is pending".into()),
-                _ => {}
-            }
-        }
-        let Some(row) = client else { return (State::Ready, String::new()) };
-        let Some(client) = &row.told else {
-            return (State::Draining, "its client is no longer known".into());
-        };
-        if client.status == "down" {
-            (State::Gone, "its client is down".into())
-        } else if (client.drain || client.drain_strategy) && !mutant!(IgnoreClientDrain) {
-            (State::Draining, "its client drains".into())
-        } else if self.options.ineligible_drains && client.scheduling_eligibility == "ineligible" {
-            (State::Draining, "its client is ineligible".into())
-        } else {
-            (State::Ready, String::new())
-        }
+        let seen_unix_ms = self.links.seen_unix_ms(id);
+        Join { id, service, client, alloc, seen_unix_ms, ineligible }.entry()
     }
 }
--- a/crates/brassport-membership/tests/it/nomad.rs
+++ b/crates/brassport-membership/tests/it/nomad.rs
@@ -2,8 +2,8 @@
 
 use brassport_membership::book::{Moment, Report, State};
 use brassport_membership::nomad::api;
-use brassport_membership::nomad::follower::{Follower, List, Meta, Next, Options, PATIENCE};
-use brassport_membership::nomad::lines::{Lines, TooLong};
+use brassport_membership::nomad::follower::{Follower, List, Meta, Next, Options, FIRST_REPORT_TIMEOUT_MS};
+use brassport_membership::nomad::lines::{LineTooLong, Lines};
 use brassport_membership::table::{Rules, Taken};
 use proptest::prelude::*;
 
@@ -83,7 +83,7 @@
     let mut tell = |topic: &str, kind: &str, payload: String| {
         index += 1;
         let payload = payload.replace("INDEX", &index.to_string());
-        assert_eq!(follower.take_line(at(1), &event(topic, kind, index, &payload)), Ok(false));
+        assert!(!follower.take_line(at(1), &event(topic, kind, index, &payload)).unwrap());
         follower.report(at(1))
     };
     let client = |fields: &str| format!(r#"{{"Node":{{"ID":"c-n","ModifyIndex":INDEX,{fields}}}}}"#);
@@ -135,8 +135,8 @@
     let mut follower = Follower::new(Options::of("render"));
     follower.take_list(at(0), List::Services, fresh(9), &list(&[service("n", 6)])).unwrap();
     assert_eq!(follower.report(at(0)), None);
-    assert_eq!(follower.report(at(PATIENCE - 1)), None);
-    let report = follower.report(at(PATIENCE)).expect("due");
+    assert_eq!(follower.report(at(FIRST_REPORT_TIMEOUT_MS - 1)), None);
+    let report = follower.report(at(FIRST_REPORT_TIMEOUT_MS)).expect("due");
     assert!(report.whole);
     assert_eq!(report.entries[0].boot_ms, 1_000_000.0, "an unknown start is taken for now");
     follower.take_list(at(400), List::Allocs, fresh(9), &list(&[alloc("n", "running", 5)])).unwrap();
@@ -160,7 +160,7 @@
 #[test]
 fn a_rolling_update_under_new_names_is_remembered_within_a_bound() {
     let mut follower = Follower::new(Options {
-        rules: Rules { most_gone: 100, ..Rules::default() },
+        rules: Rules { max_removed: 100, ..Rules::default() },
         ..Options::of("render")
     });
     for table in [List::Allocs, List::Clients, List::Services] {
@@ -204,7 +204,7 @@
         .unwrap();
     follower.take_line(at(1), &event("Job", "JobRegistered", 21, r#"{"Job":{}}"#)).unwrap();
     follower.take_line(at(1), &event("Node", "NodeDrain", 22, r#"{"Node":"not one"}"#)).unwrap();
-    assert_eq!(follower.take_line(at(1), b"{}"), Ok(true));
+    assert!(follower.take_line(at(1), b"{}").unwrap());
     assert!(follower.take_line(at(1), br#"{"Index":23,"Events":[{"#).is_err());
     assert!(follower.take_line(at(1), br#"{"Error":"permission denied"}"#).is_err());
     assert!(follower.take_list(at(1), List::Services, fresh(30), b"[{").is_err());
@@ -216,12 +216,12 @@
 fn an_unterminated_line_is_rejected_at_the_limit() {
     let mut lines = Lines::new(100);
     assert_eq!(lines.push(&[b'x'; 60], |_| panic!("no line ended")), Ok(()));
-    assert_eq!(lines.push(&[b'x'; 41], |_| panic!("no line ended")), Err(TooLong));
-    assert_eq!(lines.held(), 0, "nothing of it is kept");
+    assert_eq!(lines.push(&[b'x'; 41], |_| panic!("no line ended")), Err(LineTooLong { max_bytes: 100 }));
+    assert_eq!(lines.buffered_bytes(), 0, "nothing of it is kept");
 }
 
-/// Bytes that look like what the API sends, spoilt somewhere.
-fn spoilt() -> impl Strategy<Value = Vec<u8>> {
+/// Bytes that look like what the API sends, corrupted somewhere.
+fn corrupted() -> impl Strategy<Value = Vec<u8>> {
     let good = prop_oneof![
         Just(list(&[service("n", 6), service("m", 7)])),
         Just(list(&[client("n", true, 6)])),
@@ -236,9 +236,9 @@
         any::<bool>(),
     )
         .prop_map(|(mut bytes, changes, cut, cuts)| {
-            for (place, byte) in changes {
-                let place = place.index(bytes.len());
-                bytes[place] = byte;
+            for (position, byte) in changes {
+                let position = position.index(bytes.len());
+                bytes[position] = byte;
             }
             if cuts {
                 bytes.truncate(cut.index(bytes.len()));
@@ -253,15 +253,15 @@
         bytes in prop::collection::vec(prop_oneof![4 => Just(b'x'), 1 => Just(b'\n')], 0..300),
         cuts in prop::collection::vec(1usize..40, 0..40),
     ) {
-        let mut whole = Vec::new();
-        Lines::new(1_000).push(&bytes, |line| whole.push(line.to_vec())).unwrap();
+        let mut complete = Vec::new();
+        Lines::new(1_000).push(&bytes, |line| complete.push(line.to_vec())).unwrap();
         let (mut parts, mut lines, mut rest) = (Vec::new(), Lines::new(1_000), &bytes[..]);
         for cut in cuts.into_iter().chain([usize::MAX]) {
             let (part, next) = rest.split_at(cut.min(rest.len()));
             lines.push(part, |line| parts.push(line.to_vec())).unwrap();
             rest = next;
         }
-        prop_assert_eq!(parts, whole);
+        prop_assert_eq!(parts, complete);
     }
 
     #[test]
@@ -272,14 +272,14 @@
         let mut lines = Lines::new(most);
         let mut follower = follower(&["n"]);
         let _ = lines.push(&bytes, |line| drop(follower.take_line(at(1), line)));
-        prop_assert!(lines.held() <= most);
-        let _ = api::list::<api::Service>(&bytes);
-        let _ = api::list::<api::Client>(&bytes);
-        let _ = api::list::<api::Alloc>(&bytes);
+        prop_assert!(lines.buffered_bytes() <= most);
+        let _ = api::parse_list::<api::Service>(&bytes);
+        let _ = api::parse_list::<api::Client>(&bytes);
+        let _ = api::parse_list::<api::Alloc>(&bytes);
     }
 
     #[test]
-    fn a_corrupted_answer_is_rejected_or_changes_only_what_it_names(bytes in spoilt()) {
+    fn a_corrupted_answer_is_rejected_or_changes_only_what_it_names(bytes in corrupted()) {
         let mut follower = follower(&["n", "m"]);
         follower.report(at(0));
         for table in [List::Services, List::Clients, List::Allocs] {
