--- a/crates/brassport-membership/src/book/mod.rs
+++ b/crates/brassport-membership/src/book/mod.rs
@@ -40,7 +40,7 @@
 use explanation::Reason;
 use merge::{Listing, Merge};
 use ownership::Addresses;
-use report::UpdateBuilder;
+use report::{Unchanged, UpdateBuilder};
 use sources::Sources;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -69,23 +69,23 @@
         }
     }
 
-    /// How many changes of the list there were, so that a reader can tell whether anything is new.
+    /// How many changes of the list there were, so that a reader can see whether anything is new.
     pub fn changes(&self) -> u64 {
         self.change_count
     }
 
-    /// Applies a report of the source at this position among [`Book::new`]'s. The update is whole if the report is, and
+    /// Applies a report of the source at this position among [`Book::new`]'s. The update is full if the report is, and
     /// comes from the only source, which is passed through unchanged.
     ///
     /// # Panics
     /// If there is no source at this position.
     pub fn take(&mut self, now: Moment, source: usize, report: Report) -> Update {
         // Guards the platform's discovery against any change in what the policy is notified of.
-        let passes_through = self.sources.is_passed_through(source);
+        let unchanged = self.sources.unchanged(source);
         if self.sources.any_lists_only() {
             self.drains.record(now, self.sources.table(source), &report);
         }
-        let mut update = UpdateBuilder::new(report.whole && passes_through, passes_through);
+        let mut update = UpdateBuilder::new(&report, unchanged);
         let affected = self.sources.apply(now, source, report);
         let (mut seen, mut neighbours) = (BTreeSet::new(), BTreeSet::new());
         for id in affected {
@@ -94,8 +94,10 @@
             }
         }
         // Who shares an address with a node that changed is evaluated once more, which moves no address.
-        for id in std::mem::take(&mut neighbours).into_iter().filter(|_| !passes_through) {
-            self.evaluate(now, &id, &mut neighbours, &mut update);
+        if unchanged == Unchanged::Omit {
+            for id in std::mem::take(&mut neighbours) {
+                self.evaluate(now, &id, &mut neighbours, &mut update);
+            }
         }
         update.finish()
     }
@@ -233,7 +235,9 @@
             listing.since_ms = known.since_ms;
         }
         self.change_count += u64::from(!is_same);
-        if !is_same || update.repeats_unchanged {
+        if is_same {
+            update.put_unchanged(&listing.entry);
+        } else {
             update.put(listing.entry.clone());
         }
         self.list.insert(id.clone(), listing);
--- a/crates/brassport-membership/src/book/report.rs
+++ b/crates/brassport-membership/src/book/report.rs
@@ -83,19 +83,36 @@
     pub nodes: Vec<Entry>,
 }
 
+/// What becomes of a node that a report repeats unchanged.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Unchanged {
+    /// It is left out: the policy knows it.
+    Omit,
+    /// It is in the update again, as its source is passed through unchanged.
+    Repeat,
+}
+
 /// An update under construction.
 pub(super) struct UpdateBuilder {
     /// Whether the update replaces all that was known.
     is_full: bool,
-    /// Whether unchanged nodes are repeated.
-    pub(super) repeats_unchanged: bool,
+    unchanged: Unchanged,
     nodes: Vec<Entry>,
     positions: BTreeMap<Id, usize>,
 }
 
 impl UpdateBuilder {
-    pub(super) fn new(is_full: bool, repeats_unchanged: bool) -> UpdateBuilder {
-        UpdateBuilder { is_full, repeats_unchanged, nodes: Vec::new(), positions: BTreeMap::new() }
+    /// An update that answers a report. It is full if the report is, and is passed through.
+    pub(super) fn new(report: &Report, unchanged: Unchanged) -> UpdateBuilder {
+        let is_full = report.whole && unchanged == Unchanged::Repeat;
+        UpdateBuilder { is_full, unchanged, nodes: Vec::new(), positions: BTreeMap::new() }
+    }
+
+    /// Adds a node that is as it was, if such are repeated.
+    pub(super) fn put_unchanged(&mut self, entry: &Entry) {
+        if self.unchanged == Unchanged::Repeat {
+            self.put(entry.clone());
+        }
     }
 
     /// Adds a node, at the position of its earlier entry in this update if there is one.
--- a/crates/brassport-membership/src/book/sources.rs
+++ b/crates/brassport-membership/src/book/sources.rs
@@ -2,7 +2,7 @@
 
 use super::entry::{Entry, Moment, State};
 use super::explanation::{SourceNow, Word};
-use super::report::{Report, Source};
+use super::report::{Report, Source, Unchanged};
 use crate::table::{Id, Millis};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -47,9 +47,13 @@
         &self.0[position]
     }
 
-    /// Whether this source is the only one, and passed through unchanged.
-    pub(super) fn is_passed_through(&self, position: usize) -> bool {
-        self.0.len() == 1 && self.0[position].source.as_told
+    /// Whether a source's unchanged nodes are repeated: those of an only source that is passed through unchanged.
+    pub(super) fn unchanged(&self, position: usize) -> Unchanged {
+        if self.0.len() == 1 && self.0[position].source.as_told {
+            Unchanged::Repeat
+        } else {
+            Unchanged::Omit
+        }
     }
 
     pub(super) fn any_lists_only(&self) -> bool {
@@ -84,7 +88,7 @@
         self.is_listed(id) && self.authoritative(id).all(|reported| reported.source.lists_only)
     }
 
-    /// Whether every source that lists a node, or none, reports it gone.
+    /// Whether no source that lists a node reports anything but that it is gone.
     pub(super) fn all_report_gone(&self, id: &str) -> bool {
         self.entries(id).all(|reported| reported.entry.state == State::Gone)
     }
@@ -98,12 +102,12 @@
 
     /// Applies a report. The nodes that it may change, in the order of the report; a node may stand twice.
     pub(super) fn apply(&mut self, now: Moment, position: usize, report: Report) -> Vec<Id> {
-        let repeats = self.is_passed_through(position);
+        let unchanged = self.unchanged(position);
         let table = &mut self.0[position];
         table.last_report_ms = Some(now.monotonic);
         let is_first_full = report.whole && !table.has_full_list;
         table.has_full_list |= report.whole;
-        let mut affected = table.apply(now, report, repeats);
+        let mut affected = table.apply(now, report, unchanged);
         if is_first_full {
             // What was only listed by an advisory source until now may have to go.
             let advisory = self.0.iter().filter(|table| !table.source.authority);
@@ -149,7 +153,7 @@
 }
 
 impl SourceTable {
-    fn apply(&mut self, now: Moment, report: Report, repeats: bool) -> Vec<Id> {
+    fn apply(&mut self, now: Moment, report: Report, unchanged: Unchanged) -> Vec<Id> {
         let Report { whole, entries, mut withdrawn } = report;
         if whole {
             let named: BTreeSet<&Id> = entries.iter().map(|entry| &entry.id).collect();
@@ -160,7 +164,7 @@
             match self.rows.get_mut(&entry.id) {
                 Some(known) if known.entry.is_same(&entry) => {
                     // What changes nothing costs this comparison and no more.
-                    if repeats {
+                    if unchanged == Unchanged::Repeat {
                         affected.push(entry.id.clone());
                     }
                     (known.entry.revision, known.entry.note) = (entry.revision, entry.note);
--- a/crates/brassport-membership/tests/it/book.rs
+++ b/crates/brassport-membership/tests/it/book.rs
@@ -1,4 +1,4 @@
-//! The book: what several sources together say.
+//! The membership list: the rules between several sources.
 
 use brassport_membership::book::{Book, Entry, Moment, Report, Source, State, Word};
 use brassport_membership::table::Id;
@@ -32,10 +32,10 @@
         book.take(at(1), says, Report::whole(vec![node("a", 1, State::Ready)]));
         let update = book.take(at(2), says, Report::changes(vec![node("a", 1, State::Draining)]));
         assert_eq!(update.nodes, [node("a", 1, State::Draining)]);
-        // The other says again what it said: nothing comes back.
+        // The other repeats its report: the node stays draining.
         assert_eq!(book.take(at(3), other, Report::whole(vec![node("a", 1, State::Ready)])).nodes, []);
         assert_eq!(state(&book, "a"), Some(State::Draining));
-        // Who said it takes it back.
+        // The source that reported the drain ends it.
         book.take(at(4), says, Report::changes(vec![node("a", 1, State::Ready)]));
         assert_eq!(state(&book, "a"), Some(State::Ready));
     }
@@ -49,7 +49,7 @@
     let update = book.take(at(1), 0, Report::changes(vec![node("a", 1, State::Gone)]));
     assert_eq!(update.nodes[0].state, State::Gone);
     assert_eq!(book.explain("a", at(5)).unwrap().because, "'nomad' says gone");
-    assert_eq!(book.len(), 1, "remembered against the other's word");
+    assert_eq!(book.len(), 1, "remembered against the other's report");
     book.take(at(2), 1, withdraw(&["a"]));
     assert_eq!(book.len(), 0);
     assert_eq!(book.explain("a", at(5)).unwrap().state, State::Gone, "and explained for a while");
@@ -76,9 +76,13 @@
     book.take(at(0), 0, Report::whole(vec![old]));
     book.take(at(0), 1, Report::whole(vec![Entry { boot_ms: 100.0, ..node("a", 1, State::Ready) }]));
     assert_eq!(state(&book, "a"), Some(State::Draining));
-    let reborn = Entry { boot_ms: 200.0, ..node("a", 1, State::Ready) };
-    let update = book.take(at(1), 1, Report::changes(vec![reborn]));
-    assert_eq!((update.nodes[0].state, update.nodes[0].boot_ms), (State::Ready, 200.0), "and cold from then");
+    let restarted = Entry { boot_ms: 200.0, ..node("a", 1, State::Ready) };
+    let update = book.take(at(1), 1, Report::changes(vec![restarted]));
+    assert_eq!(
+        (update.nodes[0].state, update.nodes[0].boot_ms),
+        (State::Ready, 200.0),
+        "and warming up from then"
+    );
 }
 
 #[test]
@@ -93,7 +97,7 @@
     let update = book.take(at(2), 1, Report::whole(vec![node("b", 98, State::Ready)]));
     assert_eq!(update.nodes, [node("c", 99, State::Gone)]);
     assert!(book.is_settled());
-    // A word of the kept list is no word against an authority's.
+    // An advisory report does not count against an authority's.
     let mut book = Book::new(vec![Source::authority("nomad"), Source::advisory("kept")]);
     book.take(at(0), 1, Report::whole(vec![node("a", 97, State::Draining)]));
     book.take(at(1), 0, Report::whole(vec![node("a", 97, State::Ready)]));
@@ -117,7 +121,7 @@
     other.take(at(0), 1, Report::whole(vec![new.clone()]));
     other.take(at(1), 0, Report::whole(vec![old.clone()]));
     assert!(other.nodes().eq(book.nodes()));
-    // The old one does not get it by being told again, and has it back when the other goes.
+    // A repeated report does not give it to the old one, which owns it again when the other is removed.
     assert_eq!(book.take(at(3), 0, Report::whole(vec![old.clone()])).nodes, []);
     let update = book.take(at(4), 1, withdraw(&["new"]));
     assert_eq!(update.nodes, [Entry { state: State::Gone, ..new }, old]);
@@ -133,7 +137,7 @@
     let update = book.take(at(2), 0, Report::changes(vec![node("a", 3, State::Ready)]));
     assert_eq!(update.nodes[0].address.unwrap().port(), 3);
     assert_eq!(update.nodes[0].boot_ms, 1_000_002.0, "taken for started when it moved");
-    // It stays started then, whoever reports next.
+    // Its start stays so, whoever reports next.
     book.take(at(50), 1, Report::changes(vec![node("a", 2, State::Draining)]));
     assert_eq!(book.nodes().next().unwrap().boot_ms, 1_000_002.0);
 }
@@ -154,7 +158,7 @@
     let update = book.take(at(0), 0, Report::whole(list.to_vec()));
     assert!(update.whole);
     assert_eq!(update.nodes, list);
-    // Said again: the module is told again, as it takes a whole list for a sign of life.
+    // Repeated: the policy is notified again, as a full list shows it that the source is alive.
     assert_eq!(book.take(at(1), 0, Report::whole(list.to_vec())).nodes, list);
     let update = book.take(at(2), 0, Report::changes(vec![node("a", 1, State::Gone)]));
     assert_eq!((update.whole, update.nodes), (false, vec![node("a", 1, State::Gone)]));
@@ -164,10 +168,10 @@
 fn removed_nodes_are_remembered_within_a_bound() {
     let mut book = two();
     book.take(at(0), 0, Report::whole(vec![]));
-    for life in 0..2_000u64 {
-        let id = format!("n{life}");
-        book.take(at(life), 0, Report::changes(vec![node(&id, 1, State::Ready)]));
-        book.take(at(life), 0, Report::changes(vec![node(&id, 1, State::Gone)]));
+    for round in 0..2_000u64 {
+        let id = format!("n{round}");
+        book.take(at(round), 0, Report::changes(vec![node(&id, 1, State::Ready)]));
+        book.take(at(round), 0, Report::changes(vec![node(&id, 1, State::Gone)]));
     }
     assert_eq!(book.len(), 0);
     assert_eq!(book.sources(at(3_000))[0].nodes, 0);
@@ -175,8 +179,8 @@
     assert!(book.explain("n0", at(3_000)).is_none());
 }
 
-/// Whole reports of two authorities, each as of the last of some words.
-fn word() -> impl Strategy<Value = (usize, Entry)> {
+/// An entry reported by one of two authorities.
+fn reported() -> impl Strategy<Value = (usize, Entry)> {
     let states = prop_oneof![Just(State::Ready), Just(State::Draining), Just(State::Gone)];
     (0usize..2, 0u8..4, 1u16..4, states, 0u8..3).prop_map(|(source, id, port, state, boot)| {
         let mut entry = node(&format!("n{id}"), port, state);
@@ -188,21 +192,21 @@
 proptest! {
     #[test]
     fn the_list_depends_on_the_last_reports_and_not_on_their_interleaving(
-        words in prop::collection::vec(word(), 1..40),
+        reports in prop::collection::vec(reported(), 1..40),
         first in any::<bool>(),
     ) {
         // Addresses are fixed by name: a move counts from when it was seen, which is a matter of order.
-        let words: Vec<_> = words.into_iter().map(|(source, mut entry)| {
+        let reports: Vec<_> = reports.into_iter().map(|(source, mut entry)| {
             let number = u16::from(entry.id.as_bytes()[1] - b'0');
             entry.address = Some(([127, 0, 0, 1], 1 + number / 2).into());
             (source, entry)
         }).collect();
-        let of = |source: usize| words.iter().filter(move |(from, _)| *from == source).map(|(_, entry)| entry.clone());
-        // As told, interleaved.
+        let of = |source: usize| reports.iter().filter(move |(from, _)| *from == source).map(|(_, entry)| entry.clone());
+        // In the order reported, interleaved.
         let mut mixed = two();
         for source in 0..2 { mixed.take(at(0), source, Report::whole(vec![])); }
-        for (source, entry) in &words { mixed.take(at(1), *source, Report::changes(vec![entry.clone()])); }
-        // One source after the other, each word twice.
+        for (source, entry) in &reports { mixed.take(at(1), *source, Report::changes(vec![entry.clone()])); }
+        // One source after the other, each report twice.
         let mut apart = two();
         for source in 0..2 { apart.take(at(0), source, Report::whole(vec![])); }
         for source in if first { [0, 1] } else { [1, 0] } {
@@ -211,7 +215,7 @@
                 apart.take(at(1), source, Report::changes(vec![entry]));
             }
         }
-        // A word that all call gone is forgotten at once, and with it the other source's earlier word.
+        // A node that all report gone is forgotten at once, and with it the other source's earlier report.
         let all_gone = |id: &Id| (0..2).any(|source| of(source).any(|entry| entry.id == *id && entry.state == State::Gone));
         let listed = |book: &Book| book.nodes().filter(|entry| !all_gone(&entry.id)).cloned().collect::<Vec<_>>();
         let shares = |entry: &Entry| (0..4u8).any(|n| all_gone(&format!("n{n}").as_str().into()) && entry.address == Some(([127, 0, 0, 1], 1 + u16::from(n) / 2).into()));
@@ -221,22 +225,22 @@
     }
 
     #[test]
-    fn the_precedence_rule_holds_after_every_report(words in prop::collection::vec(word(), 1..60)) {
+    fn the_precedence_rule_holds_after_every_report(reports in prop::collection::vec(reported(), 1..60)) {
         let mut book = two();
         for source in 0..2 { book.take(at(0), source, Report::whole(vec![])); }
-        let mut told: std::collections::BTreeMap<Id, State> = Default::default();
-        for (now, (source, entry)) in words.into_iter().enumerate() {
+        let mut notified: std::collections::BTreeMap<Id, State> = Default::default();
+        for (now, (source, entry)) in reports.into_iter().enumerate() {
             let update = book.take(at(now as u64), source, Report::changes(vec![entry]));
-            for node in update.nodes { told.insert(node.id, node.state); }
+            for node in update.nodes { notified.insert(node.id, node.state); }
             for entry in book.nodes() {
                 let why = book.explain(&entry.id, at(now as u64)).unwrap();
-                // What the reader was told is what the book lists.
-                prop_assert_eq!(told.get(&entry.id), Some(&entry.state));
+                // What the policy was notified of is what is listed.
+                prop_assert_eq!(notified.get(&entry.id), Some(&entry.state));
                 if entry.state == State::Ready {
-                    // Every word against it is of an earlier life.
+                    // Every report against it is of an earlier incarnation.
                     let earlier = |boot: f64| boot > 0.0 && boot < entry.boot_ms;
-                    let holds = |word: &Word| word.says == State::Ready || earlier(word.boot_ms);
-                    prop_assert!(why.words.iter().all(holds), "{:?}", why);
+                    let agrees = |word: &Word| word.says == State::Ready || earlier(word.boot_ms);
+                    prop_assert!(why.words.iter().all(agrees), "{:?}", why);
                     let rivals = book.nodes().filter(|other| {
                         other.address == entry.address && other.id != entry.id && other.state == State::Ready
                     });
--- a/crates/brassport-membership/tests/it/golden.rs
+++ b/crates/brassport-membership/tests/it/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of what the book tells over the control socket, against committed fixtures: states, words, explanations and
-//! sources. The table and what goes between sources and the book have no serialized form.
+//! The bytes of what the membership list sends over the control socket, against committed fixtures: states, explanations and
+//! sources. The table, reports and updates have no serialized form.
 //!
 //! The fixtures lie in `tests/golden/`. They are written only with `GOLDEN_WRITE=1`, and the test that writes one fails.
 
@@ -65,8 +65,8 @@
 }
 
 fn node(id: &str, port: u16, state: State, note: &str) -> Entry {
-    let told = Entry::ready(id, ([192, 0, 2, 1], port).into());
-    Entry { state, note: note.into(), revision: u64::from(port), boot_ms: 1_700_000_000_000.5, ..told }
+    let ready = Entry::ready(id, ([192, 0, 2, 1], port).into());
+    Entry { state, note: note.into(), revision: u64::from(port), boot_ms: 1_700_000_000_000.5, ..ready }
 }
 
 #[test]
@@ -108,7 +108,7 @@
     same_cases("tells.txt", &cases);
 }
 
-/// A book with every kind of source: what it says of nodes that are listed for different reasons, and of one that went.
+/// A list with every kind of source: its explanations of nodes that are listed for different reasons, and of one that went.
 #[test]
 fn explanations_of_all_kinds_of_sources_keep_their_bytes() {
     let mut book = Book::new(vec![
--- a/crates/brassport-membership/tests/it/nomad.rs
+++ b/crates/brassport-membership/tests/it/nomad.rs
@@ -1,4 +1,4 @@
-//! What follows from Nomad's answers, and readers that bear any bytes.
+//! What follows from Nomad's answers, and readers that accept or reject any bytes.
 
 use brassport_membership::book::{Moment, Report, State};
 use brassport_membership::nomad::api;
@@ -53,7 +53,7 @@
 }
 
 fn one(report: Option<Report>) -> (State, String) {
-    let report = report.expect("there is news");
+    let report = report.expect("there is a report");
     assert_eq!(report.entries.len(), 1, "{report:?}");
     (report.entries[0].state, report.entries[0].note.clone())
 }
@@ -72,7 +72,7 @@
     let entry = &report.entries[0];
     assert_eq!((&*entry.id, entry.zone.as_str(), entry.size, entry.revision), ("n", "b", 2.5, 6));
     assert_eq!(entry.address, Some(([127, 0, 0, 1], 9000).into()));
-    assert_eq!(entry.boot_ms, 7_500.0, "the last start of a task, not the allocation's making");
+    assert_eq!(entry.boot_ms, 7_500.0, "the last start of a task, not the allocation's creation");
 }
 
 #[test]
@@ -80,7 +80,7 @@
     let mut follower = follower(&["n"]);
     follower.report(at(0));
     let mut index = 20;
-    let mut tell = |topic: &str, kind: &str, payload: String| {
+    let mut send = |topic: &str, kind: &str, payload: String| {
         index += 1;
         let payload = payload.replace("INDEX", &index.to_string());
         assert!(!follower.take_line(at(1), &event(topic, kind, index, &payload)).unwrap());
@@ -92,31 +92,31 @@
             r#"{{"Allocation":{{"ID":"a-n","ClientStatus":"{client}","DesiredStatus":"{desired}","TaskStates":null}}}}"#
         )
     };
-    let drains = tell("Node", "NodeDrain", client(r#""Status":"ready","DrainStrategy":{"Deadline":1}"#));
+    let drains = send("Node", "NodeDrain", client(r#""Status":"ready","DrainStrategy":{"Deadline":1}"#));
     assert_eq!(one(drains), (State::Draining, "its client drains".into()));
-    let back = tell("Node", "NodeEligibility", client(r#""Status":"ready","DrainStrategy":null"#));
+    let back = send("Node", "NodeEligibility", client(r#""Status":"ready","DrainStrategy":null"#));
     assert_eq!(one(back).0, State::Ready);
     let ineligible = client(r#""Status":"ready","SchedulingEligibility":"ineligible""#);
     assert_eq!(
-        one(tell("Node", "NodeEligibility", ineligible)).0,
+        one(send("Node", "NodeEligibility", ineligible)).0,
         State::Ready,
         "it goes on with what it has"
     );
     let disconnected = client(r#""Status":"disconnected""#);
-    assert_eq!(one(tell("Node", "NodeEvent", disconnected)).0, State::Ready, "nothing is proven");
-    assert_eq!(one(tell("Node", "NodeEvent", client(r#""Status":"down""#))).0, State::Gone);
-    assert_eq!(one(tell("Node", "NodeRegistration", client(r#""Status":"ready""#))).0, State::Ready);
-    assert_eq!(one(tell("Allocation", "AllocationUpdated", alloc("running", "stop"))).0, State::Draining);
-    assert_eq!(one(tell("Allocation", "AllocationUpdated", alloc("running", "run"))).0, State::Ready);
-    assert_eq!(one(tell("Allocation", "AllocationUpdated", alloc("pending", "run"))).0, State::Draining);
-    assert_eq!(one(tell("Allocation", "AllocationUpdated", alloc("unknown", "run"))).0, State::Ready);
+    assert_eq!(one(send("Node", "NodeEvent", disconnected)).0, State::Ready, "nothing is proven");
+    assert_eq!(one(send("Node", "NodeEvent", client(r#""Status":"down""#))).0, State::Gone);
+    assert_eq!(one(send("Node", "NodeRegistration", client(r#""Status":"ready""#))).0, State::Ready);
+    assert_eq!(one(send("Allocation", "AllocationUpdated", alloc("running", "stop"))).0, State::Draining);
+    assert_eq!(one(send("Allocation", "AllocationUpdated", alloc("running", "run"))).0, State::Ready);
+    assert_eq!(one(send("Allocation", "AllocationUpdated", alloc("pending", "run"))).0, State::Draining);
+    assert_eq!(one(send("Allocation", "AllocationUpdated", alloc("unknown", "run"))).0, State::Ready);
     for over in ["failed", "lost", "complete"] {
-        let (state, note) = one(tell("Allocation", "AllocationUpdated", alloc(over, "run")));
+        let (state, note) = one(send("Allocation", "AllocationUpdated", alloc(over, "run")));
         assert_eq!((state, note), (State::Gone, format!("its allocation is {over}")));
     }
-    assert_eq!(one(tell("Node", "NodeDeregistration", client(r#""Status":"down""#))).0, State::Gone);
-    let gone = tell("Service", "ServiceDeregistration", format!(r#"{{"Service":{}}}"#, service("n", 20)));
-    assert_eq!(gone.expect("news").withdrawn.len(), 1);
+    assert_eq!(one(send("Node", "NodeDeregistration", client(r#""Status":"down""#))).0, State::Gone);
+    let gone = send("Service", "ServiceDeregistration", format!(r#"{{"Service":{}}}"#, service("n", 20)));
+    assert_eq!(gone.expect("a report").withdrawn.len(), 1);
 }
 
 #[test]
@@ -138,9 +138,9 @@
     assert_eq!(follower.report(at(FIRST_REPORT_TIMEOUT_MS - 1)), None);
     let report = follower.report(at(FIRST_REPORT_TIMEOUT_MS)).expect("due");
     assert!(report.whole);
-    assert_eq!(report.entries[0].boot_ms, 1_000_000.0, "an unknown start is taken for now");
+    assert_eq!(report.entries[0].boot_ms, 1_000_000.0, "an unknown start counts as now");
     follower.take_list(at(400), List::Allocs, fresh(9), &list(&[alloc("n", "running", 5)])).unwrap();
-    assert_eq!(follower.report(at(400)).expect("news").entries[0].boot_ms, 7_500.0);
+    assert_eq!(follower.report(at(400)).expect("a report").entries[0].boot_ms, 7_500.0);
 }
 
 #[test]
@@ -148,13 +148,13 @@
     let mut follower = Follower::new(Options::of("render"));
     let registered = format!(r#"{{"Service":{}}}"#, service("n", 6));
     follower.take_line(at(0), &event("Service", "ServiceRegistration", 6, &registered)).unwrap();
-    assert_eq!(follower.report(at(0)), None, "that it is there is told by a list");
+    assert_eq!(follower.report(at(0)), None, "that it is present is reported from a list");
     let drains = format!(r#"{{"Node":{}}}"#, client("n", true, 7));
     follower.take_line(at(1), &event("Node", "NodeDrain", 7, &drains)).unwrap();
     assert_eq!(one(follower.report(at(1))).0, State::Draining);
     let other = format!(r#"{{"Service":{}}}"#, service("m", 6));
     follower.take_line(at(2), &event("Service", "ServiceDeregistration", 8, &other)).unwrap();
-    assert_eq!(one(follower.report(at(2))).0, State::Gone, "the front door may know it from before");
+    assert_eq!(one(follower.report(at(2))).0, State::Gone, "the proxy may know it from an earlier run");
 }
 
 #[test]
@@ -173,21 +173,21 @@
     }
     follower.report(at(0));
     let mut index = 1;
-    for life in 1..=2_000 {
-        let (new, old) = (format!("n{life}"), format!("n{}", life - 1));
-        let mut tell = |topic: &str, kind: &str, payload: String| {
+    for round in 1..=2_000 {
+        let (new, old) = (format!("n{round}"), format!("n{}", round - 1));
+        let mut send = |topic: &str, kind: &str, payload: String| {
             index += 1;
-            follower.take_line(at(life), &event(topic, kind, index, &payload)).unwrap();
+            follower.take_line(at(round), &event(topic, kind, index, &payload)).unwrap();
         };
-        tell("Allocation", "AllocationUpdated", format!(r#"{{"Allocation":{}}}"#, alloc(&new, "running", 0)));
-        tell("Service", "ServiceRegistration", format!(r#"{{"Service":{}}}"#, service(&new, 0)));
-        tell("Service", "ServiceDeregistration", format!(r#"{{"Service":{}}}"#, service(&old, 0)));
-        tell(
+        send("Allocation", "AllocationUpdated", format!(r#"{{"Allocation":{}}}"#, alloc(&new, "running", 0)));
+        send("Service", "ServiceRegistration", format!(r#"{{"Service":{}}}"#, service(&new, 0)));
+        send("Service", "ServiceDeregistration", format!(r#"{{"Service":{}}}"#, service(&old, 0)));
+        send(
             "Allocation",
             "AllocationUpdated",
             format!(r#"{{"Allocation":{}}}"#, alloc(&old, "complete", 0)),
         );
-        let report = follower.report(at(life)).expect("news");
+        let report = follower.report(at(round)).expect("a report");
         assert_eq!((report.entries.len(), report.withdrawn.len()), (1, 1));
     }
     assert_eq!(follower.len(), 1);
@@ -217,7 +217,7 @@
     let mut lines = Lines::new(100);
     assert_eq!(lines.push(&[b'x'; 60], |_| panic!("no line ended")), Ok(()));
     assert_eq!(lines.push(&[b'x'; 41], |_| panic!("no line ended")), Err(LineTooLong { max_bytes: 100 }));
-    assert_eq!(lines.buffered_bytes(), 0, "nothing of it is kept");
+    assert_eq!(lines.buffered_bytes(), 0, "nothing of it is buffered");
 }
 
 /// Bytes that look like what the API sends, corrupted somewhere.
--- a/crates/brassport-membership/tests/it/table.rs
+++ b/crates/brassport-membership/tests/it/table.rs
@@ -22,13 +22,8 @@
     }
 }
 
-fn rows(rows: &[(&str, u64, Status)]) -> Vec<ListRow<Status>> {
-    let row = |(id, revision, value): &(&str, u64, Status)| ListRow {
-        id: (*id).into(),
-        revision: *revision,
-        value: *value,
-    };
-    rows.iter().map(row).collect()
+fn row(id: &str, revision: u64, value: Status) -> ListRow<Status> {
+    ListRow { id: id.into(), revision, value }
 }
 
 fn apply_list(
@@ -36,9 +31,9 @@
     now: u64,
     index: u64,
     freshness: Freshness,
-    list: &[(&str, u64, Status)],
+    list: &[ListRow<Status>],
 ) -> Taken {
-    table.apply_list(now, index, freshness, rows(list), &mut Vec::new())
+    table.apply_list(now, index, freshness, list.to_vec(), &mut Vec::new())
 }
 
 fn table() -> Table<Status> {
@@ -48,14 +43,14 @@
 #[test]
 fn an_older_list_from_a_restarted_server_restores_no_draining_row_and_removes_none() {
     let mut table = table();
-    apply_list(&mut table, 0, 10, Freshness::Fresh, &[("a", 1, UP), ("b", 10, UP)]);
+    apply_list(&mut table, 0, 10, Freshness::Fresh, &[row("a", 1, UP), row("b", 10, UP)]);
     table.apply(1, "a", 12, Some(DRAINING));
-    let old = [("a", 1, UP)];
+    let old = [row("a", 1, UP)];
     assert_eq!(apply_list(&mut table, 100, 5, Freshness::Fresh, &old), Taken::Behind);
     assert_eq!((table.get("a"), table.get("b")), (Some(&DRAINING), Some(&UP)));
     assert_eq!(apply_list(&mut table, 1_099, 5, Freshness::Fresh, &old), Taken::Behind);
     // Caught up in time: nothing was lost.
-    let caught_up = [("a", 12, DRAINING), ("b", 10, UP)];
+    let caught_up = [row("a", 12, DRAINING), row("b", 10, UP)];
     assert_eq!(apply_list(&mut table, 1_100, 12, Freshness::Fresh, &caught_up), Taken::Whole);
     assert_eq!((table.get("a"), table.get("b")), (Some(&DRAINING), Some(&UP)));
     // The wait begins again with the next one that is behind.
@@ -66,13 +61,17 @@
 #[test]
 fn a_restored_source_is_accepted_after_a_delay_and_draining_rows_wait_for_a_new_write() {
     let mut table = table();
-    apply_list(&mut table, 0, 10, Freshness::Fresh, &[("a", 1, UP), ("b", 10, UP), ("c", 2, UP)]);
+    apply_list(&mut table, 0, 10, Freshness::Fresh, &[row("a", 1, UP), row("b", 10, UP), row("c", 2, UP)]);
     table.apply(1, "a", 12, Some(DRAINING));
     table.apply(1, "c", 13, None);
-    let restored = [("a", 1, UP), ("c", 2, UP), ("d", 3, UP)];
+    let restored = [row("a", 1, UP), row("c", 2, UP), row("d", 3, UP)];
     assert_eq!(apply_list(&mut table, 100, 5, Freshness::Fresh, &restored), Taken::Behind);
     assert_eq!(apply_list(&mut table, 1_100, 5, Freshness::Fresh, &restored), Taken::Anew);
-    assert_eq!(table.get("a"), Some(&DRAINING), "it drained in a time that the server has forgotten");
+    assert_eq!(
+        table.get("a"),
+        Some(&DRAINING),
+        "it drained after the state to which the server was restored"
+    );
     assert_eq!((table.get("b"), table.get("c"), table.get("d")), (None, None, Some(&UP)));
     // Its numbers count from there on.
     assert!(table.apply(1_200, "d", 6, Some(DRAINING)));
@@ -85,19 +84,19 @@
 #[test]
 fn a_row_retained_over_a_restore_is_replaced_by_a_new_incarnation() {
     let mut table = table();
-    apply_list(&mut table, 0, 10, Freshness::Fresh, &[("a", 10, DRAINING)]);
+    apply_list(&mut table, 0, 10, Freshness::Fresh, &[row("a", 10, DRAINING)]);
     let restarted = Status { incarnation: 1, ..UP };
-    apply_list(&mut table, 0, 5, Freshness::Fresh, &[("a", 5, restarted)]);
-    assert_eq!(apply_list(&mut table, 1_000, 5, Freshness::Fresh, &[("a", 5, restarted)]), Taken::Anew);
+    apply_list(&mut table, 0, 5, Freshness::Fresh, &[row("a", 5, restarted)]);
+    assert_eq!(apply_list(&mut table, 1_000, 5, Freshness::Fresh, &[row("a", 5, restarted)]), Taken::Anew);
     assert_eq!(table.get("a"), Some(&restarted));
 }
 
 #[test]
 fn a_stale_list_removes_nothing_and_only_its_newer_rows_apply() {
     let mut table = table();
-    apply_list(&mut table, 0, 10, Freshness::Fresh, &[("a", 1, UP), ("b", 2, UP)]);
+    apply_list(&mut table, 0, 10, Freshness::Fresh, &[row("a", 1, UP), row("b", 2, UP)]);
     table.apply(1, "b", 12, Some(DRAINING));
-    let stale = [("b", 11, UP), ("c", 14, UP)];
+    let stale = [row("b", 11, UP), row("c", 14, UP)];
     assert_eq!(apply_list(&mut table, 2, 14, Freshness::Stale, &stale), Taken::Newer);
     assert_eq!((table.get("a"), table.get("b"), table.get("c")), (Some(&UP), Some(&DRAINING), Some(&UP)));
     assert_eq!(table.index(), Some(10));
@@ -106,14 +105,14 @@
 #[test]
 fn an_old_or_repeated_event_changes_nothing() {
     let mut table = table();
-    apply_list(&mut table, 0, 10, Freshness::Fresh, &[("a", 1, UP)]);
+    apply_list(&mut table, 0, 10, Freshness::Fresh, &[row("a", 1, UP)]);
     assert!(table.apply(1, "a", 12, Some(DRAINING)));
     assert!(!table.apply(2, "a", 12, Some(DRAINING)));
     assert!(!table.apply(3, "a", 11, Some(UP)));
     assert!(!table.apply(3, "x", 9, Some(UP)), "the list of index 10 would have it");
     assert_eq!(table.get("a"), Some(&DRAINING));
     assert_eq!(table.row("a").map(|row| row.since_ms), Some(1), "since the first event");
-    // One that went before it was known does not come up by an older word.
+    // One that went before it was known is not restored by an older update.
     assert!(!table.apply(4, "y", 20, None));
     assert!(!table.apply(4, "y", 19, Some(UP)));
     assert_eq!(table.get("y"), None);
@@ -122,39 +121,39 @@
 #[test]
 fn a_list_older_than_an_event_keeps_the_event() {
     let mut table = table();
-    apply_list(&mut table, 0, 10, Freshness::Fresh, &[("a", 1, UP)]);
+    apply_list(&mut table, 0, 10, Freshness::Fresh, &[row("a", 1, UP)]);
     table.apply(1, "a", 15, Some(DRAINING));
     table.apply(1, "b", 16, Some(UP));
-    assert_eq!(apply_list(&mut table, 2, 14, Freshness::Fresh, &[("a", 1, UP)]), Taken::Whole);
+    assert_eq!(apply_list(&mut table, 2, 14, Freshness::Fresh, &[row("a", 1, UP)]), Taken::Whole);
     assert_eq!((table.get("a"), table.get("b")), (Some(&DRAINING), Some(&UP)));
 }
 
 #[test]
 fn a_row_known_by_event_alone_is_dropped_when_lists_lack_it_past_the_delay() {
     let mut table = table();
-    apply_list(&mut table, 0, 10, Freshness::Fresh, &[("a", 1, UP)]);
+    apply_list(&mut table, 0, 10, Freshness::Fresh, &[row("a", 1, UP)]);
     table.apply(1, "b", 16, Some(UP));
     table.apply(1, "a", 17, Some(DRAINING));
-    assert_eq!(apply_list(&mut table, 1_000, 10, Freshness::Fresh, &[("a", 1, UP)]), Taken::Whole);
+    assert_eq!(apply_list(&mut table, 1_000, 10, Freshness::Fresh, &[row("a", 1, UP)]), Taken::Whole);
     assert_eq!((table.get("a"), table.get("b")), (Some(&DRAINING), Some(&UP)));
-    assert_eq!(apply_list(&mut table, 1_001, 10, Freshness::Fresh, &[("a", 1, UP)]), Taken::Anew);
+    assert_eq!(apply_list(&mut table, 1_001, 10, Freshness::Fresh, &[row("a", 1, UP)]), Taken::Anew);
     assert_eq!((table.get("a"), table.get("b")), (Some(&DRAINING), None));
 }
 
 #[test]
 fn an_empty_list_is_accepted_after_a_delay_and_not_for_a_moment() {
     let mut table = table();
-    apply_list(&mut table, 0, 10, Freshness::Fresh, &[("a", 1, UP)]);
-    // Broken: empty for a moment, then whole again.
+    apply_list(&mut table, 0, 10, Freshness::Fresh, &[row("a", 1, UP)]);
+    // Faulty: empty for a moment, then complete again.
     assert_eq!(apply_list(&mut table, 100, 11, Freshness::Fresh, &[]), Taken::Empty);
-    assert_eq!(apply_list(&mut table, 300, 11, Freshness::Fresh, &[("a", 1, UP)]), Taken::Whole);
+    assert_eq!(apply_list(&mut table, 300, 11, Freshness::Fresh, &[row("a", 1, UP)]), Taken::Whole);
     assert_eq!(table.get("a"), Some(&UP));
     // Scaled to zero: empty, and empty again.
     assert_eq!(apply_list(&mut table, 400, 12, Freshness::Fresh, &[]), Taken::Empty);
     assert_eq!(table.get("a"), Some(&UP));
     assert_eq!(apply_list(&mut table, 900, 12, Freshness::Fresh, &[]), Taken::Whole);
     assert!(table.is_empty());
-    // Nor is a first list believed at once: an event behind it still applies.
+    // Nor is a first list accepted at once: an event behind it still applies.
     let mut new = self::table();
     assert_eq!(apply_list(&mut new, 0, 30, Freshness::Fresh, &[]), Taken::Empty);
     assert!(new.apply(1, "a", 20, Some(DRAINING)));
@@ -165,11 +164,11 @@
 #[test]
 fn removed_rows_are_remembered_within_a_bound() {
     let mut table = table();
-    apply_list(&mut table, 0, 1, Freshness::Fresh, &[("a", 1, UP)]);
-    for life in 0..1_000 {
-        let id = format!("n{life}");
-        assert!(table.apply(life, &id, 2 * life + 2, Some(UP)));
-        assert!(table.apply(life, &id, 2 * life + 3, None));
+    apply_list(&mut table, 0, 1, Freshness::Fresh, &[row("a", 1, UP)]);
+    for round in 0..1_000 {
+        let id = format!("n{round}");
+        assert!(table.apply(round, &id, 2 * round + 2, Some(UP)));
+        assert!(table.apply(round, &id, 2 * round + 3, None));
         assert!(table.remembered() <= 10, "{}", table.remembered());
     }
     assert!(!table.apply(5_000, "n3", 8, Some(UP)), "forgotten, and still gone");
@@ -192,7 +191,7 @@
     changes.map(|((row, status), revision)| (*row, (revision, *status))).collect()
 }
 
-fn take(table: &mut Table<Status>, history: &[(usize, Option<Status>)], input: &Input) {
+fn apply_input(table: &mut Table<Status>, history: &[(usize, Option<Status>)], input: &Input) {
     match *input {
         Input::Event(index) => {
             let (row, status) = history[index as usize - 1];
@@ -231,7 +230,7 @@
             inputs.swap(position, random.rand_range(0..position as u64 + 1) as usize);
         }
         let mut table = Table::new(Rules { empty_for: 0, ..Rules::default() });
-        inputs.iter().for_each(|input| take(&mut table, &history, input));
+        inputs.iter().for_each(|input| apply_input(&mut table, &history, input));
         let expected: BTreeMap<String, Status> = at_index(&history, last)
             .into_iter()
             .filter_map(|(row, (_, status))| Some((format!("r{row}"), status?)))
@@ -252,7 +251,7 @@
                 1 => Input::List(index, Freshness::Fresh),
                 _ => Input::List(index, Freshness::Stale),
             };
-            take(&mut table, &history, &input);
+            apply_input(&mut table, &history, &input);
             newest = newest.max(index);
             // What each row is known to be was true at some moment no earlier than its revision.
             for (id, _) in table.present() {
