--- a/crates/brassport-appliance/tests/golden.rs
+++ b/crates/brassport-appliance/tests/golden.rs
@@ -7,6 +7,7 @@
 #[path = "../src/protocol.rs"]
 mod protocol;
 
+use brassport_golden::{json, json_of_incomparable, Fixtures};
 use brassport_membership::book::{
     Book, Entry as Listed, Explanation, Moment, Report, Source, SourceNow, State,
 };
@@ -16,72 +17,9 @@
     Answer, Ask, BookNow, Counts, Event, History, NodeRow, Nodes, PlanRow, Plans, Problem, Question,
     RequestRow, Status, StudioRow, Unfinished, LINE_LIMIT, VERSION,
 };
-use serde::de::DeserializeOwned;
-use serde::Serialize;
 use std::collections::BTreeMap;
-use std::fmt::Debug;
-use std::fs;
-use std::path::Path;
 
-/// The committed bytes of a fixture; with `GOLDEN_WRITE=1` they become `made`, and the test fails.
-fn fixture(name: &str, made: &[u8]) -> Vec<u8> {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
-    if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") {
-        fs::create_dir_all(path.parent().expect("it lies in a folder")).expect("the folder is made");
-        fs::write(&path, made).expect("the fixture is written");
-        panic!("wrote {}: look at it, commit it, and run without GOLDEN_WRITE", path.display());
-    }
-    fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
-}
-
-/// Compares text with its fixture line by line, so that the first line that differs is named.
-fn same_text(name: &str, made: &str) -> String {
-    let committed = String::from_utf8(fixture(name, made.as_bytes())).expect("the fixture is text");
-    for (number, (made, committed)) in made.lines().zip(committed.lines()).enumerate() {
-        assert_eq!(made, committed, "{name}, line {}", number + 1);
-    }
-    assert_eq!(made, committed, "{name}");
-    committed
-}
-
-/// One value in its form in JSON.
-struct Case {
-    name: String,
-    text: String,
-    /// Reads a text, which has to give the value, and encodes what was read.
-    again: Box<dyn Fn(&str) -> String>,
-}
-
-fn json<T: Serialize + DeserializeOwned + PartialEq + Debug + 'static>(name: &str, value: T) -> Case {
-    let encode = |value: &T| serde_json::to_string(value).expect("plain data has a form in JSON");
-    let text = encode(&value);
-    let again = move |text: &str| {
-        let read: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{text}: {error}"));
-        assert_eq!(read, value);
-        encode(&read)
-    };
-    Case { name: name.into(), text, again: Box::new(again) }
-}
-
-/// Compares all cases with a fixture of lines `name: text`, then reads and encodes what the fixture holds.
-fn same_cases(name: &str, cases: &[Case]) {
-    let made: String = cases.iter().map(|case| format!("{}: {}\n", case.name, case.text)).collect();
-    let committed = same_text(name, &made);
-    for (line, case) in committed.lines().zip(cases) {
-        let text = line.strip_prefix(&format!("{}: ", case.name)).expect("the line has its name");
-        assert_eq!((case.again)(text), text, "{}", case.name);
-    }
-}
-
-/// A value that can't be compared: what is read is encoded again.
-fn plain<T: Serialize + DeserializeOwned>(name: &str, value: &T) -> Case {
-    let encode = |value: &T| serde_json::to_string(value).expect("plain data has a form in JSON");
-    let again = |text: &str| {
-        let read: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{text}: {error}"));
-        serde_json::to_string(&read).expect("plain data has a form in JSON")
-    };
-    Case { name: name.into(), text: encode(value), again: Box::new(again) }
-}
+const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
 
 fn change() -> Change {
     let action = Action::DrainNode { name: "attic-1".into() };
@@ -120,13 +58,13 @@
             Ask::Stop { .. } => "Stop",
             Ask::Subscribe => "Subscribe",
         };
-        cases.push(plain(
+        cases.push(json_of_incomparable(
             &format!("Question {variant}"),
             &Question { v: VERSION, id: id as u64, ask: ask.clone() },
         ));
         cases.push(json(&format!("Ask::{variant}"), ask));
     }
-    same_cases("questions.txt", &cases);
+    GOLDEN.same_cases("questions.txt", &cases);
 }
 
 #[test]
@@ -138,15 +76,18 @@
     let done = serde_json::json!({"repeated": false, "revision": 4});
     assert_eq!(serde_json::to_value(Done { revision: 4, repeated: false }).expect("it has a form"), done);
     let cases = [
-        plain("Answer, empty", &none()),
-        plain("Answer, done", &Answer { id: Some(7), ok: Some(done), ..none() }),
-        plain("Answer, refused", &Answer { id: Some(7), error: Some(problem.clone()), ..none() }),
-        plain("Answer, no question", &Answer { error: Some(problem.clone()), ..none() }),
-        plain("Answer, event", &Answer { event: Some(event.clone()), ..none() }),
+        json_of_incomparable("Answer, empty", &none()),
+        json_of_incomparable("Answer, done", &Answer { id: Some(7), ok: Some(done), ..none() }),
+        json_of_incomparable(
+            "Answer, refused",
+            &Answer { id: Some(7), error: Some(problem.clone()), ..none() },
+        ),
+        json_of_incomparable("Answer, no question", &Answer { error: Some(problem.clone()), ..none() }),
+        json_of_incomparable("Answer, event", &Answer { event: Some(event.clone()), ..none() }),
         json("Problem", problem),
         json("Event", event),
     ];
-    same_cases("answers.txt", &cases);
+    GOLDEN.same_cases("answers.txt", &cases);
 }
 
 fn counts() -> Counts {
@@ -250,7 +191,7 @@
         json("BookNow", book),
         json("Explanations", why),
     ];
-    same_cases("rows.txt", &cases);
+    GOLDEN.same_cases("rows.txt", &cases);
 }
 
 /// A status of a version that had no sources is read as before.
--- a/crates/brassport-config-store/tests/it/golden/documents.rs
+++ b/crates/brassport-config-store/tests/it/golden/documents.rs
@@ -1,7 +1,6 @@
 //! Documents as they are written anew, and their differences.
 
-use super::{CHANGE, DOCUMENT, PACKAGE};
-use crate::fixture;
+use super::{CHANGE, DOCUMENT, GOLDEN};
 use brassport_config_store::configuration::{difference, Configuration, Document, Idempotency, Version};
 
 #[test]
@@ -28,7 +27,7 @@
         ("difference by the change", differences(&first, &changed)),
         ("difference back", differences(&changed, &first)),
     ];
-    fixture::check(PACKAGE, "documents", &cases.map(|(name, text)| (name.to_owned(), text)));
+    GOLDEN.same_lines("documents", &cases.map(|(name, text)| (name.to_owned(), text)));
     check_fields(first.configuration());
 }
 
--- a/crates/brassport-config-store/tests/it/golden/mod.rs
+++ b/crates/brassport-config-store/tests/it/golden/mod.rs
@@ -5,18 +5,19 @@
 mod store;
 mod validation_errors;
 
-use crate::fixture;
-use crate::hex::hex;
 use brassport_config_store::configuration::Idempotency;
 use brassport_config_store::consensus::{
     AcceptedEntry, ChangeScope, CommittedEntry, DiskId, DurableState, Entry, LogIndex, Message, Record,
     ReplicatedState, RequestDigest, Term, VoterId, REMEMBERED_REQUESTS,
 };
+use brassport_golden::hex;
+use brassport_golden::Fixtures;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::BTreeSet;
 use std::fmt::Debug;
 use std::sync::Arc;
 
+const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
 const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
 const TERM: Term = Term::new(4, DiskId(77));
 
@@ -180,17 +181,17 @@
 
 #[test]
 fn each_message_has_its_bytes() {
-    fixture::check(PACKAGE, "messages", &numbered(&messages(), message_name, MESSAGES));
+    GOLDEN.same_lines("messages", &numbered(&messages(), message_name, MESSAGES));
 }
 
 #[test]
 fn each_entry_has_its_bytes() {
-    fixture::check(PACKAGE, "entries", &numbered(&entries(), entry_name, ENTRIES));
+    GOLDEN.same_lines("entries", &numbered(&entries(), entry_name, ENTRIES));
 }
 
 #[test]
 fn each_record_has_its_bytes() {
-    fixture::check(PACKAGE, "records", &numbered(&records(), record_name, RECORDS));
+    GOLDEN.same_lines("records", &numbered(&records(), record_name, RECORDS));
 }
 
 #[test]
@@ -213,5 +214,5 @@
         encoded("kind safe", &Idempotency::Safe),
         encoded("kind unsafe", &Idempotency::Unsafe),
     ];
-    fixture::check(PACKAGE, "states", &cases);
+    GOLDEN.same_lines("states", &cases);
 }
--- a/crates/brassport-config-store/tests/it/golden/store.rs
+++ b/crates/brassport-config-store/tests/it/golden/store.rs
@@ -1,12 +1,11 @@
 //! A store's rows, and the texts of its errors.
 
-use super::{change, encode, replace, small, state, PACKAGE, TERM};
-use crate::fixture;
-use crate::hex::hex;
+use super::{change, encode, replace, small, state, GOLDEN, PACKAGE, TERM};
 use brassport_config_store::consensus::{
     AcceptedEntry, CommittedEntry, DiskId, DurableState, Entry, LogIndex, Record, Term,
 };
 use brassport_config_store::store::{Store, StoreError, FILE_NAME};
+use brassport_golden::hex;
 use rusqlite::types::Value as Cell;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -176,7 +175,7 @@
         .enumerate()
         .map(|(number, row)| (format!("row {number}"), row.iter().map(cell).collect::<Vec<_>>().join(" | ")))
         .collect();
-    fixture::check(PACKAGE, "converted", &cases);
+    GOLDEN.same_lines("converted", &cases);
 }
 
 fn cell(cell: &Cell) -> String {
@@ -236,5 +235,5 @@
         let text = error.to_string().replace(&folder.display().to_string(), "FOLDER");
         (name.to_owned(), format!("{text}\n{help}"))
     };
-    fixture::check(PACKAGE, "store_faults", &cases.map(text));
+    GOLDEN.same_lines("store_faults", &cases.map(text));
 }
--- a/crates/brassport-config-store/tests/it/golden/validation_errors.rs
+++ b/crates/brassport-config-store/tests/it/golden/validation_errors.rs
@@ -1,7 +1,6 @@
 //! The texts and paths of all validation errors.
 
-use super::{DOCUMENT, PACKAGE};
-use crate::fixture;
+use super::{DOCUMENT, GOLDEN};
 use brassport_config_store::configuration::{Document, ValidationError, ValidationErrors};
 use std::collections::BTreeSet;
 
@@ -163,5 +162,5 @@
         texts.push((format!("{name}, places"), paths.join(", ")));
     }
     assert_eq!(covered.len(), 10, "each variant has a case: {covered:?}");
-    fixture::check(PACKAGE, "faults", &texts);
+    GOLDEN.same_lines("faults", &texts);
 }
--- a/crates/brassport-config-store/tests/it/main.rs
+++ b/crates/brassport-config-store/tests/it/main.rs
@@ -13,8 +13,3 @@
 mod mutants;
 mod store;
 mod store_growth;
-
-#[path = "../../../brassport-transport/tests/common/fixture.rs"]
-mod fixture;
-#[path = "../../../brassport-transport/tests/common/hex.rs"]
-mod hex;
--- a/crates/brassport-control-plane/tests/it/golden/frames.rs
+++ b/crates/brassport-control-plane/tests/it/golden/frames.rs
@@ -18,7 +18,7 @@
             framed(&name, &Envelope { from: MACHINE, incarnation: INCARNATION, message })
         })
         .collect();
-    fixture::check(PACKAGE, "peer_messages", &cases);
+    GOLDEN.same_lines("peer_messages", &cases);
 }
 
 #[test]
@@ -44,7 +44,7 @@
         };
         cases.push(framed(&format!("backend {name}"), &backend(stage)));
     }
-    fixture::check(PACKAGE, "message_parts", &cases);
+    GOLDEN.same_lines("message_parts", &cases);
 }
 
 /// A record of an older process has no age.
--- a/crates/brassport-control-plane/tests/it/golden/mod.rs
+++ b/crates/brassport-control-plane/tests/it/golden/mod.rs
@@ -1,11 +1,6 @@
 //! Golden bytes: what processes say to one another as frames, quota grants, and what callers read and send, compared with
 //! fixtures in `tests/golden`. A change of names in the sources must not change one of them.
 
-#[path = "../../../../brassport-transport/tests/common/fixture.rs"]
-mod fixture;
-#[path = "../../../../brassport-transport/tests/common/hex.rs"]
-mod hex;
-
 mod frames;
 mod machine;
 mod messages;
@@ -21,18 +16,19 @@
 use brassport_control_plane::{
     Action, ControlPlane, Event, FaultTolerance, Millis, Options, SnapshotChunk, SnapshotId,
 };
+use brassport_golden::hex;
+use brassport_golden::Fixtures;
 use brassport_quota::{QuotaGrant, UsageReport};
 use brassport_transport::frame;
 use brassport_transport::peer_sampling::{AgedRecord, PeerRecord};
 use brassport_types::{DiskId, Incarnation, LogIndex, TenantId, Term};
-use hex::hex;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
+const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
 const MACHINE: Ipv4Addr = Ipv4Addr::new(10, 0, 1, 7);
 const OTHER: Ipv4Addr = Ipv4Addr::new(10, 0, 2, 9);
 
--- a/crates/brassport-control-plane/tests/it/golden/replies.rs
+++ b/crates/brassport-control-plane/tests/it/golden/replies.rs
@@ -59,7 +59,7 @@
         let fault = decoded(method, path, base_version, &body).expect_err(name);
         (name.to_owned(), fault)
     };
-    fixture::check(PACKAGE, "call_faults", &cases.map(refused));
+    GOLDEN.same_lines("call_faults", &cases.map(refused));
 }
 
 fn put(scope: ChangeScope, base_version: u32, body: &str) -> Call {
@@ -107,7 +107,7 @@
     ];
     let cases: Vec<(String, String)> =
         (1..).zip(names).map(|(number, name)| (name.to_owned(), machine.reply(number))).collect();
-    fixture::check(PACKAGE, "leader_replies", &cases);
+    GOLDEN.same_lines("leader_replies", &cases);
 }
 
 #[test]
@@ -117,7 +117,7 @@
     let near = PeerRecord { zone: "zone-b".to_owned(), ..member(OTHER, 0) };
     machine.take(from(OTHER, gossip(near, 0, false)));
     machine.call(1, Call::Heartbeat(backend(BackendState::Ready)));
-    fixture::check(PACKAGE, "beat_elsewhere", &[("beat".to_owned(), machine.reply(1))]);
+    GOLDEN.same_lines("beat_elsewhere", &[("beat".to_owned(), machine.reply(1))]);
 }
 
 #[test]
@@ -147,7 +147,7 @@
         ("sign-off that the core does not confirm", follower.reply(2)),
         ("sign-off of one cut off", follower.reply(3)),
     ];
-    fixture::check(PACKAGE, "other_replies", &cases.map(|(name, reply)| (name.to_owned(), reply)));
+    GOLDEN.same_lines("other_replies", &cases.map(|(name, reply)| (name.to_owned(), reply)));
 }
 
 #[test]
@@ -157,7 +157,7 @@
     machine.take(Event::StoreOpened(DiskId(77), DurableState::empty()));
     machine.run(3_500);
     machine.call(1, put(ChangeScope::Full, 0, FIRST));
-    fixture::check(PACKAGE, "meeting_replies", &[("replace".to_owned(), machine.reply(1))]);
+    GOLDEN.same_lines("meeting_replies", &[("replace".to_owned(), machine.reply(1))]);
 }
 
 #[test]
@@ -179,7 +179,7 @@
         ("a door that knows nothing", fresh.reply(1)),
         ("a door that takes a snapshot", fresh.reply(2)),
     ];
-    fixture::check(PACKAGE, "status", &cases.map(|(name, reply)| (name.to_owned(), reply)));
+    GOLDEN.same_lines("status", &cases.map(|(name, reply)| (name.to_owned(), reply)));
 }
 
 /// What a machine makes of its own: gossip, ranges, entries, snapshots with their digests, ranks, loans.
@@ -210,5 +210,5 @@
     for (number, (to, message)) in machine.sent.iter().enumerate() {
         cases.push(framed(&format!("{number} {} to {to}", name_of(message)), message));
     }
-    fixture::check(PACKAGE, "leader_sends", &cases);
+    GOLDEN.same_lines("leader_sends", &cases);
 }
--- a/crates/brassport-data-plane/tests/it/backend_protocol.rs
+++ b/crates/brassport-data-plane/tests/it/backend_protocol.rs
@@ -1,7 +1,7 @@
 //! The protocol of backends: the headers of an attempt, against the fixture `headers`, and the judgement of a response's head:
 //! which responses are the client's, which prove that nothing ran, and which connections can't be reused.
 
-use crate::{fixture, PACKAGE};
+use crate::GOLDEN;
 use brassport_data_plane::backend_protocol::{
     BackendProtocol, EXPECTED_BACKEND, REQUEST_ID, TENANT, TIME_LEFT_MS,
 };
@@ -96,5 +96,5 @@
         ("customer", TENANT.to_string()),
         ("an attempt's own", lines.join("\n")),
     ];
-    fixture::check(PACKAGE, "headers", &cases.map(|(name, text)| (name.to_owned(), text)));
+    GOLDEN.same_lines("headers", &cases.map(|(name, text)| (name.to_owned(), text)));
 }
--- a/crates/brassport-data-plane/tests/it/downstream.rs
+++ b/crates/brassport-data-plane/tests/it/downstream.rs
@@ -2,7 +2,7 @@
 //! `front`. Times that differ from run to run stand there as `#`.
 
 use crate::sockets::{backend, exchange, request, steady, Sent};
-use crate::{fixture, PACKAGE};
+use crate::GOLDEN;
 use brassport_config_store::consensus::{Entry, ReplicatedState, VoterId};
 use brassport_control_plane::backends::{Backend, BackendState};
 use brassport_data_plane::{downstream, DataPlane, Options, RetryBudget};
@@ -144,5 +144,5 @@
 fn responses_and_attempts_have_pinned_bytes() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let cases = LocalSet::new().block_on(&runtime, play());
-    fixture::check(PACKAGE, "front", &cases);
+    GOLDEN.same_lines("front", &cases);
 }
--- a/crates/brassport-data-plane/tests/it/main.rs
+++ b/crates/brassport-data-plane/tests/it/main.rs
@@ -5,10 +5,9 @@
 mod backend_protocol;
 mod downstream;
 mod endpoints;
-#[path = "../../../brassport-transport/tests/common/fixture.rs"]
-mod fixture;
 mod metrics;
 mod sockets;
 
-/// Where the fixtures lie.
-const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
+use brassport_golden::Fixtures;
+
+const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
--- a/crates/brassport-data-plane/tests/it/metrics.rs
+++ b/crates/brassport-data-plane/tests/it/metrics.rs
@@ -1,6 +1,6 @@
 //! The metrics page, line by line, against the fixture `metrics`.
 
-use crate::{fixture, PACKAGE};
+use crate::GOLDEN;
 use brassport_data_plane::metrics::{RequestCounters, ABANDONED_AFTER_MS};
 use brassport_policy::{Figures, Outcome};
 use brassport_proxy::hooks::RequestEnd;
@@ -94,5 +94,5 @@
     for outcome in OUTCOMES {
         cases.push((format!("one {}", name_of(outcome)), lines_of_one(outcome)));
     }
-    fixture::check(PACKAGE, "metrics", &cases);
+    GOLDEN.same_lines("metrics", &cases);
 }
--- a/crates/brassport-gateway/tests/it/common/mod.rs
+++ b/crates/brassport-gateway/tests/it/common/mod.rs
@@ -1,6 +1,7 @@
 //! What the modules share: settings that are complete, HTTP exchanges as bytes, and a runtime.
 
 use brassport_gateway::listeners;
+use brassport_golden::Fixtures;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -8,6 +9,7 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
+pub const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
 pub const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
 pub const LOOPBACK: Ipv4Addr = Ipv4Addr::LOCALHOST;
 
--- a/crates/brassport-gateway/tests/it/listeners.rs
+++ b/crates/brassport-gateway/tests/it/listeners.rs
@@ -1,8 +1,7 @@
 //! What the control, readiness and metrics listeners respond, byte by byte, against the fixtures `control` and
 //! `ready_and_metrics`.
 
-use crate::common::{exchange, listener, malformed, request, run, PACKAGE};
-use crate::fixture;
+use crate::common::{exchange, listener, malformed, request, run, GOLDEN};
 use brassport_config_store::consensus::{ChangeScope, ConfigurationRequest};
 use brassport_control_plane::call::{Call, Reply};
 use brassport_gateway::listeners::{self, PendingCall};
@@ -72,7 +71,7 @@
 
 #[test]
 fn control_responses_have_pinned_bytes() {
-    fixture::check(PACKAGE, "control", &run(control()));
+    GOLDEN.same_lines("control", &run(control()));
 }
 
 async fn ready_and_metrics() -> Vec<(String, String)> {
@@ -92,5 +91,5 @@
 
 #[test]
 fn readiness_and_metrics_responses_have_pinned_bytes() {
-    fixture::check(PACKAGE, "ready_and_metrics", &run(ready_and_metrics()));
+    GOLDEN.same_lines("ready_and_metrics", &run(ready_and_metrics()));
 }
--- a/crates/brassport-gateway/tests/it/main.rs
+++ b/crates/brassport-gateway/tests/it/main.rs
@@ -2,8 +2,6 @@
 #![forbid(unsafe_code)]
 
 mod common;
-#[path = "../../../brassport-transport/tests/common/fixture.rs"]
-mod fixture;
 mod listeners;
 mod logging;
 mod process;
--- a/crates/brassport-gateway/tests/it/settings.rs
+++ b/crates/brassport-gateway/tests/it/settings.rs
@@ -1,7 +1,6 @@
 //! The settings file: what each field means, and the texts that reject it, against the fixture `settings_faults`.
 
-use crate::common::{PACKAGE, SETTINGS};
-use crate::fixture;
+use crate::common::{GOLDEN, SETTINGS};
 use brassport_gateway::settings::{ListenOn, Problem, Settings, SettingsError};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -71,7 +70,7 @@
     let help = miette::Diagnostic::help(&error).map(|help| help.to_string()).unwrap_or_default();
     texts.push(("display".to_owned(), error.to_string()));
     texts.push(("help".to_owned(), help));
-    fixture::check(PACKAGE, "settings_faults", &texts);
+    GOLDEN.same_lines("settings_faults", &texts);
 }
 
 #[test]
--- a/crates/brassport-gateway/tests/it/status.rs
+++ b/crates/brassport-gateway/tests/it/status.rs
@@ -1,7 +1,6 @@
 //! The verb `status`: its request, and what it prints of the answer, against the fixture `status`.
 
-use crate::common::{LOOPBACK, PACKAGE};
-use crate::fixture;
+use crate::common::{GOLDEN, LOOPBACK};
 use std::io::{Read, Write};
 use std::process::Command;
 
@@ -47,5 +46,5 @@
         ("no JSON", status(&answer("well"), &[])),
         ("refused", status("HTTP/1.1 503 Service Unavailable\r\n\r\nno answer in time\n", &[])),
     ];
-    fixture::check(PACKAGE, "status", &cases.map(|(name, text)| (name.to_owned(), text)));
+    GOLDEN.same_lines("status", &cases.map(|(name, text)| (name.to_owned(), text)));
 }
--- a/crates/brassport-gateway/tests/it/verbs.rs
+++ b/crates/brassport-gateway/tests/it/verbs.rs
@@ -1,7 +1,6 @@
 //! The verbs that work on files: exit code, output and errors, against the fixture `files`.
 
-use crate::common::{PACKAGE, SETTINGS};
-use crate::fixture;
+use crate::common::{GOLDEN, PACKAGE, SETTINGS};
 use brassport_config_store::store::FILE_NAME;
 use std::path::Path;
 use std::process::Command;
@@ -41,5 +40,5 @@
         ("no store", run_on(&folder, "store", &["."])),
     ];
     let _ = std::fs::remove_dir_all(&folder);
-    fixture::check(PACKAGE, "files", &cases.map(|(name, text)| (name.to_owned(), text)));
+    GOLDEN.same_lines("files", &cases.map(|(name, text)| (name.to_owned(), text)));
 }
--- a/crates/brassport-peers/tests/golden.rs
+++ b/crates/brassport-peers/tests/golden.rs
@@ -7,6 +7,7 @@
 use brassport_fleet::grants::{Answer, Ask, Terms};
 use brassport_fleet::record::{self, At, Chain, What};
 use brassport_fleet::shared::{Change, Done, Refusal, DOOR};
+use brassport_golden::{hex, json, json_of_incomparable, Fixtures};
 use brassport_leases::Why;
 use brassport_peers::call::{serve, skew_wall_clock, wall_ms, Answers, Line, Said, Site};
 use brassport_peers::host::{Clock, FenceAsk, Host, Shipped, Voter};
@@ -19,87 +20,21 @@
 use brassport_peers::tasks::{self, Declared, Report, Tasks, Wish, Work};
 use brassport_state::log::{Image, Write};
 use hyper::body::Bytes;
-use serde::de::DeserializeOwned;
-use serde::Serialize;
 use serde_json::json as object;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::fmt::Debug;
 use std::fs;
 use std::future::Future;
-use std::path::Path;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The committed bytes of a fixture; with `GOLDEN_WRITE=1` they become `made`, and the test fails.
-fn fixture(name: &str, made: &[u8]) -> Vec<u8> {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
-    if std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1") {
-        fs::create_dir_all(path.parent().expect("it lies in a folder")).expect("the folder is made");
-        fs::write(&path, made).expect("the fixture is written");
-        panic!("wrote {}: look at it, commit it, and run without GOLDEN_WRITE", path.display());
-    }
-    fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
-}
-
-/// Compares text with its fixture line by line, so that the first line that differs is named.
-fn same_text(name: &str, made: &str) -> String {
-    let committed = String::from_utf8(fixture(name, made.as_bytes())).expect("the fixture is text");
-    for (number, (made, committed)) in made.lines().zip(committed.lines()).enumerate() {
-        assert_eq!(made, committed, "{name}, line {}", number + 1);
-    }
-    assert_eq!(made, committed, "{name}");
-    committed
-}
-
-/// One value in its form in JSON.
-struct Case {
-    name: String,
-    text: String,
-    /// Reads a text, which has to give the value, and encodes what was read.
-    again: Box<dyn Fn(&str) -> String>,
-}
-
-fn json<T: Serialize + DeserializeOwned + PartialEq + Debug + 'static>(name: &str, value: T) -> Case {
-    let encode = |value: &T| serde_json::to_string(value).expect("plain data has a form in JSON");
-    let text = encode(&value);
-    let again = move |text: &str| {
-        let read: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{text}: {error}"));
-        assert_eq!(read, value);
-        encode(&read)
-    };
-    Case { name: name.into(), text, again: Box::new(again) }
-}
-
-/// Compares all cases with a fixture of lines `name: text`, then reads and encodes what the fixture holds.
-fn same_cases(name: &str, cases: &[Case]) {
-    let made: String = cases.iter().map(|case| format!("{}: {}\n", case.name, case.text)).collect();
-    let committed = same_text(name, &made);
-    for (line, case) in committed.lines().zip(cases) {
-        let text = line.strip_prefix(&format!("{}: ", case.name)).expect("the line has its name");
-        assert_eq!((case.again)(text), text, "{}", case.name);
-    }
-}
-
-/// A value that can't be compared: what is read is encoded again.
-fn plain<T: Serialize + DeserializeOwned>(name: &str, value: &T) -> Case {
-    let encode = |value: &T| serde_json::to_string(value).expect("plain data has a form in JSON");
-    let again = |text: &str| {
-        let read: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{text}: {error}"));
-        serde_json::to_string(&read).expect("plain data has a form in JSON")
-    };
-    Case { name: name.into(), text: encode(value), again: Box::new(again) }
-}
-
-fn hexadecimal(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
+const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
 
 fn from_hexadecimal(text: &str) -> Vec<u8> {
-    let byte = |place| u8::from_str_radix(&text[place..place + 2], 16).expect("hexadecimal digits");
+    let byte = |place| u8::from_str_radix(&text[place..place + 2], 16).expect("hex digits");
     (0..text.len()).step_by(2).map(byte).collect()
 }
 
@@ -134,7 +69,7 @@
         };
         made += &format!("Refused::{variant}: {refused}\n");
     }
-    let committed = same_text("seals.txt", &made);
+    let committed = GOLDEN.same_text("seals.txt", &made);
     let seals: Vec<&str> =
         committed.lines().filter_map(|line| line.rsplit_once(": ")).map(|(_, s)| s).collect();
     for (call, seal) in calls.iter().zip(&seals) {
@@ -161,17 +96,20 @@
     let cases = [
         json("Status", status.clone()),
         json("Status, no leader", Status { leader: None, voters: vec![], doors: BTreeMap::new(), ..status }),
-        plain("Voter", &Voter { id: u64::MAX, comes: true }),
-        plain("Clock", &Clock { by: "i1".into(), wall_ms: 1_700_000_000_000 }),
-        plain("FenceAsk", &FenceAsk { version: 8 }),
-        plain("Shipped", &Shipped { door: "d1".into(), process: u64::MAX, from: 40, text: "{}\n".into() }),
+        json_of_incomparable("Voter", &Voter { id: u64::MAX, comes: true }),
+        json_of_incomparable("Clock", &Clock { by: "i1".into(), wall_ms: 1_700_000_000_000 }),
+        json_of_incomparable("FenceAsk", &FenceAsk { version: 8 }),
+        json_of_incomparable(
+            "Shipped",
+            &Shipped { door: "d1".into(), process: u64::MAX, from: 40, text: "{}\n".into() },
+        ),
         json("Report, acts", report(Some(3), None)),
         json("Report, does not", report(None, Some(Why::HeldBy("i2".into())))),
         json("reports", BTreeMap::from([("task-1".to_string(), report(None, Some(Why::Waits)))])),
         json("Wish", Wish { off: true, hand_over_to: Some("i2".into()) }),
         json("Wish, default", Wish::default()),
     ];
-    same_cases("said.txt", &cases);
+    GOLDEN.same_cases("said.txt", &cases);
     let said = Said::json(&object!({"a": 1}));
     assert_eq!((said.status, said.body.as_slice()), (200, &b"{\"a\":1}"[..]));
     let problem = Said::problem(409, "no");
@@ -189,7 +127,7 @@
     let declared = |work: Work| Declared { name: format!("task {}", name(&work)), every_ms: 60_000, work };
     let all: Vec<Declared> = works.into_iter().map(declared).collect();
     let text = serde_json::to_string_pretty(&all).expect("plain data has a form in JSON");
-    let committed = same_text("tasks.json", &text);
+    let committed = GOLDEN.same_text("tasks.json", &text);
     let folder = tempfile::tempdir().expect("a folder");
     fs::write(folder.path().join("tasks.json"), committed).expect("a copy");
     assert_eq!(tasks::read(folder.path()), Ok(all));
@@ -225,7 +163,7 @@
         made += "\n";
         made += &fs::read_to_string(place.0.join("key")).expect("its key");
     }
-    same_text("directory.txt", &made);
+    GOLDEN.same_text("directory.txt", &made);
     assert_eq!(voter.settings(), Ok(settings()));
     assert_eq!(follower.settings(), Ok(following));
     let call = Call { path: "/", from: "i1", at_ms: 0, number: "", body: b"" };
@@ -240,7 +178,7 @@
 fn an_identity_has_its_form() {
     let case = |text: &'static str| {
         let read: Identity = serde_json::from_str(text).expect("it is read");
-        let case = plain("Identity", &read);
+        let case = json_of_incomparable("Identity", &read);
         assert_eq!(case.text, text);
         case
     };
@@ -248,7 +186,7 @@
         case(r#"{"lock":[1,18446744073709551615],"entry":7,"alone":true,"had_one":false}"#),
         case(r#"{"lock":[0,0],"entry":null,"alone":false,"had_one":true}"#),
     ];
-    same_cases("identity.txt", &lines);
+    GOLDEN.same_cases("identity.txt", &lines);
     let folder = tempfile::tempdir().expect("a folder");
     let (_held, mut own) = identity::take(folder.path()).expect("nobody has it");
     (own.entry, own.alone, own.had_one) = (Some(9), true, true);
@@ -273,7 +211,7 @@
     let whats = whats.into_iter().enumerate();
     let made: String = whats.map(|(number, what)| chain.add(at(number as u64), what)).collect();
     let cut = made.clone() + "{\"number\":4,\"bef";
-    let committed = same_text("record.jsonl", &cut);
+    let committed = GOLDEN.same_text("record.jsonl", &cut);
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("record.jsonl");
     fs::write(&file, &committed).expect("a copy");
@@ -322,11 +260,11 @@
 }
 
 fn image_text(name: &str, image: &Image) -> String {
-    let fact = |bytes: &Option<Vec<u8>>| bytes.as_deref().map_or("none".into(), hexadecimal);
+    let fact = |bytes: &Option<Vec<u8>>| bytes.as_deref().map_or("none".into(), hex);
     let mut text =
         format!("{name} votes: {}\n{name} snapshot: {}\n", fact(&image.votes), fact(&image.snapshot));
     for (index, bytes) in &image.entries {
-        text += &format!("{name} entry {index}: {}\n", hexadecimal(bytes));
+        text += &format!("{name} entry {index}: {}\n", hex(bytes));
     }
     text
 }
@@ -381,12 +319,12 @@
     let told = |output: Output| {
         let mut text = String::new();
         for (to, message) in output.messages {
-            text += &format!("message to {to}: {}\n", hexadecimal(&message));
+            text += &format!("message to {to}: {}\n", hex(&message));
         }
         for (number, reply) in output.replies {
             let reply = match &reply {
-                Reply::Published(done) => format!("published {}", plain("", done).text),
-                Reply::Asked(answer) => format!("asked {}", plain("", answer).text),
+                Reply::Published(done) => format!("published {}", json_of_incomparable("", done).text),
+                Reply::Asked(answer) => format!("asked {}", json_of_incomparable("", answer).text),
                 Reply::NotLeading => "not leading".into(),
                 Reply::Unknown => "unknown".into(),
             };
@@ -422,7 +360,7 @@
     made += &image_text("joined", &disk.0.borrow());
     let last = Log::read(&disk.0.borrow()).expect("its log");
     made += &image_text("recovered", &played(&[last.recovered(1)]));
-    let committed = same_text("log.txt", &made);
+    let committed = GOLDEN.same_text("log.txt", &made);
     for name in ["first", "changed", "other", "joined", "recovered"] {
         let image = image_of(name, &committed);
         assert!(committed.contains(&image_text(name, &image)), "{name}");
@@ -527,7 +465,7 @@
             answers += &(answer.replace(header(&answer, "date"), "DATE") + "\n");
         }
         let made = format!("{request}\n{answers}").replace('\r', "\\r");
-        same_text("wire.txt", &made);
+        GOLDEN.same_text("wire.txt", &made);
     });
 }
 
@@ -609,7 +547,7 @@
         }
         made
     });
-    same_text("calls.txt", &made);
+    GOLDEN.same_text("calls.txt", &made);
     let shipped =
         fs::read_to_string(folder.path().join("shipped/d1~00000000000000ff.jsonl")).expect("its file");
     assert_eq!(shipped, "{}\n");
--- a/crates/brassport-policy/tests/it/golden/adapter.rs
+++ b/crates/brassport-policy/tests/it/golden/adapter.rs
@@ -101,7 +101,7 @@
         rest = behind;
     }
     assert!(rest.is_empty());
-    golden("adapter.hex", &lines(&cases));
+    GOLDEN.same_text("adapter.hex", &lines(&cases));
 }
 
 /// A list of one server, whose byte at `from`, or figure that begins there, is set to `code`.
@@ -160,5 +160,5 @@
         assert_eq!((code, output.len()), (Some(1), 0), "{name}");
         (name.to_string(), error.trim_end_matches('\n').to_string())
     });
-    golden("adapter-refused.txt", &lines(&reported.collect::<Vec<_>>()));
+    GOLDEN.same_text("adapter-refused.txt", &lines(&reported.collect::<Vec<_>>()));
 }
--- a/crates/brassport-policy/tests/it/golden/handover.rs
+++ b/crates/brassport-policy/tests/it/golden/handover.rs
@@ -51,7 +51,7 @@
     for word in ["\"Gone\"", "\"Draining\"", "\"Ready\"", "\"held\":[1", "\"open\":1", "\"cold\":{"] {
         assert!(text.contains(word), "the history reaches {word}");
     }
-    golden("heritage.json", &(text + "\n"));
+    GOLDEN.same_text("heritage.json", &(text + "\n"));
 }
 
 #[test]
@@ -59,12 +59,12 @@
     // Attempts that wait are dropped, those that are out are counted anew, and cold servers are noted once more.
     let (gateway, actions) = successor(&history(false).heritage(MAX_BYTES));
     assert_eq!(actions, []);
-    golden("heritage-inherited.json", &(gateway.heritage(MAX_BYTES) + "\n"));
+    GOLDEN.same_text("heritage-inherited.json", &(gateway.heritage(MAX_BYTES) + "\n"));
 }
 
 #[test]
 fn an_idle_gateways_state_round_trips() {
-    let fixture = golden("heritage-calm.json", &(history(true).heritage(MAX_BYTES) + "\n"));
+    let fixture = GOLDEN.same_text("heritage-calm.json", &(history(true).heritage(MAX_BYTES) + "\n"));
     let mut gateway = Gateway::new(sample_settings(), 12, 0.0).expect("sound settings");
     let mut actions = Vec::new();
     let learned = fixture.trim_end().to_string();
@@ -78,7 +78,7 @@
 #[test]
 fn the_state_of_a_new_gateway_is_unchanged() {
     let gateway = Gateway::new(sample_settings(), 11, 0.0).expect("sound settings");
-    golden("heritage-new.json", &(gateway.heritage(MAX_BYTES) + "\n"));
+    GOLDEN.same_text("heritage-new.json", &(gateway.heritage(MAX_BYTES) + "\n"));
 }
 
 #[test]
@@ -97,7 +97,7 @@
         [Action::Log(line)] => (name.to_string(), line.clone()),
         other => panic!("{name}: {other:?}"),
     });
-    golden("heritage-refused.txt", &lines(&reported));
+    GOLDEN.same_text("heritage-refused.txt", &lines(&reported));
 }
 
 /// A line for staff that names a type of the source: apart, as it alone may change with that name.
@@ -107,5 +107,5 @@
         [Action::Log(line)] => line.clone(),
         other => panic!("{other:?}"),
     };
-    golden("heritage-refused-by-type.txt", &lines(&[("a list".to_string(), reported)]));
+    GOLDEN.same_text("heritage-refused-by-type.txt", &lines(&[("a list".to_string(), reported)]));
 }
--- a/crates/brassport-policy/tests/it/golden/mod.rs
+++ b/crates/brassport-policy/tests/it/golden/mod.rs
@@ -7,33 +7,11 @@
 mod settings;
 mod wire;
 
+use brassport_golden::{hex, unhex, Fixtures};
 use brassport_policy::wire::EVENT;
 use brassport_policy::*;
-use std::path::Path;
-
-/// The fixture of this name, which the text must equal.
-fn golden(name: &str, text: &str) -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
-    if std::env::var("GOLDEN_WRITE").is_ok_and(|value| value == "1") {
-        std::fs::write(&path, text).expect("the fixture can be written");
-        panic!("wrote {name}: run again without GOLDEN_WRITE");
-    }
-    let fixture = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("fixture {name}: {error}"));
-    for (number, (is, was)) in text.lines().zip(fixture.lines()).enumerate() {
-        assert_eq!(is, was, "{name}, line {}", number + 1);
-    }
-    assert_eq!(text, fixture, "{name}");
-    fixture
-}
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn unhex(text: &str) -> Vec<u8> {
-    let digits = (0..text.len()).step_by(2);
-    digits.map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal")).collect()
-}
+const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
 
 /// One line for each case.
 fn lines<T: AsRef<str>>(cases: &[(String, T)]) -> String {
--- a/crates/brassport-policy/tests/it/golden/settings.rs
+++ b/crates/brassport-policy/tests/it/golden/settings.rs
@@ -18,7 +18,7 @@
         ("default".to_string(), write(&Settings::default())),
         ("sample".to_string(), write(&sample_settings())),
     ];
-    let fixture = golden("settings.txt", &lines(&cases));
+    let fixture = GOLDEN.same_text("settings.txt", &lines(&cases));
     for ((name, _), value) in cases.iter().zip([Some(read), None, Some(Settings::default()), None]) {
         let text = case(&fixture, name);
         let decoded: Settings = serde_json::from_str(text).expect("sound");
@@ -40,7 +40,7 @@
             reported.push((format!("{key} {how}"), error.to_string()));
         }
     }
-    golden("settings-unreadable.txt", &lines(&reported));
+    GOLDEN.same_text("settings-unreadable.txt", &lines(&reported));
 }
 
 /// One change of settings.
@@ -98,5 +98,5 @@
             reported.push((format!("figure {number} as {value}"), verdict(settings)));
         }
     }
-    golden("settings-senseless.txt", &lines(&reported));
+    GOLDEN.same_text("settings-senseless.txt", &lines(&reported));
 }
--- a/crates/brassport-policy/tests/it/golden/wire.rs
+++ b/crates/brassport-policy/tests/it/golden/wire.rs
@@ -118,7 +118,7 @@
 fn each_event_record_decodes_as_before() {
     let cases = records();
     let written: Vec<_> = cases.iter().map(|(name, bytes, _)| (name.clone(), hex(bytes))).collect();
-    let fixture = golden("wire-events.hex", &lines(&written));
+    let fixture = GOLDEN.same_text("wire-events.hex", &lines(&written));
     for (name, _, event) in cases {
         let bytes = unhex(case(&fixture, &name));
         let batch = Batch::read(&mut &bytes[..]).expect("sound").expect("not at the end");
@@ -169,5 +169,5 @@
     together.die(4, "the last");
     together.push(5, &Action::Log("and one more".into()));
     cases.push(("all in one".into(), hex(&together.into_bytes())));
-    golden("wire-actions.hex", &lines(&cases));
+    GOLDEN.same_text("wire-actions.hex", &lines(&cases));
 }
--- a/crates/brassport-proxy/tests/it/golden/downstream.rs
+++ b/crates/brassport-proxy/tests/it/golden/downstream.rs
@@ -1,6 +1,6 @@
 //! What clients are sent.
 
-use super::{golden, lines, plain};
+use super::{lines, plain, GOLDEN};
 use crate::common::bounded;
 use brassport_proxy::body::{ResponseBody, StreamedBody};
 use brassport_proxy::clock::{Clock, SystemClock};
@@ -217,7 +217,7 @@
             let request = format!("GET {path} HTTP/1.1\r\nHost: d\r\n\r\n");
             cases.push((format!("{path} of one that leaves"), exchange(at, request.as_bytes()).await));
         }
-        golden("answers.txt", &lines(&cases));
+        GOLDEN.same_text("answers.txt", &lines(&cases));
     })
     .await;
 }
@@ -228,7 +228,8 @@
         // The only descriptor that is free is kept for attempts.
         let (_service, at) = start_service(1, 4).await;
         let request = b"GET /text/0 HTTP/1.1\r\nHost: d\r\n\r\n";
-        golden("answers-crowded.txt", &lines(&[("turned away".into(), exchange(at, request).await)]));
+        GOLDEN
+            .same_text("answers-crowded.txt", &lines(&[("turned away".into(), exchange(at, request).await)]));
     })
     .await;
 }
--- a/crates/brassport-proxy/tests/it/golden/mod.rs
+++ b/crates/brassport-proxy/tests/it/golden/mod.rs
@@ -5,25 +5,13 @@
 mod downstream;
 mod upstream;
 
+use brassport_golden::Fixtures;
 use brassport_proxy::date::DateHeader;
 use brassport_proxy::responses::forwarded_headers;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
-use std::path::Path;
 use std::time::Duration;
 
-/// The fixture of this name, which the text must equal.
-fn golden(name: &str, text: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
-    if std::env::var("GOLDEN_WRITE").is_ok_and(|value| value == "1") {
-        std::fs::write(&path, text).expect("the fixture can be written");
-        panic!("wrote {name}: run again without GOLDEN_WRITE");
-    }
-    let fixture = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("fixture {name}: {error}"));
-    for (number, (is, was)) in text.lines().zip(fixture.lines()).enumerate() {
-        assert_eq!(is, was, "{name}, line {}", number + 1);
-    }
-    assert_eq!(text, fixture, "{name}");
-}
+const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
 
 /// One line for each case.
 fn lines(cases: &[(String, String)]) -> String {
@@ -44,7 +32,7 @@
         let value = date.value(Duration::from_secs_f64(second));
         (second.to_string(), plain(value.as_bytes()))
     });
-    golden("dates.txt", &lines(&cases));
+    GOLDEN.same_text("dates.txt", &lines(&cases));
 }
 
 #[test]
@@ -86,5 +74,5 @@
             headers.iter().map(|(name, value)| format!("{name}={}", plain(value.as_bytes()))).collect();
         (name.to_string(), headers.join(" | "))
     });
-    golden("headers.txt", &lines(&written));
+    GOLDEN.same_text("headers.txt", &lines(&written));
 }
--- a/crates/brassport-proxy/tests/it/golden/upstream.rs
+++ b/crates/brassport-proxy/tests/it/golden/upstream.rs
@@ -1,6 +1,6 @@
 //! What backends are sent.
 
-use super::{golden, lines, plain};
+use super::{lines, plain, GOLDEN};
 use crate::common::{bounded, class, dispatcher_before, policy_request, Counts};
 use brassport_policy::{Effect, Plan, Settings};
 use brassport_proxy::clock::SystemClock;
@@ -85,7 +85,7 @@
             let request = received.recv().await.expect("a request");
             cases.push((name.to_string(), format!("{} -> {outcome}", plain(&request))));
         }
-        golden("requests.txt", &lines(&cases));
+        GOLDEN.same_text("requests.txt", &lines(&cases));
     })
     .await;
 }
--- a/crates/brassport-quota/tests/it/golden.rs
+++ b/crates/brassport-quota/tests/it/golden.rs
@@ -1,18 +1,14 @@
 //! Golden bytes: usage reports, grants and the hash that identifies a tenant, compared with the fixtures in
 //! `tests/golden`. The names of cases are those that the fixtures had from the beginning.
 
-#[path = "../../../brassport-transport/tests/common/fixture.rs"]
-mod fixture;
-#[path = "../../../brassport-transport/tests/common/hex.rs"]
-mod hex;
-
+use brassport_golden::hex;
+use brassport_golden::Fixtures;
 use brassport_quota::{Borrower, Incarnation, Lender, QuotaGrant, RateLimit, TenantId, Term, UsageReport};
 use brassport_types::DiskId;
-use hex::hex;
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
-const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
+const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
 
 fn encoded<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) -> (String, String) {
     let mut bytes = Vec::new();
@@ -38,7 +34,7 @@
         encoded("loan", &grant(TenantId(0x811c_9dc5), 12, 250)),
         encoded("largest loan", &grant(TenantId(u32::MAX), u16::MAX, u32::MAX)),
     ];
-    fixture::check(PACKAGE, "messages", &cases);
+    GOLDEN.same_lines("messages", &cases);
 }
 
 /// The hash stands in messages: nodes of two versions must have the same.
@@ -46,7 +42,7 @@
 fn tenant_ids_keep_their_hashes() {
     let names = ["", "a", "acme", "Acme", "öl", "a name of some length, with spaces"];
     let cases = names.map(|name| (name.to_owned(), format!("{:08x}", TenantId::of_name(name).0)));
-    fixture::check(PACKAGE, "tenants", &cases);
+    GOLDEN.same_lines("tenants", &cases);
 }
 
 /// What a node reports and is granted, by the same steps.
@@ -68,5 +64,5 @@
         cases.push(encoded(&format!("report {step}"), &used));
         cases.push(encoded(&format!("loans {step}"), &grants));
     }
-    fixture::check(PACKAGE, "exchange", &cases);
+    GOLDEN.same_lines("exchange", &cases);
 }
--- a/crates/brassport-state/tests/it/golden.rs
+++ b/crates/brassport-state/tests/it/golden.rs
@@ -1,7 +1,8 @@
 //! The bytes of the store's file and of every kind of row, against committed fixtures: what an earlier version wrote is
 //! read to the same model, and the same model is written in the same bytes.
 
-use crate::fixture::{fixture, json, same_cases, same_text, Folder};
+use crate::fixture::{Folder, GOLDEN};
+use brassport_golden::json;
 use brassport_state::known::{KnownList, KnownNode};
 use brassport_state::model::{Action, Change, Lifecycle, NewNode, Node, Refusal, State};
 use brassport_state::store::{Batch, ChangeError, Done, Entry, Sent, Store, StoreError};
@@ -200,7 +201,7 @@
 fn a_committed_store_has_its_rows_and_opens_to_the_model_that_was_written() {
     let made = Folder::new("store-made");
     write_store(&made);
-    let committed = fixture(STORE, &fs::read(made.0.join(STORE)).expect("it was made"));
+    let committed = GOLDEN.bytes(STORE, &fs::read(made.0.join(STORE)).expect("it was made"));
     let folder = Folder::new("store-committed");
     fs::write(folder.0.join(STORE), committed).expect("a copy");
     assert_eq!(rows(&folder.0.join(STORE)), rows(&made.0.join(STORE)));
@@ -219,7 +220,7 @@
 fn a_store_that_is_written_afresh_has_the_committed_rows() {
     let folder = Folder::new("rows");
     write_store(&folder);
-    same_text("state.txt", &rows(&folder.0.join(STORE)));
+    GOLDEN.same_text("state.txt", &rows(&folder.0.join(STORE)));
 }
 
 #[test]
@@ -249,7 +250,7 @@
     for repeated in [false, true] {
         cases.push(json(&format!("Done, repeated {repeated}"), Done { revision: 12, repeated }));
     }
-    same_cases("rows.txt", &cases);
+    GOLDEN.same_cases("rows.txt", &cases);
 }
 
 /// Rows of versions that did not have all of the fields. They are read, and written with all.
@@ -274,7 +275,7 @@
         ("KnownNode", known, read::<KnownNode>(known)),
     ];
     let made: String = lines.iter().map(|(name, old, new)| format!("{name}: {old}\n  now {new}\n")).collect();
-    same_text("older.txt", &made);
+    GOLDEN.same_text("older.txt", &made);
 }
 
 /// The name of a variant; one that is new does not compile here until it has one.
@@ -341,5 +342,5 @@
         let said = fault.to_string();
         assert_eq!(ChangeError::Store(fault).to_string(), said);
     }
-    same_text("messages.txt", &made);
+    GOLDEN.same_text("messages.txt", &made);
 }
--- a/crates/brassport-state/tests/it/golden_log.rs
+++ b/crates/brassport-state/tests/it/golden_log.rs
@@ -1,7 +1,7 @@
 //! The bytes of the log's file against committed fixtures: what an earlier version wrote is read to the same image, and the
 //! same image is written in the same bytes.
 
-use crate::fixture::{fixture, same_text, Folder};
+use crate::fixture::{Folder, GOLDEN};
 use brassport_state::log::{Image, LogStore, Write};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::fmt::Write as _;
@@ -67,7 +67,7 @@
 fn a_committed_log_has_its_rows_and_opens_to_what_was_written() {
     let made = Folder::new("log-made");
     write_log(&made);
-    let committed = fixture(LOG, &fs::read(made.0.join(LOG)).expect("it was made"));
+    let committed = GOLDEN.bytes(LOG, &fs::read(made.0.join(LOG)).expect("it was made"));
     let folder = Folder::new("log-committed");
     fs::write(folder.0.join(LOG), committed).expect("a copy");
     assert_eq!(log_rows(&folder.0.join(LOG)), log_rows(&made.0.join(LOG)));
@@ -79,5 +79,5 @@
 fn a_log_that_is_written_afresh_has_the_committed_rows() {
     let folder = Folder::new("log-rows");
     write_log(&folder);
-    same_text("log.txt", &log_rows(&folder.0.join(LOG)));
+    GOLDEN.same_text("log.txt", &log_rows(&folder.0.join(LOG)));
 }
--- a/crates/brassport-transport/tests/it/golden.rs
+++ b/crates/brassport-transport/tests/it/golden.rs
@@ -1,9 +1,9 @@
 //! Golden bytes: frames, peer records, and what stands on the wire before a frame, compared with the fixtures in
 //! `tests/golden`. The names of cases are those that the fixtures had from the beginning.
 
-use crate::fixture;
 use crate::harness::{block_on, counting, in_time, peer_record, Setup, PEER};
-use crate::hex::hex;
+use brassport_golden::hex;
+use brassport_golden::Fixtures;
 use brassport_transport::frame;
 use brassport_transport::peer_sampling::{AgedRecord, PartialView, PeerRecord};
 use serde::{de::DeserializeOwned, Serialize};
@@ -11,7 +11,7 @@
 use std::net::Ipv4Addr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
+const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
 
 fn framed<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) -> (String, String) {
     let bytes = frame::encode(value);
@@ -39,7 +39,7 @@
         framed("number", &u64::MAX),
         framed("text", &"zone-a".to_owned()),
     ];
-    fixture::check(PACKAGE, "frames", &cases);
+    GOLDEN.same_lines("frames", &cases);
     assert_eq!(frame::decode::<PeerRecord>(b"\x01"), None);
     assert_eq!(frame::MAX_FRAME_BYTES, 16 << 20);
 }
@@ -59,7 +59,7 @@
     let mut bytes = vec![0; 4 + 1_201 + 4 + 1_300];
     in_time(stream.read_exact(&mut bytes)).await.expect("both");
     cases.push(("two long ones".to_owned(), hex(&bytes)));
-    fixture::check(PACKAGE, "wire", &cases);
+    GOLDEN.same_lines("wire", &cases);
     // And the same bytes are read.
     setup.peer_datagrams.send_to(b"a datagram", setup.local()).await.expect("sent");
     assert_eq!(setup.next_frame().await.as_deref(), Some(&b"a datagram"[..]));
--- a/crates/brassport-transport/tests/it/main.rs
+++ b/crates/brassport-transport/tests/it/main.rs
@@ -1,10 +1,6 @@
 //! Frames, links and peer sampling: their behaviour and their bytes.
 
 // Golden tests of other packages include these two as well.
-#[path = "../common/fixture.rs"]
-mod fixture;
-#[path = "../common/hex.rs"]
-mod hex;
 
 mod golden;
 mod harness;
--- a/crates/brassport/tests/golden.rs
+++ b/crates/brassport/tests/golden.rs
@@ -14,6 +14,7 @@
 use brassport::run::handover::{place, take};
 use brassport::run::metrics::{Ended, Figures, ListFigures};
 use brassport::run::terms::Terms;
+use brassport_golden::{hex, unhex, Fixtures};
 use brassport_membership::book::{Entry, Report, State};
 use brassport_policy::{Class, Effect, Plan, Scope, Settings};
 use brassport_proxy::protocol::{AttemptEvent, AttemptObserver};
@@ -24,7 +25,7 @@
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -35,29 +36,7 @@
 
 use common::{reserve, target, temporary, with_operators, Front};
 
-/// The fixture of this name, which the text must equal.
-fn golden(name: &str, text: &str) -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
-    if std::env::var("GOLDEN_WRITE").is_ok_and(|value| value == "1") {
-        std::fs::write(&path, text).expect("the fixture can be written");
-        panic!("wrote {name}: run again without GOLDEN_WRITE");
-    }
-    let fixture = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("fixture {name}: {error}"));
-    for (number, (is, was)) in text.lines().zip(fixture.lines()).enumerate() {
-        assert_eq!(is, was, "{name}, line {}", number + 1);
-    }
-    assert_eq!(text, fixture, "{name}");
-    fixture
-}
-
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn unhex(text: &str) -> Vec<u8> {
-    let digits = (0..text.len()).step_by(2);
-    digits.map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal")).collect()
-}
+const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
 
 /// One line for each case.
 fn lines(cases: &[(String, String)]) -> String {
@@ -197,7 +176,7 @@
 fn messages_of_an_upgrade() {
     let cases: Vec<_> =
         messages().iter().map(|(name, message)| (name.clone(), write_json(message))).collect();
-    let fixture = golden("handover-messages.txt", &lines(&cases));
+    let fixture = GOLDEN.same_text("handover-messages.txt", &lines(&cases));
     for (name, message) in messages() {
         let text = case(&fixture, &name);
         let read: Message = serde_json::from_str(text).expect("sound");
@@ -208,7 +187,7 @@
 
 #[test]
 fn nodes_of_an_upgrade_are_read_as_they_were_told() {
-    let fixture = golden(
+    let fixture = GOLDEN.same_text(
         "handover-listed.txt",
         &lines(
             &entries()
@@ -239,7 +218,7 @@
     note("one back", &offer);
     offer.bans.enable("n2", 200.0).expect("known");
     note("both back", &offer);
-    let fixture = golden("bans.txt", &lines(&cases));
+    let fixture = GOLDEN.same_text("bans.txt", &lines(&cases));
     for (name, text) in &cases {
         let mut offer = empty_offer();
         offer.bans = serde_json::from_str(case(&fixture, name)).expect("sound");
@@ -259,7 +238,7 @@
     let changed = first.changed(&fewer, &other).expect("few names");
     let all = [("none", Terms::default()), ("first", first), ("changed", changed)];
     let cases = all.clone().map(|(name, terms)| (name.to_string(), write_json(&terms)));
-    let fixture = golden("terms.txt", &lines(&cases));
+    let fixture = GOLDEN.same_text("terms.txt", &lines(&cases));
     for (name, terms) in all {
         let read: Terms = serde_json::from_str(case(&fixture, name)).expect("sound");
         assert_eq!(read, terms, "{name}");
@@ -301,7 +280,7 @@
                 written.push((name, message.clone(), with_socket));
             }
         }
-        let fixture = golden("handover-frames.hex", &lines(&cases));
+        let fixture = GOLDEN.same_text("handover-frames.hex", &lines(&cases));
         for (name, message, with_socket) in written {
             let (mut one, other) = UnixStream::pair().expect("a pair");
             let mut link = Link::over(other);
@@ -335,7 +314,7 @@
         let ((asked, took), taken) = tokio::join!(old, take(&path, &SystemClock));
         std::fs::remove_file(&path).expect("it was there");
         assert_eq!(*taken.expect("the place").offer, full_offer());
-        golden("handover-taker.txt", &lines(&[("asked".into(), asked), ("took".into(), took)]));
+        GOLDEN.same_text("handover-taker.txt", &lines(&[("asked".into(), asked), ("took".into(), took)]));
     });
 }
 
@@ -351,7 +330,7 @@
         at("0.0.0.0:80", Some("")),
         at("10.0.0.1:80", None),
     ];
-    golden("handover-place.txt", &lines(&cases));
+    GOLDEN.same_text("handover-place.txt", &lines(&cases));
 }
 
 // The figures.
@@ -381,7 +360,7 @@
     drop((pending, coming));
     page += "# those who were pending have gone\n";
     page += &figures.text(ListFigures { members: 12, unavailable: 3 });
-    golden("metrics.txt", &page);
+    GOLDEN.same_text("metrics.txt", &page);
 }
 
 #[test]
@@ -392,7 +371,7 @@
         Ended::Failed => "failed",
     };
     let cases = [200, 201, 204, 304, 400, 404, 408, 409, 413, 429, 431, 500, 502, 503, 504];
-    golden(
+    GOLDEN.same_text(
         "metrics-statuses.txt",
         &lines(&cases.map(|status| (status.to_string(), ended(status).to_string()))),
     );
@@ -503,7 +482,7 @@
     ask("a long body", format!("{long}{}", "x".repeat(20_000)).as_bytes());
     ask("no HTTP", b"hello\r\n\r\n");
     ask("another version", b"GET /-/ready HTTP/3.7\r\n\r\n");
-    golden("admin.txt", &lines(&cases));
+    GOLDEN.same_text("admin.txt", &lines(&cases));
 }
 
 #[test]
@@ -511,7 +490,7 @@
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = taken.local_addr().expect("an address");
     let error = admin::listen(at, Arc::default()).expect_err("it is taken");
-    golden("admin-refused.txt", &(error.replace(&at.to_string(), "ADDRESS") + "\n"));
+    GOLDEN.same_text("admin-refused.txt", &(error.replace(&at.to_string(), "ADDRESS") + "\n"));
 }
 
 // Configurations.
@@ -644,7 +623,7 @@
         ("unknown fields", parsed(&with("/limits", json!({"memory_mb": 1, "sockets": 2, "cores": 3})))),
     ];
     assert!(cases.iter().all(|(_, told)| told.starts_with("taken: ")), "{cases:?}");
-    golden("config.txt", &lines(&cases.map(|(name, told)| (name.to_string(), told))));
+    GOLDEN.same_text("config.txt", &lines(&cases.map(|(name, told)| (name.to_string(), told))));
 }
 
 /// What is said of a configuration in which one thing is missing, null or of another kind.
@@ -678,14 +657,14 @@
 #[test]
 fn configurations_of_another_shape() {
     let cases: Vec<_> = misshapen().into_iter().filter(|(_, told)| !names_a_type(told)).collect();
-    golden("config-misshapen.txt", &lines(&cases));
+    GOLDEN.same_text("config-misshapen.txt", &lines(&cases));
 }
 
 /// Lines for staff that name a type of the source: apart, as they alone may change with that name.
 #[test]
 fn configurations_of_another_shape_by_type() {
     let cases: Vec<_> = misshapen().into_iter().filter(|(_, told)| names_a_type(told)).collect();
-    golden("config-misshapen-by-type.txt", &lines(&cases));
+    GOLDEN.same_text("config-misshapen-by-type.txt", &lines(&cases));
 }
 
 #[test]
@@ -726,7 +705,7 @@
         cases.push((format!("{place} {}", text_of(&value).len()), format!("{} -> {told}", text_of(&value))));
     }
     assert!(cases.iter().all(|(_, told)| !told.contains("taken: ")), "{cases:?}");
-    golden("config-senseless.txt", &lines(&cases));
+    GOLDEN.same_text("config-senseless.txt", &lines(&cases));
 }
 
 // Discovery.
@@ -783,7 +762,7 @@
     };
     let cases: Vec<_> =
         texts.into_iter().map(|(name, text)| (name, format!("{text} -> {}", read(&text)))).collect();
-    let fixture = golden("discovery-lists.txt", &lines(&cases));
+    let fixture = GOLDEN.same_text("discovery-lists.txt", &lines(&cases));
     for line in fixture.lines() {
         let (text, told) =
             line.split_once(": ").and_then(|(_, rest)| rest.split_once(" -> ")).expect("a case");
@@ -839,7 +818,7 @@
         }
         let noted = notes.0.borrow().clone();
         cases.extend(noted.into_iter().enumerate().map(|(number, told)| (format!("report {number}"), told)));
-        golden("discovery-calls.txt", &lines(&cases));
+        GOLDEN.same_text("discovery-calls.txt", &lines(&cases));
     });
 }
 
@@ -939,7 +918,7 @@
     let front = Front::start(&common::config(reserve(), known));
     cases.push(("refused".into(), answered(front.address, good.as_bytes(), false)));
     cases.push(("unhealthy".into(), answered(front.address, HEALTH, false)));
-    golden("front-door.txt", &lines(&cases));
+    GOLDEN.same_text("front-door.txt", &lines(&cases));
 }
 
 /// Replaces what differs from run to run by nothing.
@@ -984,6 +963,6 @@
         let took = b"\x06\0\0\0\0\"Took\"";
         stream.write_all(took).await.expect("written");
         let go = hex(&frame_from(&mut stream).await);
-        golden("handover-giver.txt", &lines(&[("offer".into(), offer), ("go".into(), go)]));
+        GOLDEN.same_text("handover-giver.txt", &lines(&[("offer".into(), offer), ("go".into(), go)]));
     });
 }
