--- a/crates/brassport-fleet/src/standing.rs
+++ b/crates/brassport-fleet/src/standing.rs
@@ -83,38 +83,3 @@
         self.until.is_some()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_right_runs_from_before_it_was_asked_for() {
-        let mut standing = Standing::default();
-        let asked = standing.ask(100);
-        standing.granted(900, asked, 1000);
-        assert_eq!(standing.may_act(1099), Ok(()));
-        assert_eq!(standing.may_act(1100), Err(Why::RanOut));
-    }
-
-    #[test]
-    fn an_answer_that_is_overtaken_takes_nothing_back() {
-        let mut standing = Standing::default();
-        standing.granted(60, 50, 1000);
-        standing.granted(70, 10, 1000);
-        assert_eq!(standing.until(), Some(1050));
-    }
-
-    #[test]
-    fn a_voters_leave_goes_on_but_does_not_begin_and_does_not_bring_back() {
-        let mut standing = Standing::default();
-        standing.left(15, 10, 1000);
-        assert_eq!(standing.may_act(20), Err(Why::NotYet));
-        standing.granted(20, 20, 100);
-        standing.left(119, 119, 100);
-        assert_eq!(standing.until(), Some(219));
-        // Asked in time, and answered too late.
-        standing.left(219, 218, 100);
-        assert_eq!(standing.until(), Some(219));
-    }
-}
--- /dev/null
+++ b/crates/brassport-fleet/tests/it/golden/grants.rs
@@ -0,0 +1,97 @@
+//! Requests for a right to act, their answers, what stands against a fence, and a right's course.
+
+use super::shared::built;
+use super::{json, same_cases, same_text};
+use brassport_fleet::grants::{Answer, Ask, Grants, Open, Terms};
+use brassport_fleet::standing::{Standing, Why};
+use std::collections::BTreeSet;
+use std::fmt::Write as _;
+
+/// What may stand against a fence.
+pub fn opens() -> Vec<Open> {
+    vec![
+        Open::Door { door: "d1".into(), version: Some(7), ms: 12 },
+        Open::Door { door: "d1".into(), version: None, ms: 12 },
+        Open::Earlier { door: "d2".into(), ms: 0 },
+        Open::Voter { voter: 3, door: "d1".into() },
+    ]
+}
+
+#[test]
+fn requests_answers_and_open_fences_keep_their_bytes() {
+    let mut cases = vec![
+        json("Terms, default", Terms::default()),
+        json("Terms", Terms { length: 1, drift_permille: 2, silence: 3, leave: 4, bring_up: u64::MAX }),
+        json("Ask", Ask { door: "d1".into(), process: u64::MAX, version: 8, had_one: true }),
+    ];
+    let answers = [
+        Answer::Granted { length: 3000 },
+        Answer::Behind { need: 8 },
+        Answer::Wait { ms: 0 },
+        Answer::Replaced,
+        Answer::Unknown,
+    ];
+    for answer in answers {
+        let variant = match answer {
+            Answer::Granted { .. } => "Granted",
+            Answer::Behind { .. } => "Behind",
+            Answer::Wait { .. } => "Wait",
+            Answer::Replaced => "Replaced",
+            Answer::Unknown => "Unknown",
+        };
+        cases.push(json(&format!("Answer::{variant}"), answer));
+    }
+    for open in opens() {
+        let variant = match &open {
+            Open::Door { .. } => "Door",
+            Open::Earlier { .. } => "Earlier",
+            Open::Voter { .. } => "Voter",
+        };
+        cases.push(json(&format!("Open::{variant}"), open.clone()));
+        cases.push(json(&format!("fence, {variant}"), Some(vec![open])));
+    }
+    // What a ledger itself says, so that the fields are filled as before.
+    let (state, voters) = (built(), BTreeSet::from([2, 3]));
+    let mut grants = Grants::new(Terms::default(), 1000);
+    grants.note(1000, &state);
+    let asks = [("d1", u64::MAX, 8), ("d1", u64::MAX, 2), ("d1", 1, 8), ("d2", 9, 8), ("d3", 1, 8)];
+    for (door, process, version) in asks {
+        let ask = Ask { door: door.into(), process, version, had_one: false };
+        let answer = grants.ask(1500, &ask, &state, &voters);
+        cases.push(json(&format!("{door} {process} {version} asks"), answer));
+    }
+    cases.push(json("fence, early", grants.fence(1600, 9, &state, &voters)));
+    cases.push(json("fence, late", grants.fence(90_000, 9, &state, &voters)));
+    same_cases("grants.txt", &cases);
+}
+
+/// A door's right is never serialized; what it tells is compared as text.
+#[test]
+fn a_right_starts_and_ends_at_the_same_moments() {
+    let name = |why: Why| match why {
+        Why::NotYet => "NotYet",
+        Why::RanOut => "RanOut",
+        Why::Behind => "Behind",
+        Why::Replaced => "Replaced",
+        Why::Unknown => "Unknown",
+    };
+    let mut standing = Standing::default();
+    let mut made = String::new();
+    let mut note = |what: &str, now: u64, standing: &Standing| {
+        let may = standing.may_act(now).map_or_else(name, |()| "may act");
+        let until = standing.until().map_or("none".into(), |until| until.to_string());
+        writeln!(made, "{what}: at {now} {may}, until {until}").expect("text takes it");
+    };
+    note("new", 0, &standing);
+    let asked = standing.ask(100);
+    standing.granted(300, asked, 1000);
+    note("granted", 400, &standing);
+    standing.left(1000, 900, 500);
+    note("left", 1399, &standing);
+    note("ran out", 1400, &standing);
+    for why in [Why::NotYet, Why::RanOut, Why::Behind, Why::Replaced, Why::Unknown] {
+        standing.refused(why);
+        note("refused", 1400, &standing);
+    }
+    same_text("standing.txt", &made);
+}
--- /dev/null
+++ b/crates/brassport-fleet/tests/it/golden/record.rs
@@ -0,0 +1,62 @@
+//! Lines of a record.
+
+use super::{json, same_cases, same_text};
+use brassport_fleet::clocks::Mark;
+use brassport_fleet::record::{self, At, Chain, Line, What};
+
+pub fn whats() -> Vec<What> {
+    vec![
+        What::Began { door: "d\"1\"".into(), program: "0.2.0".into() },
+        What::Clock(Mark { by: "i1".into(), said_ms: 1_700_000_000_004, took_ms: 4 }),
+        What::Acts { version: 3, digest: "ab".repeat(32), from_admission: 1 },
+        What::Unsafe { request: "r-1".into(), node: "node-7".into(), version: 3 },
+        What::Stopped { why: "its right ran out".into(), from_admission: 20 },
+        What::WentOn { from_admission: 20 },
+        What::Lost { lines: 2 },
+        What::Acts { version: u64::MAX, digest: String::new(), from_admission: 31 },
+        What::Unknown,
+    ]
+}
+
+fn what_name(what: &What) -> &'static str {
+    match what {
+        What::Began { .. } => "Began",
+        What::Acts { .. } => "Acts",
+        What::Stopped { .. } => "Stopped",
+        What::WentOn { .. } => "WentOn",
+        What::Unsafe { .. } => "Unsafe",
+        What::Clock(_) => "Clock",
+        What::Lost { .. } => "Lost",
+        What::Unknown => "Unknown",
+    }
+}
+
+pub fn at(number: u64) -> At {
+    At { process: 7, steady_ms: 10 * number, wall_ms: 1_700_000_000_000 + 10 * number }
+}
+
+#[test]
+fn a_committed_record_is_read_and_rewritten_in_the_same_bytes() {
+    let mut chain = Chain::default();
+    let lines = whats().into_iter().enumerate();
+    let made: String = lines.map(|(number, what)| chain.add(at(number as u64), what)).collect();
+    let committed = same_text("record.jsonl", &made);
+    let (lines, fault, sound, end) = record::read(&committed);
+    assert_eq!((fault, sound, end), (None, committed.len(), chain));
+    assert_eq!(lines.iter().map(|line| line.what.clone()).collect::<Vec<_>>(), whats());
+    let mut again = Chain::default();
+    let text: String = lines.iter().map(|line| again.add(line.at, line.what.clone())).collect();
+    assert_eq!(text, committed);
+    assert_eq!(record::by_process(&committed), [(7, committed.as_str())]);
+}
+
+#[test]
+fn each_part_of_a_line_keeps_its_bytes() {
+    let mut cases = vec![json("At", at(1)), json("Mark", Mark { by: "i1".into(), said_ms: 5, took_ms: 4 })];
+    for (number, what) in whats().into_iter().enumerate() {
+        cases.push(json(&format!("What::{}", what_name(&what)), what.clone()));
+        let line = Line { number: number as u64, before: "cd".repeat(32), at: at(2), what };
+        cases.push(json(&format!("Line {number}"), line));
+    }
+    same_cases("lines.txt", &cases);
+}
--- a/crates/brassport-fleet/tests/mutants.rs
+++ b/crates/brassport-fleet/tests/it/mutants.rs
@@ -1,8 +1,6 @@
 //! The tests can fail: every deliberate fault is found.
-#![cfg(feature = "mutants")]
-
-mod common;
 
+use crate::simulation::play;
 use brassport_fleet::mutants::{choose, Mutant, ALL};
 use brassport_fleet::record::{read, At, Chain, What};
 use brassport_fleet::shared::{Catch, Change, Shared};
@@ -11,7 +9,7 @@
 const SEEDS: u64 = 1500;
 
 fn by_seeds() -> Option<String> {
-    (1..=SEEDS).find_map(|seed| common::play(seed).err())
+    (1..=SEEDS).find_map(|seed| play(seed).err())
 }
 
 fn change(id: &str, body: bool) -> Change {
@@ -44,7 +42,7 @@
 }
 
 #[test]
-fn every_fault_is_found() {
+fn every_mutant_is_found() {
     std::thread::scope(|scope| {
         let find = |mutant: Mutant| {
             move || {
--- a/crates/brassport-fleet/tests/shared.rs
+++ b/crates/brassport-fleet/tests/it/shared.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_change_sent_again_is_made_once_and_another_by_its_name_is_refused() {
+fn a_repeated_change_is_applied_once_and_another_with_its_id_is_refused() {
     let mut shared = with(0);
     assert!(!shared.apply(&ban("a", "n", json!(true))).expect("sound").repeated);
     let again = Change { at_ms: 99, ..ban("a", "n", json!(true)) };
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn of_two_operators_who_saw_the_same_one_is_refused_and_told_of_the_other() {
+fn the_second_of_two_changes_against_one_version_is_refused() {
     let mut shared = with(1);
     let seen = |id: &str| Change { seen: Some(1), ..ban(id, "n0", json!(null)) };
     assert_eq!(shared.apply(&seen("x")).expect("the first").version, 2);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_ban_that_was_taken_back_does_not_come_again_by_an_older_path() {
+fn a_lifted_ban_does_not_return_with_an_older_state() {
     let (mut shared, mut late) = (with(1), with(1));
     shared.apply(&ban("off", "n0", json!(null))).expect("sound");
     let old = late.clone();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn one_who_is_far_behind_gets_all_and_one_who_is_near_the_difference() {
+fn a_replica_far_behind_gets_a_snapshot_and_a_near_one_the_changes() {
     let shared = with(3000);
     let catch = |behind: &Shared| shared.since(behind.version(), behind.digest()).expect("the same fleet");
     assert!(matches!(catch(&with(100)), Catch::Whole(_)));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn another_past_and_a_change_that_was_altered_are_seen() {
+fn a_fork_and_an_altered_change_are_detected() {
     let shared = with(5);
     let mut other = with(3);
     other.apply(&ban("z", "n9", json!(true))).expect("sound");
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_matter_that_nobody_here_knows_is_kept_and_passed_on() {
+fn a_matter_of_a_newer_program_is_kept_and_forwarded() {
     let mut newer = with(1);
     let dream = Change::new("d", "asha", "of a newer program", "dreams", "k", json!({ "of": [1, 2] }));
     newer.apply(&dream).expect("sound");
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn bans_are_strict_and_settings_lax_unless_operators_say_otherwise() {
+fn bans_are_strict_and_settings_lax_by_default() {
     let mut shared = with(2);
     assert_eq!(shared.last_strict(), 2);
     shared.apply(&Change::new("s", "asha", "new quota", SETTINGS, "", json!("{}"))).expect("sound");
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_change_without_a_reason_or_of_any_size_is_refused() {
+fn an_incomplete_or_oversized_change_is_refused() {
     let mut shared = Shared::default();
     let nameless = Change { reason: " ".into(), ..ban("a", "n", json!(true)) };
     assert_eq!(shared.apply(&nameless), Err(Refusal::Incomplete("reason".into())));
--- /dev/null
+++ b/crates/brassport-fleet/tests/it/standing.rs
@@ -0,0 +1,33 @@
+//! The right of one door: from when it runs, and what extends it.
+
+use brassport_fleet::standing::{Standing, Why};
+
+#[test]
+fn a_right_runs_from_its_request() {
+    let mut standing = Standing::default();
+    let asked = standing.ask(100);
+    standing.granted(900, asked, 1000);
+    assert_eq!(standing.may_act(1099), Ok(()));
+    assert_eq!(standing.may_act(1100), Err(Why::RanOut));
+}
+
+#[test]
+fn an_overtaken_answer_does_not_shorten_the_right() {
+    let mut standing = Standing::default();
+    standing.granted(60, 50, 1000);
+    standing.granted(70, 10, 1000);
+    assert_eq!(standing.until(), Some(1050));
+}
+
+#[test]
+fn a_voters_extension_neither_starts_nor_revives_a_right() {
+    let mut standing = Standing::default();
+    standing.left(15, 10, 1000);
+    assert_eq!(standing.may_act(20), Err(Why::NotYet));
+    standing.granted(20, 20, 100);
+    standing.left(119, 119, 100);
+    assert_eq!(standing.until(), Some(219));
+    // Asked in time, and answered too late.
+    standing.left(219, 218, 100);
+    assert_eq!(standing.until(), Some(219));
+}
