--- /dev/null
+++ b/crates/brassport-fleet/src/audit/spans.rs
@@ -0,0 +1,74 @@
+//! Spans from the lines of one door's record.
+
+use super::Span;
+use crate::record::{At, Line, What};
+
+/// Builds the spans of one door, line by line.
+pub(super) struct SpanBuilder<'a> {
+    door: &'a str,
+    /// The span that the door is in. While the door has stopped it is empty: its two admissions are the same.
+    open: Option<Span>,
+    ended: Vec<Span>,
+}
+
+impl<'a> SpanBuilder<'a> {
+    pub(super) fn new(door: &'a str) -> SpanBuilder<'a> {
+        SpanBuilder { door, open: None, ended: Vec::new() }
+    }
+
+    /// Reads the next line.
+    pub(super) fn step(&mut self, line: &Line) {
+        match &line.what {
+            What::Began { .. } => self.end(line.at, None, "the process ended without a word"),
+            What::Acts { version, digest, from_admission } => {
+                self.end(line.at, Some(*from_admission), "a newer version");
+                self.begin(line.at, *version, digest, *from_admission);
+            }
+            What::Stopped { why, from_admission } => {
+                // The door keeps the version, and acts on nothing until it goes on.
+                let stopped = self.open.clone();
+                self.end(line.at, Some(*from_admission), why);
+                let admissions = (*from_admission, Some(*from_admission));
+                self.open = stopped.map(|span| Span { admissions, ..span });
+            }
+            What::WentOn { from_admission } => {
+                if let Some(span) = &mut self.open {
+                    span.admissions = (*from_admission, None);
+                    (span.steady_ms, span.wall_ms) = ((line.at.steady_ms, None), line.at.wall_ms);
+                }
+            }
+            What::Unsafe { .. } | What::Lost { .. } | What::Clock(_) | What::Unknown => {}
+        }
+    }
+
+    /// The spans of all lines. One that is still empty at the end is left out.
+    pub(super) fn finish(self) -> impl Iterator<Item = Span> {
+        let open = self.open.filter(|span| span.admissions.1.is_none());
+        self.ended.into_iter().chain(open)
+    }
+
+    fn begin(&mut self, at: At, version: u64, digest: &str, from_admission: u64) {
+        self.open = Some(Span {
+            door: self.door.into(),
+            process: at.process,
+            version,
+            digest: digest.into(),
+            admissions: (from_admission, None),
+            steady_ms: (at.steady_ms, None),
+            wall_ms: at.wall_ms,
+            began: None,
+            ended: None,
+        });
+    }
+
+    fn end(&mut self, at: At, admission: Option<u64>, why: &str) {
+        if let Some(mut span) = self.open.take() {
+            // A process that ended without a line of its own left no end: that of its successor is on another clock.
+            let is_same = span.process == at.process;
+            span.admissions.1 = admission.filter(|_| is_same);
+            span.steady_ms.1 = is_same.then_some(at.steady_ms);
+            span.ended = Some(why.into());
+            self.ended.push(span);
+        }
+    }
+}
--- a/crates/brassport-fleet/src/clocks.rs
+++ b/crates/brassport-fleet/src/clocks.rs
@@ -1,32 +1,33 @@
-//! One clock for the records of many doors: when something was that a door wrote down, on the clock of one instance, with
-//! the most that this can be off.
+//! One clock for the records of many doors: the time of a recorded event on the clock of one instance, with bounds.
 //!
-//! Doors' wall clocks disagree and jump. So each door asks the instances now and then what their clocks say, and writes that
-//! down as a [`Mark`]: the answer was given between the question and its arrival, whatever the door's own clock says. What
-//! lies behind or before a mark is off by so much more as two steady clocks may run apart.
+//! Doors' wall clocks disagree and jump. So each door reads the clocks of instances now and then and records the reading as a
+//! [`Mark`]: it was taken between the request and the arrival of the response, whatever the door's own clock says. The bounds
+//! widen with the distance from the reading, by the drift between two monotonic clocks.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Two steady clocks run apart by so many thousandths at most.
+/// The most by which two monotonic clocks drift apart, in thousandths: the default of the leases of the fleet.
 const DRIFT_PERMILLE: i64 = 10;
 
-/// What an instance's clock said.
+/// A reading of an instance's clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
-    /// The instance.
+    /// The instance that answered.
     pub by: String,
-    /// Its wall clock when it answered, Unix milliseconds.
+    /// Its wall clock when it answered, in Unix milliseconds.
     pub said_ms: u64,
-    /// From the question to the arrival of the answer, on the door's steady clock.
+    /// From the request to the arrival of the response, in milliseconds on the door's monotonic clock.
     pub took_ms: Millis,
 }
 
-/// A moment, between two ends on one instance's wall clock, Unix milliseconds.
+/// Bounds of a moment on one instance's wall clock, in Unix milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Moment {
+    /// The earliest that it may have been.
     pub from_ms: i64,
+    /// The latest that it may have been.
     pub to_ms: i64,
 }
 
@@ -35,103 +36,124 @@
         self.to_ms - self.from_ms
     }
 
-    fn moved(self, by: Moment) -> Moment {
+    /// What is in both bounds; of negative width if nothing is.
+    fn intersection(self, other: Moment) -> Moment {
+        Moment { from_ms: self.from_ms.max(other.from_ms), to_ms: self.to_ms.min(other.to_ms) }
+    }
+
+    fn shifted(self, by: Moment) -> Moment {
         Moment { from_ms: self.from_ms + by.from_ms, to_ms: self.to_ms + by.to_ms }
     }
 }
 
-/// What the marks of all processes say together.
+/// A reading and when it arrived, on the reader's monotonic clock.
+#[derive(Debug, Clone)]
+struct Reading {
+    at: Millis,
+    mark: Mark,
+}
+
+/// The readings of all processes together.
 #[derive(Debug, Clone, Default)]
 pub struct Clocks {
-    /// By process: when the answer of a mark came, on its steady clock.
-    marks: BTreeMap<u64, Vec<(Millis, Mark)>>,
-    /// The instance on whose clock moments are told.
+    /// By process.
+    readings: BTreeMap<u64, Vec<Reading>>,
+    /// The instance on whose clock moments are given.
     reference: Option<String>,
-    /// What is to be added to another instance's clock to get the reference's.
-    links: BTreeMap<String, Moment>,
-    /// Instances whose clocks marks disagree about: one of them jumped.
+    /// Bounds of what is to be added to another instance's clock to get the reference's.
+    offsets: BTreeMap<String, Moment>,
+    /// Instances whose readings contradict those of the reference: one of the two clocks jumped.
     jumped: Vec<String>,
 }
 
 impl Clocks {
-    /// Takes in a mark of this process.
+    /// Adds a reading by this process, which arrived at `steady_ms` of its monotonic clock.
     pub fn add(&mut self, process: u64, steady_ms: Millis, mark: Mark) {
-        self.marks.entry(process).or_default().push((steady_ms, mark));
+        self.readings.entry(process).or_default().push(Reading { at: steady_ms, mark });
     }
 
-    /// Chooses the instance that most processes have asked, and finds how far the others' clocks are from its.
-    pub fn settle(&mut self) {
-        let mut asked: BTreeMap<&str, usize> = BTreeMap::new();
-        for marks in self.marks.values() {
-            let mut by: Vec<&str> = marks.iter().map(|(_, mark)| mark.by.as_str()).collect();
-            by.sort_unstable();
-            by.dedup();
-            by.into_iter().for_each(|by| *asked.entry(by).or_default() += 1);
-        }
-        // Of those asked by as many the first by name, so that the same records are always told alike.
-        let most = asked.iter().max_by_key(|(name, count)| (**count, std::cmp::Reverse(**name)));
-        self.reference = most.map(|(name, _)| name.to_string());
-        let Some(reference) = self.reference.clone() else { return };
-        let (mut links, mut jumped) = (BTreeMap::new(), Vec::new());
-        for name in asked.into_keys().filter(|name| *name != reference) {
-            let both = self.marks.values().flat_map(|marks| pairs(marks, &reference, name));
-            let met = both.reduce(|one, other| Moment {
-                from_ms: one.from_ms.max(other.from_ms),
-                to_ms: one.to_ms.min(other.to_ms),
-            });
-            match met {
-                Some(link) if link.width() >= 0 => drop(links.insert(name.to_string(), link)),
+    /// Chooses the reference, the instance that most processes have read, and bounds the other clocks' offsets from it.
+    pub fn align(&mut self) {
+        let readers = self.reader_counts();
+        // Of several read by as many, the first by name: the same records always give the same reference.
+        let most = readers.iter().max_by_key(|(name, count)| (**count, std::cmp::Reverse(**name)));
+        let Some(reference) = most.map(|(name, _)| name.to_string()) else {
+            self.reference = None;
+            return;
+        };
+        let (mut offsets, mut jumped) = (BTreeMap::new(), Vec::new());
+        for name in readers.into_keys().filter(|name| *name != reference) {
+            let bounds =
+                self.readings.values().flat_map(|readings| offset_bounds(readings, &reference, name));
+            match bounds.reduce(Moment::intersection) {
+                Some(offset) if offset.width() >= 0 => drop(offsets.insert(name.to_string(), offset)),
                 Some(_) => jumped.push(name.to_string()),
                 None => {}
             }
         }
-        (self.links, self.jumped) = (links, jumped);
+        (self.reference, self.offsets, self.jumped) = (Some(reference), offsets, jumped);
     }
 
-    /// The instance on whose clock moments are told.
+    /// How many processes have read each instance's clock.
+    fn reader_counts(&self) -> BTreeMap<&str, usize> {
+        let mut counts = BTreeMap::new();
+        for readings in self.readings.values() {
+            let instances: BTreeSet<&str> = readings.iter().map(|reading| reading.mark.by.as_str()).collect();
+            for instance in instances {
+                *counts.entry(instance).or_default() += 1;
+            }
+        }
+        counts
+    }
+
+    /// The instance on whose clock moments are given: `None` before [`Clocks::align`] and without any reading.
     pub fn reference(&self) -> Option<&str> {
         self.reference.as_deref()
     }
 
-    /// Instances whose clock, or the reference's, jumped between two marks.
+    /// Instances whose clock, or the reference's, jumped between two readings.
     pub fn jumped(&self) -> &[String] {
         &self.jumped
     }
 
-    /// A moment on a process's steady clock, on the reference's; `None` if nothing tells.
+    /// A moment of a process's monotonic clock, on the reference's clock; `None` if no reading relates the two.
     pub fn moment(&self, process: u64, steady_ms: Millis) -> Option<Moment> {
         let reference = self.reference.as_deref()?;
-        let by_mark = |(at, mark): &(Millis, Mark)| {
-            let here = on_clock(*at, mark, steady_ms);
-            match mark.by.as_str() {
-                by if by == reference => Some(here),
-                by => self.links.get(by).map(|link| here.moved(*link)),
+        let by_reading = |reading: &Reading| {
+            let bounds = reading.bounds(steady_ms);
+            match reading.mark.by.as_str() {
+                by if by == reference => Some(bounds),
+                by => self.offsets.get(by).map(|offset| bounds.shifted(*offset)),
             }
         };
-        self.marks.get(&process)?.iter().filter_map(by_mark).min_by_key(|moment| moment.width())
+        self.readings.get(&process)?.iter().filter_map(by_reading).min_by_key(|moment| moment.width())
     }
 }
 
-/// A moment on the steady clock, on the clock of the instance that made the mark.
-fn on_clock(at: Millis, mark: &Mark, steady_ms: Millis) -> Moment {
-    let behind = steady_ms as i64 - at as i64;
-    // Rounded up, and a millisecond more at each end, as all clocks tell whole ones.
-    let slack = (behind.abs() + mark.took_ms as i64) * DRIFT_PERMILLE / 1000 + 2;
-    let said = mark.said_ms as i64 + behind;
-    Moment { from_ms: said - slack, to_ms: said + mark.took_ms as i64 + slack }
+impl Reading {
+    /// A moment of the reader's monotonic clock, on the clock of the instance that was read.
+    fn bounds(&self, steady_ms: Millis) -> Moment {
+        let after = steady_ms as i64 - self.at as i64;
+        let took = self.mark.took_ms as i64;
+        // Rounded up, and a millisecond more at each end, because all clocks give whole ones.
+        let slack = (after.abs() + took) * DRIFT_PERMILLE / 1000 + 2;
+        let said = self.mark.said_ms as i64 + after;
+        Moment { from_ms: said - slack, to_ms: said + took + slack }
+    }
 }
 
-/// What each two marks of one process, of the reference and of another instance, say of their clocks' difference.
-fn pairs<'a>(
-    marks: &'a [(Millis, Mark)],
+/// Bounds of the offset of the reference's clock from another instance's, by each reading of the other one and the reading
+/// of the reference next to it by the same process.
+fn offset_bounds<'a>(
+    readings: &'a [Reading],
     reference: &'a str,
     other: &'a str,
 ) -> impl Iterator<Item = Moment> + 'a {
-    let of = move |name: &'a str| marks.iter().filter(move |(_, mark)| mark.by == name);
-    of(other).flat_map(move |(at, mark)| {
-        let near = of(reference).min_by_key(|(there, _)| there.abs_diff(*at));
-        near.map(|(there, by_reference)| {
-            let (ours, theirs) = (on_clock(*there, by_reference, *at), on_clock(*at, mark, *at));
+    let of = move |name: &'a str| readings.iter().filter(move |reading| reading.mark.by == name);
+    of(other).flat_map(move |reading| {
+        let nearest = of(reference).min_by_key(|by_reference| by_reference.at.abs_diff(reading.at));
+        nearest.map(|by_reference| {
+            let (ours, theirs) = (by_reference.bounds(reading.at), reading.bounds(reading.at));
             Moment { from_ms: ours.from_ms - theirs.to_ms, to_ms: ours.to_ms - theirs.from_ms }
         })
     })
--- a/crates/brassport-fleet/src/grants.rs
+++ b/crates/brassport-fleet/src/grants.rs
@@ -1,7 +1,7 @@
-//! The leader's ledger: which doors may still act, on which version, and since when none acts on an older one.
+//! The leader's table of rights to act: which doors may still act, on which version, and whether a fence holds.
 //!
-//! What it rests on: the host lets the leader answer a door only if a majority confirmed, behind the door's question, that
-//! it leads (a read through the log); clocks of the fleet run apart by [`Terms::drift_permille`] at most.
+//! It requires that the host lets the leader answer a door only if a majority confirmed its leadership after the door's
+//! request (a read through the log), and that clocks of the fleet drift by [`Terms::drift_permille`] at most.
 
 use crate::mutants::mutant;
 use crate::shared::Shared;
@@ -9,21 +9,21 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Versions whose coming is remembered by time.
-const REMEMBERED: usize = 1024;
+/// Strict versions whose time of arrival is kept, at most: a bound on memory. Older ones are due already.
+const STRICT_VERSIONS_KEPT: usize = 1024;
 
-/// Lengths, in milliseconds, the same at all instances.
+/// Durations in milliseconds, the same at all instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Terms {
-    /// How long a door's right holds from its question.
+    /// How long a door's right is valid from its request.
     pub length: Millis,
-    /// By how much two clocks may run apart, in thousandths.
+    /// By how much two clocks may drift apart, in thousandths.
     pub drift_permille: u64,
-    /// A voter that has heard of no leader for so long lets doors go on.
+    /// A voter without contact to a leader for this long extends the rights of doors.
     pub silence: Millis,
-    /// How long that holds.
+    /// How long such an extension is valid.
     pub leave: Millis,
-    /// How long a door may take until it has a strict change.
+    /// How long a door may act without a strict change that was published.
     pub bring_up: Millis,
 }
 
@@ -34,54 +34,81 @@
 }
 
 impl Terms {
-    /// The most that a span on another clock can take on this one.
+    /// The longest that a span on another clock can take on this one.
     pub fn bound(&self, span: Millis) -> Millis {
         let drift = if mutant!(NoDrift) { 0 } else { self.drift_permille };
         span + span * drift / 1000 + 1
     }
 
-    /// The least that it can take.
-    fn least(&self, span: Millis) -> Millis {
+    /// The shortest that a span on another clock can take on this one.
+    fn shortest(&self, span: Millis) -> Millis {
         span - span * self.drift_permille / 1000
     }
 }
 
-/// A door asks for its right.
+/// A door's request for a right to act.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
+    /// The door's name.
     pub door: String,
-    /// Which of its processes.
+    /// The number that its process drew at its start.
     pub process: u64,
     /// The version that it acts on from now on, or a later one.
     pub version: u64,
-    /// Whether this process had a right before.
+    /// Whether this process was granted a right before.
     pub had_one: bool,
 }
 
-/// What the leader answers.
+/// The leader's response to a door's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Act, for so long from the question.
-    Granted { length: Millis },
-    /// Take this version first.
-    Behind { need: u64 },
-    /// Another process of the name may still act, for so long, or until every voter was heard of.
-    Wait { ms: Millis },
-    /// Another process has the name now.
+    /// The door may act.
+    Granted {
+        /// For how long, from its request.
+        length: Millis,
+    },
+    /// The door has to catch up first.
+    Behind {
+        /// The oldest version that it may act on.
+        need: u64,
+    },
+    /// Another process of the name may still act.
+    Wait {
+        /// For how long; 0: until there was contact with every voter.
+        ms: Millis,
+    },
+    /// Another process has taken over the name.
     Replaced,
-    /// No such door in the fleet.
+    /// The fleet has no such member.
     Unknown,
 }
 
-/// What stands against a fence.
+/// A reason why a fence does not hold yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Open {
-    /// This door may act on an older version for so long yet, if it does not take the new one.
-    Door { door: String, version: Option<u64>, ms: Millis },
-    /// An earlier process of this door may, for so long; 0: until each voter was heard of for long enough.
-    Earlier { door: String, ms: Millis },
-    /// This voter is silent, or was until now: it may have let this door go on.
-    Voter { voter: u64, door: String },
+    /// A door may still act on an older version, unless it catches up.
+    Door {
+        /// The door's name.
+        door: String,
+        /// The version that it reported last, if it did since this leader's election.
+        version: Option<u64>,
+        /// For how long it may act.
+        ms: Millis,
+    },
+    /// An earlier process of a door may still act.
+    Earlier {
+        /// The door's name.
+        door: String,
+        /// For how long; 0: until the contact with each voter has lasted for long enough.
+        ms: Millis,
+    },
+    /// A voter is unresponsive, or was until now: it may have extended a door's right.
+    Voter {
+        /// The voter's identifier.
+        voter: u64,
+        /// The door's name.
+        door: String,
+    },
 }
 
 impl std::fmt::Display for Open {
@@ -102,80 +129,95 @@
     }
 }
 
+/// The right of one door's name.
 #[derive(Debug, Clone, Copy, Default)]
-struct Held {
-    /// The process that asked last, its version, and when its right ends.
+struct Right {
+    /// The process that the name belongs to.
     process: u64,
+    /// The version that this process reported last.
     version: Option<u64>,
+    /// When the right of this process ends.
     until: Millis,
-    /// When what other processes of the name were given has ended, and whether none can have been let go on.
-    others: Millis,
+    /// When all rights of other processes of the name have ended, but for extensions by voters.
+    others_until: Millis,
+    /// Whether no other process of the name can act any more.
     alone: bool,
 }
 
-impl Held {
-    /// The name goes over to this process. What the one before it was given holds to its end.
-    fn turn_to(&mut self, process: u64) {
+impl Right {
+    /// The right of a name of which this leader has granted none yet.
+    fn from_earlier_leaders(others_until: Millis) -> Right {
+        Right { others_until, ..Right::default() }
+    }
+
+    /// Transfers the name to this process. What was granted to its predecessor is valid to its end.
+    fn transfer_to(&mut self, process: u64) {
         if self.process != process {
-            let others = self.others.max(self.until);
-            *self = Held { process, others, ..Held::default() };
+            let others_until = self.others_until.max(self.until);
+            *self = Right { process, others_until, ..Right::default() };
         }
     }
 }
 
-/// Unbroken word from a voter.
+/// Contact with a voter without a gap in which it may have extended rights.
 #[derive(Debug, Clone, Copy)]
 struct Contact {
     from: Millis,
     last: Millis,
 }
 
-/// The ledger of one leader, from its election on.
+/// The arrival of a version with a strict change.
+#[derive(Debug, Clone, Copy)]
+struct StrictVersion {
+    at: Millis,
+    version: u64,
+}
+
+/// The rights that one leader granted, from its election on.
 #[derive(Debug)]
 pub struct Grants {
     terms: Terms,
-    since: Millis,
-    doors: BTreeMap<String, Held>,
+    elected_at: Millis,
+    doors: BTreeMap<String, Right>,
     voters: BTreeMap<u64, Contact>,
-    /// When versions with something strict came.
-    came: VecDeque<(Millis, u64)>,
+    strict_versions: VecDeque<StrictVersion>,
 }
 
 impl Grants {
-    /// A leader that was elected at `now`.
+    /// The table of a leader that was elected at `now`.
     pub fn new(terms: Terms, now: Millis) -> Grants {
-        Grants { terms, since: now, doors: BTreeMap::new(), voters: BTreeMap::new(), came: VecDeque::new() }
+        let (doors, voters) = (BTreeMap::new(), BTreeMap::new());
+        Grants { terms, elected_at: now, doors, voters, strict_versions: VecDeque::new() }
     }
 
-    /// When all that earlier leaders gave has ended.
-    fn earlier(&self) -> Millis {
-        if mutant!(LeaderKnowsAll) {
-            return self.since;
+    /// When all rights that earlier leaders granted have ended.
+    fn earlier_until(&self) -> Millis {
+        if mutant!(EarlierGrantsIgnored) {
+            return self.elected_at;
         }
-        self.since + self.terms.bound(self.terms.length.max(self.terms.leave))
+        self.elected_at + self.terms.bound(self.terms.length.max(self.terms.leave))
     }
 
-    /// The state has changed; versions that doors must have soon are noted.
+    /// The shared state has changed; the time of a new strict version is noted.
     pub fn note(&mut self, now: Millis, shared: &Shared) {
         let strict = shared.last_strict();
-        if self.came.back().is_none_or(|(_, version)| *version < strict) {
-            self.came.push_back((now, strict));
-            if self.came.len() > REMEMBERED {
-                self.came.pop_front();
+        if self.strict_versions.back().is_none_or(|last| last.version < strict) {
+            self.strict_versions.push_back(StrictVersion { at: now, version: strict });
+            if self.strict_versions.len() > STRICT_VERSIONS_KEPT {
+                self.strict_versions.pop_front();
             }
         }
     }
 
-    /// The version that a door has to have now.
+    /// The oldest version that a door may act on now.
     pub fn needed(&self, now: Millis, shared: &Shared) -> u64 {
-        let due = self.came.iter().rev().find(|(at, _)| now >= at + self.terms.bring_up);
-        shared.fenced().max(due.map_or(0, |(_, version)| *version))
+        let due = self.strict_versions.iter().rev().find(|strict| now >= strict.at + self.terms.bring_up);
+        shared.fenced().max(due.map_or(0, |strict| strict.version))
     }
 
-    /// A door asks, with the question behind which a majority confirmed this leader.
-    /// `voters` are all but this leader.
+    /// Answers a door's request, after which a majority confirmed this leader. `voters` are all but this leader.
     pub fn ask(&mut self, now: Millis, ask: &Ask, shared: &Shared, voters: &BTreeSet<u64>) -> Answer {
-        let (earlier, terms) = (self.earlier(), self.terms);
+        let (earlier_until, terms) = (self.earlier_until(), self.terms);
         let Some((_, process)) = shared.doors().find(|(door, _)| *door == ask.door) else {
             return Answer::Unknown;
         };
@@ -183,26 +225,29 @@
             return Answer::Replaced;
         }
         let need = self.needed(now, shared);
-        let all_heard = voters.iter().all(|voter| self.is_with_us(now, *voter));
-        let held = self.doors.entry(ask.door.clone()).or_insert(Held { others: earlier, ..Held::default() });
-        held.turn_to(process.process);
-        // A process that had a right was not given it before all others of its name were out.
-        held.alone |=
-            process.alone || ask.had_one || now >= held.others && all_heard || mutant!(TwoOfOneName);
-        held.version = held.version.max(Some(ask.version));
-        if !held.alone {
-            return Answer::Wait { ms: held.others.saturating_sub(now) };
+        let in_contact = voters.iter().all(|voter| self.cannot_have_extended(now, *voter));
+        let begun = Right::from_earlier_leaders(earlier_until);
+        let right = self.doors.entry(ask.door.clone()).or_insert(begun);
+        right.transfer_to(process.process);
+        // A process that had a right was not granted it before the rights of all others of its name had ended.
+        right.alone |= process.alone
+            || ask.had_one
+            || now >= right.others_until && in_contact
+            || mutant!(PredecessorIgnored);
+        right.version = right.version.max(Some(ask.version));
+        if !right.alone {
+            return Answer::Wait { ms: right.others_until.saturating_sub(now) };
         }
-        if ask.version < need && !mutant!(StragglerGoesOn) {
+        if ask.version < need && !mutant!(StaleVersionGranted) {
             return Answer::Behind { need };
         }
-        held.until = held.until.max(now + terms.bound(terms.length));
+        right.until = right.until.max(now + terms.bound(terms.length));
         Answer::Granted { length: terms.length }
     }
 
-    /// This voter had word of this leader at `sent` or later.
+    /// This voter acknowledged a message that this leader sent at `sent`.
     pub fn heard(&mut self, sent: Millis, voter: u64) {
-        let gap = self.terms.least(self.terms.silence);
+        let gap = self.terms.shortest(self.terms.silence);
         let contact = self.voters.entry(voter).or_insert(Contact { from: sent, last: sent });
         if sent > contact.last + gap {
             contact.from = sent;
@@ -210,43 +255,46 @@
         contact.last = contact.last.max(sent);
     }
 
-    /// Whether this voter, another one than the leader, cannot have let a door go on that did not ask in time.
-    fn is_with_us(&self, now: Millis, voter: u64) -> bool {
+    /// Whether this voter, other than the leader, can have extended no right that is still valid: the contact with it is
+    /// recent, and older than the longest extension.
+    fn cannot_have_extended(&self, now: Millis, voter: u64) -> bool {
         let Terms { silence, leave, .. } = self.terms;
         self.voters.get(&voter).is_some_and(|contact| {
-            now <= contact.last + self.terms.least(silence) && now >= contact.from + self.terms.bound(leave)
+            now <= contact.last + self.terms.shortest(silence)
+                && now >= contact.from + self.terms.bound(leave)
         })
     }
 
-    /// What stands against the word that no door acts on a version older than this one; nothing if it holds.
-    /// `voters` are all but this leader.
+    /// Why a fence at this version does not hold yet; empty once no door acts on an older one. `voters` are all but this
+    /// leader.
     pub fn fence(&self, now: Millis, version: u64, shared: &Shared, voters: &BTreeSet<u64>) -> Vec<Open> {
         let mut open = Vec::new();
-        let silent = voters.iter().find(|voter| !self.is_with_us(now, **voter));
+        let unresponsive = voters.iter().find(|voter| !self.cannot_have_extended(now, **voter));
         for (door, process) in shared.doors() {
-            let (door, held) = (door.to_string(), self.doors.get(door));
-            let begun = Held { others: self.earlier(), ..Held::default() };
-            let mut held = *held.unwrap_or(&begun);
-            held.turn_to(process.process);
-            held.alone |= process.alone || now >= held.others && silent.is_none();
-            // What an earlier leader gave to this process itself.
-            let until = held.until.max(if mutant!(SilentIsDone) { 0 } else { self.earlier() });
-            if !held.alone {
-                open.push(Open::Earlier { door, ms: held.others.saturating_sub(now) });
-            } else if held.version.is_some_and(|acted| acted >= version) {
+            let begun = Right::from_earlier_leaders(self.earlier_until());
+            let mut right = self.doors.get(door).copied().unwrap_or(begun);
+            let door = door.to_string();
+            right.transfer_to(process.process);
+            right.alone |= process.alone || now >= right.others_until && unresponsive.is_none();
+            // An earlier leader may have granted a right to this process itself.
+            let until = right.until.max(if mutant!(UnresponsiveIsFenced) { 0 } else { self.earlier_until() });
+            if !right.alone {
+                open.push(Open::Earlier { door, ms: right.others_until.saturating_sub(now) });
+            } else if right.version.is_some_and(|acted| acted >= version) {
+                // It reported the version, or a later one: it acts on nothing older.
             } else if until > now {
-                open.push(Open::Door { door, version: held.version, ms: until - now });
-            } else if let Some(voter) = silent.filter(|_| !mutant!(VoterForgotten)) {
+                open.push(Open::Door { door, version: right.version, ms: until - now });
+            } else if let Some(voter) = unresponsive.filter(|_| !mutant!(VoterIgnored)) {
                 open.push(Open::Voter { voter: *voter, door });
             }
         }
         open
     }
 
-    /// What is known of each door: its version, and for how long it may act.
+    /// Each door that requested a right: its name, the version that it reported last, and for how long it may act.
     pub fn doors(&self, now: Millis) -> impl Iterator<Item = (&str, Option<u64>, Millis)> {
         self.doors
             .iter()
-            .map(move |(door, held)| (door.as_str(), held.version, held.until.saturating_sub(now)))
+            .map(move |(door, right)| (door.as_str(), right.version, right.until.saturating_sub(now)))
     }
 }
--- a/crates/brassport-fleet/src/lib.rs
+++ b/crates/brassport-fleet/src/lib.rs
@@ -1,26 +1,30 @@
-//! What a fleet of front doors agrees on, without I/O.
+//! What a fleet of proxies agrees on, which of them may act on it, and the record of which did; without I/O.
 //!
-//! - [`shared`] is the state that the fleet's log builds: numbered, digested versions of what operators publish.
-//! - [`standing`] is one door's right to act, on its own clock.
-//! - [`grants`] is the leader's ledger of those rights: who may still act, on which version, and whether a fence is done.
-//! - [`record`] is what a door writes down of the versions that it acted on, as a chain of digests.
-//! - [`clocks`] brings moments of many doors onto one clock, with the most that they may be off.
-//! - [`audit`] answers from the records of many doors.
+//! A proxy of the fleet is called a *door* here, as in the messages and records that this package defines. An *instance* is a
+//! process that keeps the fleet's replicated log; the log's voters elect the leader.
 //!
-//! It knows nothing of HTTP, disks and consensus; the package `brassport-peers` brings those. It never chooses a server,
-//! a retry or a refusal of a request: the decision module does. All times are milliseconds on the caller's own clock,
-//! which must not stop while the process stands still.
+//! - [`shared`] is the state that the replicated log builds: numbered, digested versions of what operators publish.
+//! - [`standing`] is one door's right to act, a lease on its own clock.
+//! - [`grants`] is the leader's table of those rights: who may still act, on which version, and whether a fence holds.
+//! - [`record`] is a door's record of the versions that it acted on, as a chain of digests.
+//! - [`clocks`] relates moments of many doors to one clock, with bounds.
+//! - [`audit`] answers queries from the records of many doors.
+//!
+//! Not for HTTP, disks and consensus, which the package `brassport-peers` brings. It never chooses a backend, a retry or a
+//! rejection of a request: the policy does. All times are milliseconds on the caller's own monotonic clock, which must run
+//! on while the process is suspended.
 //!
 //! ```
 //! use brassport_fleet::shared::{Change, Shared};
 //!
 //! let mut shared = Shared::default();
 //! let change = Change::new("c-1", "asha", "disk is failing", "ban", "node-7", true.into());
-//! let done = shared.apply(&change).expect("nothing was said of this node before");
+//! let done = shared.apply(&change).expect("the change is complete and new");
 //! assert_eq!((done.version, shared.get("ban", "node-7").is_some()), (1, true));
-//! assert!(shared.apply(&change).expect("sent again").repeated);
+//! assert!(shared.apply(&change).expect("repeated").repeated);
 //! ```
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
 pub mod audit;
 pub mod clocks;
@@ -30,5 +34,5 @@
 pub mod shared;
 pub mod standing;
 
-/// Milliseconds on the caller's own clock.
+/// Milliseconds on the caller's own monotonic clock.
 pub type Millis = u64;
--- a/crates/brassport-fleet/src/mutants.rs
+++ b/crates/brassport-fleet/src/mutants.rs
@@ -1,91 +1,91 @@
-//! Deliberate faults, one at a time, to show that the tests can fail. Without the feature `mutants` each is `false` when
-//! it is compiled.
+//! Deliberate faults, one at a time, to show that the tests can fail. Without the feature `mutants` each is a constant
+//! `false`.
 
-/// A fault.
+/// A deliberate fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mutant {
-    /// An older image of the shared state takes the place of a newer one.
-    StaleImage = 1,
-    /// A change is taken whatever its digest says.
+    /// An older snapshot of the shared state replaces a newer one.
+    StaleSnapshot = 1,
+    /// A change is applied whatever its digest is.
     ChainUnchecked,
-    /// A change sent again is made again.
-    IdForgotten,
-    /// A change made against an older version than the author saw is taken.
-    OvertakenChange,
-    /// A door that says nothing counts as one that has the new version.
-    SilentIsDone,
-    /// A door counts its right from the answer and not from before it asked.
-    GrantFromAnswer,
-    /// Clocks are taken to run alike.
+    /// A repeated change is applied again.
+    IdIgnored,
+    /// A change against an older version than the current one is applied.
+    ConflictIgnored,
+    /// A door without contact counts as one that has the new version.
+    UnresponsiveIsFenced,
+    /// A door counts its right from the response instead of the request.
+    GrantFromResponse,
+    /// Clocks are assumed to run at one rate.
     NoDrift,
-    /// A new leader takes it that no earlier one gave a right.
-    LeaderKnowsAll,
-    /// A voter's leave brings back a right that had run out.
-    LeaveRevives,
-    /// What a silent voter may have allowed is not waited for.
-    VoterForgotten,
-    /// A door behind the fence is given its right all the same.
-    StragglerGoesOn,
-    /// A new process of a name has a right while the one before it still may.
-    TwoOfOneName,
-    /// A record's lines are read without a look at the digests.
+    /// A new leader assumes that no earlier one granted anything.
+    EarlierGrantsIgnored,
+    /// A voter's extension revives a right that had expired.
+    ExtensionRevives,
+    /// What an unresponsive voter may have extended is not waited for.
+    VoterIgnored,
+    /// A door behind the fence is granted its right nevertheless.
+    StaleVersionGranted,
+    /// A new process of a name is granted a right while its predecessor may still act.
+    PredecessorIgnored,
+    /// A record's lines are read without a check of the digests.
     LinkUnchecked,
 }
 
-/// Every fault.
+/// Every deliberate fault.
 pub const ALL: [Mutant; 13] = [
-    Mutant::StaleImage,
+    Mutant::StaleSnapshot,
     Mutant::ChainUnchecked,
-    Mutant::IdForgotten,
-    Mutant::OvertakenChange,
-    Mutant::SilentIsDone,
-    Mutant::GrantFromAnswer,
+    Mutant::IdIgnored,
+    Mutant::ConflictIgnored,
+    Mutant::UnresponsiveIsFenced,
+    Mutant::GrantFromResponse,
     Mutant::NoDrift,
-    Mutant::LeaderKnowsAll,
-    Mutant::LeaveRevives,
-    Mutant::VoterForgotten,
-    Mutant::StragglerGoesOn,
-    Mutant::TwoOfOneName,
+    Mutant::EarlierGrantsIgnored,
+    Mutant::ExtensionRevives,
+    Mutant::VoterIgnored,
+    Mutant::StaleVersionGranted,
+    Mutant::PredecessorIgnored,
     Mutant::LinkUnchecked,
 ];
 
 #[cfg(feature = "mutants")]
-mod chosen {
+mod activation {
     use super::Mutant;
     use std::cell::Cell;
 
     thread_local! {
-        static CHOSEN: Cell<u8> = const { Cell::new(0) };
+        static ACTIVE: Cell<u8> = const { Cell::new(0) };
     }
 
-    /// Puts this fault, or none, into the rules on this thread.
-    pub fn choose(mutant: Option<Mutant>) {
-        CHOSEN.set(mutant.map_or(0, |mutant| mutant as u8));
+    /// Activates this fault, or none, on this thread.
+    pub fn activate(mutant: Option<Mutant>) {
+        ACTIVE.set(mutant.map_or(0, |mutant| mutant as u8));
     }
 
-    pub(crate) fn is_chosen(mutant: Mutant) -> bool {
-        CHOSEN.get() == mutant as u8
+    pub(crate) fn is_active(mutant: Mutant) -> bool {
+        ACTIVE.get() == mutant as u8
     }
 }
 
 #[cfg(feature = "mutants")]
-pub use chosen::choose;
+pub use activation::activate;
 
 #[cfg(feature = "mutants")]
-pub(crate) fn is_chosen(mutant: Mutant) -> bool {
-    chosen::is_chosen(mutant)
+pub(crate) fn is_active(mutant: Mutant) -> bool {
+    activation::is_active(mutant)
 }
 
 #[cfg(not(feature = "mutants"))]
 #[inline(always)]
-pub(crate) fn is_chosen(_: Mutant) -> bool {
+pub(crate) fn is_active(_: Mutant) -> bool {
     false
 }
 
 macro_rules! mutant {
     ($fault:ident) => {
-        $crate::mutants::is_chosen($crate::mutants::Mutant::$fault)
+        $crate::mutants::is_active($crate::mutants::Mutant::$fault)
     };
 }
 pub(crate) use mutant;
--- /dev/null
+++ b/crates/brassport-fleet/src/shared/catch_up.rs
@@ -0,0 +1,84 @@
+//! How a replica that is behind is brought up to date, and how forks are detected.
+
+use super::{digest, Entry, Fault, Shared};
+use crate::mutants::mutant;
+use serde::{Deserialize, Serialize};
+
+/// What brings a replica up to date.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub enum Catch {
+    /// The changes that it lacks, none if it is up to date.
+    Changes(Vec<Entry>),
+    /// The complete state.
+    #[serde(rename = "Whole")]
+    Snapshot(Box<Shared>),
+}
+
+impl Shared {
+    /// What a replica at this version and digest lacks.
+    ///
+    /// # Errors
+    /// [`Fault::Fork`] if that replica has something else as that version, and [`Fault::Stale`] if it is ahead of this one.
+    pub fn since(&self, version: u64, digest: &str) -> Result<Catch, Fault> {
+        if version == self.version {
+            return if digest == self.digest {
+                Ok(Catch::Changes(Vec::new()))
+            } else {
+                Err(Fault::Fork { version })
+            };
+        }
+        let first = self.recent.front().map_or(self.version + 1, |entry| entry.version);
+        if version > self.version {
+            return Err(Fault::Stale { have: version, offered: self.version });
+        }
+        if version + 1 < first {
+            return Ok(Catch::Snapshot(Box::new(self.clone())));
+        }
+        let before = self.recent.iter().find(|entry| entry.version == version);
+        if before.is_some_and(|entry| entry.digest != digest) {
+            return Err(Fault::Fork { version });
+        }
+        Ok(Catch::Changes(self.recent.iter().filter(|entry| entry.version > version).cloned().collect()))
+    }
+
+    /// Applies what brings this replica up to date. Each version is made again here and must have the digest that was sent.
+    ///
+    /// # Errors
+    /// What is wrong with it; the changes before the fault are applied.
+    pub fn catch_up(&mut self, catch: Catch) -> Result<(), Fault> {
+        match catch {
+            Catch::Changes(entries) => entries.iter().try_for_each(|entry| self.follow(entry)),
+            Catch::Snapshot(snapshot) => {
+                if snapshot.version < self.version && !mutant!(StaleSnapshot) {
+                    return Err(Fault::Stale { have: self.version, offered: snapshot.version });
+                }
+                if snapshot.version == self.version && snapshot.digest != self.digest {
+                    return Err(Fault::Fork { version: self.version });
+                }
+                *self = *snapshot;
+                Ok(())
+            }
+        }
+    }
+
+    /// Applies the change of one version, unless it is applied already.
+    fn follow(&mut self, entry: &Entry) -> Result<(), Fault> {
+        if entry.version <= self.version {
+            let applied = self.recent.iter().find(|applied| applied.version == entry.version);
+            return match applied {
+                Some(applied) if applied.digest != entry.digest => {
+                    Err(Fault::Fork { version: entry.version })
+                }
+                _ => Ok(()),
+            };
+        }
+        if entry.version != self.version + 1 {
+            return Err(Fault::Gap { have: self.version, next: entry.version });
+        }
+        if digest::of_version(&self.digest, &entry.change) != entry.digest && !mutant!(ChainUnchecked) {
+            return Err(Fault::Fork { version: entry.version });
+        }
+        self.apply(&entry.change).map_err(|_| Fault::Fork { version: entry.version })?;
+        Ok(())
+    }
+}
--- a/crates/brassport-fleet/src/standing.rs
+++ b/crates/brassport-fleet/src/standing.rs
@@ -1,23 +1,23 @@
 //! One door's right to act, on its own clock.
 //!
-//! The right runs from before the door asked for it. It ends by itself: on a door that stood still, that is cut off, or
-//! that nobody renews. A clock that goes on while the process stands still is what this rests on.
+//! The right is a lease that runs from its request. It expires by itself on a door that was suspended, that is partitioned,
+//! or whose right nobody renews. It requires a monotonic clock that runs on while the process is suspended.
 
 use crate::mutants::mutant;
 use crate::Millis;
 
-/// Why a door does not act.
+/// Why a door may not act.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Why {
-    /// It has had no right yet.
+    /// It was never granted a right.
     NotYet,
-    /// Its right has run out, and nobody renews it.
+    /// Its right has expired and was not renewed.
     RanOut,
-    /// It is behind the fleet.
+    /// Its version of the shared state is older than required.
     Behind,
-    /// Another process goes by its name.
+    /// Another process has taken over its name.
     Replaced,
-    /// It is not in the fleet.
+    /// It is not a member of the fleet.
     Unknown,
 }
 
@@ -25,44 +25,44 @@
 #[derive(Debug, Clone)]
 pub struct Standing {
     until: Option<Millis>,
+    /// Why it may not act once the right has ended.
     why: Why,
-    asked: Millis,
 }
 
 impl Default for Standing {
     fn default() -> Standing {
-        Standing { until: None, why: Why::NotYet, asked: 0 }
+        Standing { until: None, why: Why::NotYet }
     }
 }
 
 impl Standing {
-    /// It asks now. What comes of it counts from here.
+    /// The door requests a right now: the moment from which a grant runs, to be passed with the answer.
+    // Other packages call it on a `&mut`, as a step of the protocol.
     pub fn ask(&mut self, now: Millis) -> Millis {
-        self.asked = now;
         now
     }
 
-    /// The leader gave a right of this length to the question of `asked`.
+    /// The leader granted a right of this length to the request of `asked`.
     pub fn granted(&mut self, now: Millis, asked: Millis, length: Millis) {
-        let from = if mutant!(GrantFromAnswer) { now } else { asked };
+        let from = if mutant!(GrantFromResponse) { now } else { asked };
         self.until = self.until.max(Some(from + length));
         self.why = Why::RanOut;
     }
 
-    /// A voter that knows of no leader lets it go on, by an answer that comes now. A right that has run out by now is not
-    /// brought back, also if it had not when the door asked: others may have counted on its end since.
+    /// A voter without a leader extends the right, by a response that arrives now. A right that has expired by now is not
+    /// revived, even if it was valid at the request: others may have relied on its end since.
     pub fn left(&mut self, now: Millis, asked: Millis, length: Millis) {
-        if self.until.is_some_and(|until| now < until || mutant!(LeaveRevives)) {
+        if self.until.is_some_and(|until| now < until || mutant!(ExtensionRevives)) {
             self.until = self.until.max(Some(asked + length));
         }
     }
 
-    /// The leader refused. What was given before holds to its end.
+    /// The leader refused to renew. What was granted before is valid to its end.
     pub fn refused(&mut self, why: Why) {
         self.why = why;
     }
 
-    /// Whether it may act now. To be asked at the act.
+    /// Whether the door may act now. To be checked at each act.
     ///
     /// # Errors
     /// Why it may not.
@@ -73,7 +73,7 @@
         }
     }
 
-    /// When its right ends, if it has one.
+    /// When its right ends or ended, if it ever had one.
     pub fn until(&self) -> Option<Millis> {
         self.until
     }
--- a/crates/brassport-fleet/tests/it/audit.rs
+++ b/crates/brassport-fleet/tests/it/audit.rs
@@ -74,7 +74,7 @@
     audit.gather([("a", &*a), ("b", &*b)].into_iter());
     assert_eq!(audit.clock.as_deref(), Some("i1"));
     for span in &audit.spans {
-        let began = span.began.expect("there is a mark");
+        let began = span.began.expect("there is a reading");
         assert!((5_000_010..=5_000_030).contains(&began.from_ms), "{span:?}");
         assert!((5_000_020..=5_000_030).contains(&began.to_ms), "{span:?}");
     }
--- a/crates/brassport-fleet/tests/it/clocks.rs
+++ b/crates/brassport-fleet/tests/it/clocks.rs
@@ -7,14 +7,14 @@
     moment.to_ms - moment.from_ms
 }
 
-/// A true time as a clock tells it that runs by so many thousandths too fast.
-fn told(truth: i64, offset: i64, permille: i64) -> u64 {
+/// A true time as read on a clock that runs too fast by this many thousandths.
+fn reading(truth: i64, offset: i64, permille: i64) -> u64 {
     (offset + truth + truth * permille / 1000) as u64
 }
 
 proptest! {
-    /// Three processes with steady clocks of their own ask two instances, the last of them only the second; what each
-    /// then writes down lies within the moment that is told of it.
+    /// Three processes with monotonic clocks of their own read the clocks of two instances, the last of them only the
+    /// second; what each then records lies within the bounds that are given.
     #[test]
     fn the_true_moment_lies_within_its_bounds(
         offsets in proptest::array::uniform3(0i64..1_000_000),
@@ -26,18 +26,18 @@
         let mut clocks = Clocks::default();
         for (at, process, instance, took, part) in asked {
             let (process, instance) = (usize::from(process), if process == 2 { 1 } else { usize::from(instance) });
-            let steady = |truth| told(truth, offsets[process], paces[process]);
+            let steady = |truth| reading(truth, offsets[process], paces[process]);
             // The instance's wall clock is right but for its offset; it answers somewhere on the way.
-            let said_ms = told(at + (part * took as f64) as i64, walls[instance], 0);
+            let said_ms = reading(at + (part * took as f64) as i64, walls[instance], 0);
             let mark = Mark { by: format!("i{instance}"), said_ms, took_ms: steady(at + took) - steady(at) };
             clocks.add(process as u64, steady(at + took), mark);
         }
-        clocks.settle();
+        clocks.align();
         prop_assert_eq!(clocks.jumped(), &[] as &[String], "nobody's clock jumped");
         let reference = clocks.reference().expect("somebody was asked").to_string();
         for process in 0..3usize {
-            if let Some(moment) = clocks.moment(process as u64, told(when, offsets[process], paces[process])) {
-                let truth = told(when, walls[usize::from(reference == "i1")], 0) as i64;
+            if let Some(moment) = clocks.moment(process as u64, reading(when, offsets[process], paces[process])) {
+                let truth = reading(when, walls[usize::from(reference == "i1")], 0) as i64;
                 prop_assert!(moment.from_ms <= truth && truth <= moment.to_ms, "{truth} in {moment:?}");
                 prop_assert!(width(moment) < 5_000, "{moment:?}: of use");
             }
@@ -49,11 +49,11 @@
 fn bounds_widen_with_the_distance_from_a_clock_reading() {
     let mut clocks = Clocks::default();
     clocks.add(1, 1_000, Mark { by: "i1".into(), said_ms: 50_000, took_ms: 10 });
-    clocks.settle();
-    let width = |steady| width(clocks.moment(1, steady).expect("there is a mark"));
+    clocks.align();
+    let width = |steady| width(clocks.moment(1, steady).expect("there is a reading"));
     assert!(width(1_000) <= 16, "{}", width(1_000));
     assert!(width(101_000) >= 2_000, "1% of 100 s, both ways");
-    assert_eq!(clocks.moment(2, 1_000), None, "nothing tells of a process without a mark");
+    assert_eq!(clocks.moment(2, 1_000), None, "no reading relates a process without one");
 }
 
 #[test]
@@ -64,7 +64,7 @@
         clocks.add(1, at, Mark { by: "i2".into(), said_ms: said, took_ms: 10 });
     }
     clocks.add(2, 7_000, Mark { by: "i2".into(), said_ms: 90_500, took_ms: 10 });
-    clocks.settle();
+    clocks.align();
     assert_eq!((clocks.reference(), clocks.jumped()), (Some("i2"), &["i1".to_string()][..]));
     assert!(clocks.moment(2, 7_000).is_some());
 }
--- a/crates/brassport-fleet/tests/it/golden/audit.rs
+++ b/crates/brassport-fleet/tests/it/golden/audit.rs
@@ -22,9 +22,8 @@
     audit
 }
 
-#[test]
-fn audits_and_their_parts_keep_their_bytes() {
-    let span = Span {
+fn span() -> Span {
+    Span {
         door: "d1".into(),
         process: 7,
         version: 3,
@@ -34,10 +33,11 @@
         wall_ms: 1_700_000_000_000,
         began: Some(Moment { from_ms: -1, to_ms: 5 }),
         ended: Some("a newer version".into()),
-    };
-    let open =
-        Span { admissions: (1, None), steady_ms: (10, Some(20)), began: None, ended: None, ..span.clone() };
-    let sent = Sent {
+    }
+}
+
+fn sent() -> Sent {
+    Sent {
         door: "d1".into(),
         request: "r-1".into(),
         node: "node-7".into(),
@@ -46,9 +46,17 @@
         steady_ms: 30,
         wall_ms: 1_700_000_000_030,
         at: Some(Moment { from_ms: 1, to_ms: 2 }),
-    };
+    }
+}
+
+#[test]
+fn audits_and_their_parts_keep_their_bytes() {
+    let span = span();
+    let open =
+        Span { admissions: (1, None), steady_ms: (10, Some(20)), began: None, ended: None, ..span.clone() };
+    let sent = sent();
     let lost = Lost { process: 7, lines: 2, before_wall_ms: 9 };
-    let whole = Audit {
+    let complete = Audit {
         spans: vec![span.clone()],
         sent: vec![sent.clone()],
         unknown: BTreeMap::from([("d2".into(), "it is cut".into())]),
@@ -65,7 +73,7 @@
         json("Sent, no moment", Sent { at: None, ..sent }),
         json("Lost", lost),
         json("Audit, empty", Audit::default()),
-        json("Audit", whole),
+        json("Audit", complete),
         json("Audit, gathered", gathered()),
         json("Audit, answered", gathered().answer(&question)),
     ];
--- a/crates/brassport-fleet/tests/it/golden/grants.rs
+++ b/crates/brassport-fleet/tests/it/golden/grants.rs
@@ -1,7 +1,7 @@
 //! Requests for a right to act, their answers, what stands against a fence, and a right's course.
 
 use super::shared::built;
-use super::{json, same_cases, same_text};
+use super::{json, same_cases, same_text, Case};
 use brassport_fleet::grants::{Answer, Ask, Grants, Open, Terms};
 use brassport_fleet::standing::{Standing, Why};
 use std::collections::BTreeSet;
@@ -17,6 +17,23 @@
     ]
 }
 
+/// What a leader's table itself answers, so that the fields are filled as before.
+fn answered() -> Vec<Case> {
+    let mut cases = Vec::new();
+    let (state, voters) = (built(), BTreeSet::from([2, 3]));
+    let mut grants = Grants::new(Terms::default(), 1000);
+    grants.note(1000, &state);
+    let asks = [("d1", u64::MAX, 8), ("d1", u64::MAX, 2), ("d1", 1, 8), ("d2", 9, 8), ("d3", 1, 8)];
+    for (door, process, version) in asks {
+        let ask = Ask { door: door.into(), process, version, had_one: false };
+        let answer = grants.ask(1500, &ask, &state, &voters);
+        cases.push(json(&format!("{door} {process} {version} asks"), answer));
+    }
+    cases.push(json("fence, early", grants.fence(1600, 9, &state, &voters)));
+    cases.push(json("fence, late", grants.fence(90_000, 9, &state, &voters)));
+    cases
+}
+
 #[test]
 fn requests_answers_and_open_fences_keep_their_bytes() {
     let mut cases = vec![
@@ -50,22 +67,11 @@
         cases.push(json(&format!("Open::{variant}"), open.clone()));
         cases.push(json(&format!("fence, {variant}"), Some(vec![open])));
     }
-    // What a ledger itself says, so that the fields are filled as before.
-    let (state, voters) = (built(), BTreeSet::from([2, 3]));
-    let mut grants = Grants::new(Terms::default(), 1000);
-    grants.note(1000, &state);
-    let asks = [("d1", u64::MAX, 8), ("d1", u64::MAX, 2), ("d1", 1, 8), ("d2", 9, 8), ("d3", 1, 8)];
-    for (door, process, version) in asks {
-        let ask = Ask { door: door.into(), process, version, had_one: false };
-        let answer = grants.ask(1500, &ask, &state, &voters);
-        cases.push(json(&format!("{door} {process} {version} asks"), answer));
-    }
-    cases.push(json("fence, early", grants.fence(1600, 9, &state, &voters)));
-    cases.push(json("fence, late", grants.fence(90_000, 9, &state, &voters)));
+    cases.extend(answered());
     same_cases("grants.txt", &cases);
 }
 
-/// A door's right is never serialized; what it tells is compared as text.
+/// A door's right is never serialized; its answers are compared as text.
 #[test]
 fn a_right_starts_and_ends_at_the_same_moments() {
     let name = |why: Why| match why {
--- a/crates/brassport-fleet/tests/it/golden/record.rs
+++ b/crates/brassport-fleet/tests/it/golden/record.rs
@@ -41,8 +41,8 @@
     let lines = whats().into_iter().enumerate();
     let made: String = lines.map(|(number, what)| chain.add(at(number as u64), what)).collect();
     let committed = same_text("record.jsonl", &made);
-    let (lines, fault, sound, end) = record::read(&committed);
-    assert_eq!((fault, sound, end), (None, committed.len(), chain));
+    let (lines, fault, valid_bytes, end) = record::read(&committed);
+    assert_eq!((fault, valid_bytes, end), (None, committed.len(), chain));
     assert_eq!(lines.iter().map(|line| line.what.clone()).collect::<Vec<_>>(), whats());
     let mut again = Chain::default();
     let text: String = lines.iter().map(|line| again.add(line.at, line.what.clone())).collect();
--- a/crates/brassport-fleet/tests/it/golden/shared.rs
+++ b/crates/brassport-fleet/tests/it/golden/shared.rs
@@ -79,12 +79,12 @@
     same_cases("shared.txt", &cases);
 }
 
-/// The whole state is what a snapshot of the log holds and what one who is far behind takes.
+/// The complete state is what a snapshot of the log has and what a replica far behind applies.
 #[test]
 fn snapshots_and_catch_up_keep_their_bytes() {
     let variant = |catch: &Catch| match catch {
         Catch::Changes(_) => "Changes",
-        Catch::Whole(_) => "Whole",
+        Catch::Snapshot(_) => "Whole",
     };
     let state = built();
     // The changes at hand are no part of the form: the state that is read has none.
@@ -96,8 +96,8 @@
     let behind = state.recent().nth(5).expect("the sixth").clone();
     let last = state.since(6, &behind.digest).expect("changes");
     let none = state.since(8, state.digest()).expect("no changes");
-    let whole = Catch::Whole(Box::new(read));
-    for (number, catch) in [begin, last, none, whole].into_iter().enumerate() {
+    let snapshot = Catch::Snapshot(Box::new(read));
+    for (number, catch) in [begin, last, none, snapshot].into_iter().enumerate() {
         let mut follower = Shared::default();
         if number != 1 && number != 2 {
             follower.catch_up(catch.clone()).expect("it fits");
--- a/crates/brassport-fleet/tests/it/mutants.rs
+++ b/crates/brassport-fleet/tests/it/mutants.rs
@@ -1,7 +1,7 @@
-//! The tests can fail: every deliberate fault is found.
+//! The tests can fail: every deliberate fault is found, by the state's rules or by seeds of the simulation.
 
 use crate::simulation::play;
-use brassport_fleet::mutants::{choose, Mutant, ALL};
+use brassport_fleet::mutants::{activate, Mutant, ALL};
 use brassport_fleet::record::{read, At, Chain, What};
 use brassport_fleet::shared::{Catch, Change, Shared};
 
@@ -9,7 +9,7 @@
 const SEEDS: u64 = 1500;
 
 fn by_seeds() -> Option<String> {
-    (1..=SEEDS).find_map(|seed| play(seed).err())
+    (1..=SEEDS).find_map(|seed| play(seed).err().map(|violation| violation.to_string()))
 }
 
 fn change(id: &str, body: bool) -> Change {
@@ -22,14 +22,14 @@
     let old = shared.clone();
     shared.apply(&change("b", false)).ok()?;
     let found = match mutant {
-        Mutant::StaleImage => shared.catch_up(Catch::Whole(Box::new(old))).is_ok(),
+        Mutant::StaleSnapshot => shared.catch_up(Catch::Snapshot(Box::new(old))).is_ok(),
         Mutant::ChainUnchecked => {
             let Ok(Catch::Changes(mut changes)) = shared.since(1, old.digest()) else { return None };
             changes[0].digest = "0".into();
             old.clone().catch_up(Catch::Changes(changes)).is_ok()
         }
-        Mutant::IdForgotten => shared.apply(&change("a", true)).is_ok_and(|done| done.version != 1),
-        Mutant::OvertakenChange => shared.apply(&Change { seen: Some(1), ..change("c", true) }).is_ok(),
+        Mutant::IdIgnored => shared.apply(&change("a", true)).is_ok_and(|done| done.version != 1),
+        Mutant::ConflictIgnored => shared.apply(&Change { seen: Some(1), ..change("c", true) }).is_ok(),
         Mutant::LinkUnchecked => {
             let (mut chain, at) = (Chain::default(), At { process: 1, steady_ms: 1, wall_ms: 1 });
             let mut line = |n| chain.add(at, What::WentOn { from_admission: n });
@@ -38,7 +38,7 @@
         }
         _ => return by_seeds(),
     };
-    found.then(|| format!("{mutant:?} is seen in the state"))
+    found.then(|| format!("{mutant:?} shows in the state"))
 }
 
 #[test]
@@ -46,9 +46,9 @@
     std::thread::scope(|scope| {
         let find = |mutant: Mutant| {
             move || {
-                choose(Some(mutant));
+                activate(Some(mutant));
                 let found = by_state(mutant);
-                choose(None);
+                activate(None);
                 println!("{mutant:?}: {}", found.as_deref().unwrap_or("not found"));
                 found.is_none().then_some(mutant)
             }
--- a/crates/brassport-fleet/tests/it/record.rs
+++ b/crates/brassport-fleet/tests/it/record.rs
@@ -25,28 +25,28 @@
     fn a_truncated_record_keeps_its_complete_lines_and_can_be_continued(count in 1u64..12, part in 0.0..1.0f64) {
         let text = written(count);
         let cut = (part * text.len() as f64) as usize;
-        let (lines, fault, sound, chain) = read(&text[..cut]);
-        let whole = text[..cut].matches('\n').count();
-        prop_assert_eq!(lines.len(), whole);
-        prop_assert_eq!(fault.is_none(), sound == cut);
-        // What goes on from there is a sound record.
+        let (lines, fault, valid_bytes, chain) = read(&text[..cut]);
+        let complete = text[..cut].matches('\n').count();
+        prop_assert_eq!(lines.len(), complete);
+        prop_assert_eq!(fault.is_none(), valid_bytes == cut);
+        // What is appended there is a valid record.
         let mut chain = chain;
         let more = chain.add(at(99), What::WentOn { from_admission: 99 });
-        let mended = text[..sound].to_string() + &more;
-        prop_assert!(read(&mended).1.is_none());
+        let repaired = text[..valid_bytes].to_string() + &more;
+        prop_assert!(read(&repaired).1.is_none());
     }
 
     #[test]
-    fn a_flipped_bit_is_detected(count in 2u64..12, place in 0.0..1.0f64, bit in 0u8..7) {
+    fn a_flipped_bit_is_detected(count in 2u64..12, part in 0.0..1.0f64, bit in 0u8..7) {
         let text = written(count);
         let mut bytes = text.clone().into_bytes();
-        let place = (place * bytes.len() as f64) as usize;
-        bytes[place] ^= 1 << bit;
+        let offset = (part * bytes.len() as f64) as usize;
+        bytes[offset] ^= 1 << bit;
         let Ok(flipped) = String::from_utf8(bytes) else { return Ok(()) };
         let (lines, fault, ..) = read(&flipped);
         let last = text.trim_end().rfind('\n').map_or(0, |end| end + 1);
-        // In the last line there is no next one to tell.
-        if place < last {
+        // In the last line no next line reveals it.
+        if offset < last {
             prop_assert!(fault.is_some(), "{} lines of {}", lines.len(), count);
         }
     }
@@ -80,5 +80,5 @@
     let text = written(5);
     let without: String =
         text.split_inclusive('\n').enumerate().filter(|(n, _)| *n != 2).map(|(_, l)| l).collect();
-    assert_eq!(read(&without).1, Some(Fault::Broken { line: 3 }));
+    assert_eq!(read(&without).1, Some(Fault::Unlinked { line: 3 }));
 }
--- a/crates/brassport-fleet/tests/it/shared.rs
+++ b/crates/brassport-fleet/tests/it/shared.rs
@@ -10,7 +10,7 @@
 fn with(count: u64) -> Shared {
     let mut shared = Shared::default();
     for n in 0..count {
-        shared.apply(&ban(&format!("c{n}"), &format!("n{}", n % 7), json!(true))).expect("a sound change");
+        shared.apply(&ban(&format!("c{n}"), &format!("n{}", n % 7), json!(true))).expect("a valid change");
     }
     shared
 }
@@ -18,7 +18,7 @@
 #[test]
 fn a_repeated_change_is_applied_once_and_another_with_its_id_is_refused() {
     let mut shared = with(0);
-    assert!(!shared.apply(&ban("a", "n", json!(true))).expect("sound").repeated);
+    assert!(!shared.apply(&ban("a", "n", json!(true))).expect("valid").repeated);
     let again = Change { at_ms: 99, ..ban("a", "n", json!(true)) };
     assert!(shared.apply(&again).expect("the same").repeated, "whenever it is taken");
     assert_eq!(shared.version(), 1);
@@ -37,7 +37,7 @@
 #[test]
 fn a_lifted_ban_does_not_return_with_an_older_state() {
     let (mut shared, mut late) = (with(1), with(1));
-    shared.apply(&ban("off", "n0", json!(null))).expect("sound");
+    shared.apply(&ban("off", "n0", json!(null))).expect("valid");
     let old = late.clone();
     let Ok(Catch::Changes(changes)) = shared.since(late.version(), late.digest()) else {
         panic!("one change")
@@ -45,7 +45,7 @@
     late.catch_up(Catch::Changes(changes.clone())).expect("it follows");
     // The same again, and the older state by another path.
     late.catch_up(Catch::Changes(changes)).expect("nothing new");
-    assert_eq!(late.catch_up(Catch::Whole(Box::new(old))), Err(Fault::Stale { have: 2, told: 1 }));
+    assert_eq!(late.catch_up(Catch::Snapshot(Box::new(old))), Err(Fault::Stale { have: 2, offered: 1 }));
     assert!(late.bans().is_empty() && late.digest() == shared.digest());
 }
 
@@ -53,11 +53,11 @@
 fn a_replica_far_behind_gets_a_snapshot_and_a_near_one_the_changes() {
     let shared = with(3000);
     let catch = |behind: &Shared| shared.since(behind.version(), behind.digest()).expect("the same fleet");
-    assert!(matches!(catch(&with(100)), Catch::Whole(_)));
+    assert!(matches!(catch(&with(100)), Catch::Snapshot(_)));
     for from in [0, 100, 2500, 2999, 3000] {
         let mut behind = with(from);
-        let told = catch(&behind);
-        behind.catch_up(told).expect("it follows");
+        let update = catch(&behind);
+        behind.catch_up(update).expect("it follows");
         assert_eq!((behind.version(), behind.digest()), (3000, shared.digest()), "from {from}");
         assert_eq!(behind.bans(), shared.bans());
     }
@@ -67,9 +67,9 @@
 fn a_fork_and_an_altered_change_are_detected() {
     let shared = with(5);
     let mut other = with(3);
-    other.apply(&ban("z", "n9", json!(true))).expect("sound");
+    other.apply(&ban("z", "n9", json!(true))).expect("valid");
     assert_eq!(shared.since(4, other.digest()), Err(Fault::Fork { version: 4 }));
-    other.apply(&ban("c4", "n4", json!(true))).expect("sound");
+    other.apply(&ban("c4", "n4", json!(true))).expect("valid");
     assert_eq!(shared.since(5, other.digest()), Err(Fault::Fork { version: 5 }));
     let mut behind = with(3);
     let Ok(Catch::Changes(mut changes)) = shared.since(3, behind.digest()) else { panic!("two changes") };
@@ -83,7 +83,7 @@
 fn a_matter_of_a_newer_program_is_kept_and_forwarded() {
     let mut newer = with(1);
     let dream = Change::new("d", "asha", "of a newer program", "dreams", "k", json!({ "of": [1, 2] }));
-    newer.apply(&dream).expect("sound");
+    newer.apply(&dream).expect("valid");
     let mut older = with(1);
     older.catch_up(newer.since(1, older.digest()).expect("the same fleet")).expect("it follows");
     assert_eq!(older.get("dreams", "k").map(|slot| &slot.body), Some(&json!({ "of": [1, 2] })));
@@ -93,11 +93,11 @@
 fn bans_are_strict_and_settings_lax_by_default() {
     let mut shared = with(2);
     assert_eq!(shared.last_strict(), 2);
-    shared.apply(&Change::new("s", "asha", "new quota", SETTINGS, "", json!("{}"))).expect("sound");
+    shared.apply(&Change::new("s", "asha", "new quota", SETTINGS, "", json!("{}"))).expect("valid");
     assert_eq!(shared.last_strict(), 2);
     shared
         .apply(&Change::new("t", "asha", "quotas count", STRICTNESS, SETTINGS, json!("strict")))
-        .expect("sound");
+        .expect("valid");
     assert_eq!(shared.last_strict(), 3);
 }
 
