--- /dev/null
+++ b/crates/brassport-fleet/tests/it/simulation/delivery.rs
@@ -0,0 +1,79 @@
+//! Delivery of messages to the leader, the voters and the doors.
+
+use super::model::{Door, Message, Origin};
+use super::Sim;
+use brassport_fleet::grants::{Answer, Ask};
+use brassport_fleet::standing::Why;
+
+impl Sim {
+    /// Delivers all messages that have arrived.
+    pub(super) fn deliver(&mut self) {
+        while let Some(message) = self.network.receive(self.now) {
+            // Drawn for each message, whether it has a response or not.
+            let arrives = self.now + self.random.rand_range(5..400);
+            match message {
+                Message::Request { door, ask, asked } => self.on_request(door, &ask, asked, arrives),
+                Message::Response { to, asked, answer } => self.on_response(to, asked, answer),
+                Message::FetchState { from } => {
+                    if self.network.reaches_door(self.doors[from.door].name, self.now) {
+                        let state = self.log.clone();
+                        self.network.send(arrives, Message::State { to: from, state });
+                    }
+                }
+                Message::State { to, state } => {
+                    let is_newer = state.version() > self.doors[to.door].shared.version();
+                    if let Some(door) = self.running(to).filter(|_| is_newer) {
+                        door.shared = state;
+                    }
+                }
+                Message::RequestExtension { from, voter, asked } => {
+                    let voter = &self.voters[voter as usize];
+                    if voter.clock.at(self.now) >= voter.contact + self.terms.silence {
+                        self.network.send(arrives, Message::Extension { to: from, asked });
+                    }
+                }
+                Message::Extension { to, asked } => self.on_extension(to, asked),
+            }
+        }
+    }
+
+    /// The process of this origin, if it has no successor in its place and is not suspended.
+    fn running(&mut self, origin: Origin) -> Option<&mut Door> {
+        let now = self.now;
+        let door = &mut self.doors[origin.door];
+        (door.process == origin.process && door.suspended_until <= now).then_some(door)
+    }
+
+    fn on_request(&mut self, door: usize, ask: &Ask, asked: u64, arrives: u64) {
+        let (leader_now, followers) = (self.leader_clock(), self.followers());
+        let answer = self.grants.ask(leader_now, ask, &self.log, &followers);
+        if self.network.reaches_door(self.doors[door].name, self.now) {
+            let to = Origin { door, process: ask.process };
+            self.network.send(arrives, Message::Response { to, asked, answer });
+        }
+    }
+
+    fn on_response(&mut self, to: Origin, asked: u64, answer: Answer) {
+        let now = self.now;
+        let suspended_until = self.doors[to.door].suspended_until;
+        if suspended_until > now {
+            // It lies in the socket's buffer until the process runs again.
+            self.network.send(suspended_until, Message::Response { to, asked, answer });
+            return;
+        }
+        let Some(door) = self.running(to) else { return };
+        match answer {
+            Answer::Granted { length } => door.standing.granted(door.clock.at(now), asked, length),
+            Answer::Behind { .. } => door.standing.refused(Why::Behind),
+            Answer::Wait { .. } | Answer::Replaced | Answer::Unknown => {}
+        }
+    }
+
+    fn on_extension(&mut self, to: Origin, asked: u64) {
+        let (now, length) = (self.now, self.terms.leave);
+        if let Some(door) = self.running(to) {
+            door.standing.left(door.clock.at(now), asked, length);
+            self.tally.extensions += 1;
+        }
+    }
+}
--- /dev/null
+++ b/crates/brassport-fleet/tests/it/simulation/mod.rs
@@ -0,0 +1,199 @@
+//! A fleet under a virtual clock: changes of leadership, doors and voters behind links that fail, clocks that drift, processes
+//! that are suspended, restarted or run on beside their successor. Two invariants are checked: once a fence was reported to
+//! hold, no door acts on an older version; and no two processes of one name act at once.
+//!
+//! A seed determines a run: the order in which random numbers are drawn is part of what a seed means.
+
+mod delivery;
+mod doors;
+mod faults;
+mod model;
+
+use brassport_fleet::grants::{Grants, Terms};
+use brassport_fleet::shared::{Change, Refusal, Shared};
+use model::{Clock, Door, Network, Voter};
+use oorandom::Rand64;
+use std::collections::BTreeSet;
+use std::fmt;
+
+/// The length of a run, in milliseconds.
+const END_MS: u64 = 40_000;
+/// The resolution of the virtual clock, in milliseconds.
+const TICK_MS: u64 = 5;
+/// The interval of the leader's heartbeats, in milliseconds.
+const HEARTBEAT_MS: u64 = 50;
+
+/// How often each case came up, by which a test knows that it tried something.
+#[derive(Debug, Default)]
+pub struct Tally {
+    /// Fences that were reported to hold.
+    pub fences: u32,
+    /// Of these, those with a door that did not have the version.
+    pub fences_without_a_door: u32,
+    /// Extensions by voters that reached a door.
+    pub extensions: u32,
+    /// Checks of a door whose right had expired, at most one in 500 ms.
+    pub stops: u32,
+}
+
+/// An invariant that was violated.
+#[derive(Debug)]
+pub enum Violation {
+    /// Two processes of one name act at once.
+    TwoProcesses { seed: u64, now_ms: u64, processes: (u64, u64) },
+    /// A door acts on an older version than that of a fence that was reported to hold.
+    BehindFence { seed: u64, now_ms: u64, door: usize, version: u64, fence: u64 },
+    /// The operator's change was refused.
+    Refused { seed: u64, refusal: Refusal },
+}
+
+impl fmt::Display for Violation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Violation::TwoProcesses { seed, now_ms, processes: (one, other) } => {
+                write!(f, "seed {seed}, {now_ms} ms: processes {one} and {other} of one name act")
+            }
+            Violation::BehindFence { seed, now_ms, door, version, fence } => write!(
+                f,
+                "seed {seed}, {now_ms} ms: door {door} acts on version {version} behind a fence of {fence}"
+            ),
+            Violation::Refused { seed, refusal } => write!(f, "seed {seed}: {refusal}"),
+        }
+    }
+}
+
+impl std::error::Error for Violation {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            Violation::Refused { refusal, .. } => Some(refusal),
+            Violation::TwoProcesses { .. } | Violation::BehindFence { .. } => None,
+        }
+    }
+}
+
+/// Runs one seed: three in four with four doors and three voters, the others with up to 30 doors and three or five voters.
+pub fn play(seed: u64) -> Result<Tally, Violation> {
+    let mut sizes = Rand64::new(u128::from(seed) << 64);
+    let (doors, voters) = match sizes.rand_range(0..4) {
+        0 => (sizes.rand_range(2..31) as usize, 3 + 2 * sizes.rand_range(0..2)),
+        _ => (4, 3),
+    };
+    Sim::new(seed, doors, voters).run()
+}
+
+struct Sim {
+    seed: u64,
+    random: Rand64,
+    now: u64,
+    terms: Terms,
+    tally: Tally,
+    /// The replicated log, as its leader has it.
+    log: Shared,
+    /// All processes, also those that run on beside their successor.
+    doors: Vec<Door>,
+    door_names: usize,
+    last_process: u64,
+    voters: Vec<Voter>,
+    leader: u64,
+    grants: Grants,
+    last_change: u64,
+    network: Network,
+    /// The fence that the operator waits for.
+    pending_fence: Option<u64>,
+    /// The fence that was reported to hold.
+    complete_fence: Option<u64>,
+}
+
+impl Sim {
+    fn new(seed: u64, door_names: usize, voters: u64) -> Sim {
+        let mut random = Rand64::new(u128::from(seed));
+        let (length, silence, leave) =
+            (random.rand_range(600..2500), random.rand_range(400..1200), random.rand_range(200..2500));
+        let terms = Terms { length, drift_permille: 100, silence, leave, bring_up: 4000 };
+        let door = |name| Door::first(name, name as u64 + 1, Clock::draw(&mut random, &terms));
+        let doors: Vec<Door> = (0..door_names).map(door).collect();
+        let voter = |_| Voter { clock: Clock::draw(&mut random, &terms), contact: 0 };
+        let voters: Vec<Voter> = (0..voters).map(voter).collect();
+        Sim {
+            seed,
+            now: 0,
+            terms,
+            tally: Tally::default(),
+            log: Shared::default(),
+            last_process: doors.len() as u64,
+            doors,
+            door_names,
+            leader: 0,
+            grants: Grants::new(terms, voters[0].clock.at(0)),
+            last_change: 0,
+            network: Network::new(door_names, voters.len()),
+            pending_fence: None,
+            complete_fence: None,
+            voters,
+            random,
+        }
+    }
+
+    fn run(mut self) -> Result<Tally, Violation> {
+        while self.now < END_MS {
+            self.now += TICK_MS;
+            self.inject_faults();
+            self.publish()?;
+            self.lead();
+            self.deliver();
+            self.run_doors()?;
+        }
+        Ok(self.tally)
+    }
+
+    /// Whether an event that comes once in so many ticks on average comes now.
+    fn one_in(&mut self, ticks: u64) -> bool {
+        self.random.rand_range(0..ticks) == 0
+    }
+
+    /// The leader's clock.
+    fn leader_clock(&self) -> u64 {
+        self.voters[self.leader as usize].clock.at(self.now)
+    }
+
+    /// All voters but the leader.
+    fn followers(&self) -> BTreeSet<u64> {
+        (0..self.voters.len() as u64).filter(|voter| *voter != self.leader).collect()
+    }
+
+    /// The operator publishes a change with a fence, unless one is pending.
+    fn publish(&mut self) -> Result<(), Violation> {
+        if self.pending_fence.is_some() || !self.one_in(300) {
+            return Ok(());
+        }
+        self.last_change += 1;
+        let id = format!("c{}", self.last_change);
+        let change = Change::new(&id, "o", "r", "ban", "n", self.last_change.into());
+        let done = self.log.apply(&Change { fence: true, ..change });
+        let done = done.map_err(|refusal| Violation::Refused { seed: self.seed, refusal })?;
+        (self.pending_fence, self.complete_fence) = (Some(done.version), None);
+        Ok(())
+    }
+
+    /// The leader's own work: heartbeats, and whether the pending fence holds.
+    fn lead(&mut self) {
+        let (now, leader_now) = (self.now, self.leader_clock());
+        self.grants.note(leader_now, &self.log);
+        let followers = self.followers();
+        for voter in &followers {
+            if self.network.reaches_voter(*voter, now) && now % HEARTBEAT_MS == 0 {
+                self.grants.heard(leader_now, *voter);
+                let voter = &mut self.voters[*voter as usize];
+                voter.contact = voter.clock.at(now);
+            }
+        }
+        self.voters[self.leader as usize].contact = leader_now;
+        let Some(version) = self.pending_fence else { return };
+        if self.grants.fence(leader_now, version, &self.log, &followers).is_empty() {
+            self.tally.fences += 1;
+            let lacks_it = self.doors.iter().any(|door| door.shared.version() < version);
+            self.tally.fences_without_a_door += u32::from(lacks_it);
+            (self.pending_fence, self.complete_fence) = (None, Some(version));
+        }
+    }
+}
--- /dev/null
+++ b/crates/brassport-fleet/tests/it/simulation/model.rs
@@ -0,0 +1,136 @@
+//! The parts of the simulated fleet: clocks, doors, voters and the network between them.
+
+use brassport_fleet::grants::{Answer, Ask, Terms};
+use brassport_fleet::shared::Shared;
+use brassport_fleet::standing::Standing;
+use oorandom::Rand64;
+use std::collections::BTreeMap;
+
+/// A monotonic clock of its own origin and rate.
+pub struct Clock {
+    offset_ms: f64,
+    rate: f64,
+}
+
+impl Clock {
+    pub fn draw(random: &mut Rand64, terms: &Terms) -> Clock {
+        // Two clocks drift apart by the bound at most.
+        let drift = terms.drift_permille as f64 / 1000.0;
+        Clock {
+            offset_ms: random.rand_range(0..9_000) as f64,
+            rate: 1.0 + drift * (0.95 * random.rand_float() - 0.475),
+        }
+    }
+
+    pub fn at(&self, now: u64) -> u64 {
+        (self.offset_ms + self.rate * now as f64) as u64
+    }
+}
+
+/// A process's entry in the fleet.
+#[derive(Clone, Copy)]
+pub struct Registration {
+    pub version: u64,
+    /// Whether it says that the process is alone.
+    pub alone: bool,
+}
+
+/// One process of a door.
+pub struct Door {
+    pub name: usize,
+    pub clock: Clock,
+    pub process: u64,
+    /// The version of its predecessor's entry, 0 if it is the first, where all processes up to that one have ended.
+    pub predecessor: Option<u64>,
+    pub registration: Option<Registration>,
+    pub shared: Shared,
+    pub standing: Standing,
+    pub suspended_until: u64,
+    pub next_request: u64,
+}
+
+impl Door {
+    /// The first process of a name.
+    pub fn first(name: usize, process: u64, clock: Clock) -> Door {
+        Door {
+            name,
+            clock,
+            process,
+            predecessor: Some(0),
+            registration: None,
+            shared: Shared::default(),
+            standing: Standing::default(),
+            suspended_until: 0,
+            next_request: 0,
+        }
+    }
+
+    /// What its successor may name as its predecessor's entry, if this process ends.
+    pub fn as_predecessor(&self) -> Option<u64> {
+        match self.registration {
+            Some(entry) => (entry.alone || self.standing.had_one()).then_some(entry.version),
+            None => self.predecessor,
+        }
+    }
+}
+
+pub struct Voter {
+    pub clock: Clock,
+    /// The last contact with a leader, on its own clock.
+    pub contact: u64,
+}
+
+/// The process that a message is from, or that its response is for.
+#[derive(Clone, Copy)]
+pub struct Origin {
+    pub door: usize,
+    pub process: u64,
+}
+
+pub enum Message {
+    Request { door: usize, ask: Ask, asked: u64 },
+    Response { to: Origin, asked: u64, answer: Answer },
+    FetchState { from: Origin },
+    State { to: Origin, state: Shared },
+    RequestExtension { from: Origin, voter: u64, asked: u64 },
+    Extension { to: Origin, asked: u64 },
+}
+
+/// When a message arrives, and its number among all messages.
+type Arrival = (u64, u64);
+
+/// Messages in flight, and links that are cut until some moment.
+pub struct Network {
+    in_flight: BTreeMap<Arrival, Message>,
+    sent: u64,
+    /// From doors to the leader's side, by name.
+    pub door_cut_until: Vec<u64>,
+    /// From voters to the leader.
+    pub voter_cut_until: Vec<u64>,
+}
+
+impl Network {
+    pub fn new(doors: usize, voters: usize) -> Network {
+        let (door_cut_until, voter_cut_until) = (vec![0; doors], vec![0; voters]);
+        Network { in_flight: BTreeMap::new(), sent: 0, door_cut_until, voter_cut_until }
+    }
+
+    pub fn send(&mut self, arrives: u64, message: Message) {
+        self.sent += 1;
+        self.in_flight.insert((arrives, self.sent), message);
+    }
+
+    /// The next message that has arrived.
+    pub fn receive(&mut self, now: u64) -> Option<Message> {
+        let first = self.in_flight.first_entry()?;
+        (first.key().0 <= now).then(|| first.remove())
+    }
+
+    pub fn reaches_door(&self, name: usize, now: u64) -> bool {
+        self.door_cut_until[name] <= now
+    }
+
+    pub fn reaches_voter(&self, voter: u64, now: u64) -> bool {
+        self.voter_cut_until[voter as usize] <= now
+    }
+}
