--- a/crates/brassport-fleet/tests/it/golden/audit.rs
+++ b/crates/brassport-fleet/tests/it/golden/audit.rs
@@ -1,10 +1,11 @@
 //! Audits and their parts.
 
 use super::record::{at, whats};
-use super::{json, same_cases};
+use super::GOLDEN;
 use brassport_fleet::audit::{Audit, Lost, Question, Sent, Span};
 use brassport_fleet::clocks::Moment;
 use brassport_fleet::record::{At, Chain, What};
+use brassport_golden::json;
 use std::collections::BTreeMap;
 
 /// Two doors' records of which the second is cut and holds another digest of one version.
@@ -77,5 +78,5 @@
         json("Audit, gathered", gathered()),
         json("Audit, answered", gathered().answer(&question)),
     ];
-    same_cases("audit.txt", &cases);
+    GOLDEN.same_cases("audit.txt", &cases);
 }
--- a/crates/brassport-fleet/tests/it/golden/grants.rs
+++ b/crates/brassport-fleet/tests/it/golden/grants.rs
@@ -1,9 +1,10 @@
 //! Requests for a right to act, their answers, what stands against a fence, and a right's course.
 
 use super::shared::built;
-use super::{json, same_cases, same_text, Case};
+use super::GOLDEN;
 use brassport_fleet::grants::{Answer, Ask, Grants, Open, Terms};
 use brassport_fleet::standing::{Standing, Why};
+use brassport_golden::{json, JsonCase};
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
 
@@ -18,7 +19,7 @@
 }
 
 /// What a leader's table itself answers, so that the fields are filled as before.
-fn answered() -> Vec<Case> {
+fn answered() -> Vec<JsonCase> {
     let mut cases = Vec::new();
     let (state, voters) = (built(), BTreeSet::from([2, 3]));
     let mut grants = Grants::new(Terms::default(), 1000);
@@ -68,7 +69,7 @@
         cases.push(json(&format!("fence, {variant}"), Some(vec![open])));
     }
     cases.extend(answered());
-    same_cases("grants.txt", &cases);
+    GOLDEN.same_cases("grants.txt", &cases);
 }
 
 /// A door's right is never serialized; its answers are compared as text.
@@ -99,5 +100,5 @@
         standing.refused(why);
         note("refused", 1400, &standing);
     }
-    same_text("standing.txt", &made);
+    GOLDEN.same_text("standing.txt", &made);
 }
--- a/crates/brassport-fleet/tests/it/golden/messages.rs
+++ b/crates/brassport-fleet/tests/it/golden/messages.rs
@@ -1,8 +1,8 @@
 //! Texts of refusals and faults.
 
 use super::grants::opens;
-use super::same_text;
 use super::shared::refusals;
+use super::GOLDEN;
 use brassport_fleet::{record, shared};
 
 /// Faults of a record are encoded and never read; the rest are texts for other instances and people.
@@ -35,5 +35,5 @@
         let text = serde_json::to_string(&fault).expect("plain data has a form in JSON");
         lines.push(format!("record::Fault::{variant}: {text} {fault}"));
     }
-    same_text("messages.txt", &(lines.join("\n") + "\n"));
+    GOLDEN.same_text("messages.txt", &(lines.join("\n") + "\n"));
 }
--- a/crates/brassport-fleet/tests/it/golden/older.rs
+++ b/crates/brassport-fleet/tests/it/golden/older.rs
@@ -1,6 +1,6 @@
 //! Forms of earlier versions.
 
-use super::same_text;
+use super::GOLDEN;
 use brassport_fleet::audit::Audit;
 use brassport_fleet::record::What;
 use brassport_fleet::shared::{Change, Process};
@@ -25,5 +25,5 @@
         ("What", what, read::<What>(what)),
     ];
     let made: String = lines.iter().map(|(name, old, new)| format!("{name}: {old}\n  now {new}\n")).collect();
-    same_text("older.txt", &made);
+    GOLDEN.same_text("older.txt", &made);
 }
--- a/crates/brassport-fleet/tests/it/golden/record.rs
+++ b/crates/brassport-fleet/tests/it/golden/record.rs
@@ -1,8 +1,9 @@
 //! Lines of a record.
 
-use super::{json, same_cases, same_text};
+use super::GOLDEN;
 use brassport_fleet::clocks::Mark;
 use brassport_fleet::record::{self, At, Chain, Line, What};
+use brassport_golden::json;
 
 pub fn whats() -> Vec<What> {
     vec![
@@ -40,7 +41,7 @@
     let mut chain = Chain::default();
     let lines = whats().into_iter().enumerate();
     let made: String = lines.map(|(number, what)| chain.add(at(number as u64), what)).collect();
-    let committed = same_text("record.jsonl", &made);
+    let committed = GOLDEN.same_text("record.jsonl", &made);
     let (lines, fault, valid_bytes, end) = record::read(&committed);
     assert_eq!((fault, valid_bytes, end), (None, committed.len(), chain));
     assert_eq!(lines.iter().map(|line| line.what.clone()).collect::<Vec<_>>(), whats());
@@ -58,5 +59,5 @@
         let line = Line { number: number as u64, before: "cd".repeat(32), at: at(2), what };
         cases.push(json(&format!("Line {number}"), line));
     }
-    same_cases("lines.txt", &cases);
+    GOLDEN.same_cases("lines.txt", &cases);
 }
--- a/crates/brassport-fleet/tests/it/golden/shared.rs
+++ b/crates/brassport-fleet/tests/it/golden/shared.rs
@@ -1,7 +1,8 @@
 //! Changes, versions, digests and what brings a replica up to date.
 
-use super::{json, same_cases, same_text};
+use super::GOLDEN;
 use brassport_fleet::shared::{self, Catch, Change, Done, Entry, Process, Refusal, Shared, Slot};
+use brassport_golden::json;
 use serde_json::{json as object, Value};
 use std::collections::BTreeSet;
 
@@ -76,7 +77,7 @@
         cases.push(json(&format!("Result, refused {variant}"), Err::<Done, _>(refusal)));
     }
     cases.push(json("Result, done", Ok::<_, Refusal>(Done { version: 9, repeated: true })));
-    same_cases("shared.txt", &cases);
+    GOLDEN.same_cases("shared.txt", &cases);
 }
 
 /// The complete state is what a snapshot of the log has and what a replica far behind applies.
@@ -105,7 +106,7 @@
         }
         cases.push(json(&format!("Catch::{} {number}", variant(&catch)), catch));
     }
-    same_cases("catch.txt", &cases);
+    GOLDEN.same_cases("catch.txt", &cases);
 }
 
 /// A committed log of changes is followed, version by version and digest by digest.
@@ -113,7 +114,7 @@
 fn a_committed_log_is_replayed_to_the_same_state() {
     let state = built();
     let line = |entry: &Entry| serde_json::to_string(entry).expect("plain data has a form in JSON") + "\n";
-    let committed = same_text("log.jsonl", &state.recent().map(line).collect::<String>());
+    let committed = GOLDEN.same_text("log.jsonl", &state.recent().map(line).collect::<String>());
     let read = |line: &str| serde_json::from_str::<Entry>(line).expect("it is read");
     let mut follower = Shared::default();
     follower.catch_up(Catch::Changes(committed.lines().map(read).collect())).expect("each version fits");
