--- a/crates/brassport-config-store/src/configuration/difference.rs
+++ b/crates/brassport-config-store/src/configuration/difference.rs
@@ -216,7 +216,7 @@
         found.push(Difference::RouteRedirected { name: name.clone(), from, to });
     }
     let what = Fields::default()
-        .note("kind", &from.kind, &to.kind)
+        .note("kind", &from.idempotency, &to.idempotency)
         .note("giveUpS", &from.timeout_s, &to.timeout_s)
         .note("goalS", &from.latency_target_s, &to.latency_target_s)
         .note("rank", &from.rank, &to.rank)
@@ -276,7 +276,7 @@
     let what = Fields::default()
         .note("maxHeaderBytes", &from.max_header_bytes, &to.max_header_bytes)
         .note("maxBodyBytes", &from.max_body_bytes, &to.max_body_bytes)
-        .note("headerWaitS", &from.header_wait_s, &to.header_wait_s)
-        .note("idleWaitS", &from.idle_wait_s, &to.idle_wait_s);
+        .note("headerWaitS", &from.header_timeout_s, &to.header_timeout_s)
+        .note("idleWaitS", &from.idle_timeout_s, &to.idle_timeout_s);
     found.extend(what.what().map(|what| Difference::Limits { what }));
 }
--- a/crates/brassport-config-store/src/configuration/items.rs
+++ b/crates/brassport-config-store/src/configuration/items.rs
@@ -19,8 +19,8 @@
     pub tenants: BTreeMap<String, Tenant>,
     /// The routes in the document's order.
     pub routes: Vec<Route>,
-    /// Whether requests need a key at all: `customers` is not empty.
-    pub has_keys: bool,
+    /// Whether a route that is not public requires a key: true if there is a tenant (`customers` is not empty).
+    pub requires_key: bool,
 }
 
 /// Whether a request may run more than once.
@@ -29,7 +29,7 @@
 pub enum Idempotency {
     /// It may run more than once.
     Safe,
-    /// It runs at most once per attempt. This is also read where the kind is left out.
+    /// It runs at most once per attempt. The default where `kind` is omitted.
     #[default]
     Unsafe,
 }
@@ -44,7 +44,7 @@
     /// The prefix of the path. It begins and ends with a slash.
     pub path_prefix: String,
     /// Whether its requests may run more than once.
-    pub kind: Idempotency,
+    pub idempotency: Idempotency,
     /// The time-out of a request, in seconds: above 0, at most 600.
     pub timeout_s: f64,
     /// The latency target, in seconds: a response within it has its full value. Left out: `timeout_s`.
@@ -109,13 +109,18 @@
     /// The largest body of a request, in bytes. Left out: 67108864.
     pub max_body_bytes: u64,
     /// How long a head may take, in seconds. Left out: 3.
-    pub header_wait_s: f64,
+    pub header_timeout_s: f64,
     /// How long a connection may be idle, in seconds. Left out: 15.
-    pub idle_wait_s: f64,
+    pub idle_timeout_s: f64,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { max_header_bytes: 16_384, max_body_bytes: 67_108_864, header_wait_s: 3.0, idle_wait_s: 15.0 }
+        Limits {
+            max_header_bytes: 16_384,
+            max_body_bytes: 67_108_864,
+            header_timeout_s: 3.0,
+            idle_timeout_s: 15.0,
+        }
     }
 }
--- a/crates/brassport-config-store/src/configuration/limits.rs
+++ b/crates/brassport-config-store/src/configuration/limits.rs
@@ -29,7 +29,7 @@
     Limits {
         max_header_bytes: or_default_if_0(read.max_header_bytes, defaults.max_header_bytes),
         max_body_bytes: or_default_if_0(read.max_body_bytes, defaults.max_body_bytes),
-        header_wait_s: or_default_if_0(read.header_wait_s, defaults.header_wait_s),
-        idle_wait_s: or_default_if_0(read.idle_wait_s, defaults.idle_wait_s),
+        header_timeout_s: or_default_if_0(read.header_wait_s, defaults.header_timeout_s),
+        idle_timeout_s: or_default_if_0(read.idle_wait_s, defaults.idle_timeout_s),
     }
 }
--- a/crates/brassport-config-store/src/configuration/parse.rs
+++ b/crates/brassport-config-store/src/configuration/parse.rs
@@ -22,8 +22,15 @@
     if !errors.is_empty() {
         return Err(ValidationErrors(errors));
     }
-    let has_keys = !tenants.is_empty();
-    Ok(Configuration { version: version.unwrap_or_default(), services, limits, tenants, routes, has_keys })
+    let requires_key = !tenants.is_empty();
+    Ok(Configuration {
+        version: version.unwrap_or_default(),
+        services,
+        limits,
+        tenants,
+        routes,
+        requires_key,
+    })
 }
 
 /// Reads `version`, and compares it with the current one.
--- a/crates/brassport-config-store/src/configuration/routes.rs
+++ b/crates/brassport-config-store/src/configuration/routes.rs
@@ -102,7 +102,7 @@
             name,
             host: host.to_owned(),
             path_prefix,
-            kind: read.kind,
+            idempotency: read.kind,
             timeout_s,
             latency_target_s: read.goal_s.unwrap_or(timeout_s),
             rank: read.rank,
--- a/crates/brassport-config-store/tests/it/configuration/changes.rs
+++ b/crates/brassport-config-store/tests/it/configuration/changes.rs
@@ -52,7 +52,7 @@
     assert_eq!(read.services["huvo11a"].max_connections, 7);
     assert_eq!(read.services.len(), 3);
     assert_eq!(read.tenants["yefi830"].keys, ["only"]);
-    assert_eq!(read.limits, Limits { idle_wait_s: 4.0, ..Limits::default() });
+    assert_eq!(read.limits, Limits { idle_timeout_s: 4.0, ..Limits::default() });
     assert_eq!(read.routes[0].path_prefix, "/lepu271/");
     assert_eq!(read.routes.len(), 2);
     let index = RouteTable::new(read);
--- a/crates/brassport-config-store/tests/it/configuration/documents.rs
+++ b/crates/brassport-config-store/tests/it/configuration/documents.rs
@@ -14,20 +14,28 @@
     let read = document.configuration();
     assert_eq!(document.version(), Version(7));
     assert_eq!(read.version, Version(7));
-    assert!(read.has_keys);
+    assert!(read.requires_key);
     assert_eq!(
         read.limits,
-        Limits { max_header_bytes: 8192, max_body_bytes: 1_048_576, header_wait_s: 2.0, idle_wait_s: 15.0 }
+        Limits {
+            max_header_bytes: 8192,
+            max_body_bytes: 1_048_576,
+            header_timeout_s: 2.0,
+            idle_timeout_s: 15.0
+        }
     );
     let service = &read.services["wuno96b"];
     assert_eq!((service.health_path.as_str(), service.max_connections, service.tls), ("/well", 120, true));
     assert_eq!(service.protocol, "h1");
     let [one, two] = &read.routes[..] else { panic!("{read:?}") };
     assert_eq!((one.name.as_str(), one.host.as_str()), ("r-one", "jepu9.example"));
-    assert_eq!((one.path_prefix.as_str(), one.kind, one.public), ("/lepu270/", Idempotency::Safe, false));
+    assert_eq!(
+        (one.path_prefix.as_str(), one.idempotency, one.public),
+        ("/lepu270/", Idempotency::Safe, false)
+    );
     assert_eq!((one.timeout_s, one.latency_target_s, one.rank, one.max_attempts), (1.5, 0.4, 2, 2));
     assert_eq!(one.targets, [("huvo11a".to_owned(), 90), ("kafi81c".to_owned(), 10)]);
-    assert_eq!((two.kind, two.public, two.max_attempts), (Idempotency::Unsafe, true, 3));
+    assert_eq!((two.idempotency, two.public, two.max_attempts), (Idempotency::Unsafe, true, 3));
     assert_eq!(two.targets, [("wuno96b".to_owned(), 1)]);
     let tenant = &read.tenants["yefi830"];
     assert_eq!((tenant.keys.len(), tenant.rank, tenant.rate_per_s, tenant.burst), (2, 1, 123.0, 12.5));
@@ -47,10 +55,10 @@
     let document = Document::empty().replace(&bytes(&document)).unwrap();
     let read = document.configuration();
     assert_eq!(read.limits, Limits::default());
-    assert!(!read.has_keys && read.tenants.is_empty());
+    assert!(!read.requires_key && read.tenants.is_empty());
     let route = &read.routes[0];
     assert_eq!(
-        (route.host.as_str(), route.kind, route.latency_target_s),
+        (route.host.as_str(), route.idempotency, route.latency_target_s),
         ("a.example", Idempotency::Unsafe, 3.0)
     );
     assert_eq!((route.rank, route.max_attempts, route.public), (0, 1, false));
--- a/crates/brassport-config-store/tests/it/golden/documents.rs
+++ b/crates/brassport-config-store/tests/it/golden/documents.rs
@@ -33,7 +33,7 @@
 
 /// The fields of [`DOCUMENT`], as the gateway reads them.
 fn check_fields(parsed: &Configuration) {
-    assert_eq!((parsed.version, parsed.has_keys), (Version(5), true));
+    assert_eq!((parsed.version, parsed.requires_key), (Version(5), true));
     let (search, pay) = (&parsed.services["search"], &parsed.services["pay"]);
     assert_eq!((search.health_path.as_str(), search.max_connections, search.tls), ("/ok", 7, true));
     assert_eq!(
@@ -41,12 +41,12 @@
         ("/health", 100, "h1")
     );
     assert_eq!((parsed.limits.max_header_bytes, parsed.limits.max_body_bytes), (4096, 67_108_864));
-    assert_eq!((parsed.limits.header_wait_s, parsed.limits.idle_wait_s), (1.5, 9.0));
+    assert_eq!((parsed.limits.header_timeout_s, parsed.limits.idle_timeout_s), (1.5, 9.0));
     let acme = &parsed.tenants["acme"];
     assert_eq!((acme.keys.len(), acme.rank, acme.rate_per_s, acme.burst), (2, 2, 12.5, 30.0));
     let (all, split) = (&parsed.routes[0], &parsed.routes[1]);
     assert_eq!(
-        (all.host.as_str(), all.path_prefix.as_str(), all.kind),
+        (all.host.as_str(), all.path_prefix.as_str(), all.idempotency),
         ("shop.example", "/", Idempotency::Safe)
     );
     assert_eq!(
@@ -55,7 +55,7 @@
     );
     assert_eq!(all.targets, [("search".to_owned(), 1)]);
     assert_eq!(
-        (split.kind, split.latency_target_s, split.max_attempts, split.public),
+        (split.idempotency, split.latency_target_s, split.max_attempts, split.public),
         (Idempotency::Unsafe, 600.0, 1, false)
     );
     assert_eq!(split.targets, [("pay".to_owned(), 3)]);
--- a/crates/brassport-data-plane/src/active_configuration.rs
+++ b/crates/brassport-data-plane/src/active_configuration.rs
@@ -18,7 +18,7 @@
         ActiveConfiguration {
             routes: RouteTable::new(configuration),
             max_body_bytes: configuration.limits.max_body_bytes,
-            requires_key: configuration.has_keys,
+            requires_key: configuration.requires_key,
         }
     }
 }
--- a/crates/brassport-data-plane/src/policy_settings.rs
+++ b/crates/brassport-data-plane/src/policy_settings.rs
@@ -45,7 +45,7 @@
 impl ClassKey {
     fn of(route: &Route) -> ClassKey {
         ClassKey {
-            idempotency: route.kind,
+            idempotency: route.idempotency,
             latency_target_ms: route.latency_target_s * 1000.0,
             timeout_ms: route.timeout_s * 1000.0,
             rank: route.rank,
