--- a/crates/brassport-config-store/src/consensus/log.rs
+++ b/crates/brassport-config-store/src/consensus/log.rs
@@ -49,8 +49,8 @@
 }
 
 impl Entry {
-    /// About how many bytes it takes on the wire.
-    pub fn size(&self) -> usize {
+    /// Estimated encoded size in bytes.
+    pub fn estimated_size(&self) -> usize {
         match self {
             Entry::Replace { body, .. } | Entry::Change { body, .. } => body.len() + ENTRY_OVERHEAD_BYTES,
             Entry::Noop | Entry::Voters { .. } => ENTRY_OVERHEAD_BYTES,
--- a/crates/brassport-config-store/src/consensus/proposal.rs
+++ b/crates/brassport-config-store/src/consensus/proposal.rs
@@ -30,7 +30,7 @@
 
 impl Proposal {
     fn is_resend_due(&self, now: Millis) -> bool {
-        let transmission_ms = (self.entry.size() / LINK_BYTES_PER_MS) as Millis;
+        let transmission_ms = (self.entry.estimated_size() / LINK_BYTES_PER_MS) as Millis;
         let backoff_ms = transmission_ms << self.resends.min(MAX_RESEND_DOUBLINGS);
         now >= self.sent_at + RESEND_INTERVAL_MS + backoff_ms
     }
--- a/crates/brassport-config-store/src/consensus/retained.rs
+++ b/crates/brassport-config-store/src/consensus/retained.rs
@@ -19,11 +19,11 @@
 impl RetainedEntries {
     /// Adds the newest entry, and drops the oldest that exceed the bounds.
     pub fn push(&mut self, entry: CommittedEntry) {
-        self.bytes += entry.entry.size();
+        self.bytes += entry.entry.estimated_size();
         self.entries.push_back(entry);
         while self.entries.len() > RETAINED_ENTRIES || self.bytes > RETAINED_BYTES {
             let Some(oldest) = self.entries.pop_front() else { break };
-            self.bytes -= oldest.entry.size();
+            self.bytes -= oldest.entry.estimated_size();
         }
     }
 
--- a/crates/brassport-control-plane/src/log_sync/fetch.rs
+++ b/crates/brassport-control-plane/src/log_sync/fetch.rs
@@ -16,7 +16,7 @@
 fn first_message(entries: Vec<CommittedEntry>) -> Vec<CommittedEntry> {
     let mut bytes = 0;
     let fits = |committed: &CommittedEntry| {
-        bytes += committed.entry.size();
+        bytes += committed.entry.estimated_size();
         bytes <= MAX_MESSAGE_BYTES
     };
     entries.into_iter().take_while(fits).collect()
--- a/crates/brassport-control-plane/src/log_sync/mod.rs
+++ b/crates/brassport-control-plane/src/log_sync/mod.rs
@@ -74,5 +74,5 @@
 
 /// The bytes of entries together.
 fn size(entries: &[CommittedEntry]) -> usize {
-    entries.iter().map(|committed| committed.entry.size()).sum()
+    entries.iter().map(|committed| committed.entry.estimated_size()).sum()
 }
