--- a/crates/brassport-config-store/src/lib.rs
+++ b/crates/brassport-config-store/src/lib.rs
@@ -1,13 +1,15 @@
-//! The cluster's configuration and who decides on it: the operator's documents and their checks ([`configuration`]), the
-//! consensus of a majority of voters on their versions ([`consensus`]), and a voter's durable store ([`store`]).
+//! The replicated configuration of a gateway cluster: parsing and validation of the operator's documents
+//! ([`configuration`]), consensus of a majority of voters on their versions ([`consensus`]), and a voter's durable
+//! store ([`store`]).
 //!
-//! Configuration and consensus are without I/O: plain data and the host's clock in, actions out. The store alone touches the
-//! disk, and blocks until it has; the host gives it a thread.
+//! Configuration and consensus perform no I/O: they take plain data and the host's clock, and consensus returns actions
+//! for the host to execute. Only the store accesses the disk. Its calls block until the data is synced, so the host
+//! runs it on a thread of its own.
 //!
-//! It is not for transport (messages are plain data that the host carries), not for who is to vote (the control plane
-//! decides that, and submits it as a command), and not for serving requests by a configuration.
+//! Out of scope: transport (messages are plain data that the host carries), the selection of voters (the control plane
+//! selects them and submits the change as a command), and the handling of requests according to a configuration.
 //!
-//! A replica that is alone leads as soon as its own promise is on disk, and commits what is submitted:
+//! A single voter becomes the leader as soon as its own promise is on disk, and commits the commands submitted to it:
 //!
 //! ```
 //! use brassport_config_store::consensus::{
@@ -15,7 +17,7 @@
 //! };
 //! use std::sync::Arc;
 //!
-//! /// Executes the actions as a host with an instant disk would. Returns the outcomes of commands.
+//! /// Executes the actions like a host whose disk syncs at once, and returns the outcomes of commands.
 //! fn execute(replica: &mut Replica, now: u64, mut actions: Vec<Action>) -> Vec<Outcome> {
 //!     let mut outcomes = Vec::new();
 //!     while !actions.is_empty() {
