--- a/crates/brassport-config-store/src/consensus/action.rs
+++ b/crates/brassport-config-store/src/consensus/action.rs
@@ -1,35 +1,36 @@
-//! What a replica wants its host to do, and the outcomes of commands.
+//! Actions that a replica requests from its host, and the outcomes of commands.
 
 use super::{CommittedEntry, Message, Record, ReplicatedState};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// What a replica wants its host to do.
+/// An action that a replica requests from its host. The host executes actions in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Send a message to a machine.
+    /// Send a message to the machine at this address.
     Send(Ipv4Addr, Message),
-    /// Write a record to disk; once it is synced, call [`Replica::on_persisted`](super::Replica::on_persisted) with the number.
+    /// Write a record to disk. When it is synced, or the write has failed, call
+    /// [`Replica::on_persisted`](super::Replica::on_persisted) with the number of the write.
     Persist(u64, Record),
-    /// An entry was applied to the state; `None`: a snapshot was installed.
+    /// An entry was applied to the state; `None` if a snapshot replaced the state.
     Applied(Option<CommittedEntry>),
-    /// The command with this number has its outcome.
+    /// Respond to the command submitted under this number.
     Respond(u64, Outcome),
-    /// This replica lacks committed entries: fetch them from that machine.
+    /// Fetch the committed entries that this replica lacks from the machine at this address.
     FetchLog(Ipv4Addr),
 }
 
-/// What became of a command.
+/// The outcome of a command.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// It is committed, or was before.
+    /// The command is committed. A repeated request may have been committed earlier.
     Committed,
-    /// It builds on a version that is not the current one, and will never be in force.
+    /// The command builds on a version, or changes a voter set, other than the current one. It will never be committed.
     VersionConflict,
-    /// It is invalid and will never be in force; why.
+    /// The request is invalid, for the given reason. It will never be committed.
     Invalid(String),
-    /// Whether it will be in force is not known, or this replica can't tell.
+    /// This replica can't tell whether the command is, or will be, committed.
     Unknown,
-    /// To a read: the newest state.
+    /// The newest committed state, in response to a read.
     Current(Arc<ReplicatedState>),
 }
--- a/crates/brassport-config-store/src/consensus/bytes.rs
+++ b/crates/brassport-config-store/src/consensus/bytes.rs
@@ -1,16 +1,17 @@
-//! Bodies as byte strings (`#[serde(with = "bytes")]`): the default writes a list of numbers.
+//! Encodes bodies as byte strings (`#[serde(with = "bytes")]`). By default serde encodes a `Vec<u8>` as a list of
+//! numbers.
 
 use serde::{de, Deserializer, Serializer};
 use std::fmt;
 use std::sync::Arc;
 
-/// Writes a body as one byte string.
-pub fn serialize<S: Serializer>(body: &Arc<Vec<u8>>, to: S) -> Result<S::Ok, S::Error> {
-    to.serialize_bytes(body)
+/// Serializes a body as one byte string.
+pub fn serialize<S: Serializer>(body: &Arc<Vec<u8>>, serializer: S) -> Result<S::Ok, S::Error> {
+    serializer.serialize_bytes(body)
 }
 
-/// Reads a body from one byte string.
-pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Arc<Vec<u8>>, D::Error> {
+/// Deserializes a body from one byte string.
+pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Arc<Vec<u8>>, D::Error> {
     struct Body;
     impl<'de> de::Visitor<'de> for Body {
         type Value = Arc<Vec<u8>>;
@@ -24,5 +25,5 @@
             Ok(Arc::new(bytes))
         }
     }
-    from.deserialize_byte_buf(Body)
+    deserializer.deserialize_byte_buf(Body)
 }
--- a/crates/brassport-config-store/src/consensus/command.rs
+++ b/crates/brassport-config-store/src/consensus/command.rs
@@ -1,4 +1,4 @@
-//! Commands: what may be submitted to the leader, the queue in which they wait, and how each is evaluated.
+//! Commands submitted to the leader: their queue and their evaluation.
 
 use super::campaign::Role;
 use super::mutants::{is_active, Mutant};
@@ -6,36 +6,38 @@
 use super::{ChangeScope, ConfigurationRequest, Entry, Millis, Outcome, VoterId};
 use std::collections::VecDeque;
 
-/// A command that has waited so long gets no clear answer: its caller has given up by then.
+/// A command that has been pending for this time is answered with [`Outcome::Unknown`]: its caller has given up by
+/// then.
 const COMMAND_TIMEOUT_MS: Millis = 2_500;
 
-/// What may be submitted to the leader.
+/// A command to the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Command {
-    /// Change the configuration.
+    /// Changes the configuration.
     Configure(ConfigurationRequest),
-    /// Read the newest state.
+    /// Reads the newest committed state.
     Read,
-    /// Set the voters, who may differ by one from those before, or the number of quota shares.
+    /// Sets the voters and the number of quota shares. At most one voter may be added or removed.
     ChangeVoters {
-        /// The voters.
+        /// All voters, in the agreed order.
         voters: Vec<VoterId>,
-        /// How many equal shares tenants' rate limits are cut into.
+        /// The number of equal shares into which the tenants' rate limits are divided.
         quota_shares: u32,
     },
 }
 
-/// A command that waits until it can be evaluated.
+/// A command that waits for its evaluation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct PendingCommand {
     pub number: u64,
     pub command: Command,
     pub submitted_at: Millis,
-    /// A majority that responds to this heartbeat, or a later one, shows that nobody else leads.
+    /// The number of the first heartbeat sent after the command was submitted. Responses of a majority to this
+    /// heartbeat, or a later one, show that no other replica leads.
     pub heartbeat: u64,
 }
 
-/// Commands that wait, the oldest first.
+/// Pending commands, oldest first.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct CommandQueue(VecDeque<PendingCommand>);
 
@@ -44,7 +46,7 @@
         self.0.push_back(command);
     }
 
-    /// Removes the commands that have waited for too long. Returns their numbers.
+    /// Removes the commands that have been pending for [`COMMAND_TIMEOUT_MS`], and returns their numbers.
     pub fn remove_overdue(&mut self, now: Millis) -> Vec<u64> {
         let is_overdue = |pending: &PendingCommand| now >= pending.submitted_at + COMMAND_TIMEOUT_MS;
         let overdue = self.0.iter().filter(|pending| is_overdue(pending));
@@ -53,14 +55,14 @@
         overdue
     }
 
-    /// The numbers of all that wait.
+    /// The numbers of all pending commands.
     pub fn into_numbers(self) -> impl Iterator<Item = u64> {
         self.0.into_iter().map(|pending| pending.number)
     }
 }
 
 impl Replica {
-    /// Queues a command; it is evaluated once it is sure that nobody else leads.
+    /// Queues a command. It is evaluated once a majority has confirmed that no other replica leads.
     pub(super) fn enqueue(&mut self, number: u64, command: Command) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return self.respond(number, Outcome::Unknown) };
@@ -72,14 +74,15 @@
         self.send_heartbeat();
     }
 
-    /// Evaluates the commands that wait, one after another, each on what the one before led to.
+    /// Evaluates the pending commands in order, each against the state that results from the previous one.
     pub(super) fn evaluate_pending(&mut self) {
         while let Some(PendingCommand { number, command, .. }) = self.next_command() {
             self.evaluate(number, command);
         }
     }
 
-    /// The first command in the queue, if no proposal is open and a majority has responded since it was submitted.
+    /// Removes the oldest pending command, if there is no pending proposal and a majority has responded since the
+    /// command was submitted.
     fn next_command(&mut self) -> Option<PendingCommand> {
         let state = self.state.clone();
         let Role::Leader(leader) = &mut self.role else { return None };
@@ -104,8 +107,8 @@
         }
     }
 
-    /// Guards against a change that was submitted before another was committed: of two sets that differ by more than one
-    /// voter, majorities need not meet.
+    /// Rejects a change by more than one voter: majorities of the two sets need not intersect. This happens when
+    /// another change was committed after this one was submitted.
     fn evaluate_voters(&mut self, number: u64, voters: Vec<VoterId>, quota_shares: u32) {
         let is_one_step = self.state.differs_by(&voters) <= 1 || is_active(Mutant::VoterChangeUnchecked);
         if is_one_step && !voters.is_empty() {
--- a/crates/brassport-config-store/src/consensus/configuration_request.rs
+++ b/crates/brassport-config-store/src/consensus/configuration_request.rs
@@ -1,47 +1,47 @@
-//! A request of the operator's to change the configuration, and the digest that identifies it: the same request sent again has
-//! the same digest, on every machine and in every incarnation.
+//! An operator's request to change the configuration, and the digest that identifies it. A repeated request has the
+//! same digest on every machine and in every process.
 
 use serde::{de, Deserialize, Deserializer, Serialize, Serializer};
 use sha2::{Digest, Sha256};
 use std::fmt;
 use std::sync::Arc;
 
-/// Bytes of a digest: the first 128 bits of SHA-256, enough that no two requests ever meet by chance.
+/// Length of a digest in bytes: the first 128 bits of SHA-256, enough to make accidental collisions negligible.
 const DIGEST_BYTES: usize = 16;
 
-/// How much of the configuration a request replaces.
+/// The part of the configuration that a request replaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ChangeScope {
-    /// All of it (`Config.Replace`).
+    /// The complete configuration (`Config.Replace`).
     Full,
     /// Named items (`Config.Change`).
     Partial,
 }
 
-/// A configuration of the operator's, full or partial, on top of a version.
+/// An operator's request to replace or change the configuration of a given version.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ConfigurationRequest {
-    /// How much it replaces.
+    /// The part of the configuration that the request replaces.
     pub scope: ChangeScope,
-    /// The version that it builds on.
+    /// The version that the request builds on.
     pub base_version: u32,
-    /// The body as it was sent.
+    /// The body as the operator sent it.
     pub body: Arc<Vec<u8>>,
 }
 
 impl ConfigurationRequest {
-    /// What identifies this request.
+    /// The digest that identifies this request.
     pub fn digest(&self) -> RequestDigest {
         RequestDigest::of(self.scope, self.base_version, &self.body)
     }
 }
 
-/// A digest of a request: its scope, the version that it builds on, and its body.
+/// The digest of a request's scope, base version and body.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestDigest([u8; DIGEST_BYTES]);
 
 impl RequestDigest {
-    /// The digest of a request as it was sent.
+    /// Computes the digest of a request; `body` is the body as the operator sent it.
     pub fn of(scope: ChangeScope, base_version: u32, body: &[u8]) -> RequestDigest {
         let mut hasher = Sha256::new();
         hasher.update([u8::from(scope == ChangeScope::Full)]);
@@ -60,13 +60,13 @@
 }
 
 impl Serialize for RequestDigest {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.serialize_bytes(&self.0)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.serialize_bytes(&self.0)
     }
 }
 
 impl<'de> Deserialize<'de> for RequestDigest {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<RequestDigest, D::Error> {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<RequestDigest, D::Error> {
         struct Bytes;
         impl de::Visitor<'_> for Bytes {
             type Value = RequestDigest;
@@ -77,6 +77,6 @@
                 bytes.try_into().map(RequestDigest).map_err(|_| E::invalid_length(bytes.len(), &self))
             }
         }
-        from.deserialize_bytes(Bytes)
+        deserializer.deserialize_bytes(Bytes)
     }
 }
