--- a/crates/brassport-config-store/src/consensus/campaign.rs
+++ b/crates/brassport-config-store/src/consensus/campaign.rs
@@ -1,5 +1,5 @@
-//! Campaigns: how a voter becomes the leader. A candidate asks all voters to promise a term, and leads once a majority of
-//! them, itself included, has the promise on disk.
+//! Campaigns: how a voter becomes the leader. A candidate asks all voters to promise a term, and leads once a majority
+//! of them, itself included, has the promise on disk.
 
 use super::leader::LeaderState;
 use super::mutants::{is_active, Mutant};
@@ -7,25 +7,25 @@
 use super::{AcceptedEntry, Action, DiskId, Entry, LogIndex, Message, Millis, Term, VoterId};
 use std::collections::BTreeMap;
 
-/// A campaign that has no majority after so long is over; the next one has a higher term. Longer than three repetitions,
-/// so that a lost message alone ends none.
+/// A candidate without a majority after this time gives up; its next campaign has a higher term. Longer than three
+/// retry intervals, so that a single lost message does not end a campaign.
 const CAMPAIGN_TIMEOUT_MS: Millis = 500;
-/// After so long promises are asked for again: a message, or its answer, may be lost.
+/// Interval at which a candidate repeats its requests, since a request or its response may be lost.
 const PREPARE_RETRY_INTERVAL_MS: Millis = 150;
 
-/// A replica's role.
+/// Whether a replica follows, campaigns or leads.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum Role {
-    /// It follows, or waits until it would campaign.
+    /// Follows a leader, or waits for its election time-out.
     Follower,
-    /// It asks for promises.
+    /// Asks the voters for promises.
     Candidate(Candidate),
-    /// It leads.
+    /// Has promises from a majority of the voters.
     Leader(LeaderState),
 }
 
 impl Role {
-    /// The term that it leads or campaigns under.
+    /// The term of the campaign or the leadership; `None` for a follower.
     pub fn term(&self) -> Option<Term> {
         match self {
             Role::Follower => None,
@@ -35,7 +35,7 @@
     }
 }
 
-/// A campaign.
+/// The state of a campaign.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Candidate {
     term: Term,
@@ -44,17 +44,17 @@
     promises: BTreeMap<VoterId, VoterPromise>,
 }
 
-/// What a voter's promise shows of its log.
+/// The state of a voter's log, as reported with its promise.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct VoterPromise {
-    /// The last index that it knows to be committed.
+    /// The last index that the voter knows to be committed.
     index: LogIndex,
-    /// What it accepted at the next.
+    /// The entry that the voter accepted at the next index.
     accepted: Option<AcceptedEntry>,
 }
 
 impl Replica {
-    /// Campaigns under a term above all that it knows.
+    /// Starts a campaign under a term above every term known to this replica.
     pub(super) fn campaign(&mut self) {
         let number = self.promised.number.max(self.role.term().map_or(0, |term| term.number)) + 1;
         let term = Term::new(number, self.me.disk);
@@ -70,8 +70,8 @@
         self.vote_for_itself();
     }
 
-    /// Promises itself the term, once so many others did that this makes a majority: a candidate whom they reject must not
-    /// bar the leader that is alive.
+    /// Promises this candidate's term to itself as soon as that completes a majority, and not earlier: a candidate that
+    /// the others reject must still be able to follow the live leader, whose term is lower.
     fn vote_for_itself(&mut self) {
         let Role::Candidate(candidate) = &self.role else { return };
         let term = candidate.term;
@@ -82,16 +82,16 @@
         }
     }
 
-    /// A voter rejects this candidate, or this leader: it has promised that term.
+    /// Handles a rejection by a voter that has promised `term`.
     pub(super) fn on_reject(&mut self, term: Term) {
         if self.role.term().is_some_and(|mine| term > mine) {
-            // The next term that it campaigns under is above this one.
+            // The next campaign has to use a term above this one.
             self.promised = self.promised.max(Term::new(term.number, DiskId::NONE));
             self.step_down();
         }
     }
 
-    /// A voter promises this candidate its term.
+    /// Handles a voter's promise of this candidate's term.
     pub(super) fn on_promise(
         &mut self,
         from: VoterId,
@@ -113,19 +113,20 @@
         self.review_campaign();
     }
 
-    /// Leads, if a majority has promised by now: the state may have changed meanwhile.
+    /// Becomes the leader if a majority has promised. To be checked again when the state has changed, as the voters may
+    /// be others by then.
     pub(super) fn review_campaign(&mut self) {
         let Role::Candidate(candidate) = &self.role else { return };
         if !self.is_voter() {
-            // What it learned meanwhile shows that it has no vote any more.
+            // The state received meanwhile shows that this replica has no vote any more.
             return self.step_down();
         }
         let promises: Vec<&VoterPromise> =
             self.state.voters.iter().filter_map(|voter| candidate.promises.get(voter)).collect();
-        // Guards against the same term being taken again after a crash: its own promise is on disk first.
+        // The candidate's own promise has to be on disk, or the same term could be used again after a crash.
         let is_own_synced =
             candidate.promises.contains_key(&self.me) || is_active(Mutant::LeadsBeforeOwnPromise);
-        // Guards against a leader that is behind one of those who promised: what it lacks comes first.
+        // A candidate behind one of the voters that promised has to fetch the entries that it lacks before it leads.
         let is_behind = promises.iter().any(|promise| promise.index > self.state.index);
         if !is_own_synced || is_behind || promises.len() < self.state.majority() {
             return;
@@ -138,15 +139,16 @@
         self.adopt(accepted.map(|accepted| accepted.entry));
     }
 
-    /// Finishes what may have been committed under a lower term before any command is evaluated (the value that phase 1 of
-    /// Paxos has found). Where nothing was accepted, no entry is needed to make sure of the majority.
+    /// Proposes the entry that a majority's promises show to be possibly committed under a lower term (the value found
+    /// in phase 1 of Paxos), before any command is evaluated. If nothing was accepted, no entry is needed to confirm
+    /// the majority.
     fn adopt(&mut self, accepted: Option<Entry>) {
         if let Some(entry) = accepted.filter(|_| !is_active(Mutant::AcceptedEntryIgnored)) {
             self.propose(entry, None);
         }
     }
 
-    /// Time passed for a candidate.
+    /// Advances a candidate's timers: repeats its requests, or ends the campaign.
     pub(super) fn tick_candidate(&mut self) {
         let now = self.now;
         let Role::Candidate(candidate) = &mut self.role else { return };
--- a/crates/brassport-config-store/src/consensus/follower.rs
+++ b/crates/brassport-config-store/src/consensus/follower.rs
@@ -1,4 +1,4 @@
-//! The acceptor's side of each replica: promises, acceptances, and what follows from a leader's heartbeat.
+//! The acceptor role of a replica: its promises, its acceptances, and its handling of heartbeats.
 
 use super::campaign::Role;
 use super::election::KnownLeader;
@@ -8,20 +8,20 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// Every replica takes a snapshot at each multiple of this index, in place of the entries that led there: so a store has at
-/// most so many entries to replay when it is opened.
-const SNAPSHOT_INTERVAL: u64 = 64;
-/// Stands for a message other than a heartbeat where a heartbeat's number is wanted: older than any.
+/// Every replica writes a snapshot at each multiple of this index, which replaces the entries before it. This bounds
+/// the number of entries that a store replays when it is opened.
+const SNAPSHOT_INTERVAL_ENTRIES: u64 = 64;
+/// Heartbeat number recorded for messages other than heartbeats; lower than the number of any heartbeat.
 const NO_HEARTBEAT: u64 = 0;
 
 impl Replica {
-    /// A candidate wants a promise.
+    /// Handles a candidate's request for a promise.
     pub(super) fn on_prepare(&mut self, from: VoterId, term: Term) {
         if self.me.disk.is_none() {
             return;
         }
         let is_below = term < self.promised && !is_active(Mutant::PromiseBroken);
-        if is_below || (term > self.promised && self.has_live_leader_beside(from.ip)) {
+        if is_below || (term > self.promised && self.has_live_leader_other_than(from.ip)) {
             return self.send(from.ip, Message::Reject { term: self.promised });
         }
         let promise = Message::Promise { term, index: self.state.index, accepted: self.accepted.clone() };
@@ -35,22 +35,22 @@
             }
             self.write_then_send(Record::Promised(term), from.ip, promise);
         } else if self.writes.synced.promised >= term {
-            // The candidate repeats itself: what is synced may be sent again.
+            // A repeated request: the promise is on disk and can be sent again.
             self.send(from.ip, promise);
         } else if !self.writes.has_deferred(is_same_promise) {
             self.write_then_send(Record::Promised(term), from.ip, promise);
         }
     }
 
-    /// Whether a leader other than this candidate is alive, be it this replica itself.
-    fn has_live_leader_beside(&self, candidate: Ipv4Addr) -> bool {
+    /// Whether a leader other than `candidate`, which may be this replica, counts as alive.
+    fn has_live_leader_other_than(&self, candidate: Ipv4Addr) -> bool {
         match &self.role {
             Role::Leader(leader) => leader.has_quorum(self.now, &self.state) && candidate != self.me.ip,
             _ => self.election.has_other_live_leader(self.now, candidate),
         }
     }
 
-    /// The leader wants an entry accepted.
+    /// Handles the leader's request to accept an entry.
     pub(super) fn on_accept(&mut self, from: VoterId, term: Term, index: LogIndex, entry: Entry) {
         if self.me.disk.is_none() {
             return;
@@ -63,7 +63,8 @@
             return self.actions.push(Action::FetchLog(from.ip));
         }
         if index <= self.state.index {
-            // It is committed, and the leader does not know that yet. Under its own term it can be nothing else.
+            // The index is already committed, which the leader does not know yet. The entry that it proposes under its
+            // own term can only be the committed one.
             return;
         }
         let response = Message::Accepted { term, index };
@@ -79,14 +80,15 @@
         self.write_then_send(Record::Accepted { term, index, entry }, from.ip, response);
     }
 
-    /// The leader is alive, and shows how far the log is committed.
+    /// Handles a heartbeat, which shows that the leader is alive and how far the log is committed.
     pub(super) fn on_heartbeat(&mut self, from: VoterId, term: Term, index: LogIndex, heartbeat: u64) {
         if term < self.promised && !is_active(Mutant::PromiseBroken) {
             return self.send(from.ip, Message::Reject { term: self.promised });
         }
         self.note_leader(term, from.ip, heartbeat);
         if index == self.state.index + 1 {
-            // Accepted under the leader's own term, so it is what is committed; it is on disk already, or on its way.
+            // The entry accepted under the leader's own term is the committed one; it is on disk or its write is
+            // pending.
             if let Some(AcceptedEntry { entry, .. }) = self.accepted.take_if(|last| last.term == term) {
                 self.apply(entry);
             }
@@ -97,7 +99,7 @@
         self.send(from.ip, Message::HeartbeatResponse { term, index: self.state.index, heartbeat });
     }
 
-    /// A message of a leader came.
+    /// Records a message from the leader of a term.
     fn note_leader(&mut self, term: Term, ip: Ipv4Addr, heartbeat: u64) {
         self.election.note_contact();
         if ip == self.me.ip {
@@ -106,10 +108,10 @@
         if self.role.term().is_some_and(|mine| mine < term) {
             self.step_down();
         }
-        self.election.on_leader_contact(KnownLeader { term, ip, heartbeat, at: self.now });
+        self.election.on_leader_contact(KnownLeader { term, ip, heartbeat, received_at: self.now });
     }
 
-    /// An entry is committed at the next index, whatever was accepted there.
+    /// Commits an entry at the next index, where another entry may have been accepted.
     pub(super) fn commit(&mut self, entry: Entry) {
         let index = self.state.index + 1;
         let is_on_disk = self.accepted.take().is_some_and(|last| last.entry == entry);
@@ -124,7 +126,7 @@
         let committed = CommittedEntry { index: self.state.index, entry };
         self.retained.push(committed.clone());
         self.actions.push(Action::Applied(Some(committed)));
-        if self.state.index.0.is_multiple_of(SNAPSHOT_INTERVAL) {
+        if self.state.index.0.is_multiple_of(SNAPSHOT_INTERVAL_ENTRIES) {
             self.checkpoint = Some(self.state.clone());
             if self.me.disk.is_some() {
                 self.write_snapshot();
--- a/crates/brassport-config-store/src/consensus/leader.rs
+++ b/crates/brassport-config-store/src/consensus/leader.rs
@@ -1,4 +1,4 @@
-//! The leader: its heartbeats, what it knows of the voters, and the transfer of leadership.
+//! The leader role: heartbeats, the progress of the voters, and the transfer of leadership.
 
 use super::campaign::Role;
 use super::command::CommandQueue;
@@ -8,14 +8,14 @@
 use super::{Action, LogIndex, Message, Millis, Outcome, ReplicatedState, Term, VoterId};
 use std::collections::BTreeSet;
 
-/// Between two heartbeats: several come within each time-out that depends on them.
+/// Interval between heartbeats. Each time-out that depends on heartbeats spans several of them.
 const HEARTBEAT_INTERVAL_MS: Millis = 120;
-/// A leader that a majority has not responded to for so long steps down: five heartbeats.
+/// A leader without responses from a majority for this time steps down: five heartbeat intervals.
 const QUORUM_TIMEOUT_MS: Millis = 600;
-/// A transfer of leadership waits for the outcome of the open proposal, but no longer than this.
+/// Longest time that a transfer of leadership waits for the outcome of the pending proposal.
 const TRANSFER_TIMEOUT_MS: Millis = 500;
 
-/// A leader's state.
+/// The state of a leader.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct LeaderState {
     pub term: Term,
@@ -26,7 +26,7 @@
     pub progress: ProgressTracker,
     pub proposal: Option<Proposal>,
     pub commands: CommandQueue,
-    /// Since when leadership is being transferred.
+    /// When a transfer of leadership was requested.
     pub transferring_since: Option<Millis>,
 }
 
@@ -44,43 +44,46 @@
         }
     }
 
-    /// Whether a majority responded within the quorum's time-out.
+    /// Whether a majority has responded within the last [`QUORUM_TIMEOUT_MS`].
     pub fn has_quorum(&self, now: Millis, state: &ReplicatedState) -> bool {
         self.progress.is_majority(state, |progress| is_responsive(progress, now))
     }
 }
 
 fn is_responsive(progress: &VoterProgress, now: Millis) -> bool {
-    now < progress.at + QUORUM_TIMEOUT_MS
+    now < progress.responded_at + QUORUM_TIMEOUT_MS
 }
 
 impl Replica {
-    /// Whether this machine leads.
+    /// Whether this replica leads.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether this machine leads, and a majority responded within the quorum's time-out (600 ms).
+    /// Whether this replica leads and a majority has responded within the last 600 ms.
     pub fn has_quorum(&self, now: Millis) -> bool {
         matches!(&self.role, Role::Leader(leader) if leader.has_quorum(now, &self.state))
     }
 
-    /// Whether this machine has led for so long.
-    pub fn has_led_for(&self, now: Millis, long: Millis) -> bool {
-        matches!(&self.role, Role::Leader(leader) if now >= leader.started_at + long)
+    /// Whether this replica has led for at least `duration`, in milliseconds.
+    pub fn has_led_for(&self, now: Millis, duration: Millis) -> bool {
+        matches!(&self.role, Role::Leader(leader) if now >= leader.started_at + duration)
     }
 
-    /// For how long a voter has not responded to this leader's heartbeats; `None` if this machine does not lead.
+    /// Milliseconds since a voter last responded to this leader's heartbeats, or since the leader started to track it;
+    /// 0 for this replica itself. `None` if this replica does not lead.
     pub fn unresponsive_for(&self, voter: VoterId, now: Millis) -> Option<Millis> {
         let Role::Leader(leader) = &self.role else { return None };
         if voter == self.me {
             return Some(0);
         }
-        let at = leader.progress.get(&voter).map_or(leader.started_at, |progress| progress.at);
-        Some(now.saturating_sub(at))
+        let responded_at =
+            leader.progress.get(&voter).map_or(leader.started_at, |progress| progress.responded_at);
+        Some(now.saturating_sub(responded_at))
     }
 
-    /// Whether a majority of these voters has shown this leader that it knows all up to this index to be committed.
+    /// Whether a majority of these voters has reported to this leader that it knows all entries up to `index` to be
+    /// committed; `false` if this replica does not lead.
     pub fn is_known_to_majority_of(&self, voters: &BTreeSet<VoterId>, index: LogIndex) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
         let knows = |voter: &&VoterId| match **voter == self.me {
@@ -90,13 +93,14 @@
         voters.iter().filter(knows).count() > voters.len() / 2
     }
 
-    /// Leads under this term.
+    /// Becomes the leader of a term.
     pub(super) fn become_leader(&mut self, term: Term) {
         self.role = Role::Leader(LeaderState::new(term, self.now, &self.state.voters));
         self.send_heartbeat();
     }
 
-    /// Follows from now on. What was proposed may still be committed by another leader.
+    /// Becomes a follower. Another leader may still commit what this one proposed, so the outcome of its commands is
+    /// [`Outcome::Unknown`].
     pub(super) fn step_down(&mut self) {
         if let Role::Leader(leader) = std::mem::replace(&mut self.role, Role::Follower) {
             let proposed = leader.proposal.and_then(|proposal| proposal.command_number);
@@ -119,7 +123,7 @@
         self.broadcast(&message);
     }
 
-    /// A voter responds to a heartbeat.
+    /// Handles a voter's response to a heartbeat.
     pub(super) fn on_heartbeat_response(
         &mut self,
         from: VoterId,
@@ -136,7 +140,7 @@
         self.evaluate_pending();
     }
 
-    /// Time passed for a leader.
+    /// Advances a leader's timers: sends what is due, or steps down without a quorum.
     pub(super) fn tick_leader(&mut self) {
         let (now, state) = (self.now, self.state.clone());
         let Role::Leader(leader) = &mut self.role else { return };
@@ -153,7 +157,8 @@
         self.finish_transfer();
     }
 
-    /// Transfers leadership to another voter, once the open proposal has its outcome. No further command is evaluated.
+    /// Transfers leadership to another voter as soon as the pending proposal has an outcome. No further command is
+    /// evaluated.
     pub fn transfer_leadership(&mut self, now: Millis) -> Vec<Action> {
         self.now = now;
         if let Role::Leader(leader) = &mut self.role {
@@ -175,16 +180,17 @@
         self.step_down();
     }
 
-    /// The responsive voter that knows most of the log, and of those the one that responded last.
+    /// The responsive voter with the highest known committed index; among equals, the one that responded last.
     fn successor(&self) -> Option<VoterId> {
         let Role::Leader(leader) = &self.role else { return None };
         let others = self.state.voters.iter().filter(|voter| **voter != self.me);
         let tracked = others.filter_map(|voter| Some((leader.progress.get(voter)?, *voter)));
         let live = tracked.filter(|(progress, _)| is_responsive(progress, self.now));
-        live.max_by_key(|(progress, _)| (progress.index, progress.at)).map(|(_, voter)| voter)
+        live.max_by_key(|(progress, _)| (progress.index, progress.responded_at)).map(|(_, voter)| voter)
     }
 
-    /// The leader of a term steps down in favour of a voter: if that is this one, it campaigns at once.
+    /// Handles the message that the leader of a term steps down in favour of `to`. If that is this voter, it campaigns
+    /// at once.
     pub(super) fn on_transfer_leadership(&mut self, from: VoterId, term: Term, to: VoterId) {
         if !self.election.is_leader_of(term, from.ip) {
             return;
