--- a/crates/brassport-config-store/src/consensus/durability.rs
+++ b/crates/brassport-config-store/src/consensus/durability.rs
@@ -1,4 +1,4 @@
-//! Writes that are on their way to the disk, and the messages that depend on them: nothing is sent of what is not synced.
+//! Pending writes and the messages that depend on them. A message is sent only after its write is synced.
 
 use super::mutants::{is_active, Mutant};
 use super::replica::Replica;
@@ -6,17 +6,17 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// A message that may be sent once a write is synced.
+/// A message to be sent once a write is synced.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct DeferredMessage {
     pub to: Ipv4Addr,
     pub message: Message,
 }
 
-/// What is known to be on disk.
+/// Promises and acceptances that are known to be on disk.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct SyncedState {
-    /// The highest term promised.
+    /// The highest promised term.
     pub promised: Term,
     /// The term of the latest acceptance.
     pub accepted_term: Term,
@@ -24,30 +24,30 @@
     pub accepted_index: LogIndex,
 }
 
-/// Writes on their way to the disk.
+/// Writes that are not known to be synced.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct PendingWrites {
-    /// Messages by the number of the write that they depend on.
+    /// Deferred messages, by the number of the write that they depend on.
     deferred: BTreeMap<u64, Vec<DeferredMessage>>,
     pub synced: SyncedState,
     last_number: u64,
-    /// Whether a write failed: then the next one has to carry a snapshot first.
+    /// Whether a write has failed. A snapshot then has to be written before any other record.
     has_gap: bool,
 }
 
 impl PendingWrites {
-    /// None on its way; this promise was found on disk.
+    /// No pending writes; `promised` is the promise recovered from disk.
     pub fn new(promised: Term) -> PendingWrites {
         let synced = SyncedState { promised, accepted_term: Term::ZERO, accepted_index: LogIndex(0) };
         PendingWrites { deferred: BTreeMap::new(), synced, last_number: 0, has_gap: false }
     }
 
-    /// Whether a message that is like this waits for a write.
-    pub fn has_deferred(&self, is_like: impl Fn(&Message) -> bool) -> bool {
-        self.deferred.values().flatten().any(|deferred| is_like(&deferred.message))
+    /// Whether a deferred message satisfies the predicate.
+    pub fn has_deferred(&self, predicate: impl Fn(&Message) -> bool) -> bool {
+        self.deferred.values().flatten().any(|deferred| predicate(&deferred.message))
     }
 
-    /// Whether this very acceptance is on disk.
+    /// Whether the acceptance under this term at this index is on disk.
     pub fn is_acceptance_synced(&self, term: Term, index: LogIndex) -> bool {
         self.synced.accepted_term == term && self.synced.accepted_index == index
     }
@@ -70,7 +70,7 @@
 }
 
 impl Replica {
-    /// A write is synced, or failed: then nothing that depends on it is ever sent.
+    /// Handles the completion of a write. If the write failed, the messages that depend on it are never sent.
     pub fn on_persisted(&mut self, now: Millis, number: u64, synced: bool) -> Vec<Action> {
         self.now = now;
         let deferred = self.writes.deferred.remove(&number).unwrap_or_default();
@@ -85,11 +85,11 @@
         self.take_actions()
     }
 
-    /// Writes a record; the messages are sent once it is synced.
+    /// Requests the write of a record. The deferred messages are sent once it is synced.
     pub(super) fn write(&mut self, record: Record, deferred: Vec<DeferredMessage>) {
         let is_behind_gap = std::mem::take(&mut self.writes.has_gap);
         if is_behind_gap && !matches!(record, Record::Snapshot(_)) && !is_active(Mutant::WriteGapIgnored) {
-            // Guards against a gap on disk: what failed to be written is part of the snapshot.
+            // Prevents a gap on disk: the snapshot includes what the failed write was to store.
             self.write_snapshot();
         }
         let early = if is_active(Mutant::MessageBeforeSync) { deferred.clone() } else { Vec::new() };
@@ -98,14 +98,14 @@
         self.actions.push(Action::Persist(number, record));
     }
 
-    /// Writes all that there is to keep, in place of what was kept before.
+    /// Requests the write of the complete durable state, which replaces all earlier records.
     pub(super) fn write_snapshot(&mut self) {
         let state = ReplicatedState::clone(&self.state);
         let snapshot = DurableState { promised: self.promised, state, accepted: self.accepted.clone() };
         self.write(Record::Snapshot(snapshot), Vec::new());
     }
 
-    /// Writes a record that one message depends on.
+    /// Requests the write of a record, and defers a message until it is synced.
     pub(super) fn write_then_send(&mut self, record: Record, to: Ipv4Addr, message: Message) {
         self.write(record, vec![DeferredMessage { to, message }]);
     }
--- a/crates/brassport-config-store/src/consensus/log.rs
+++ b/crates/brassport-config-store/src/consensus/log.rs
@@ -4,47 +4,47 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What stands at an index of the log.
+/// An entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Entry {
-    /// No change: a leader makes sure of its majority.
+    /// Changes nothing; serves a leader to confirm its majority.
     #[serde(rename = "Nothing")]
     Noop,
-    /// These are the voters from the next index on, and tenants' rate limits are cut into so many shares.
+    /// Sets the voters from the next index on, and the number of quota shares.
     Voters {
         /// The voters, in the agreed order.
         voters: Vec<VoterId>,
-        /// How many equal shares tenants' rate limits are cut into.
+        /// The number of equal shares into which the tenants' rate limits are divided.
         #[serde(rename = "slots")]
         quota_shares: u32,
     },
-    /// A full configuration on top of a version.
+    /// Replaces the complete configuration.
     Replace {
-        /// The version it builds on.
+        /// The version that the entry builds on.
         #[serde(rename = "built_on")]
         base_version: u32,
-        /// As the operator sent it.
+        /// The body as the operator sent it.
         #[serde(with = "bytes")]
         body: Arc<Vec<u8>>,
     },
-    /// A change of named items on top of a version.
+    /// Changes named items of the configuration.
     Change {
-        /// The version it builds on.
+        /// The version that the entry builds on.
         #[serde(rename = "built_on")]
         base_version: u32,
-        /// As the operator sent it.
+        /// The body as the operator sent it.
         #[serde(with = "bytes")]
         body: Arc<Vec<u8>>,
     },
 }
 
-/// An entry that is committed at its index.
+/// A committed entry and its index.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CommittedEntry {
-    /// Its index.
+    /// The index at which the entry is committed.
     #[serde(rename = "place")]
     pub index: LogIndex,
-    /// What stands there.
+    /// The entry.
     pub entry: Entry,
 }
 
@@ -58,5 +58,5 @@
     }
 }
 
-/// Bytes that an entry takes beside its body: names of fields, index and version, rounded up.
+/// Encoded size of an entry without its body: field names, index and version, rounded up.
 const ENTRY_OVERHEAD_BYTES: usize = 64;
--- a/crates/brassport-config-store/src/consensus/messages.rs
+++ b/crates/brassport-config-store/src/consensus/messages.rs
@@ -1,39 +1,39 @@
-//! Messages between voters.
+//! Messages between replicas.
 
 use super::{AcceptedEntry, Entry, LogIndex, Term, VoterId};
 use serde::{Deserialize, Serialize};
 
-/// A message between voters. On the wire, variants and fields have names of one letter.
+/// A message between replicas. Most names of variants and fields are a single letter on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// A candidate asks for a promise to take part in no lower term.
+    /// A candidate asks for a promise not to take part in any lower term.
     #[serde(rename = "p")]
     Prepare {
         /// The candidate's term.
         #[serde(rename = "e")]
         term: Term,
     },
-    /// The answer to [`Prepare`](Message::Prepare): the term is promised, and the promise is on disk.
+    /// The response to [`Prepare`](Message::Prepare): the sender has promised the term, and the promise is on disk.
     #[serde(rename = "q")]
     Promise {
-        /// The term promised.
+        /// The promised term.
         #[serde(rename = "e")]
         term: Term,
         /// The last index that the sender knows to be committed.
         #[serde(rename = "p")]
         index: LogIndex,
-        /// What the sender accepted at the next index.
+        /// The entry that the sender accepted at the next index.
         #[serde(rename = "open")]
         accepted: Option<AcceptedEntry>,
     },
-    /// The term is rejected: a higher one was promised, or the leader is alive.
+    /// The sender rejects a term: it has promised a higher one, or another leader is alive.
     #[serde(rename = "x")]
     Reject {
         /// The highest term that the sender has promised.
         #[serde(rename = "e")]
         term: Term,
     },
-    /// The leader asks for an entry to be accepted.
+    /// The leader asks the voters to accept an entry.
     #[serde(rename = "a")]
     Accept {
         /// The leader's term.
@@ -45,7 +45,7 @@
         /// The entry.
         entry: Entry,
     },
-    /// The answer to [`Accept`](Message::Accept): the entry is accepted, and on disk.
+    /// The response to [`Accept`](Message::Accept): the sender has accepted the entry, and the acceptance is on disk.
     #[serde(rename = "b")]
     Accepted {
         /// The leader's term.
@@ -55,16 +55,16 @@
         #[serde(rename = "p")]
         index: LogIndex,
     },
-    /// The leader is alive, and knows all entries up to an index to be committed.
+    /// The leader is alive and knows all entries up to an index to be committed.
     #[serde(rename = "l")]
     Heartbeat {
         /// The leader's term.
         #[serde(rename = "e")]
         term: Term,
-        /// The last committed index.
+        /// The last index that the leader knows to be committed.
         #[serde(rename = "p")]
         index: LogIndex,
-        /// The number of this heartbeat; the answer repeats it.
+        /// The number of this heartbeat, which the response repeats.
         #[serde(rename = "n")]
         heartbeat: u64,
     },
@@ -74,10 +74,10 @@
         /// The leader's term.
         #[serde(rename = "e")]
         term: Term,
-        /// The voter that is to lead.
+        /// The voter that is to become the leader.
         to: VoterId,
     },
-    /// The answer to [`Heartbeat`](Message::Heartbeat): no higher term was promised.
+    /// The response to [`Heartbeat`](Message::Heartbeat): the sender has promised no higher term.
     #[serde(rename = "f")]
     HeartbeatResponse {
         /// The leader's term.
@@ -86,7 +86,7 @@
         /// The last index that the sender knows to be committed.
         #[serde(rename = "p")]
         index: LogIndex,
-        /// The number of the heartbeat that is answered.
+        /// The number of the heartbeat that this message responds to.
         #[serde(rename = "n")]
         heartbeat: u64,
     },
--- a/crates/brassport-config-store/src/consensus/proposal.rs
+++ b/crates/brassport-config-store/src/consensus/proposal.rs
@@ -1,5 +1,5 @@
-//! The leader's one open proposal: from the first message to the voters until it is committed, or another leader's entry
-//! is known to stand at its index.
+//! The leader's single pending proposal, from its first request to the voters until it is committed, or until its index
+//! is known to be committed by another leader.
 
 use super::campaign::Role;
 use super::replica::Replica;
@@ -7,24 +7,25 @@
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
-/// After so long an entry is sent again to those who have not accepted it: a message, or its answer, may be lost.
+/// Interval after which an entry is sent again to the voters that have not accepted it, since a request or its response
+/// may be lost.
 const RESEND_INTERVAL_MS: Millis = 150;
-/// A long entry is sent again later by what its bytes take at 8 Mbit/s. Guards a narrow link against the same bytes again
-/// and again.
+/// Assumed throughput of a slow link, 8 Mbit/s. The interval is extended by the transmission time of the entry, so that
+/// resending a long entry does not saturate such a link.
 const LINK_BYTES_PER_MS: usize = 1_000;
-/// That time doubles with each repetition, so often at the most.
+/// The extension doubles with each resend, at most this many times.
 const MAX_RESEND_DOUBLINGS: u32 = 5;
 
-/// An entry that the leader proposes.
+/// An entry proposed by the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Proposal {
     index: LogIndex,
     entry: Entry,
-    /// The number of the command that it comes from, if it comes from one.
+    /// The number of the command that the entry comes from; `None` if it was adopted from a lower term.
     pub command_number: Option<u64>,
     accepted_by: BTreeSet<VoterId>,
     sent_at: Millis,
-    /// How often it was sent again.
+    /// How many times the entry was sent again.
     resends: u32,
 }
 
@@ -53,7 +54,7 @@
         self.broadcast(&Message::Accept { term, index, entry });
     }
 
-    /// A voter has accepted the proposal.
+    /// Handles a voter's acceptance of the proposal.
     pub(super) fn on_accepted(&mut self, from: VoterId, term: Term, index: LogIndex) {
         let state = self.state.clone();
         let Role::Leader(leader) = &mut self.role else { return };
@@ -74,8 +75,10 @@
         self.continue_after_commit();
     }
 
-    /// The promises that a leader has are enough for a set that differs by one voter: each majority of the new set meets
-    /// each of the old, so whoever accepted after this index under a lower term would have shown this index.
+    /// Continues to lead under the same term, also if the committed entry changed the voters. The leader's promises
+    /// suffice for a set that differs by one voter: each majority of the new set intersects each majority of the old
+    /// one, so a voter that accepted an entry after this index under a lower term would have reported this index as
+    /// committed.
     fn continue_after_commit(&mut self) {
         if !self.is_voter() {
             return self.step_down();
@@ -89,8 +92,9 @@
         self.finish_transfer();
     }
 
-    /// Others have shown that an index is committed for which this leader has an open proposal. Guards against the same
-    /// entry at two indexes: what was adopted from an earlier leader may have been committed by it.
+    /// Drops the pending proposal if its index is known to be committed by another leader, and responds to its command.
+    /// Guards against the same entry at two indexes: an entry adopted from an earlier leader may have been committed by
+    /// that leader.
     pub(super) fn resolve_overtaken_proposal(&mut self, index: LogIndex, entry: &Entry) {
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(proposal) = leader.proposal.take_if(|proposal| proposal.index <= index) else { return };
@@ -100,7 +104,7 @@
         }
     }
 
-    /// Sends the open proposal again, if that is due, to those who have not accepted it.
+    /// Sends the pending proposal again, if that is due, to the voters that have not accepted it.
     pub(super) fn resend_proposal(&mut self) {
         let (now, state) = (self.now, self.state.clone());
         let Role::Leader(leader) = &mut self.role else { return };
--- a/crates/brassport-config-store/src/consensus/record.rs
+++ b/crates/brassport-config-store/src/consensus/record.rs
@@ -1,13 +1,13 @@
-//! What a voter has on disk: the records that it writes, and the state that they amount to.
+//! The records that a voter writes to disk, and the durable state that results from them.
 
 use super::{CommittedEntry, Entry, LogIndex, ReplicatedState, Term};
 use serde::{Deserialize, Serialize};
 
-/// An entry that a voter has accepted and that is not known to be committed.
+/// An entry that a voter has accepted and does not know to be committed.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(Term, Entry)", into = "(Term, Entry)")]
 pub struct AcceptedEntry {
-    /// The term under which it was accepted.
+    /// The term under which the entry was accepted.
     pub term: Term,
     /// The entry.
     pub entry: Entry,
@@ -25,43 +25,43 @@
     }
 }
 
-/// What was found on disk.
+/// A voter's state as recovered from disk.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DurableState {
-    /// The highest term promised.
+    /// The highest promised term.
     pub promised: Term,
-    /// The state that the committed entries led to.
+    /// The state that results from the committed entries.
     pub state: ReplicatedState,
-    /// What was accepted at the next index.
+    /// The entry accepted at the next index.
     #[serde(rename = "open")]
     pub accepted: Option<AcceptedEntry>,
 }
 
 impl DurableState {
-    /// What a new disk holds.
+    /// The state of a new disk.
     pub fn empty() -> DurableState {
         DurableState { promised: Term::ZERO, state: ReplicatedState::empty(), accepted: None }
     }
 }
 
-/// What has to be on disk before the messages that depend on it are sent.
+/// A record that has to be on disk before the messages that depend on it are sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Record {
-    /// A promise.
+    /// A promise of a term.
     Promised(Term),
-    /// An entry that is committed, where another one or none was accepted here.
+    /// An entry committed at an index where this voter has accepted another entry, or none.
     #[serde(rename = "Chosen")]
     Committed(CommittedEntry),
-    /// An acceptance, which is a promise of its term too. Its presence shows that all before its index is committed.
+    /// An acceptance, which is also a promise of its term. It implies that all entries before its index are committed.
     Accepted {
-        /// The term under which it is accepted.
+        /// The term under which the entry is accepted.
         term: Term,
-        /// Its index.
+        /// The index of the entry.
         index: LogIndex,
         /// The entry.
         entry: Entry,
     },
-    /// All that there is to keep, in place of what was kept before.
+    /// The complete durable state, which replaces all earlier records.
     #[serde(rename = "Whole")]
     Snapshot(DurableState),
 }
--- a/crates/brassport-config-store/src/consensus/replica.rs
+++ b/crates/brassport-config-store/src/consensus/replica.rs
@@ -1,5 +1,5 @@
-//! One machine's replica of the log: what it promised and accepted, and the state that all entries led to. A machine
-//! without a vote has one too, and only follows.
+//! One machine's replica of the log: its promises and acceptances, and the state that results from the committed
+//! entries. A machine without a vote has a replica too, which only follows.
 
 use super::campaign::Role;
 use super::durability::PendingWrites;
@@ -12,32 +12,33 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// A clock that jumps by more than an election time-out between two ticks belongs to a machine that stood still.
+/// A clock that advances by more than an election time-out between two ticks shows that the machine was stalled.
 const STALLED_AFTER_MS: Millis = super::election::ELECTION_TIMEOUT_MS;
 
-/// One machine's replica of the log: a state machine without I/O. Each method that changes it takes the host's clock and
-/// returns the actions that the host is to execute, in their order.
+/// One machine's replica of the log: a state machine without I/O. Each method that changes it takes the host's clock
+/// and returns the actions that the host has to execute, in order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Replica {
     pub(super) me: VoterId,
     pub(super) state: Arc<ReplicatedState>,
     pub(super) promised: Term,
-    /// Accepted at the next index.
+    /// The entry accepted at the next index.
     pub(super) accepted: Option<AcceptedEntry>,
     pub(super) retained: RetainedEntries,
-    /// The state at the last index that all replicas take a snapshot of.
+    /// The state at the last index at which all replicas take a snapshot.
     pub(super) checkpoint: Option<Arc<ReplicatedState>>,
     pub(super) election: Election,
     pub(super) role: Role,
     pub(super) writes: PendingWrites,
-    /// Whether this machine is about to end: then it campaigns no more.
+    /// Whether this machine is shutting down; it then starts no further campaign.
     is_leaving: bool,
     pub(super) actions: Vec<Action>,
     pub(super) now: Millis,
 }
 
 impl Replica {
-    /// A machine that starts. `disk` is the number that its disk was given; with [`DiskId::NONE`] it never votes.
+    /// A replica at process start. `disk` is the number assigned to the machine's disk; with [`DiskId::NONE`] the
+    /// replica never votes. `found` is the state recovered from disk.
     pub fn new(ip: Ipv4Addr, disk: DiskId, found: Option<DurableState>, now: Millis) -> Replica {
         let found = found.unwrap_or_else(DurableState::empty);
         Replica {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The store is open: the disk's number, and what was found on it.
+    /// Attaches a store that was opened after the start; `disk` is its number and `found` the state recovered from it.
     pub fn attach_store(&mut self, now: Millis, disk: DiskId, found: DurableState) -> Vec<Action> {
         self.now = now;
         self.me.disk = disk;
@@ -73,8 +74,8 @@
         self.take_actions()
     }
 
-    /// Begins the log, with this voter alone. Only one machine of a cluster may ever do so. Without effect where there is
-    /// a log already, or no disk.
+    /// Starts a new log with this replica as its only voter. Only one machine of a cluster may ever do this. Has no
+    /// effect if there is a log already, or no disk.
     pub fn bootstrap(&mut self, now: Millis, quota_shares: u32) -> Vec<Action> {
         self.now = now;
         if self.state.index == LogIndex(0) && self.me.disk.is_some() {
@@ -86,12 +87,12 @@
         self.take_actions()
     }
 
-    /// The state that the log has led to, as far as this replica knows.
+    /// The state that results from the entries that this replica knows to be committed.
     pub fn state(&self) -> &Arc<ReplicatedState> {
         &self.state
     }
 
-    /// The voter that this machine is, or would be.
+    /// The identity under which this machine votes, or would vote.
     pub fn id(&self) -> VoterId {
         self.me
     }
@@ -104,28 +105,31 @@
         }
     }
 
-    /// This machine is about to end: it campaigns no more, and transfers leadership if it leads.
+    /// Prepares for shutdown: the replica starts no further campaign, and transfers leadership if it leads.
     pub fn leave(&mut self, now: Millis) -> Vec<Action> {
         self.is_leaving = true;
         self.transfer_leadership(now)
     }
 
-    /// Whether this machine has a vote, as far as this replica knows.
+    /// Whether this machine is a voter according to the state known to this replica.
     pub fn is_voter(&self) -> bool {
         self.me.disk.is_some() && self.state.voters.contains(&self.me)
     }
 
-    /// The entries after an index; `None` if some are no longer retained, or this replica lags behind the index.
+    /// The committed entries after an index; `None` if some are no longer retained, or this replica is behind the
+    /// index.
     pub fn entries_after(&self, index: LogIndex) -> Option<Vec<CommittedEntry>> {
         self.retained.after(index, self.state.index)
     }
 
-    /// The state at the last index that every replica takes a snapshot of, if this one has passed it: all have the same.
+    /// The state at the last index at which every replica takes a snapshot, which is the same on all replicas; `None`
+    /// if this replica has not applied the entry at such an index since it started.
     pub fn checkpoint(&self) -> Option<Arc<ReplicatedState>> {
         self.checkpoint.clone()
     }
 
-    /// Applies entries that are known to be committed. Those that do not follow the last one applied are passed over.
+    /// Applies entries that are known to be committed. Entries that do not directly follow the last applied one are
+    /// ignored.
     pub fn append_committed(&mut self, now: Millis, entries: Vec<CommittedEntry>) -> Vec<Action> {
         self.now = now;
         for CommittedEntry { index, entry } in entries {
@@ -138,7 +142,7 @@
         self.take_actions()
     }
 
-    /// Installs a state that is known to be committed; one that is not newer is passed over.
+    /// Installs a state that is known to be committed. A state that is not newer is ignored.
     pub fn install_snapshot(&mut self, now: Millis, state: ReplicatedState) -> Vec<Action> {
         self.now = now;
         if state.index > self.state.index {
@@ -155,23 +159,24 @@
         self.take_actions()
     }
 
-    /// A message came from a voter.
+    /// Handles a message from another replica.
     pub fn step(&mut self, now: Millis, from: VoterId, message: Message) -> Vec<Action> {
         self.now = now;
         self.handle(from, message);
         self.take_actions()
     }
 
-    /// Submits a command to this replica, which has to lead; [`Action::Respond`] repeats the number.
+    /// Submits a command under a number, which [`Action::Respond`] repeats. A replica that does not lead responds with
+    /// [`Outcome::Unknown`](super::Outcome::Unknown).
     pub fn submit(&mut self, now: Millis, number: u64, command: Command) -> Vec<Action> {
         self.now = now;
         self.enqueue(number, command);
         self.take_actions()
     }
 
-    /// Time passed. To be called every 50 ms or so.
+    /// Advances the clock and all timers. To be called about every 50 ms.
     pub fn tick(&mut self, now: Millis) -> Vec<Action> {
-        // Guards against a machine that stood still and believes what it knew before.
+        // After a stall, what is known about the leader is outdated.
         if now > self.now + STALLED_AFTER_MS {
             self.election.forget_leader(now);
         }
@@ -213,7 +218,7 @@
         }
     }
 
-    /// Sends a message; one to this machine itself is handled at once.
+    /// Sends a message. A message to this replica itself is handled at once.
     pub(super) fn send(&mut self, to: Ipv4Addr, message: Message) {
         if to == self.me.ip {
             self.handle(self.me, message);
@@ -222,17 +227,17 @@
         }
     }
 
-    /// Sends a message to all voters but this one.
+    /// Sends a message to all other voters.
     pub(super) fn send_to_others(&mut self, message: &Message) {
         let others: Vec<Ipv4Addr> =
             self.state.voters.iter().map(|voter| voter.ip).filter(|ip| *ip != self.me.ip).collect();
         others.into_iter().for_each(|ip| self.send(ip, message.clone()));
     }
 
-    /// Sends a message to all voters.
+    /// Sends a message to all voters, including this replica if it is one.
     pub(super) fn broadcast(&mut self, message: &Message) {
         self.send_to_others(message);
-        // This machine itself comes last: what it answers itself may change what follows.
+        // This replica comes last, as its own response may change its state.
         if self.is_voter() {
             self.send(self.me.ip, message.clone());
         }
