--- a/crates/brassport-config-store/src/consensus/state.rs
+++ b/crates/brassport-config-store/src/consensus/state.rs
@@ -1,4 +1,5 @@
-//! What the log has led to at an index: the voters, the configuration, and which requests made its latest versions.
+//! The replicated state at an index of the log: the voters, the configuration, and the requests that produced its
+//! latest versions.
 
 use super::bytes;
 use super::log::Entry;
@@ -10,33 +11,34 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// How many of the latest requests are remembered, to tell one that is sent again from a new one. At 13,000 changes a
-/// day they reach back 57 minutes, where a caller sends a request again within seconds. An older one gets no clear answer.
+/// Number of latest requests that are remembered, to recognize a repeated request. At 13,000 changes a day they cover
+/// 57 minutes, while a caller repeats a request within seconds. An older request is answered with
+/// [`Outcome::Unknown`](super::Outcome::Unknown).
 pub const REMEMBERED_REQUESTS: usize = 512;
 
-/// What the log has led to at an index.
+/// The state that results from all entries up to an index.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The index.
+    /// The index of the last applied entry; 0 before the first.
     #[serde(rename = "place")]
     pub index: LogIndex,
-    /// Who votes on the next index.
+    /// The voters for the next index, in the agreed order.
     pub voters: Vec<VoterId>,
-    /// How many equal shares tenants' rate limits are cut into.
+    /// The number of equal shares into which the tenants' rate limits are divided.
     #[serde(rename = "slots")]
     pub quota_shares: u32,
-    /// The configuration.
+    /// The configuration in force.
     #[serde(with = "document")]
     pub document: Arc<Document>,
-    /// Digests of the requests that made each of the latest versions.
+    /// Digests of the requests that produced the latest versions, by version.
     #[serde(rename = "taken")]
     pub applied_requests: BTreeMap<u32, RequestDigest>,
-    /// The highest version whose request is no longer remembered; 0: all are.
+    /// The highest version whose request is no longer remembered; 0 if all are remembered.
     #[serde(default, rename = "forgotten")]
     pub forgotten_up_to: u32,
 }
 
-/// A state as stores of format 1 have it: requests stand under digests of 64 bits.
+/// A state in store format 1, in which requests are identified by digests of 64 bits.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ShortDigestState {
     #[serde(rename = "place")]
@@ -51,7 +53,7 @@
 }
 
 impl From<ShortDigestState> for ReplicatedState {
-    /// None of its requests can be told from others any more: all count as forgotten.
+    /// The short digests don't identify requests any more, so all requests count as forgotten.
     fn from(old: ShortDigestState) -> ReplicatedState {
         let ShortDigestState { index, voters, quota_shares, document, applied_requests } = old;
         let forgotten_up_to = applied_requests.last_key_value().map_or(0, |(version, _)| *version);
@@ -60,7 +62,7 @@
     }
 }
 
-// A document follows from the requests that led to it, whose digests are part of the hash.
+// The document is left out: it is determined by the requests that produced it, whose digests are part of the hash.
 impl Hash for ReplicatedState {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         (self.index, &self.voters, self.quota_shares, &self.applied_requests, self.forgotten_up_to)
@@ -68,18 +70,18 @@
     }
 }
 
-/// A configuration as the bytes of its JSON.
+/// Encodes a configuration as the bytes of its JSON text.
 mod document {
     use super::{bytes, Arc, Document};
     use serde::{de::Error, Deserializer, Serializer};
 
-    pub fn serialize<S: Serializer>(document: &Arc<Document>, to: S) -> Result<S::Ok, S::Error> {
-        to.serialize_bytes(&document.to_bytes())
+    pub fn serialize<S: Serializer>(document: &Arc<Document>, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.serialize_bytes(&document.to_bytes())
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Arc<Document>, D::Error> {
-        let body = bytes::deserialize(from)?;
-        Document::from_bytes(&body).map(Arc::new).map_err(|faults| D::Error::custom(faults.to_string()))
+    pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Arc<Document>, D::Error> {
+        let body = bytes::deserialize(deserializer)?;
+        Document::from_bytes(&body).map(Arc::new).map_err(|errors| D::Error::custom(errors.to_string()))
     }
 }
 
@@ -96,39 +98,39 @@
         }
     }
 
-    /// The state that a log begins with: there are voters, and no configuration.
+    /// The initial state of a log, at index 1: the given voters and an empty configuration.
     pub fn genesis(voters: Vec<VoterId>, quota_shares: u32) -> ReplicatedState {
         ReplicatedState { index: LogIndex(1), voters, quota_shares, ..ReplicatedState::empty() }
     }
 
-    /// How many voters are a majority.
+    /// The number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + usize::from(!mutants::is_active(Mutant::QuorumOneShort))
     }
 
-    /// By how many voters another set differs: those that come and those that go.
+    /// The number of voters that are in only one of the two sets: those added plus those removed.
     pub fn differs_by(&self, voters: &[VoterId]) -> usize {
         let added = voters.iter().filter(|voter| !self.voters.contains(voter)).count();
         added + self.voters.iter().filter(|voter| !voters.contains(voter)).count()
     }
 
-    /// The version in force.
+    /// The version of the configuration in force.
     pub fn version(&self) -> u32 {
         self.document.version().0
     }
 
-    /// Whether this very request made one of the versions whose requests are remembered.
+    /// Whether this request produced one of the versions whose requests are remembered.
     pub fn has_applied(&self, request: &RequestDigest) -> bool {
         self.applied_requests.values().any(|applied| applied == request)
     }
 
-    /// Whether a request on top of this version may have been applied so long ago that it is no longer remembered. A request
-    /// leads to a higher version than it builds on, so one on top of a remembered version is remembered itself.
+    /// Whether a request that builds on this version may have been applied and forgotten since. A request produces a
+    /// higher version than the one it builds on, so a request that builds on a remembered version is remembered itself.
     pub fn may_have_forgotten(&self, base_version: u32) -> bool {
         base_version < self.forgotten_up_to && !mutants::is_active(Mutant::ForgottenRequestRejected)
     }
 
-    /// Applies the entry at the next index. Whoever applies the same entries has the same state.
+    /// Applies the entry at the next index. Deterministic: replicas that apply the same entries have the same state.
     pub fn apply(&mut self, entry: &Entry) {
         self.index += 1;
         match entry {
@@ -146,7 +148,7 @@
     }
 
     fn apply_request(&mut self, scope: ChangeScope, base_version: u32, body: &[u8]) {
-        // It was checked before it was proposed, against this very state.
+        // The request was validated against this same state before it was proposed.
         let Ok(document) = self.evaluate(scope, body) else { return };
         let digest = RequestDigest::of(scope, base_version, body);
         self.applied_requests.insert(document.version().0, digest);
@@ -157,10 +159,10 @@
         }
     }
 
-    /// What the current configuration becomes by a request.
+    /// The configuration that results from applying a request to the one in force.
     ///
     /// # Errors
-    /// The request, or what it would lead to, is invalid.
+    /// The request, or the resulting configuration, is invalid.
     pub fn evaluate(&self, scope: ChangeScope, body: &[u8]) -> Result<Document, ValidationErrors> {
         match scope {
             ChangeScope::Full => self.document.replace(body),
