--- a/crates/brassport-config-store/src/consensus/mutants.rs
+++ b/crates/brassport-config-store/src/consensus/mutants.rs
@@ -1,37 +1,37 @@
-//! Deliberate faults, one at a time, to show that the tests can fail. Without the feature `mutants` each check is `false`
-//! at compile time.
+//! Deliberate faults for mutation testing, at most one active per thread. Without the feature `mutants` each check is
+//! `false` at compile time.
 
-/// A fault.
+/// A deliberate fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mutant {
-    /// A promise, or an acceptance, is sent before it is on disk.
+    /// A promise or an acceptance is sent before it is on disk.
     MessageBeforeSync = 1,
-    /// A new leader passes over what may have been committed before.
+    /// A new leader ignores an entry that may have been committed under a lower term.
     AcceptedEntryIgnored,
-    /// One voter fewer than a majority is enough.
+    /// One voter fewer than a majority suffices.
     QuorumOneShort,
     /// A voter accepts under a term below its promise.
     PromiseBroken,
-    /// A voter whose disk was lost keeps its vote.
+    /// A voter that has lost its disk keeps its vote.
     LostDiskKeepsVote,
     /// A candidate leads before its own promise is on disk.
     LeadsBeforeOwnPromise,
-    /// A leader evaluates commands although another may lead.
+    /// A leader evaluates commands although another replica may lead.
     EvaluatesWithoutQuorum,
-    /// After a write that failed no snapshot closes the gap.
+    /// No snapshot is written after a failed write, which leaves a gap on disk.
     WriteGapIgnored,
-    /// A change of voters is proposed although another was committed since it was submitted.
+    /// A voter change is proposed although another one was committed after it was submitted.
     VoterChangeUnchecked,
-    /// A request that may have been applied long ago is rejected.
+    /// A request that may have been applied and forgotten is rejected.
     ForgottenRequestRejected,
-    /// The reconciler of voters keeps an unresponsive voter.
+    /// The voter reconciler keeps an unresponsive voter.
     SilentStays,
-    /// The reconciler adds a successor before the unresponsive voter is removed.
+    /// The voter reconciler adds a successor before it removes the unresponsive voter.
     SuccessorFirst,
-    /// A machine may leave although no majority knows what it knows.
+    /// A machine may leave although no majority knows the entries that it knows to be committed.
     ReleasedUnasked,
-    /// A snapshot is installed whose digest differs.
+    /// A snapshot is installed although its digest does not match.
     SnapshotUnchecked,
     /// A partitioned machine sends its configuration to others.
     CutOffHandsOut,
@@ -39,8 +39,8 @@
     IsolationTrusted,
 }
 
-/// Every fault of consensus itself.
-pub const ALL: [Mutant; 10] = [
+/// The mutants of consensus itself.
+pub const CONSENSUS: [Mutant; 10] = [
     Mutant::MessageBeforeSync,
     Mutant::AcceptedEntryIgnored,
     Mutant::QuorumOneShort,
@@ -53,8 +53,8 @@
     Mutant::ForgottenRequestRejected,
 ];
 
-/// Every fault of the control plane around it.
-pub const CONTROL: [Mutant; 6] = [
+/// The mutants of the control plane, which hosts consensus.
+pub const CONTROL_PLANE: [Mutant; 6] = [
     Mutant::SilentStays,
     Mutant::SuccessorFirst,
     Mutant::ReleasedUnasked,
@@ -72,12 +72,12 @@
         static ACTIVE: Cell<u8> = const { Cell::new(0) };
     }
 
-    /// Activates one fault in this thread, or none.
+    /// Activates a mutant in the current thread; `None` deactivates it.
     pub fn activate(mutant: Option<Mutant>) {
         ACTIVE.set(mutant.map_or(0, |mutant| mutant as u8));
     }
 
-    /// Whether this fault is active in this thread.
+    /// Whether this mutant is active in the current thread.
     pub fn is_active(mutant: Mutant) -> bool {
         ACTIVE.get() == mutant as u8
     }
@@ -86,7 +86,7 @@
 #[cfg(feature = "mutants")]
 pub use active::{activate, is_active};
 
-/// Whether this fault is active in this thread: never, without the feature.
+/// Whether this mutant is active in the current thread. Always `false` without the feature `mutants`.
 #[cfg(not(feature = "mutants"))]
 pub const fn is_active(_: Mutant) -> bool {
     false
--- a/crates/brassport-config-store/tests/it/mutants.rs
+++ b/crates/brassport-config-store/tests/it/mutants.rs
@@ -3,7 +3,7 @@
 use crate::harness::model::{walk, Sizes as ModelSizes, CALM};
 use crate::harness::scenarios::one_voter_step_by_step;
 use crate::harness::simulation::{Simulation, Sizes};
-use brassport_config_store::consensus::mutants::{activate, Mutant, ALL};
+use brassport_config_store::consensus::mutants::{activate, Mutant, CONSENSUS};
 
 const SIZES: [Sizes; 3] = [
     Sizes { machines: 3, voters: 3, wipes: 1, fault_phase_ms: 12_000 },
@@ -44,7 +44,7 @@
 #[test]
 fn every_mutant_is_detected() {
     let missed: Vec<_> = std::thread::scope(|scope| {
-        let running: Vec<_> = ALL.map(|mutant| (mutant, scope.spawn(move || detect(mutant)))).into();
+        let running: Vec<_> = CONSENSUS.map(|mutant| (mutant, scope.spawn(move || detect(mutant)))).into();
         running
             .into_iter()
             .filter_map(|(mutant, thread)| match thread.join().expect("the thread ends") {
@@ -84,7 +84,7 @@
         found.is_none().then_some(mutant)
     };
     let missed: Vec<_> = std::thread::scope(|scope| {
-        let threads: Vec<_> = ALL
+        let threads: Vec<_> = CONSENSUS
             .iter()
             .filter_map(|mutant| Some((*mutant, walked(*mutant)?)))
             .map(|(mutant, sizes)| scope.spawn(move || found_by(mutant, sizes)))
