--- a/crates/brassport-config-store/src/configuration/change/items.rs
+++ b/crates/brassport-config-store/src/configuration/change/items.rs
@@ -1,6 +1,6 @@
-//! Lists of named items: services, tenants, and a host's routes.
+//! Lists of named items: services, tenants, and the routes of a host.
 
-use crate::configuration::duplicates::FirstPositions;
+use crate::configuration::duplicates::FirstOccurrences;
 use crate::configuration::reader::{join, wrong_type};
 use crate::configuration::ValidationError;
 use serde_json::{Map, Value};
@@ -11,7 +11,7 @@
     item.get("name").and_then(Value::as_str)
 }
 
-/// A list of the document. It is made if it isn't there, or is none.
+/// A list field of the document, which is replaced by an empty list if it is missing or not a list.
 pub fn items<'a>(raw: &'a mut Map<String, Value>, field: &str) -> &'a mut Vec<Value> {
     let value = raw.entry(field).or_insert(Value::Null);
     if !value.is_array() {
@@ -19,52 +19,52 @@
     }
     match value {
         Value::Array(items) => items,
-        _ => unreachable!("it was made a list just above"),
+        _ => unreachable!("the value was replaced by a list above"),
     }
 }
 
-/// The name of an item that is put, which must have one that no other has.
+/// The name of an item to put. Records an error if the item has no name, or the name of another item.
 pub fn put_name<'a>(
     item: &'a Value,
-    at: &str,
-    names: &mut FirstPositions,
+    path: &str,
+    names: &mut FirstOccurrences,
     errors: &mut Vec<ValidationError>,
 ) -> Option<&'a str> {
     match item.get("name") {
         Some(Value::String(name)) => {
-            names.name(name, at, errors);
+            names.check_name(name, path, errors);
             Some(name)
         }
         _ if !item.is_object() => {
-            errors.push(wrong_type(at, item, "an object"));
+            errors.push(wrong_type(path, item, "an object"));
             None
         }
         None | Some(Value::Null) => {
-            errors.push(ValidationError::Missing { at: join(at, "name") });
+            errors.push(ValidationError::MissingField { path: join(path, "name") });
             None
         }
         Some(other) => {
-            errors.push(wrong_type(&join(at, "name"), other, "a name"));
+            errors.push(wrong_type(&join(path, "name"), other, "a name"));
             None
         }
     }
 }
 
-/// Adds items to a list, or replaces those of the same name at their positions.
+/// Adds items to a list field; an item replaces the one of the same name at its position.
 pub fn put_items(
     raw: &mut Map<String, Value>,
     field: &str,
     put: &[Value],
     errors: &mut Vec<ValidationError>,
 ) {
-    let mut names = FirstPositions::default();
+    let mut names = FirstOccurrences::default();
     for (position, item) in put.iter().enumerate() {
         put_name(item, &format!("put.{field}[{position}]"), &mut names, errors);
     }
     merge(items(raw, field), put);
 }
 
-/// Merges named items into a list. An item without a name, and the second of a name, have their errors already.
+/// Merges named items into a list. For items without a name and for duplicate names, errors have been recorded already.
 pub fn merge(existing: &mut Vec<Value>, put: &[Value]) {
     let mut positions = HashMap::new();
     for (position, item) in existing.iter().enumerate() {
--- a/crates/brassport-config-store/src/configuration/change/mod.rs
+++ b/crates/brassport-config-store/src/configuration/change/mod.rs
@@ -1,4 +1,4 @@
-//! `Config.Change`: named items are removed, added and replaced.
+//! Changes of a document (`Config.Change`), which remove, add and replace named items.
 
 mod hosts;
 mod items;
@@ -9,12 +9,12 @@
 use serde_json::{Map, Value};
 use std::collections::HashSet;
 
-/// Applies a change to a document, noting what the change itself gets wrong.
+/// Applies a change to a document, and records the errors of the change itself.
 pub fn apply(raw: &mut Map<String, Value>, change: &Map<String, Value>, errors: &mut Vec<ValidationError>) {
     let none = Map::new();
     let put = object(change, "put", errors).unwrap_or(&none);
     let remove = object(change, "remove", errors).unwrap_or(&none);
-    let mut changed = ChangedDocument { raw, hosts_with_losses: HashSet::new(), errors };
+    let mut changed = ChangedDocument { raw, hosts_losing_routes: HashSet::new(), errors };
     for field in remove.keys() {
         changed.remove(remove, field);
     }
@@ -24,16 +24,16 @@
     changed.remove_empty_hosts();
 }
 
-/// A document while a change is applied to it.
+/// A document to which a change is being applied.
 struct ChangedDocument<'a> {
     raw: &'a mut Map<String, Value>,
-    /// Hosts that lost a route. Those without any are removed in the end.
-    hosts_with_losses: HashSet<String>,
+    /// Hosts that have lost a route. Those left without any route are removed at the end.
+    hosts_losing_routes: HashSet<String>,
     errors: &'a mut Vec<ValidationError>,
 }
 
 impl ChangedDocument<'_> {
-    /// Removes the items that a field of `remove` names.
+    /// Removes the items named by a field of `remove`.
     fn remove(&mut self, remove: &Map<String, Value>, field: &str) {
         let names = names(remove, field, self.errors);
         match field {
@@ -44,7 +44,7 @@
             }
             "routes" => {
                 for entry in hosts::entries(self.raw) {
-                    hosts::remove_routes(entry, |name| names.contains(name), &mut self.hosts_with_losses);
+                    hosts::remove_routes(entry, |name| names.contains(name), &mut self.hosts_losing_routes);
                 }
             }
             _ => {
@@ -57,13 +57,13 @@
 
     /// Applies a field of `put`.
     fn put(&mut self, put: &Map<String, Value>, field: &str, value: &Value) {
-        let at = join("put", field);
+        let path = join("put", field);
         match (field, value) {
-            ("version", _) => self.errors.push(misplaced(&at, "the version stands beside `put`")),
-            ("routes", _) => self.errors.push(misplaced(&at, "routes stand under `hosts`")),
+            ("version", _) => self.errors.push(misplaced(&path, "the version stands beside `put`")),
+            ("routes", _) => self.errors.push(misplaced(&path, "routes stand under `hosts`")),
             ("hosts", _) => {
                 let entries = list(put, "put", field, self.errors);
-                hosts::put_hosts(self.raw, entries, &mut self.hosts_with_losses, self.errors);
+                hosts::put_hosts(self.raw, entries, &mut self.hosts_losing_routes, self.errors);
             }
             ("services" | "customers", _) => {
                 let items = list(put, "put", field, self.errors);
@@ -76,20 +76,20 @@
         }
     }
 
-    /// Removes hosts that lost their last route.
+    /// Removes the hosts that have lost their last route.
     fn remove_empty_hosts(&mut self) {
-        if self.hosts_with_losses.is_empty() {
+        if self.hosts_losing_routes.is_empty() {
             return;
         }
         hosts::entries(self.raw).retain(|entry| {
             let has_routes = hosts::paths_of(entry).is_some_and(|paths| !paths.is_empty());
-            has_routes || !hosts::host_of(entry).is_some_and(|host| self.hosts_with_losses.contains(&host))
+            has_routes || !hosts::host_of(entry).is_some_and(|host| self.hosts_losing_routes.contains(&host))
         });
     }
 }
 
-fn misplaced(at: &str, what: &str) -> ValidationError {
-    ValidationError::BadValue { at: at.to_owned(), what: format!("is out of place: {what}") }
+fn misplaced(path: &str, hint: &str) -> ValidationError {
+    ValidationError::InvalidValue { path: path.to_owned(), reason: format!("is out of place: {hint}") }
 }
 
 fn object<'a>(
@@ -107,7 +107,7 @@
     }
 }
 
-/// The names in a list of `remove`.
+/// The names listed in a field of `remove`.
 fn names<'a>(
     remove: &'a Map<String, Value>,
     field: &str,
--- a/crates/brassport-config-store/src/configuration/document.rs
+++ b/crates/brassport-config-store/src/configuration/document.rs
@@ -1,19 +1,19 @@
-//! The document as the operator wrote it.
+//! The configuration document: the operator's JSON together with the typed values parsed from it.
 
 use super::{change, parse, Configuration, ValidationError, ValidationErrors, Version};
 use serde_json::{Map, Value};
 use std::fmt;
 use std::sync::Arc;
 
-/// A configuration as the operator wrote it, complete and with unknown fields, and as the gateway
-/// reads it. A clone shares both. `Debug` shows what the gateway reads, without the keys.
+/// A configuration as the operator's complete JSON, including unknown fields, and as the typed values that the gateway
+/// uses. Clones share both. `Debug` prints the typed values, without the keys.
 #[derive(Clone, PartialEq)]
 pub struct Document {
     raw: Arc<Map<String, Value>>,
     parsed: Arc<Configuration>,
 }
 
-// JSON has no number that differs from itself.
+// JSON has no NaN, so equality is reflexive.
 impl Eq for Document {}
 
 impl fmt::Debug for Document {
@@ -23,7 +23,7 @@
 }
 
 impl Document {
-    /// The document before the first: version 0, with nothing in it.
+    /// The initial document: version 0, without services, hosts, tenants and limits.
     pub fn empty() -> Document {
         let version = Value::String(Version::default().to_string());
         let none = || Value::Array(Vec::new());
@@ -32,38 +32,37 @@
         Document { raw: Arc::new(raw), parsed: Arc::default() }
     }
 
-    /// Its version.
+    /// The version of the document.
     pub fn version(&self) -> Version {
         self.parsed.version
     }
 
-    /// The configuration that the gateway reads.
+    /// The typed configuration.
     pub fn configuration(&self) -> &Configuration {
         &self.parsed
     }
 
-    /// `Config.Replace` on top of `self`. Checks everything except `X-Built-On`.
+    /// Replaces this document by a complete one (`Config.Replace`). The caller checks `X-Built-On`.
     ///
     /// # Errors
-    /// All errors of the body, as read by itself.
+    /// All errors of the new document.
     pub fn replace(&self, body: &[u8]) -> Result<Document, ValidationErrors> {
         Document::read(object(body)?, Some(self.version()))
     }
 
-    /// `Config.Change` on top of `self`. Checks everything except `X-Built-On`.
+    /// Changes named items of this document (`Config.Change`). The caller checks `X-Built-On`.
     ///
-    /// What `remove` names goes first, then `put` is applied: an item named in both is there
-    /// afterwards, as put. Removing a name that isn't there is fine. A list's items are added, or
-    /// replace the item with the same name at its position; anything else, as `limits`, is replaced
-    /// completely. A route put under another host moves there. An entry of a host that loses its last
-    /// route goes.
+    /// `remove` is applied before `put`, so an item named in both is present afterwards, as put. Removing an absent
+    /// name is not an error. An item put into a list is added, or replaces the item of the same name at its position;
+    /// any other value, such as `limits`, is replaced completely. A route put under another host moves to that host. A
+    /// host entry that loses its last route is removed.
     ///
     /// # Errors
-    /// All errors of the change and of what it would result in.
+    /// All errors of the change and of the resulting document.
     pub fn change(&self, body: &[u8]) -> Result<Document, ValidationErrors> {
         let change = object(body)?;
         let mut errors = Vec::new();
-        // The version is reported once, with the errors of the change itself.
+        // An invalid version is reported here, with the errors of the change itself, and not again for the result.
         parse::version(&change, Some(self.version()), &mut errors);
         let mut raw = (*self.raw).clone();
         change::apply(&mut raw, &change, &mut errors);
@@ -74,43 +73,43 @@
             Ok(document) if errors.is_empty() => Ok(document),
             Ok(_) => Err(ValidationErrors(errors)),
             Err(ValidationErrors(more)) => {
-                let more = more.into_iter().filter(|error| error.at() != "version");
+                let more = more.into_iter().filter(|error| error.path() != "version");
                 errors.extend(more);
                 Err(ValidationErrors(errors))
             }
         }
     }
 
-    /// The JSON, laid out as it is put.
+    /// The JSON text of the document, with its fields in the stored order.
     pub fn to_bytes(&self) -> Vec<u8> {
-        // A map of JSON values can always be written.
+        // Serializing a map of JSON values can't fail.
         serde_json::to_vec(&*self.raw).unwrap_or_default()
     }
 
-    /// Reads what [`Document::to_bytes`] gave. Any version will do.
+    /// Parses the output of [`Document::to_bytes`]. The version may be any valid one.
     ///
     /// # Errors
-    /// The bytes are no valid document.
+    /// The bytes are not a valid document.
     pub fn from_bytes(bytes: &[u8]) -> Result<Document, ValidationErrors> {
         Document::read(object(bytes)?, None)
     }
 
-    fn read(raw: Map<String, Value>, above: Option<Version>) -> Result<Document, ValidationErrors> {
-        let parsed = parse::configuration(&raw, above)?;
+    fn read(raw: Map<String, Value>, current: Option<Version>) -> Result<Document, ValidationErrors> {
+        let parsed = parse::configuration(&raw, current)?;
         Ok(Document { raw: Arc::new(raw), parsed: Arc::new(parsed) })
     }
 }
 
-/// Reads a body as a JSON object.
+/// Parses a body as a JSON object.
 fn object(body: &[u8]) -> Result<Map<String, Value>, ValidationErrors> {
     match serde_json::from_slice(body) {
         Ok(Value::Object(object)) => Ok(object),
         Ok(other) => Err(ValidationErrors(vec![super::reader::wrong_type("", &other, "an object")])),
         Err(error) => {
             let (line, column) = (error.line(), error.column());
-            let what = error.to_string();
-            let what = what.split(" at line ").next().unwrap_or_default().to_owned();
-            Err(ValidationErrors(vec![ValidationError::Unreadable { line, column, what }]))
+            let reason = error.to_string();
+            let reason = reason.split(" at line ").next().unwrap_or_default().to_owned();
+            Err(ValidationErrors(vec![ValidationError::InvalidJson { line, column, reason }]))
         }
     }
 }
--- a/crates/brassport-config-store/src/configuration/duplicates.rs
+++ b/crates/brassport-config-store/src/configuration/duplicates.rs
@@ -1,28 +1,32 @@
-//! Finds what may stand only once in a document: names, keys, and hosts with prefixes.
+//! Detects duplicates of values that have to be unique in a document: names, keys, and host and prefix pairs.
 
 use super::ValidationError;
 use std::collections::HashMap;
 
-/// What was found so far, each with the path of where it stands first.
+/// The values found so far, each with the path of its first occurrence.
 #[derive(Default)]
-pub struct FirstPositions(HashMap<String, String>);
+pub struct FirstOccurrences(HashMap<String, String>);
 
-impl FirstPositions {
-    /// Notes `what` at a path. Returns the earlier path if there is one.
-    pub fn note(&mut self, what: String, at: &str) -> Option<String> {
-        match self.0.get(&what) {
-            Some(earlier) => Some(earlier.clone()),
+impl FirstOccurrences {
+    /// Records a value found at `path`. If it has occurred before, returns the path of its first occurrence.
+    pub fn insert(&mut self, value: String, path: &str) -> Option<String> {
+        match self.0.get(&value) {
+            Some(first) => Some(first.clone()),
             None => {
-                self.0.insert(what, at.to_owned());
+                self.0.insert(value, path.to_owned());
                 None
             }
         }
     }
 
-    /// Notes a name, and an error if it was there before.
-    pub fn name(&mut self, name: &str, at: &str, errors: &mut Vec<ValidationError>) {
-        if let Some(other) = self.note(name.to_owned(), at) {
-            errors.push(ValidationError::DuplicateName { at: at.to_owned(), other, name: name.to_owned() });
+    /// Records a name found at `path`, and an error if it has occurred before.
+    pub fn check_name(&mut self, name: &str, path: &str, errors: &mut Vec<ValidationError>) {
+        if let Some(first) = self.insert(name.to_owned(), path) {
+            errors.push(ValidationError::DuplicateName {
+                path: path.to_owned(),
+                first,
+                name: name.to_owned(),
+            });
         }
     }
 }
--- a/crates/brassport-config-store/src/configuration/error.rs
+++ b/crates/brassport-config-store/src/configuration/error.rs
@@ -1,115 +1,115 @@
-//! Errors of a configuration: plain values, all reported together.
+//! Validation errors of a configuration, which are reported all together.
 
 use super::Version;
 use miette::Diagnostic;
 use std::fmt;
 
-/// One error: what is wrong, where, and the help. Keys are never named.
+/// A validation error, with the path of the invalid part and a hint for the operator. Never contains keys.
 #[derive(Clone, Debug, PartialEq)]
 #[non_exhaustive]
 pub enum ValidationError {
-    /// The text can't be read as JSON.
-    Unreadable {
-        /// The line, from 1.
+    /// The text is not valid JSON.
+    InvalidJson {
+        /// The line, counted from 1.
         line: usize,
-        /// The column, from 1; 0 stands before the first.
+        /// The column, counted from 1; 0 before the first character.
         column: usize,
-        /// What the reader of JSON says.
-        what: String,
+        /// The message of the JSON parser.
+        reason: String,
     },
-    /// A field, or the complete document, is of the wrong type.
+    /// A field, or the complete document, has the wrong type.
     WrongType {
         /// The path of the field; empty for the complete document.
-        at: String,
-        /// What is there.
+        path: String,
+        /// The type that was found.
         found: &'static str,
-        /// What is wanted.
-        wanted: String,
+        /// The expected type.
+        expected: String,
     },
-    /// A field that must be there isn't.
-    Missing {
+    /// A required field is missing.
+    MissingField {
         /// The path of the field.
-        at: String,
+        path: String,
     },
     /// A field's value is not allowed.
-    BadValue {
+    InvalidValue {
         /// The path of the field.
-        at: String,
-        /// Why.
-        what: String,
+        path: String,
+        /// Why the value is not allowed.
+        reason: String,
     },
     /// The version is not above the current one.
     StaleVersion {
         /// The version that was sent.
         sent: Version,
-        /// The current one.
+        /// The version in force.
         current: Version,
     },
-    /// A route names a service that is not there.
+    /// A route refers to a service that does not exist.
     UnknownService {
-        /// The path of the name.
-        at: String,
-        /// The service.
+        /// The path of the field that names the service.
+        path: String,
+        /// The name of the service.
         service: String,
     },
-    /// Two routes share host and prefix.
+    /// Two routes have the same host and prefix.
     DuplicateLocation {
         /// The path of the later route.
-        at: String,
-        /// The path of the earlier one.
-        other: String,
-        /// Host and prefix.
+        path: String,
+        /// The path of the first occurrence.
+        first: String,
+        /// The host, followed by the prefix.
         location: String,
     },
     /// Two items of one list have the same name.
     DuplicateName {
         /// The path of the later item.
-        at: String,
-        /// The path of the earlier one.
-        other: String,
-        /// The name.
+        path: String,
+        /// The path of the first occurrence.
+        first: String,
+        /// The name that both items have.
         name: String,
     },
-    /// Two tenants share a key, or one tenant has it twice.
+    /// A key occurs twice, in two tenants or in one.
     DuplicateKey {
         /// The path of the later key.
-        at: String,
-        /// The path of the earlier one.
-        other: String,
+        path: String,
+        /// The path of the first occurrence.
+        first: String,
     },
     /// No target of a route has a weight above 0.
     NoTarget {
         /// The path of the route.
-        at: String,
+        path: String,
     },
 }
 
 impl ValidationError {
-    /// The path of the error, such as `hosts[2].paths[0].service`, empty for the complete document. A
-    /// change is checked by what it would result in; only what the change itself
-    /// gets wrong stands under `put` and `remove`.
-    pub fn at(&self) -> &str {
+    /// The path of the invalid part, such as `hosts[2].paths[0].service`; empty for the complete document. Errors of
+    /// the document that results from a change have paths in that document. Only errors of the change itself have paths
+    /// under `put` and `remove`.
+    pub fn path(&self) -> &str {
         match self {
-            ValidationError::Unreadable { .. } => "",
+            ValidationError::InvalidJson { .. } => "",
             ValidationError::StaleVersion { .. } => "version",
-            ValidationError::WrongType { at, .. }
-            | ValidationError::Missing { at }
-            | ValidationError::BadValue { at, .. }
-            | ValidationError::UnknownService { at, .. }
-            | ValidationError::DuplicateLocation { at, .. }
-            | ValidationError::DuplicateName { at, .. }
-            | ValidationError::DuplicateKey { at, .. }
-            | ValidationError::NoTarget { at } => at,
+            ValidationError::WrongType { path, .. }
+            | ValidationError::MissingField { path }
+            | ValidationError::InvalidValue { path, .. }
+            | ValidationError::UnknownService { path, .. }
+            | ValidationError::DuplicateLocation { path, .. }
+            | ValidationError::DuplicateName { path, .. }
+            | ValidationError::DuplicateKey { path, .. }
+            | ValidationError::NoTarget { path } => path,
         }
     }
 
-    /// What the operator can do about it.
+    /// A hint how the operator can fix the error.
     pub fn help(&self) -> &'static str {
         match self {
-            ValidationError::Unreadable { .. } => "send the whole document as JSON",
+            ValidationError::InvalidJson { .. } => "send the whole document as JSON",
             ValidationError::WrongType { .. } => "give the field the type that is wanted",
-            ValidationError::Missing { .. } => "add the field",
-            ValidationError::BadValue { .. } => "give the field an allowed value",
+            ValidationError::MissingField { .. } => "add the field",
+            ValidationError::InvalidValue { .. } => "give the field an allowed value",
             ValidationError::StaleVersion { .. } => "give it a version above the current one",
             ValidationError::UnknownService { .. } => "add the service, or name one that is there",
             ValidationError::DuplicateLocation { .. } => {
@@ -124,29 +124,29 @@
 
 impl fmt::Display for ValidationError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let path = if self.at().is_empty() { "the configuration" } else { self.at() };
+        let path = if self.path().is_empty() { "the configuration" } else { self.path() };
         match self {
-            ValidationError::Unreadable { line, column, what } => {
-                write!(formatter, "line {line}, column {column}: can't be read: {what}")
+            ValidationError::InvalidJson { line, column, reason } => {
+                write!(formatter, "line {line}, column {column}: can't be read: {reason}")
             }
-            ValidationError::WrongType { found, wanted, .. } => {
-                write!(formatter, "{path}: is {found}, but {wanted} is wanted")
+            ValidationError::WrongType { found, expected, .. } => {
+                write!(formatter, "{path}: is {found}, but {expected} is wanted")
             }
-            ValidationError::Missing { .. } => write!(formatter, "{path}: is missing"),
-            ValidationError::BadValue { what, .. } => write!(formatter, "{path}: {what}"),
+            ValidationError::MissingField { .. } => write!(formatter, "{path}: is missing"),
+            ValidationError::InvalidValue { reason, .. } => write!(formatter, "{path}: {reason}"),
             ValidationError::StaleVersion { sent, current } => {
                 write!(formatter, "{path}: {sent} is not above the current {current}")
             }
             ValidationError::UnknownService { service, .. } => {
                 write!(formatter, "{path}: there is no service {service:?}")
             }
-            ValidationError::DuplicateLocation { other, location, .. } => {
-                write!(formatter, "{path}: has host and prefix {location:?} of {other}")
+            ValidationError::DuplicateLocation { first, location, .. } => {
+                write!(formatter, "{path}: has host and prefix {location:?} of {first}")
             }
-            ValidationError::DuplicateName { other, name, .. } => {
-                write!(formatter, "{path}: has the name {name:?} of {other}")
+            ValidationError::DuplicateName { first, name, .. } => {
+                write!(formatter, "{path}: has the name {name:?} of {first}")
             }
-            ValidationError::DuplicateKey { other, .. } => write!(formatter, "{path}: is the key at {other}"),
+            ValidationError::DuplicateKey { first, .. } => write!(formatter, "{path}: is the key at {first}"),
             ValidationError::NoTarget { .. } => write!(formatter, "{path}: goes to no service"),
         }
     }
@@ -160,12 +160,12 @@
     }
 }
 
-/// All errors of a configuration; at least one. `Display` gives one line for each.
+/// All errors of a configuration, at least one. `Display` writes one line for each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ValidationErrors(pub Vec<ValidationError>);
 
 impl ValidationErrors {
-    /// The errors in the order in which they were found.
+    /// The errors, in the order in which they were found.
     pub fn iter(&self) -> std::slice::Iter<'_, ValidationError> {
         self.0.iter()
     }
--- a/crates/brassport-config-store/src/configuration/parse.rs
+++ b/crates/brassport-config-store/src/configuration/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the complete document as a [`Configuration`], with the checks across items.
+//! Parses the complete document as a [`Configuration`], including the constraints across items.
 
 use super::limits::limits;
 use super::reader::wrong_type;
@@ -8,13 +8,13 @@
 use super::{Configuration, ValidationError, ValidationErrors, Version};
 use serde_json::{Map, Value};
 
-/// Reads a document. With `above`, the version must be above it.
+/// Parses a document. If `current` is given, the document's version has to be above it.
 pub fn configuration(
     raw: &Map<String, Value>,
-    above: Option<Version>,
+    current: Option<Version>,
 ) -> Result<Configuration, ValidationErrors> {
     let mut errors = Vec::new();
-    let version = version(raw, above, &mut errors);
+    let version = version(raw, current, &mut errors);
     let services = services(raw, &mut errors);
     let limits = limits(raw, &mut errors);
     let tenants = tenants(raw, &mut errors);
@@ -33,15 +33,15 @@
     })
 }
 
-/// Reads `version`, and compares it with the current one.
+/// Parses the field `version`, and compares it with the current version, if that is given.
 pub fn version(
     raw: &Map<String, Value>,
-    above: Option<Version>,
+    current: Option<Version>,
     errors: &mut Vec<ValidationError>,
 ) -> Option<Version> {
     let text = match raw.get("version") {
         None | Some(Value::Null) => {
-            errors.push(ValidationError::Missing { at: "version".to_owned() });
+            errors.push(ValidationError::MissingField { path: "version".to_owned() });
             return None;
         }
         Some(Value::String(text)) => text,
@@ -50,14 +50,17 @@
             return None;
         }
     };
-    match (text.parse::<Version>(), above) {
+    match (text.parse::<Version>(), current) {
         (Ok(sent), Some(current)) if sent <= current => {
             errors.push(ValidationError::StaleVersion { sent, current });
             None
         }
         (Ok(sent), _) => Some(sent),
-        (Err(bad), _) => {
-            errors.push(ValidationError::BadValue { at: "version".to_owned(), what: bad.to_string() });
+        (Err(error), _) => {
+            errors.push(ValidationError::InvalidValue {
+                path: "version".to_owned(),
+                reason: error.to_string(),
+            });
             None
         }
     }
--- a/crates/brassport-config-store/src/configuration/reader.rs
+++ b/crates/brassport-config-store/src/configuration/reader.rs
@@ -1,13 +1,13 @@
-//! Reads items of the document: each by itself, so that all errors are reported together.
+//! Deserializes the items of a document, each separately, so that all errors are reported together.
 
 use super::ValidationError;
 use schematic::{Config, ConfigError, PartialConfig, ValidateError};
 use serde_json::{Map, Value};
 
-/// What `schematic` says of a field that must be there.
+/// The message of `schematic` for a missing required field.
 const REQUIRED: &str = "this setting is required";
 
-/// The type of a value, for people.
+/// The type of a value as named in error messages.
 fn describe(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
@@ -19,24 +19,28 @@
     }
 }
 
-/// Notes that a value is of the wrong type.
-pub fn wrong_type(at: &str, found: &Value, wanted: &str) -> ValidationError {
-    ValidationError::WrongType { at: at.to_owned(), found: describe(found), wanted: wanted.to_owned() }
+/// The error for a value of the wrong type.
+pub fn wrong_type(path: &str, found: &Value, expected: &str) -> ValidationError {
+    ValidationError::WrongType {
+        path: path.to_owned(),
+        found: describe(found),
+        expected: expected.to_owned(),
+    }
 }
 
-/// Joins a path and a field.
-pub fn join(at: &str, field: &str) -> String {
-    if at.is_empty() {
+/// The path of a field of the object at `path`.
+pub fn join(path: &str, field: &str) -> String {
+    if path.is_empty() {
         field.to_owned()
     } else {
-        format!("{at}.{field}")
+        format!("{path}.{field}")
     }
 }
 
-/// The items of a list; none where it is left out.
+/// The items of a list field; empty if the field is omitted or null.
 pub fn list<'a>(
     raw: &'a Map<String, Value>,
-    at: &str,
+    path: &str,
     field: &str,
     errors: &mut Vec<ValidationError>,
 ) -> &'a [Value] {
@@ -44,13 +48,13 @@
         None | Some(Value::Null) => &[],
         Some(Value::Array(items)) => items,
         Some(other) => {
-            errors.push(wrong_type(&join(at, field), other, "a list"));
+            errors.push(wrong_type(&join(path, field), other, "a list"));
             &[]
         }
     }
 }
 
-/// A value, or its default where it is 0 or left out.
+/// The value if it is above 0, else the default: fields that are omitted or 0 have their default.
 pub fn or_default_if_0<T: Default + PartialOrd>(value: T, default: T) -> T {
     if value > T::default() {
         value
@@ -59,64 +63,65 @@
     }
 }
 
-/// Reads an item as its layout and checks its fields, noting all errors. What can't be read is
-/// left out of the layout, as if the document didn't have it.
-pub fn read<L>(item: &Value, at: &str, errors: &mut Vec<ValidationError>) -> L
+/// Deserializes an item as its layout and validates its fields, recording all errors. A field that can't be
+/// deserialized is treated as omitted.
+pub fn read<L>(item: &Value, path: &str, errors: &mut Vec<ValidationError>) -> L
 where
     L: Config,
     L::Partial: PartialConfig<Context = ()>,
 {
     let Value::Object(fields) = item else {
-        errors.push(wrong_type(at, item, "an object"));
+        errors.push(wrong_type(path, item, "an object"));
         return L::from_partial(L::Partial::default());
     };
     let read: L::Partial = match serde::Deserialize::deserialize(item) {
         Ok(read) => read,
-        Err(_) => readable_fields(fields, at, errors),
+        Err(_) => readable_fields(fields, path, errors),
     };
-    note_invalid_fields(&read, fields, at, errors);
-    // The defaults are constants: they can always be put in.
+    record_invalid_fields(&read, fields, path, errors);
+    // Filling in the defaults can't fail, since they are constants.
     L::from_partial(read.finalize(&()).unwrap_or_default())
 }
 
-/// Runs the checks of single fields, and notes what they find.
-fn note_invalid_fields<P: PartialConfig<Context = ()>>(
+/// Validates the single fields and records the errors.
+fn record_invalid_fields<P: PartialConfig<Context = ()>>(
     read: &P,
     fields: &Map<String, Value>,
-    at: &str,
+    path: &str,
     errors: &mut Vec<ValidationError>,
 ) {
     let Err(ConfigError::Validator { error, .. }) = read.validate(&(), true) else { return };
-    for ValidateError { message, path } in error.errors {
-        let field = path.to_string();
+    for ValidateError { message, path: field } in error.errors {
+        let field = field.to_string();
         let is_given = fields.get(&field).is_some_and(|value| !value.is_null());
         if message != REQUIRED {
-            errors.push(ValidationError::BadValue { at: join(at, &field), what: message });
+            errors.push(ValidationError::InvalidValue { path: join(path, &field), reason: message });
         } else if !is_given {
-            // A field of the wrong type has its error already.
-            errors.push(ValidationError::Missing { at: join(at, &field) });
+            // For a field of the wrong type an error has been recorded already.
+            errors.push(ValidationError::MissingField { path: join(path, &field) });
         }
     }
 }
 
-/// Reads the fields that can be read, and notes those that can't. The values themselves are not
-/// repeated: they may be keys.
+/// Deserializes the fields that are valid and records an error for each other one. Error messages don't contain the
+/// values, as these may be keys.
 fn readable_fields<P: PartialConfig>(
     fields: &Map<String, Value>,
-    at: &str,
+    path: &str,
     errors: &mut Vec<ValidationError>,
 ) -> P {
     let mut readable = Map::new();
     for (name, value) in fields {
-        let alone = Value::Object(Map::from_iter([(name.clone(), value.clone())]));
-        match <P as serde::Deserialize>::deserialize(&alone) {
+        let single = Value::Object(Map::from_iter([(name.clone(), value.clone())]));
+        match <P as serde::Deserialize>::deserialize(&single) {
             Ok(_) => {
                 readable.insert(name.clone(), value.clone());
             }
             Err(error) => {
                 let text = error.to_string();
-                let wanted = text.rsplit_once("expected ").map_or("another value", |(_, wanted)| wanted);
-                errors.push(wrong_type(&join(at, name), value, wanted));
+                let expected =
+                    text.rsplit_once("expected ").map_or("another value", |(_, expected)| expected);
+                errors.push(wrong_type(&join(path, name), value, expected));
             }
         }
     }
--- a/crates/brassport-config-store/src/configuration/routes.rs
+++ b/crates/brassport-config-store/src/configuration/routes.rs
@@ -1,13 +1,13 @@
-//! The routes of a document, which stand under their hosts.
+//! The routes of a document, which are listed under their hosts.
 
-use super::duplicates::FirstPositions;
+use super::duplicates::FirstOccurrences;
 use super::reader::{join, list, read, wrong_type};
 use super::{normalize_host, validators, Idempotency, Route, Service, ValidationError};
 use schematic::Config;
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// A part of a route's `split`.
+/// The fields of an item of a route's `split`.
 #[derive(Config)]
 #[config(allow_unknown_fields)]
 #[serde(rename_all = "camelCase")]
@@ -18,7 +18,7 @@
     weight: Option<u32>,
 }
 
-/// An item of a host's `paths`.
+/// The fields of an item of a host's `paths`.
 #[derive(Config)]
 #[config(allow_unknown_fields)]
 #[serde(rename_all = "camelCase")]
@@ -41,7 +41,7 @@
     public: bool,
 }
 
-/// Reads the routes of a document, in its order.
+/// Reads the routes of a document, in document order.
 pub fn routes(
     raw: &Map<String, Value>,
     services: &BTreeMap<String, Service>,
@@ -49,50 +49,56 @@
 ) -> Vec<Route> {
     let mut reader = RouteReader {
         services,
-        names: FirstPositions::default(),
-        locations: FirstPositions::default(),
+        names: FirstOccurrences::default(),
+        locations: FirstOccurrences::default(),
         routes: Vec::new(),
     };
     for (position, entry) in list(raw, "", "hosts", errors).iter().enumerate() {
-        let at = format!("hosts[{position}]");
+        let path = format!("hosts[{position}]");
         match entry {
-            Value::Object(entry) => reader.read_host(entry, &at, errors),
-            other => errors.push(wrong_type(&at, other, "an object")),
+            Value::Object(entry) => reader.read_host(entry, &path, errors),
+            other => errors.push(wrong_type(&path, other, "an object")),
         }
     }
     reader.routes
 }
 
-/// Reads routes, and knows what those before were.
+/// Reads routes one by one, and detects duplicates of earlier ones.
 struct RouteReader<'a> {
     services: &'a BTreeMap<String, Service>,
-    names: FirstPositions,
-    /// Hosts with prefixes.
-    locations: FirstPositions,
+    names: FirstOccurrences,
+    /// Concatenations of host and prefix.
+    locations: FirstOccurrences,
     routes: Vec<Route>,
 }
 
 impl RouteReader<'_> {
-    fn read_host(&mut self, entry: &Map<String, Value>, at: &str, errors: &mut Vec<ValidationError>) {
-        let host = host(entry, at, errors);
-        for (position, item) in list(entry, at, "paths", errors).iter().enumerate() {
-            self.read_route(host.as_deref(), item, &format!("{at}.paths[{position}]"), errors);
+    fn read_host(&mut self, entry: &Map<String, Value>, path: &str, errors: &mut Vec<ValidationError>) {
+        let host = host(entry, path, errors);
+        for (position, item) in list(entry, path, "paths", errors).iter().enumerate() {
+            self.read_route(host.as_deref(), item, &format!("{path}.paths[{position}]"), errors);
         }
     }
 
-    fn read_route(&mut self, host: Option<&str>, item: &Value, at: &str, errors: &mut Vec<ValidationError>) {
-        let read: RouteLayout = read(item, at, errors);
+    fn read_route(
+        &mut self,
+        host: Option<&str>,
+        item: &Value,
+        path: &str,
+        errors: &mut Vec<ValidationError>,
+    ) {
+        let read: RouteLayout = read(item, path, errors);
         if let Some(name) = &read.name {
-            self.names.name(name, at, errors);
+            self.names.check_name(name, path, errors);
         }
         if let (Some(host), Some(path_prefix)) = (host, &read.path_start) {
             let location = format!("{host}{path_prefix}");
-            if let Some(other) = self.locations.note(location.clone(), at) {
-                errors.push(ValidationError::DuplicateLocation { at: at.to_owned(), other, location });
+            if let Some(first) = self.locations.insert(location.clone(), path) {
+                errors.push(ValidationError::DuplicateLocation { path: path.to_owned(), first, location });
             }
         }
-        let targets = targets(&read, item, at, self.services, errors);
-        // What is missing here has its error already.
+        let targets = targets(&read, item, path, self.services, errors);
+        // For a missing value an error has been recorded already.
         let (Some(name), Some(host), Some(path_prefix), Some(timeout_s)) =
             (read.name, host, read.path_start, read.give_up_s)
         else {
@@ -113,59 +119,61 @@
     }
 }
 
-/// The host of an entry in the form in which it is looked up.
-fn host(entry: &Map<String, Value>, at: &str, errors: &mut Vec<ValidationError>) -> Option<String> {
-    let at = join(at, "host");
+/// The normalized host of an entry.
+fn host(entry: &Map<String, Value>, path: &str, errors: &mut Vec<ValidationError>) -> Option<String> {
+    let path = join(path, "host");
     match entry.get("host") {
-        None | Some(Value::Null) => errors.push(ValidationError::Missing { at }),
+        None | Some(Value::Null) => errors.push(ValidationError::MissingField { path }),
         Some(Value::String(host)) => {
             let host = normalize_host(host);
             if !host.is_empty() {
                 return Some(host.into_owned());
             }
-            errors.push(ValidationError::BadValue { at, what: "is empty".to_owned() });
+            errors.push(ValidationError::InvalidValue { path, reason: "is empty".to_owned() });
         }
-        Some(other) => errors.push(wrong_type(&at, other, "a text")),
+        Some(other) => errors.push(wrong_type(&path, other, "a text")),
     }
     None
 }
 
-/// The services that a route goes to, with their weights. A split that isn't empty goes before a plain service.
+/// The target services of a route with their weights. A split that is not empty takes precedence over a plain
+/// `service`.
 fn targets(
     read: &RouteLayout,
     item: &Value,
-    at: &str,
+    path: &str,
     services: &BTreeMap<String, Service>,
     errors: &mut Vec<ValidationError>,
 ) -> Vec<(String, u32)> {
     let plain = read.service.as_deref().filter(|service| !service.is_empty());
     let split = read.split.as_deref().unwrap_or_default();
     if let Some(service) = plain {
-        check_service(service, || join(at, "service"), services, errors);
+        check_service(service, || join(path, "service"), services, errors);
     }
     for (position, part) in split.iter().enumerate() {
-        // A part without a service has its error already.
+        // For an item without a service an error has been recorded already.
         if let Some(service) = part.service.as_deref().filter(|service| !service.is_empty()) {
-            check_service(service, || format!("{at}.split[{position}].service"), services, errors);
+            check_service(service, || format!("{path}.split[{position}].service"), services, errors);
         }
     }
     let mut targets: Vec<(String, u32)> = split.iter().filter_map(SplitLayout::target).collect();
     if let (Some(service), true) = (plain, split.is_empty()) {
         targets.push((service.to_owned(), 1));
     }
-    // Where a field can't be read, that is the error.
-    let is_unread =
-        |field: &str, is_read: bool| !is_read && item.get(field).is_some_and(|value| !value.is_null());
-    let has_unread = is_unread("service", read.service.is_some()) || is_unread("split", read.split.is_some());
+    // If one of the fields is invalid, its own error suffices.
+    let is_invalid =
+        |field: &str, is_valid: bool| !is_valid && item.get(field).is_some_and(|value| !value.is_null());
+    let has_invalid =
+        is_invalid("service", read.service.is_some()) || is_invalid("split", read.split.is_some());
     let has_complete_split = split.iter().all(|part| part.service.is_some() && part.weight.is_some());
-    if targets.is_empty() && has_complete_split && !has_unread && item.is_object() {
-        errors.push(ValidationError::NoTarget { at: at.to_owned() });
+    if targets.is_empty() && has_complete_split && !has_invalid && item.is_object() {
+        errors.push(ValidationError::NoTarget { path: path.to_owned() });
     }
     targets
 }
 
 impl SplitLayout {
-    /// Service and weight, unless the weight is 0 or one of them is missing.
+    /// Service and weight; `None` if the weight is 0 or one of the two is missing.
     fn target(&self) -> Option<(String, u32)> {
         let weight = self.weight.filter(|weight| *weight > 0)?;
         Some((self.service.clone()?, weight))
@@ -174,11 +182,11 @@
 
 fn check_service(
     service: &str,
-    at: impl FnOnce() -> String,
+    path: impl FnOnce() -> String,
     services: &BTreeMap<String, Service>,
     errors: &mut Vec<ValidationError>,
 ) {
     if !services.contains_key(service) {
-        errors.push(ValidationError::UnknownService { at: at(), service: service.to_owned() });
+        errors.push(ValidationError::UnknownService { path: path(), service: service.to_owned() });
     }
 }
--- a/crates/brassport-config-store/src/configuration/tenants.rs
+++ b/crates/brassport-config-store/src/configuration/tenants.rs
@@ -1,13 +1,13 @@
 //! The tenants of a document.
 
-use super::duplicates::FirstPositions;
+use super::duplicates::FirstOccurrences;
 use super::reader::{list, read};
 use super::{validators, Tenant, ValidationError};
 use schematic::Config;
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// An item of `customers`.
+/// The fields of an item of `customers`.
 #[derive(Config)]
 #[config(allow_unknown_fields)]
 #[serde(rename_all = "camelCase")]
@@ -23,23 +23,23 @@
     burst: f64,
 }
 
-/// Reads the tenants (`customers`) of a document, by name.
+/// Reads the tenants (`customers`) of a document, keyed by name.
 pub fn tenants(raw: &Map<String, Value>, errors: &mut Vec<ValidationError>) -> BTreeMap<String, Tenant> {
-    let mut names = FirstPositions::default();
-    let mut keys_so_far = FirstPositions::default();
+    let mut names = FirstOccurrences::default();
+    let mut key_paths = FirstOccurrences::default();
     let mut tenants = BTreeMap::new();
     for (position, item) in list(raw, "", "customers", errors).iter().enumerate() {
-        let at = format!("customers[{position}]");
-        let read: TenantLayout = read(item, &at, errors);
+        let path = format!("customers[{position}]");
+        let read: TenantLayout = read(item, &path, errors);
         let keys = read.keys;
         for (position, key) in keys.iter().enumerate() {
-            let at = format!("{at}.keys[{position}]");
-            if let Some(other) = keys_so_far.note(key.clone(), &at) {
-                errors.push(ValidationError::DuplicateKey { at, other });
+            let path = format!("{path}.keys[{position}]");
+            if let Some(first) = key_paths.insert(key.clone(), &path) {
+                errors.push(ValidationError::DuplicateKey { path, first });
             }
         }
         let Some(name) = read.name else { continue };
-        names.name(&name, &at, errors);
+        names.check_name(&name, &path, errors);
         let tenant = Tenant {
             name: name.clone(),
             keys,
--- a/crates/brassport-config-store/tests/it/configuration/changes.rs
+++ b/crates/brassport-config-store/tests/it/configuration/changes.rs
@@ -174,6 +174,6 @@
     let errors = before.change(&bytes(&change)).unwrap_err();
     let text = error_text(&errors);
     assert_eq!(errors.0.len(), 1, "{text}");
-    assert_eq!(errors.0[0].at(), at, "{text}");
+    assert_eq!(errors.0[0].path(), at, "{text}");
     assert_eq!(before, first());
 }
--- a/crates/brassport-config-store/tests/it/configuration/validation.rs
+++ b/crates/brassport-config-store/tests/it/configuration/validation.rs
@@ -57,7 +57,7 @@
     let errors = Document::empty().replace(&bytes(&document)).unwrap_err();
     let text = error_text(&errors);
     assert_eq!(errors.0.len(), 1, "{text}");
-    assert_eq!(errors.0[0].at(), at);
+    assert_eq!(errors.0[0].path(), at);
     assert!(text.contains(what), "{text}");
     assert!(!errors.0[0].help().is_empty());
 }
@@ -92,12 +92,12 @@
     for end in 0..complete.len() {
         let errors = Document::empty().replace(&complete[..end]).unwrap_err();
         assert!(
-            matches!(errors.0[..], [ValidationError::Unreadable { line: 1, column, .. }] if column <= end)
+            matches!(errors.0[..], [ValidationError::InvalidJson { line: 1, column, .. }] if column <= end)
         );
         error_text(&errors);
     }
     let errors = Document::empty().replace(b"{\n  \"version\": ?\n}").unwrap_err();
-    assert!(matches!(errors.0[..], [ValidationError::Unreadable { line: 2, column: 14, .. }]), "{errors:?}");
+    assert!(matches!(errors.0[..], [ValidationError::InvalidJson { line: 2, column: 14, .. }]), "{errors:?}");
 }
 
 #[test]
@@ -113,7 +113,7 @@
     document["customers"][1]["burst"] = json!(-1);
     let errors = Document::empty().replace(&bytes(&document)).unwrap_err();
     let text = error_text(&errors);
-    let at: Vec<&str> = errors.iter().map(ValidationError::at).collect();
+    let at: Vec<&str> = errors.iter().map(ValidationError::path).collect();
     let expected = [
         "version",
         "services[0].tls",
--- a/crates/brassport-config-store/tests/it/golden/validation_errors.rs
+++ b/crates/brassport-config-store/tests/it/golden/validation_errors.rs
@@ -13,10 +13,10 @@
 /// The name of a variant. Matches outside the package must have a last arm: a new variant fails the test when it occurs.
 fn variant_name(error: &ValidationError) -> &'static str {
     match error {
-        ValidationError::Unreadable { .. } => "unreadable",
+        ValidationError::InvalidJson { .. } => "unreadable",
         ValidationError::WrongType { .. } => "wrong type",
-        ValidationError::Missing { .. } => "missing",
-        ValidationError::BadValue { .. } => "bad value",
+        ValidationError::MissingField { .. } => "missing",
+        ValidationError::InvalidValue { .. } => "bad value",
         ValidationError::StaleVersion { .. } => "old version",
         ValidationError::UnknownService { .. } => "unknown service",
         ValidationError::DuplicateLocation { .. } => "same place",
@@ -157,7 +157,7 @@
     for (name, result) in cases.into_iter().flatten() {
         let errors = result.err().unwrap_or_else(|| panic!("{name}: it is rejected"));
         covered.extend(errors.iter().map(variant_name));
-        let paths: Vec<&str> = errors.iter().map(ValidationError::at).collect();
+        let paths: Vec<&str> = errors.iter().map(ValidationError::path).collect();
         texts.push((name.to_owned(), errors.to_string()));
         texts.push((format!("{name}, places"), paths.join(", ")));
     }
