--- a/crates/brassport-config-store/src/configuration/difference.rs
+++ b/crates/brassport-config-store/src/configuration/difference.rs
@@ -1,103 +1,103 @@
-//! What differs between two configurations, for people.
+//! Differences between two configurations, in readable form.
 
 use super::{Configuration, Limits, Route, Tenant};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::fmt;
 
-/// One difference. `Display` gives one line; keys are counted, never named.
+/// A difference between two configurations. `Display` writes one line; keys are counted, never printed.
 #[derive(Clone, Debug, PartialEq)]
 #[non_exhaustive]
 pub enum Difference {
     /// A route was added.
     RouteAdded {
-        /// Its name.
+        /// The name.
         name: String,
-        /// Host and prefix.
+        /// The host, followed by the prefix.
         location: String,
     },
     /// A route was removed.
     RouteRemoved {
-        /// Its name.
+        /// The name.
         name: String,
-        /// Host and prefix.
+        /// The host, followed by the prefix.
         location: String,
     },
     /// A route has another host or prefix.
     RouteMoved {
-        /// Its name.
+        /// The name.
         name: String,
-        /// Host and prefix before.
+        /// The old host and prefix.
         from: String,
-        /// Host and prefix now.
+        /// The new host and prefix.
         to: String,
     },
-    /// A route goes to other services, or to the same with other weights.
-    RouteRedirected {
-        /// Its name.
+    /// A route has other target services, or other weights.
+    RouteRetargeted {
+        /// The name.
         name: String,
-        /// Services and weights before.
+        /// The old services and weights.
         from: String,
-        /// Services and weights now.
+        /// The new services and weights.
         to: String,
     },
-    /// Another field of a route differs.
+    /// Other fields of a route have changed.
     RouteChanged {
-        /// Its name.
+        /// The name.
         name: String,
-        /// The fields, each with its values before and now.
-        what: String,
+        /// The changed fields, each with its old and new value.
+        changes: String,
     },
     /// A service was added.
     ServiceAdded {
-        /// Its name.
+        /// The name.
         name: String,
     },
     /// A service was removed.
     ServiceRemoved {
-        /// Its name.
+        /// The name.
         name: String,
     },
-    /// A field of a service differs.
+    /// Fields of a service have changed.
     ServiceChanged {
-        /// Its name.
+        /// The name.
         name: String,
-        /// The fields, each with its values before and now.
-        what: String,
+        /// The changed fields, each with its old and new value.
+        changes: String,
     },
     /// A tenant was added.
     TenantAdded {
-        /// Its name.
+        /// The name.
         name: String,
-        /// How many keys it has.
+        /// The number of the tenant's keys.
         keys: usize,
     },
     /// A tenant was removed.
     TenantRemoved {
-        /// Its name.
+        /// The name.
         name: String,
-        /// How many keys it had.
+        /// The number of the tenant's keys.
         keys: usize,
     },
     /// Keys of a tenant were added or removed.
-    Keys {
-        /// The tenant's name.
+    KeysChanged {
+        /// The name of the tenant.
         name: String,
-        /// How many were added.
+        /// The number of added keys.
         added: usize,
-        /// How many were removed.
+        /// The number of removed keys.
         removed: usize,
     },
-    /// A tenant's quota or rank differs.
+    /// The rate limit, burst or rank of a tenant has changed.
     TenantChanged {
-        /// Its name.
+        /// The name.
         name: String,
-        /// The fields, each with its values before and now.
-        what: String,
+        /// The changed fields, each with its old and new value.
+        changes: String,
     },
-    /// Limits differ.
-    Limits {
-        /// The fields, each with its values before and now.
-        what: String,
+    /// Limits have changed.
+    LimitsChanged {
+        /// The changed fields, each with its old and new value.
+        changes: String,
     },
 }
 
@@ -113,30 +113,30 @@
             Difference::RouteMoved { name, from, to } => {
                 write!(formatter, "route {name}: moved from {from} to {to}")
             }
-            Difference::RouteRedirected { name, from, to } => {
+            Difference::RouteRetargeted { name, from, to } => {
                 write!(formatter, "route {name}: goes to {to} instead of {from}")
             }
-            Difference::RouteChanged { name, what } => write!(formatter, "route {name}: {what}"),
+            Difference::RouteChanged { name, changes } => write!(formatter, "route {name}: {changes}"),
             Difference::ServiceAdded { name } => write!(formatter, "service {name}: added"),
             Difference::ServiceRemoved { name } => write!(formatter, "service {name}: removed"),
-            Difference::ServiceChanged { name, what } => write!(formatter, "service {name}: {what}"),
+            Difference::ServiceChanged { name, changes } => write!(formatter, "service {name}: {changes}"),
             Difference::TenantAdded { name, keys } => {
                 write!(formatter, "tenant {name}: added, keys: {keys}")
             }
             Difference::TenantRemoved { name, keys } => {
                 write!(formatter, "tenant {name}: removed, keys: {keys}")
             }
-            Difference::Keys { name, added, removed } => {
+            Difference::KeysChanged { name, added, removed } => {
                 write!(formatter, "tenant {name}: keys added: {added}, removed: {removed}")
             }
-            Difference::TenantChanged { name, what } => write!(formatter, "tenant {name}: {what}"),
-            Difference::Limits { what } => write!(formatter, "limits: {what}"),
+            Difference::TenantChanged { name, changes } => write!(formatter, "tenant {name}: {changes}"),
+            Difference::LimitsChanged { changes } => write!(formatter, "limits: {changes}"),
         }
     }
 }
 
-/// What differs between two configurations: routes, services, tenants and limits, each sorted by
-/// name. The version isn't one of the differences.
+/// The differences between two configurations: routes, services and tenants, each sorted by name, then limits. The
+/// version is not compared.
 pub fn difference(from: &Configuration, to: &Configuration) -> Vec<Difference> {
     let mut found = Vec::new();
     routes(from, to, &mut found);
@@ -146,31 +146,31 @@
     found
 }
 
-/// Lists fields that differ, each with its values before and now.
+/// The fields that differ, each with its old and new value.
 #[derive(Default)]
-struct Fields(Vec<String>);
+struct FieldChanges(Vec<String>);
 
-impl Fields {
-    fn note<T: PartialEq + fmt::Debug>(mut self, field: &str, from: &T, to: &T) -> Fields {
+impl FieldChanges {
+    fn note<T: PartialEq + fmt::Debug>(mut self, field: &str, from: &T, to: &T) -> FieldChanges {
         if from != to {
             self.0.push(format!("{field} {from:?} -> {to:?}"));
         }
         self
     }
 
-    fn what(self) -> Option<String> {
+    fn joined(self) -> Option<String> {
         (!self.0.is_empty()).then(|| self.0.join(", "))
     }
 }
 
-/// What a name stands for in two maps.
+/// The items of one name in two maps.
 enum Pair<'a, V> {
     Added(&'a V),
     Removed(&'a V),
     Both { from: &'a V, to: &'a V },
 }
 
-/// All names of two maps, sorted, with what they stand for.
+/// All names of two maps, sorted, with the items that they refer to.
 fn pairs<'a, V>(
     from: &'a BTreeMap<String, V>,
     to: &'a BTreeMap<String, V>,
@@ -201,7 +201,7 @@
     }
 }
 
-/// Host and prefix of a route.
+/// The host of a route, followed by its prefix.
 fn location(route: &Route) -> String {
     format!("{}{}", route.host, route.path_prefix)
 }
@@ -213,16 +213,16 @@
     }
     if from.targets != to.targets {
         let (from, to) = (targets(from), targets(to));
-        found.push(Difference::RouteRedirected { name: name.clone(), from, to });
+        found.push(Difference::RouteRetargeted { name: name.clone(), from, to });
     }
-    let what = Fields::default()
+    let fields = FieldChanges::default()
         .note("kind", &from.idempotency, &to.idempotency)
         .note("giveUpS", &from.timeout_s, &to.timeout_s)
         .note("goalS", &from.latency_target_s, &to.latency_target_s)
         .note("rank", &from.rank, &to.rank)
         .note("tries", &from.max_attempts, &to.max_attempts)
         .note("public", &from.public, &to.public);
-    found.extend(what.what().map(|what| Difference::RouteChanged { name, what }));
+    found.extend(fields.joined().map(|changes| Difference::RouteChanged { name, changes }));
 }
 
 fn targets(route: &Route) -> String {
@@ -235,12 +235,12 @@
     for (name, pair) in pairs(&from.services, &to.services) {
         match pair {
             Pair::Both { from, to } => {
-                let what = Fields::default()
+                let fields = FieldChanges::default()
                     .note("healthPath", &from.health_path, &to.health_path)
                     .note("maxConnections", &from.max_connections, &to.max_connections)
                     .note("protocol", &from.protocol, &to.protocol)
                     .note("tls", &from.tls, &to.tls);
-                found.extend(what.what().map(|what| Difference::ServiceChanged { name, what }));
+                found.extend(fields.joined().map(|changes| Difference::ServiceChanged { name, changes }));
             }
             Pair::Added(_) => found.push(Difference::ServiceAdded { name }),
             Pair::Removed(_) => found.push(Difference::ServiceRemoved { name }),
@@ -263,20 +263,20 @@
     let now: HashSet<&String> = to.keys.iter().collect();
     let (added, removed) = (now.difference(&before).count(), before.difference(&now).count());
     if added + removed > 0 {
-        found.push(Difference::Keys { name: to.name.clone(), added, removed });
+        found.push(Difference::KeysChanged { name: to.name.clone(), added, removed });
     }
-    let what = Fields::default()
+    let fields = FieldChanges::default()
         .note("rank", &from.rank, &to.rank)
         .note("ratePerS", &from.rate_per_s, &to.rate_per_s)
         .note("burst", &from.burst, &to.burst);
-    found.extend(what.what().map(|what| Difference::TenantChanged { name: to.name.clone(), what }));
+    found.extend(fields.joined().map(|changes| Difference::TenantChanged { name: to.name.clone(), changes }));
 }
 
 fn limits(from: &Limits, to: &Limits, found: &mut Vec<Difference>) {
-    let what = Fields::default()
+    let fields = FieldChanges::default()
         .note("maxHeaderBytes", &from.max_header_bytes, &to.max_header_bytes)
         .note("maxBodyBytes", &from.max_body_bytes, &to.max_body_bytes)
         .note("headerWaitS", &from.header_timeout_s, &to.header_timeout_s)
         .note("idleWaitS", &from.idle_timeout_s, &to.idle_timeout_s);
-    found.extend(what.what().map(|what| Difference::Limits { what }));
+    found.extend(fields.joined().map(|changes| Difference::LimitsChanged { changes }));
 }
--- a/crates/brassport-config-store/src/configuration/items.rs
+++ b/crates/brassport-config-store/src/configuration/items.rs
@@ -1,4 +1,4 @@
-//! What a document says, item by item, as the gateway reads it.
+//! The typed items of a configuration.
 
 use super::Version;
 use schematic::ConfigEnum;
@@ -6,72 +6,72 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A configuration as the gateway reads it. It has passed every check.
+/// A validated configuration, as the gateway uses it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Its version.
+    /// The version of the configuration.
     pub version: Version,
-    /// The services by name.
+    /// The services, by name.
     pub services: BTreeMap<String, Service>,
-    /// What a client may send, and how long it may take.
+    /// Limits on the size and the duration of clients' requests.
     pub limits: Limits,
-    /// The tenants (`customers`) by name.
+    /// The tenants (`customers`), by name.
     pub tenants: BTreeMap<String, Tenant>,
-    /// The routes in the document's order.
+    /// The routes, in document order.
     pub routes: Vec<Route>,
     /// Whether a route that is not public requires a key: true if there is a tenant (`customers` is not empty).
     pub requires_key: bool,
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize, ConfigEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Idempotency {
-    /// It may run more than once.
+    /// The request may be executed more than once.
     Safe,
-    /// It runs at most once per attempt. The default where `kind` is omitted.
+    /// Each attempt executes the request at most once. The default if `kind` is omitted.
     #[default]
     Unsafe,
 }
 
-/// A route: the requests of one host under one prefix of the path.
+/// A route: the requests to one host whose path has a given prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, which no other route has.
+    /// The unique name of the route.
     pub name: String,
-    /// The host in lower case and without a port.
+    /// The host, in lower case and without a port.
     pub host: String,
-    /// The prefix of the path. It begins and ends with a slash.
+    /// The path prefix, which begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether its requests may run more than once.
+    /// Whether the route's requests may be executed more than once (`kind`).
     pub idempotency: Idempotency,
-    /// The time-out of a request, in seconds: above 0, at most 600.
+    /// The time-out of a request in seconds (`giveUpS`): above 0, at most 600.
     pub timeout_s: f64,
-    /// The latency target, in seconds: a response within it has its full value. Left out: `timeout_s`.
+    /// The latency target in seconds (`goalS`): a response within it has its full value. Default: `timeout_s`.
     pub latency_target_s: f64,
-    /// Its rank; 0 is the highest.
+    /// The rank of the route's requests; 0 is the highest.
     pub rank: u32,
-    /// The services and their weights. Every weight is above 0, and there is at least one. A
-    /// split's services of weight 0 are left out; a route with a plain `service` has the weight 1.
+    /// The target services and their weights: at least one, each with a weight above 0. Services of weight 0 in a split
+    /// are omitted; the service of a route without a split has weight 1.
     pub targets: Vec<(String, u32)>,
-    /// The largest number of backends that a request may be sent to; at least 1.
+    /// The maximum number of backends that a request may be sent to (`tries`); at least 1.
     pub max_attempts: u32,
-    /// Whether it needs no key.
+    /// Whether the route's requests need no key.
     pub public: bool,
 }
 
-/// A tenant: the holder of keys. `Debug` shows how many keys there are, never the keys.
+/// A tenant, which is identified by its keys. `Debug` prints the number of keys, never the keys.
 #[derive(Clone, PartialEq)]
 pub struct Tenant {
-    /// Its name, shown to the backends.
+    /// The unique name of the tenant, which is passed to the backends.
     pub name: String,
-    /// Its keys.
+    /// The keys of the tenant, none of them empty.
     pub keys: Vec<String>,
-    /// Its rank, which comes before the route's; 0 is the highest.
+    /// The rank of the tenant's requests, which takes precedence over the route's; 0 is the highest.
     pub rank: u32,
-    /// How many requests a second it may make over all gateway instances; 0: no limit.
+    /// Rate limit in requests per second over all gateway instances; 0: no limit.
     pub rate_per_s: f64,
-    /// How many requests it may make at once beyond that rate.
+    /// How many requests beyond the rate limit the tenant may send at once.
     pub burst: f64,
 }
 
@@ -88,29 +88,29 @@
     }
 }
 
-/// A service: a set of backends that do the same work.
+/// A service: a set of interchangeable backends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// The path of the health check. Left out: `/health`.
+    /// The path of the health check. Default: `/health`.
     pub health_path: String,
-    /// How many connections a backend takes from all callers. Left out or 0: 100.
+    /// The maximum number of connections that a backend accepts from all callers together. Default, also for 0: 100.
     pub max_connections: u32,
-    /// The protocol its backends speak. Left out: `h1`.
+    /// The protocol of the backends. Default: `h1`.
     pub protocol: String,
-    /// Whether its backends speak TLS.
+    /// Whether connections to the backends use TLS.
     pub tls: bool,
 }
 
-/// What a client may send, and how long it may take. A limit of 0 is read as left out.
+/// Limits on the size and the duration of clients' requests. A limit of 0 stands for its default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// The largest head of a request, in bytes. Left out: 16384.
+    /// The maximum size of a request's header section, in bytes. Default: 16384.
     pub max_header_bytes: u64,
-    /// The largest body of a request, in bytes. Left out: 67108864.
+    /// The maximum size of a request's body, in bytes. Default: 67108864.
     pub max_body_bytes: u64,
-    /// How long a head may take, in seconds. Left out: 3.
+    /// The time-out for receiving a request's header section, in seconds (`headerWaitS`). Default: 3.
     pub header_timeout_s: f64,
-    /// How long a connection may be idle, in seconds. Left out: 15.
+    /// The time-out of an idle connection, in seconds (`idleWaitS`). Default: 15.
     pub idle_timeout_s: f64,
 }
 
--- a/crates/brassport-config-store/src/configuration/limits.rs
+++ b/crates/brassport-config-store/src/configuration/limits.rs
@@ -1,11 +1,11 @@
-//! The limits of a document.
+//! The client limits of a document.
 
 use super::reader::{or_default_if_0, read};
 use super::{validators, Limits, ValidationError};
 use schematic::Config;
 use serde_json::{Map, Value};
 
-/// The `limits`.
+/// The fields of `limits`.
 #[derive(Config)]
 #[config(allow_unknown_fields)]
 #[serde(rename_all = "camelCase")]
@@ -18,7 +18,7 @@
     idle_wait_s: f64,
 }
 
-/// Reads the limits of a document.
+/// Reads the limits of a document; omitted limits and limits of 0 have their defaults.
 pub fn limits(raw: &Map<String, Value>, errors: &mut Vec<ValidationError>) -> Limits {
     let defaults = Limits::default();
     let item = match raw.get("limits") {
--- a/crates/brassport-config-store/src/configuration/mod.rs
+++ b/crates/brassport-config-store/src/configuration/mod.rs
@@ -1,13 +1,12 @@
-//! The operator's configuration of the gateway: as it was sent, and as the gateway reads it. No I/O.
+//! The operator's configuration of the gateway, both as JSON document and as typed values. No I/O.
 //!
-//! A [`Document`] has the complete JSON, with the fields that are unknown here, and the typed [`Configuration`] read from
-//! it.
+//! A [`Document`] holds the complete JSON, including unknown fields, and the typed [`Configuration`] parsed from it.
 //!
-//! `schematic` gives the typed layouts, their defaults and the check of single fields. Its loader isn't used: it reads one
-//! source as one type and ends at the first field of the wrong type. Here every item is read by itself (`reader.rs`), so
-//! that all errors are reported together, and `serde_json` gives the line and column where the text itself can't be read.
-//! No variable of the environment is read. What concerns more than one item is checked where the item is read
-//! (`services.rs`, `tenants.rs`, `routes.rs`).
+//! `schematic` provides the typed layouts of items, their defaults and the validation of single fields. Its loader
+//! isn't used: it deserializes one source as one type and stops at the first field of the wrong type. Here each item is
+//! deserialized separately (`reader.rs`), so that all errors are reported together, and `serde_json` reports line and
+//! column where the text is not valid JSON. No environment variables are read. Constraints across items are checked
+//! where the items are read (`services.rs`, `tenants.rs`, `routes.rs`).
 
 mod change;
 mod difference;
--- a/crates/brassport-config-store/src/configuration/route_table.rs
+++ b/crates/brassport-config-store/src/configuration/route_table.rs
@@ -1,19 +1,19 @@
-//! The table that finds the route of a request and the tenant of a key.
+//! The lookup table for the route of a request and the tenant of a key.
 
 use super::{Configuration, Route, Tenant};
 use std::borrow::Cow;
 use std::collections::HashMap;
 use std::fmt;
 
-/// A host as it is looked up: in lower case, without a port and without spaces around it.
+/// Normalizes a host for lookups: lower case, without the port and without surrounding white space.
 pub fn normalize_host(host: &str) -> Cow<'_, str> {
     let host = host.trim();
     let port = match host.rfind(']') {
-        // An address of version 6 in brackets has colons of its own.
-        Some(end) => host[end..].find(':').map(|at| end + at),
+        // A bracketed IPv6 address contains colons itself.
+        Some(end) => host[end..].find(':').map(|colon| end + colon),
         None => host.rfind(':'),
     };
-    let host = port.map_or(host, |at| &host[..at]);
+    let host = port.map_or(host, |colon| &host[..colon]);
     if host.bytes().any(|byte| byte.is_ascii_uppercase()) {
         Cow::Owned(host.to_ascii_lowercase())
     } else {
@@ -24,13 +24,13 @@
 /// The routes of one host.
 #[derive(Default)]
 struct Host {
-    /// Positions in the list of routes, by prefix.
+    /// Positions in the table's list of routes, by path prefix.
     routes: HashMap<String, usize>,
-    /// The length of the longest prefix.
-    longest: usize,
+    /// The length of the longest prefix, in bytes.
+    longest_prefix: usize,
 }
 
-/// Finds routes and tenants. `Debug` shows only how many there are.
+/// Looks up routes and tenants. `Debug` prints only their numbers, since keys are secret.
 pub struct RouteTable {
     routes: Vec<Route>,
     hosts: HashMap<String, Host>,
@@ -51,12 +51,12 @@
 }
 
 impl RouteTable {
-    /// Builds the table of a configuration.
+    /// Builds the table for a configuration.
     pub fn new(configuration: &Configuration) -> RouteTable {
         let mut hosts: HashMap<String, Host> = HashMap::new();
         for (position, route) in configuration.routes.iter().enumerate() {
             let host = hosts.entry(route.host.clone()).or_default();
-            host.longest = host.longest.max(route.path_prefix.len());
+            host.longest_prefix = host.longest_prefix.max(route.path_prefix.len());
             host.routes.insert(route.path_prefix.clone(), position);
         }
         let tenants: Vec<Tenant> = configuration.tenants.values().cloned().collect();
@@ -69,18 +69,18 @@
         RouteTable { routes: configuration.routes.clone(), hosts, tenants, keys }
     }
 
-    /// The route of a request: of those of the host, the one with the longest prefix of the path.
-    /// The path comes without the query. Prefixes end with a slash, so only what ends with one is
-    /// looked up, longest first.
+    /// The route of a request: the route of the host with the longest prefix that matches the path, which is given
+    /// without the query. Since prefixes end with a slash, only the parts of the path up to a slash are looked up,
+    /// longest first.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = self.hosts.get(&*normalize_host(host))?;
-        let ends = path.bytes().take(host.longest).enumerate().filter(|(_, byte)| *byte == b'/');
-        let ends: Vec<usize> = ends.map(|(at, _)| at + 1).collect();
+        let ends = path.bytes().take(host.longest_prefix).enumerate().filter(|(_, byte)| *byte == b'/');
+        let ends: Vec<usize> = ends.map(|(slash, _)| slash + 1).collect();
         let position = ends.iter().rev().find_map(|&end| host.routes.get(&path[..end]))?;
         self.routes.get(*position)
     }
 
-    /// The tenant that holds a key.
+    /// The tenant that a key belongs to.
     pub fn tenant(&self, key: &str) -> Option<&Tenant> {
         self.tenants.get(*self.keys.get(key)?)
     }
--- a/crates/brassport-config-store/src/configuration/version.rs
+++ b/crates/brassport-config-store/src/configuration/version.rs
@@ -1,9 +1,9 @@
-//! The version of a configuration.
+//! Versions of a configuration.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// The version of a configuration, written as eight hexadecimal digits.
+/// The version of a configuration, displayed as eight hexadecimal digits. Later versions are higher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version(pub u32);
 
@@ -13,7 +13,7 @@
     }
 }
 
-/// What was read isn't a version.
+/// The error of parsing a text that is not a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParseVersionError;
 
@@ -28,7 +28,7 @@
 impl FromStr for Version {
     type Err = ParseVersionError;
 
-    /// Reads one to eight hexadecimal digits: `X-Built-On` may be a plain `0`.
+    /// Parses one to eight hexadecimal digits; fewer than eight are allowed since `X-Built-On` may be a plain `0`.
     fn from_str(text: &str) -> Result<Version, ParseVersionError> {
         let digits = (1..=8).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if !digits {
