--- a/crates/brassport-config-store/src/store/error.rs
+++ b/crates/brassport-config-store/src/store/error.rs
@@ -3,36 +3,36 @@
 use super::FORMAT;
 use std::path::PathBuf;
 
-/// Why a store can't be used, or a record could not be written.
+/// An error of opening a store, or of reading or writing its records.
 #[derive(Debug, miette::Diagnostic)]
 pub enum StoreError {
-    /// The file is of another format.
+    /// The file has a format that this program does not support.
     #[diagnostic(help(
         "start the program that wrote it, or move the file away: a voter without it is let in anew"
     ))]
     UnsupportedFormat {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// The format that it has.
+        /// The format of the file.
         found: u32,
     },
-    /// Its content is inconsistent, or can't be decoded.
+    /// The content of the file is inconsistent or can't be decoded.
     #[diagnostic(help("move the file away: a voter without it is let in anew by the others"))]
     Corrupt {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// What was wrong.
-        what: String,
+        /// What is wrong with it.
+        reason: String,
     },
-    /// The folder itself can't be synced.
+    /// The data folder can't be synced.
     #[diagnostic(help("see to the disk, and to the rights on the folder"))]
     SyncFolder {
-        /// The folder.
+        /// The path of the folder.
         folder: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// SQLite can't read or write the file: the disk is full, or failed.
+    /// SQLite can't read or write the file, for example because the disk is full or has failed.
     #[diagnostic(help("make room, or see to the disk; what was not kept was not promised"))]
     Sqlite(rusqlite::Error),
 }
@@ -43,7 +43,7 @@
             StoreError::UnsupportedFormat { file, found } => {
                 write!(f, "{}: format {found}, this program writes {FORMAT}", file.display())
             }
-            StoreError::Corrupt { file, what } => write!(f, "{}: {what}", file.display()),
+            StoreError::Corrupt { file, reason } => write!(f, "{}: {reason}", file.display()),
             StoreError::SyncFolder { folder, error } => write!(f, "{}: {error}", folder.display()),
             StoreError::Sqlite(error) => write!(f, "the store's disk: {error}"),
         }
--- a/crates/brassport-config-store/src/store/mod.rs
+++ b/crates/brassport-config-store/src/store/mod.rs
@@ -1,6 +1,6 @@
-//! A voter's store: the disk's number, what the voter promised and accepted, and the state, in one SQLite file. Every
-//! record is synced before [`Store::append`] returns. It has one owner; the host gives it a thread, so that a disk that
-//! hangs delays nobody else.
+//! A voter's durable store: the number of the disk, the voter's promises and acceptances, and the replicated state, in
+//! one SQLite file. Every record is synced before [`Store::append`] returns. The store has a single owner, which the
+//! host runs on a thread of its own, so that a hanging disk blocks nothing else.
 
 mod error;
 mod migration;
@@ -15,40 +15,43 @@
 use rusqlite::Connection;
 use std::path::{Path, PathBuf};
 
-/// The format of the file. One of format 1 is converted when it is opened; any other is rejected.
+/// The format of the file. A file of format 1 is migrated when it is opened; any other format is rejected.
 const FORMAT: u32 = 2;
-/// Most bytes of the file. With its write-ahead log, which takes some 4 MB, it never fills a disk of 64 MB.
+/// Maximum size of the file in bytes. Together with the write-ahead log, which takes about 4 MB, it does not fill a
+/// disk of 64 MB.
 const MAX_FILE_BYTES: u64 = 40 << 20;
-/// Bytes of one page of the file: SQLite's default.
+/// Page size of the file in bytes: SQLite's default.
 const PAGE_BYTES: u64 = 4096;
-/// SQLite's page cache, as it wants it: negative, in KiB. The state is one row, so there is little to cache.
+/// SQLite's `cache_size`, where a negative value is a size in KiB. The state is a single row, so there is little to
+/// cache.
 const CACHE_SIZE_KIB: i32 = -512;
-/// The file's name in the data folder. It is an older name of the log, kept for the stores that are in service.
+/// The name of the file in the data folder. "Timetable" is a former name of the log, kept for existing stores.
 pub const FILE_NAME: &str = "timetable.sqlite";
 
-/// A voter's file.
+/// A voter's durable store.
 #[derive(Debug)]
 pub struct Store {
     file: PathBuf,
     connection: Connection,
     disk: DiskId,
-    /// Whether a record failed to be written: what comes after it would stand on a gap, until a snapshot is written.
+    /// Whether a write has failed. Records after it would leave a gap in the log, so only a snapshot is accepted next.
     has_gap: bool,
 }
 
 impl Store {
-    /// Opens the store of a folder, or creates one there with this number.
+    /// Opens the store in a folder, or creates one with the disk number `new_disk`.
     ///
     /// # Errors
-    /// The disk refuses, or the file is not of this format.
+    /// The disk can't be read or written, or the file is corrupt or has an unsupported format.
     pub fn open(folder: &Path, new_disk: DiskId) -> Result<(Store, DurableState), StoreError> {
         Store::open_with_limit(folder, new_disk, MAX_FILE_BYTES)
     }
 
-    /// As [`open`](Store::open), for a file of so many bytes at the most: what exceeds them is refused as by a full disk.
+    /// Like [`open`](Store::open), with the size of the file limited to `max_bytes`. A write that exceeds the limit
+    /// fails as it does on a full disk.
     ///
     /// # Errors
-    /// As there.
+    /// The same as for [`open`](Store::open).
     pub fn open_with_limit(
         folder: &Path,
         new_disk: DiskId,
@@ -65,7 +68,7 @@
         Ok((store, found))
     }
 
-    /// Marks a new file with its format and number, and converts one of format 1.
+    /// Writes format and disk number to a new file, and migrates a file of format 1.
     fn check_format(&mut self) -> Result<(), StoreError> {
         let format = self.rows().meta::<u32>(META_FORMAT);
         match self.decoded(format)? {
@@ -92,15 +95,15 @@
         Ok(transaction.commit()?)
     }
 
-    /// The number that this disk was given.
+    /// The number assigned to this disk.
     pub fn disk(&self) -> DiskId {
         self.disk
     }
 
-    /// The state that the records so far amount to.
+    /// The durable state that results from all records.
     ///
     /// # Errors
-    /// The disk refuses, or a record can't be read.
+    /// The disk can't be read, or a record can't be decoded.
     pub fn recover(&self) -> Result<DurableState, StoreError> {
         let promised: Term = self.decoded(self.rows().meta(META_PROMISED))?.unwrap_or_default();
         let state: Option<ReplicatedState> = self.decoded(self.rows().state())?;
@@ -110,7 +113,7 @@
         Ok(DurableState { promised, state, accepted })
     }
 
-    /// Applies the log's entries to a state, but for the last, if that is only accepted.
+    /// Applies the entries of the log to a state, except the last one if it is accepted but not known to be committed.
     fn replay(
         &self,
         mut state: ReplicatedState,
@@ -124,7 +127,7 @@
                 let gap = format!("index {} stands behind index {}", row.index.0 as i64, state.index);
                 return Err(self.corrupt(gap));
             }
-            // What stands before another was committed when that one was accepted.
+            // An entry is accepted only after the entry before it was committed.
             if row.is_committed || number + 1 < last {
                 state.apply(&entry);
             } else {
@@ -134,10 +137,11 @@
         Ok((state, accepted))
     }
 
-    /// Appends a record; it is on disk when this returns.
+    /// Appends a record, which is synced to disk when this returns.
     ///
     /// # Errors
-    /// The disk refuses; nothing of the record is kept, and none is taken after it until one is a snapshot.
+    /// The write failed: nothing of the record is stored, and every later record is rejected until a snapshot is
+    /// written.
     pub fn append(&mut self, record: &Record) -> Result<(), StoreError> {
         if self.has_gap && !matches!(record, Record::Snapshot(_)) {
             return Err(self.corrupt("a record before this one was not kept".to_owned()));
@@ -175,23 +179,23 @@
         Rows(&self.connection)
     }
 
-    /// Names the file in the error of what could not be decoded.
+    /// Adds the path of the file to a decoding error.
     fn decoded<T>(&self, result: Result<T, DecodeError>) -> Result<T, StoreError> {
         result.map_err(|error| match error {
             DecodeError::Sqlite(error) => StoreError::Sqlite(error),
-            DecodeError::Cbor(what) => self.corrupt(what),
+            DecodeError::Cbor(reason) => self.corrupt(reason),
         })
     }
 
-    fn corrupt(&self, what: String) -> StoreError {
-        StoreError::Corrupt { file: self.file.clone(), what }
+    fn corrupt(&self, reason: String) -> StoreError {
+        StoreError::Corrupt { file: self.file.clone(), reason }
     }
 }
 
-/// Opens the file, with what makes each commit durable, and its tables.
+/// Opens the file with settings that make each commit durable, and creates its tables if they are missing.
 fn connect(file: &Path, max_bytes: u64) -> Result<Connection, rusqlite::Error> {
     let connection = Connection::open(file)?;
-    // Exclusive: the index of the write-ahead log stays in this process's memory.
+    // In exclusive mode, the index of the write-ahead log is kept in this process's memory instead of a file.
     connection.pragma_update(None, "locking_mode", "exclusive")?;
     connection.pragma_update(None, "journal_mode", "wal")?;
     connection.pragma_update(None, "synchronous", "full")?;
@@ -201,7 +205,8 @@
     Ok(connection)
 }
 
-/// Syncs the folder's own entries. Guards against a loss of power that takes a file whose content was synced.
+/// Syncs the folder's directory entries. Without it, a loss of power may remove a new file although its content was
+/// synced.
 fn sync_folder(folder: &Path) -> Result<(), StoreError> {
     std::fs::File::open(folder)
         .and_then(|folder| folder.sync_all())
--- a/crates/brassport-config-store/src/store/rows.rs
+++ b/crates/brassport-config-store/src/store/rows.rs
@@ -1,18 +1,18 @@
-//! The tables of a store and their rows. Names of tables and columns are those of the stores in service: `place` holds a
-//! log index, `epoch` a term, and `chosen` whether the entry is committed. Values are CBOR.
+//! The tables of a store and their rows. The column names are kept for existing stores: `place` holds a log index,
+//! `epoch` a term, and `chosen` whether the entry is known to be committed. Values are encoded as CBOR.
 
 use crate::consensus::{Entry, LogIndex, ReplicatedState, Term};
 use rusqlite::{params, Connection, OptionalExtension};
 use serde::{de::DeserializeOwned, Serialize};
 
-/// The key of the file's format in `meta`.
+/// The key of the file format in the table `meta`.
 pub(super) const META_FORMAT: &str = "format";
-/// The key of the disk's number.
+/// The key of the disk number in the table `meta`.
 pub(super) const META_DISK: &str = "disk";
-/// The key of the highest term promised.
+/// The key of the highest promised term in the table `meta`.
 pub(super) const META_PROMISED: &str = "promised";
 
-/// Creates the tables, where they are not there.
+/// Creates the tables that are missing.
 pub(super) fn create_tables(connection: &Connection) -> Result<(), rusqlite::Error> {
     connection.execute_batch(
         "CREATE TABLE IF NOT EXISTS meta (key TEXT PRIMARY KEY, value BLOB NOT NULL) WITHOUT ROWID;
@@ -21,12 +21,12 @@
     )
 }
 
-/// Why a value can't be read.
+/// An error of reading a value.
 #[derive(Debug)]
 pub(super) enum DecodeError {
-    /// The disk refuses.
+    /// The row can't be read.
     Sqlite(rusqlite::Error),
-    /// The bytes are not what they should be; the reader's text.
+    /// The value can't be decoded; the message of the CBOR decoder.
     Cbor(String),
 }
 
@@ -36,58 +36,58 @@
     }
 }
 
-/// A row of `log`, encoded.
+/// A row of the table `log`, with term and entry still encoded.
 #[derive(Debug)]
 pub(super) struct LogRow {
     /// The index of the entry.
     pub index: LogIndex,
-    /// Whether it is known to be committed.
+    /// Whether the entry is known to be committed.
     pub is_committed: bool,
     term: Vec<u8>,
     entry: Vec<u8>,
 }
 
 impl LogRow {
-    /// The row of an entry that is accepted under a term.
+    /// The row of an entry accepted under a term.
     pub fn accepted(index: LogIndex, term: Term, entry: &Entry) -> LogRow {
         LogRow { index, is_committed: false, term: encode(&term), entry: encode(entry) }
     }
 
-    /// The row of an entry that is committed: under which term does not matter any more.
+    /// The row of a committed entry, for which the term is irrelevant.
     pub fn committed(index: LogIndex, entry: &Entry) -> LogRow {
         LogRow { index, is_committed: true, term: encode(&Term::ZERO), entry: encode(entry) }
     }
 
-    /// The entry.
+    /// Decodes the entry.
     pub fn entry(&self) -> Result<Entry, DecodeError> {
         decode(&self.entry)
     }
 
-    /// The term under which it was accepted; zero for one that is committed.
+    /// Decodes the term under which the entry was accepted; zero if it was written as committed.
     pub fn term(&self) -> Result<Term, DecodeError> {
         decode(&self.term)
     }
 }
 
-/// The rows of a store, by a connection or a transaction.
+/// Access to the rows of a store through a connection or a transaction.
 pub(super) struct Rows<'a>(pub &'a Connection);
 
 impl Rows<'_> {
-    /// A value of `meta`, if it is there.
+    /// Reads a value from the table `meta`, if it is present.
     pub fn meta<T: DeserializeOwned>(&self, key: &str) -> Result<Option<T>, DecodeError> {
         let value: Option<Vec<u8>> =
             self.0.query_row("SELECT value FROM meta WHERE key = ?1", [key], |row| row.get(0)).optional()?;
         value.map(|bytes| decode(&bytes)).transpose()
     }
 
-    /// The state, if there is one.
+    /// Reads the state, if there is one.
     pub fn state<T: DeserializeOwned>(&self) -> Result<Option<T>, DecodeError> {
         let value: Option<Vec<u8>> =
             self.0.query_row("SELECT value FROM state", [], |row| row.get(0)).optional()?;
         value.map(|bytes| decode(&bytes)).transpose()
     }
 
-    /// All rows of the log, in the order of their indexes.
+    /// Reads all rows of the log, ordered by index.
     pub fn log(&self) -> Result<Vec<LogRow>, rusqlite::Error> {
         let mut statement = self.0.prepare("SELECT place, epoch, entry, chosen FROM log ORDER BY place")?;
         let rows = statement.query_map([], |row| {
@@ -101,19 +101,19 @@
         rows.collect()
     }
 
-    /// Sets a value of `meta`.
+    /// Writes a value to the table `meta`.
     pub fn put_meta(&self, key: &str, value: &impl Serialize) -> Result<(), rusqlite::Error> {
         self.0.execute("INSERT OR REPLACE INTO meta VALUES (?1, ?2)", params![key, encode(value)])?;
         Ok(())
     }
 
-    /// Sets the state.
+    /// Replaces the state.
     pub fn put_state(&self, state: &ReplicatedState) -> Result<(), rusqlite::Error> {
         self.0.execute("INSERT OR REPLACE INTO state VALUES (1, ?1)", params![encode(state)])?;
         Ok(())
     }
 
-    /// Puts an entry at its index, in place of all from there on.
+    /// Writes an entry at its index, and deletes all rows from that index on.
     pub fn put_entry(&self, row: &LogRow) -> Result<(), rusqlite::Error> {
         let index = row.index.0 as i64;
         self.0.execute("DELETE FROM log WHERE place >= ?1", [index])?;
@@ -124,7 +124,7 @@
         Ok(())
     }
 
-    /// Removes all rows of the log.
+    /// Deletes all rows of the log.
     pub fn clear_log(&self) -> Result<(), rusqlite::Error> {
         self.0.execute("DELETE FROM log", [])?;
         Ok(())
@@ -133,7 +133,7 @@
 
 fn encode(value: &impl Serialize) -> Vec<u8> {
     let mut bytes = Vec::new();
-    // Writing to a vector can't fail.
+    // Writing to a vector can't fail, and all stored types can be encoded.
     let _ = ciborium::into_writer(value, &mut bytes);
     bytes
 }
