--- a/crates/brassport-config-store/tests/it/golden/documents.rs
+++ b/crates/brassport-config-store/tests/it/golden/documents.rs
@@ -1,15 +1,15 @@
-//! Documents as they are written anew, and their differences.
+//! Golden texts of serialized documents, and of the differences between them.
 
 use super::{CHANGE, DOCUMENT, GOLDEN};
 use brassport_config_store::configuration::{difference, Configuration, Document, Idempotency, Version};
 
 #[test]
-fn documents_and_differences_have_their_texts() {
-    let first = Document::empty().replace(DOCUMENT.as_bytes()).expect("it is sound");
-    let changed = first.change(CHANGE.as_bytes()).expect("the change is sound");
+fn documents_and_differences_match_their_golden_texts() {
+    let first = Document::empty().replace(DOCUMENT.as_bytes()).expect("the document is valid");
+    let changed = first.change(CHANGE.as_bytes()).expect("the change is valid");
     let text = |document: &Document| String::from_utf8(document.to_bytes()).expect("JSON is text");
     for document in [&first, &changed] {
-        let read = Document::from_bytes(&document.to_bytes()).expect("it can be read");
+        let read = Document::from_bytes(&document.to_bytes()).expect("the document can be parsed");
         assert_eq!((&read, read.to_bytes()), (document, document.to_bytes()));
     }
     let differences = |older: &Document, newer: &Document| {
@@ -31,7 +31,7 @@
     check_fields(first.configuration());
 }
 
-/// The fields of [`DOCUMENT`], as the gateway reads them.
+/// Checks the typed values parsed from [`DOCUMENT`].
 fn check_fields(parsed: &Configuration) {
     assert_eq!((parsed.version, parsed.requires_key), (Version(5), true));
     let (search, pay) = (&parsed.services["search"], &parsed.services["pay"]);
--- a/crates/brassport-config-store/tests/it/golden/mod.rs
+++ b/crates/brassport-config-store/tests/it/golden/mod.rs
@@ -1,5 +1,5 @@
-//! Golden bytes: what voters send one another and have on disk, and what becomes of an operator's document, compared with
-//! fixtures in `tests/golden`. Two of them are stores as a voter left them, of format 2 and of format 1.
+//! Golden tests: encodings of messages, records and states, and texts of documents and errors, are compared with
+//! fixtures in `tests/golden`. Two of the fixtures are store files, of format 2 and of format 1.
 
 mod documents;
 mod store;
@@ -23,14 +23,14 @@
 
 fn encode(value: &impl Serialize) -> Vec<u8> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(value, &mut bytes).expect("a vector takes all");
+    ciborium::into_writer(value, &mut bytes).expect("writing to a vector can't fail");
     bytes
 }
 
-/// The CBOR of a value; what is read from it is equal and has the same bytes.
+/// The CBOR encoding of a value, in hexadecimal. Asserts that the decoded value is equal and has the same encoding.
 fn encoded<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) -> (String, String) {
     let bytes = encode(value);
-    let read: T = ciborium::from_reader(&bytes[..]).expect("the bytes can be read");
+    let read: T = ciborium::from_reader(&bytes[..]).expect("the bytes can be decoded");
     assert_eq!(&read, value, "{name}");
     assert_eq!(encode(&read), bytes, "{name}");
     (name.to_owned(), hex(&bytes))
@@ -44,7 +44,7 @@
     (1..4).map(voter).collect()
 }
 
-/// A document with each part that an operator may write, and with fields that nobody here knows.
+/// A document with every field that an operator may set, and with unknown fields.
 const DOCUMENT: &str = r#"{ "version": "00000005", "note": {"by": "ops", "at": [1, 2.5, 1e3]},
  "services": [{"name": "search", "healthPath": "/ok", "maxConnections": 7, "protocol": "h1", "tls": true, "owner": "x"}, {"name": "pay"}],
  "limits": {"maxHeaderBytes": 4096, "maxBodyBytes": 0, "headerWaitS": 1.5, "idleWaitS": 9, "other": null},
@@ -66,7 +66,8 @@
     AcceptedEntry { term, entry }
 }
 
-/// The name of a kind; one that is new does not compile here until it has a case in [`entries`] too.
+/// The name of a variant. The match is exhaustive, so that a new variant can't be added without a case in [`entries`].
+/// The names are keys of the fixture, and older than those of the variants.
 fn entry_name(entry: &Entry) -> &'static str {
     match entry {
         Entry::Noop => "nothing",
@@ -75,7 +76,7 @@
         Entry::Change { .. } => "change",
     }
 }
-/// Arms of [`entry_name`].
+/// Number of variants in [`entry_name`].
 const ENTRIES: usize = 4;
 
 fn entries() -> Vec<Entry> {
@@ -83,7 +84,7 @@
     vec![Entry::Noop, Entry::Voters { voters, quota_shares: 5 }, replace(0, DOCUMENT), change(5, CHANGE)]
 }
 
-/// As [`entry_name`], for [`messages`].
+/// Like [`entry_name`], for [`messages`].
 fn message_name(message: &Message) -> &'static str {
     match message {
         Message::Prepare { .. } => "prepare",
@@ -96,7 +97,7 @@
         Message::HeartbeatResponse { .. } => "follow",
     }
 }
-/// Arms of [`message_name`].
+/// Number of variants in [`message_name`].
 const MESSAGES: usize = 8;
 
 fn messages() -> Vec<Message> {
@@ -121,7 +122,7 @@
     messages
 }
 
-/// As [`entry_name`], for [`records`].
+/// Like [`entry_name`], for [`records`].
 fn record_name(record: &Record) -> &'static str {
     match record {
         Record::Promised(_) => "promised",
@@ -130,10 +131,10 @@
         Record::Snapshot(_) => "whole",
     }
 }
-/// Arms of [`record_name`].
+/// Number of variants in [`record_name`].
 const RECORDS: usize = 4;
 
-/// What led to a state with two versions and other voters.
+/// The state after all of [`entries`]: two versions, and a change of voters and quota shares.
 fn state() -> ReplicatedState {
     let mut state = ReplicatedState::genesis(voters(), 4);
     entries().iter().for_each(|entry| state.apply(entry));
@@ -141,27 +142,28 @@
     state
 }
 
-/// A state that has forgotten some of its orders.
-fn long_state() -> ReplicatedState {
+/// A state that has forgotten the oldest of its requests.
+fn state_with_forgotten_requests() -> ReplicatedState {
     let mut state = ReplicatedState::genesis(vec![voter(1)], 1);
     for version in 1..=REMEMBERED_REQUESTS as u32 + 3 {
-        state.apply(&replace(version - 1, &small(version)));
+        state.apply(&replace(version - 1, &minimal_document(version)));
     }
     assert_eq!((state.forgotten_up_to, state.applied_requests.len()), (3, REMEMBERED_REQUESTS));
     state
 }
 
-fn small(version: u32) -> String {
+fn minimal_document(version: u32) -> String {
     format!("{{\"version\":\"{version:08x}\",\"services\":[],\"hosts\":[]}}")
 }
 
 fn records() -> Vec<Record> {
-    let (open, entry) = (Some(accepted(TERM, entries().remove(1))), replace(6, &small(7)));
+    let (accepted_entry, entry) =
+        (Some(accepted(TERM, entries().remove(1))), replace(6, &minimal_document(7)));
     vec![
         Record::Promised(TERM),
         Record::Committed(CommittedEntry { index: LogIndex(6), entry: entry.clone() }),
         Record::Accepted { term: TERM, index: LogIndex(6), entry },
-        Record::Snapshot(DurableState { promised: TERM, state: state(), accepted: open }),
+        Record::Snapshot(DurableState { promised: TERM, state: state(), accepted: accepted_entry }),
     ]
 }
 
@@ -180,29 +182,29 @@
 }
 
 #[test]
-fn each_message_has_its_bytes() {
+fn messages_match_their_golden_encodings() {
     GOLDEN.same_lines("messages", &numbered(&messages(), message_name, MESSAGES));
 }
 
 #[test]
-fn each_entry_has_its_bytes() {
+fn entries_match_their_golden_encodings() {
     GOLDEN.same_lines("entries", &numbered(&entries(), entry_name, ENTRIES));
 }
 
 #[test]
-fn each_record_has_its_bytes() {
+fn records_match_their_golden_encodings() {
     GOLDEN.same_lines("records", &numbered(&records(), record_name, RECORDS));
 }
 
 #[test]
-fn states_and_digests_have_their_bytes() {
+fn states_and_digests_match_their_golden_encodings() {
     let digest = RequestDigest::of(ChangeScope::Full, 4, b"body");
-    assert_eq!(format!("{digest:?}"), hex(&encode(&digest))[2..], "a digest is its bytes");
+    assert_eq!(format!("{digest:?}"), hex(&encode(&digest))[2..], "the digest is encoded as its bytes");
     let cases = [
         encoded("nothing", &ReplicatedState::empty()),
         encoded("genesis", &ReplicatedState::genesis(voters(), 4)),
         encoded("two versions", &state()),
-        encoded("orders forgotten", &long_state()),
+        encoded("orders forgotten", &state_with_forgotten_requests()),
         encoded("digest of a whole one", &digest),
         encoded("digest of a change", &RequestDigest::of(ChangeScope::Partial, 4, b"body")),
         encoded("voter", &voter(1)),
--- a/crates/brassport-config-store/tests/it/golden/validation_errors.rs
+++ b/crates/brassport-config-store/tests/it/golden/validation_errors.rs
@@ -1,4 +1,4 @@
-//! The texts and paths of all validation errors.
+//! Golden texts and paths of all validation errors.
 
 use super::{DOCUMENT, GOLDEN};
 use brassport_config_store::configuration::{Document, ValidationError, ValidationErrors};
@@ -7,28 +7,28 @@
 type Outcome = Result<Document, ValidationErrors>;
 type Case = (&'static str, Outcome);
 
-/// A route without errors, where there is a service `s`.
-const R: &str = r#""name":"r","pathStart":"/","giveUpS":1,"service":"s""#;
+/// The fields of a valid route to a service `s`.
+const ROUTE: &str = r#""name":"r","pathStart":"/","giveUpS":1,"service":"s""#;
 
-/// The name of a variant. Matches outside the package must have a last arm: a new variant fails the test when it occurs.
+/// The name of a variant. The enum is non-exhaustive outside its package, so a new variant panics here when it occurs.
 fn variant_name(error: &ValidationError) -> &'static str {
     match error {
-        ValidationError::InvalidJson { .. } => "unreadable",
+        ValidationError::InvalidJson { .. } => "invalid JSON",
         ValidationError::WrongType { .. } => "wrong type",
-        ValidationError::MissingField { .. } => "missing",
-        ValidationError::InvalidValue { .. } => "bad value",
-        ValidationError::StaleVersion { .. } => "old version",
+        ValidationError::MissingField { .. } => "missing field",
+        ValidationError::InvalidValue { .. } => "invalid value",
+        ValidationError::StaleVersion { .. } => "stale version",
         ValidationError::UnknownService { .. } => "unknown service",
-        ValidationError::DuplicateLocation { .. } => "same place",
-        ValidationError::DuplicateName { .. } => "same name",
-        ValidationError::DuplicateKey { .. } => "shared key",
+        ValidationError::DuplicateLocation { .. } => "duplicate location",
+        ValidationError::DuplicateName { .. } => "duplicate name",
+        ValidationError::DuplicateKey { .. } => "duplicate key",
         ValidationError::NoTarget { .. } => "no target",
-        other => panic!("a kind without a case: {other}"),
+        other => panic!("a variant without a name: {other}"),
     }
 }
 
 fn base() -> Document {
-    Document::empty().replace(DOCUMENT.as_bytes()).expect("it is sound")
+    Document::empty().replace(DOCUMENT.as_bytes()).expect("the document is valid")
 }
 
 fn replaced(body: &str) -> Outcome {
@@ -49,7 +49,7 @@
     base().change(format!("{{\"version\":\"00000009\",{fields}}}").as_bytes())
 }
 
-/// Bodies that are no documents, and versions.
+/// Invalid JSON, wrong types of the complete document, and invalid versions.
 fn syntax_cases() -> Vec<Case> {
     vec![
         ("no JSON", replaced("{\n \"version\": }")),
@@ -65,7 +65,7 @@
     ]
 }
 
-/// Services, limits, tenants and hosts.
+/// Invalid services, limits, tenants and hosts.
 fn item_cases() -> Vec<Case> {
     vec![
         ("lists that are none", with(r#""services":{},"customers":"c","hosts":true"#)),
@@ -98,7 +98,7 @@
     ]
 }
 
-/// Routes.
+/// Invalid routes.
 fn route_cases() -> Vec<Case> {
     vec![
         ("route without anything", route("")),
@@ -112,24 +112,27 @@
                 r#""name":"r","pathStart":"/a","giveUpS":601,"kind":"other","rank":"1","public":1,"service":"s""#,
             ),
         ),
-        ("unknown service", route(&R.replace("\"s\"", "\"none\""))),
-        ("unknown service of a split", route(&format!(r#"{R},"split":[{{"service":"none","weight":1}}]"#))),
-        ("no target", route(&R.replace("\"s\"", "\"\""))),
-        ("split without weights", route(&format!(r#"{R},"split":[{{"service":"s","weight":0}}]"#))),
+        ("unknown service", route(&ROUTE.replace("\"s\"", "\"none\""))),
+        (
+            "unknown service of a split",
+            route(&format!(r#"{ROUTE},"split":[{{"service":"none","weight":1}}]"#)),
+        ),
+        ("no target", route(&ROUTE.replace("\"s\"", "\"\""))),
+        ("split without weights", route(&format!(r#"{ROUTE},"split":[{{"service":"s","weight":0}}]"#))),
         (
             "split with faults",
-            route(&format!(r#"{R},"split":[{{}},{{"service":"s","weight":-1}},{{"service":""}}]"#)),
+            route(&format!(r#"{ROUTE},"split":[{{}},{{"service":"s","weight":-1}},{{"service":""}}]"#)),
         ),
         (
             "same place",
             with(&format!(
-                r#""services":[{{"name":"s"}}],"hosts":[{{"host":"h","paths":[{{{R}}}]}},{{"host":"H:80","paths":[{{{R}}}]}}]"#
+                r#""services":[{{"name":"s"}}],"hosts":[{{"host":"h","paths":[{{{ROUTE}}}]}},{{"host":"H:80","paths":[{{{ROUTE}}}]}}]"#
             )),
         ),
     ]
 }
 
-/// Changes.
+/// Invalid changes.
 fn change_cases() -> Vec<Case> {
     vec![
         ("change that is no object", base().change(b"3")),
@@ -150,17 +153,17 @@
 }
 
 #[test]
-fn validation_errors_have_their_texts() {
+fn validation_errors_match_their_golden_texts() {
     let mut covered = BTreeSet::new();
     let mut texts = Vec::new();
     let cases = [syntax_cases(), item_cases(), route_cases(), change_cases()];
     for (name, result) in cases.into_iter().flatten() {
-        let errors = result.err().unwrap_or_else(|| panic!("{name}: it is rejected"));
+        let errors = result.err().unwrap_or_else(|| panic!("{name}: the document is not rejected"));
         covered.extend(errors.iter().map(variant_name));
         let paths: Vec<&str> = errors.iter().map(ValidationError::path).collect();
         texts.push((name.to_owned(), errors.to_string()));
         texts.push((format!("{name}, places"), paths.join(", ")));
     }
-    assert_eq!(covered.len(), 10, "each variant has a case: {covered:?}");
+    assert_eq!(covered.len(), 10, "a variant has no case: {covered:?}");
     GOLDEN.same_lines("faults", &texts);
 }
