--- a/crates/brassport-config-store/tests/it/configuration/changes.rs
+++ b/crates/brassport-config-store/tests/it/configuration/changes.rs
@@ -1,6 +1,6 @@
-//! Changes of named items.
+//! Changes of named items (`Config.Change`).
 
-use super::{bytes, error_text, example, first, route, set, KEYS};
+use super::{bytes, error_text, example, example_document, route, set, KEYS};
 use brassport_config_store::configuration::{
     difference, Configuration, Document, Limits, RouteTable, Version,
 };
@@ -9,7 +9,7 @@
 
 #[test]
 fn remove_undoes_put() {
-    let before = first();
+    let before = example_document();
     let put = json!({"version": "00000009", "put": {
         "services": [{"name": "new"}],
         "customers": [{"name": "third", "keys": ["another-key"]}],
@@ -18,23 +18,23 @@
             {"host": "JEPU9.example", "paths": [route("r-more", "/lepu270/more/", "new")]}
         ]
     }});
-    let with = before.change(&bytes(&put)).unwrap();
-    assert_eq!(with.version(), Version(9));
-    let index = RouteTable::new(with.configuration());
-    assert_eq!(index.route("new.example", "/x").unwrap().name, "r-new");
-    assert_eq!(index.route("jepu9.example", "/lepu270/more/x").unwrap().name, "r-more");
-    assert_eq!(index.tenant("another-key").unwrap().name, "third");
+    let changed = before.change(&bytes(&put)).unwrap();
+    assert_eq!(changed.version(), Version(9));
+    let table = RouteTable::new(changed.configuration());
+    assert_eq!(table.route("new.example", "/x").unwrap().name, "r-new");
+    assert_eq!(table.route("jepu9.example", "/lepu270/more/x").unwrap().name, "r-more");
+    assert_eq!(table.tenant("another-key").unwrap().name, "third");
     let remove = json!({"version": "0000000a", "remove": {
         "services": ["new", "never"], "customers": ["third"], "routes": ["r-new", "r-more", "r-never"]
     }});
-    let after = with.change(&bytes(&remove)).unwrap();
+    let after = changed.change(&bytes(&remove)).unwrap();
     assert_eq!(difference(before.configuration(), after.configuration()), []);
     assert_eq!(
         Configuration { version: Version(7), ..after.configuration().clone() },
         *before.configuration()
     );
     let remaining: Value = serde_json::from_slice(&after.to_bytes()).unwrap();
-    assert_eq!(remaining["hosts"].as_array().unwrap().len(), 2, "the host without routes goes");
+    assert_eq!(remaining["hosts"].as_array().unwrap().len(), 2, "a host that lost its last route is removed");
     assert_eq!(remaining["note"], example()["note"]);
     assert_eq!(remaining["hosts"][0]["paths"][0], example()["hosts"][0]["paths"][0]);
 }
@@ -47,7 +47,7 @@
         "limits": {"idleWaitS": 4},
         "hosts": [{"host": "jepu9.example", "paths": [route("r-one", "/lepu271/", "wuno96b")]}]
     }});
-    let after = first().change(&bytes(&put)).unwrap();
+    let after = example_document().change(&bytes(&put)).unwrap();
     let read = after.configuration();
     assert_eq!(read.services["huvo11a"].max_connections, 7);
     assert_eq!(read.services.len(), 3);
@@ -55,9 +55,9 @@
     assert_eq!(read.limits, Limits { idle_timeout_s: 4.0, ..Limits::default() });
     assert_eq!(read.routes[0].path_prefix, "/lepu271/");
     assert_eq!(read.routes.len(), 2);
-    let index = RouteTable::new(read);
-    assert!(index.route("jepu9.example", "/lepu270/").is_none());
-    assert!(index.tenant(KEYS[0]).is_none());
+    let table = RouteTable::new(read);
+    assert!(table.route("jepu9.example", "/lepu270/").is_none());
+    assert!(table.tenant(KEYS[0]).is_none());
 }
 
 #[test]
@@ -65,11 +65,11 @@
     let put = json!({"version": "00000009", "put": {
         "hosts": [{"host": "hulo84.example", "paths": [route("r-one", "/lepu270/", "huvo11a")]}]
     }});
-    let after = first().change(&bytes(&put)).unwrap();
+    let after = example_document().change(&bytes(&put)).unwrap();
     assert_eq!(after.configuration().routes.len(), 2);
-    let index = RouteTable::new(after.configuration());
-    assert!(index.route("jepu9.example", "/lepu270/2f").is_none());
-    assert_eq!(index.route("hulo84.example", "/lepu270/2f").unwrap().name, "r-one");
+    let table = RouteTable::new(after.configuration());
+    assert!(table.route("jepu9.example", "/lepu270/2f").is_none());
+    assert_eq!(table.route("hulo84.example", "/lepu270/2f").unwrap().name, "r-one");
     let remaining: Value = serde_json::from_slice(&after.to_bytes()).unwrap();
     assert_eq!(remaining["hosts"].as_array().unwrap().len(), 1);
 }
@@ -84,15 +84,16 @@
     }});
     let after = before.change(&bytes(&put)).unwrap();
     assert_eq!(after.configuration().routes.len(), 3);
-    let index = RouteTable::new(after.configuration());
-    assert_eq!(index.route("jepu9.example", "/newer/").unwrap().name, "r-new");
-    assert!(index.route("jepu9.example", "/new/").is_none());
+    let table = RouteTable::new(after.configuration());
+    assert_eq!(table.route("jepu9.example", "/newer/").unwrap().name, "r-new");
+    assert!(table.route("jepu9.example", "/new/").is_none());
 }
 
-/// Bytes set to others: nothing panics, no key is printed, and what is accepted round-trips.
+/// Documents and changes with one corrupted byte: parsing does not panic, errors contain no keys, and accepted
+/// documents round-trip.
 #[test]
 fn corrupted_bodies_neither_panic_nor_print_keys() {
-    let before = first();
+    let before = example_document();
     let complete = bytes(&set("/version", json!("00000009")));
     let change = bytes(&json!({"version": "00000009", "remove": {"routes": ["r-two"]}, "put": {
         "limits": {"idleWaitS": 4},
@@ -125,7 +126,7 @@
 #[test]
 fn a_host_is_removed_with_its_routes() {
     let remove = json!({"version": "00000009", "remove": {"hosts": ["JEPU9.example", "never.example"]}});
-    let after = first().change(&bytes(&remove)).unwrap();
+    let after = example_document().change(&bytes(&remove)).unwrap();
     assert_eq!(after.configuration().routes.len(), 1);
     assert_eq!(after.configuration().routes[0].name, "r-two");
 }
@@ -135,7 +136,7 @@
     let change = json!({"version": "00000009", "remove": {"routes": ["r-one"]}, "put": {
         "hosts": [{"host": "jepu9.example", "paths": [route("r-new", "/lepu270/", "huvo11a")]}]
     }});
-    let after = first().change(&bytes(&change)).unwrap();
+    let after = example_document().change(&bytes(&change)).unwrap();
     assert_eq!(
         RouteTable::new(after.configuration()).route("jepu9.example", "/lepu270/").unwrap().name,
         "r-new"
@@ -147,13 +148,13 @@
     let change = json!({"version": "00000009", "remove": {"routes": ["r-one"]}, "put": {
         "hosts": [{"host": "jepu9.example", "paths": [route("r-one", "/a/", "huvo11a")]}]
     }});
-    let after = first().change(&bytes(&change)).unwrap();
+    let after = example_document().change(&bytes(&change)).unwrap();
     assert_eq!(RouteTable::new(after.configuration()).route("jepu9.example", "/a/").unwrap().name, "r-one");
 }
 
-#[test_case(json!({"remove": {"services": ["huvo11a"]}}), "hosts[0].paths[0].split[0].service"; "a service in use goes")]
+#[test_case(json!({"remove": {"services": ["huvo11a"]}}), "hosts[0].paths[0].split[0].service"; "a service in use is removed")]
 #[test_case(json!({"put": {"hosts": [{"host": "x.example", "paths": [route("n", "/", "gone")]}]}}), "hosts[2].paths[0].service"; "unknown service")]
-#[test_case(json!({"put": {"hosts": [{"host": "JEPU9.EXAMPLE", "paths": [route("n", "/lepu270/", "huvo11a")]}]}}), "hosts[0].paths[1]"; "same position")]
+#[test_case(json!({"put": {"hosts": [{"host": "JEPU9.EXAMPLE", "paths": [route("n", "/lepu270/", "huvo11a")]}]}}), "hosts[0].paths[1]"; "same host and prefix")]
 #[test_case(json!({"put": {"hosts": [{"host": "", "paths": [route("n", "/", "huvo11a")]}]}}), "hosts[2].host"; "empty host")]
 #[test_case(json!({"put": {"hosts": [{"paths": [route("n", "/", "huvo11a")]}]}}), "put.hosts[0].host"; "no host")]
 #[test_case(json!({"put": {"hosts": [{"host": "x.example", "paths": [{"pathStart": "/"}]}]}}), "put.hosts[0].paths[0].name"; "no name")]
@@ -167,13 +168,13 @@
 #[test_case(json!({"remove": {"routes": [1]}}), "remove.routes[0]"; "a name as a number")]
 #[test_case(json!({"version": "00000007"}), "version"; "old version")]
 #[test_case(json!({"version": null}), "version"; "no version")]
-fn a_change_with_an_invalid_result_is_rejected(mut change: Value, at: &str) {
+fn a_change_with_an_invalid_result_is_rejected(mut change: Value, path: &str) {
     let fields = change.as_object_mut().unwrap();
     fields.entry("version").or_insert(json!("00000009"));
-    let before = first();
+    let before = example_document();
     let errors = before.change(&bytes(&change)).unwrap_err();
     let text = error_text(&errors);
     assert_eq!(errors.0.len(), 1, "{text}");
-    assert_eq!(errors.0[0].path(), at, "{text}");
-    assert_eq!(before, first());
+    assert_eq!(errors.0[0].path(), path, "{text}");
+    assert_eq!(before, example_document());
 }
--- a/crates/brassport-config-store/tests/it/configuration/documents.rs
+++ b/crates/brassport-config-store/tests/it/configuration/documents.rs
@@ -1,16 +1,16 @@
-//! Documents that are accepted, as they are read and written.
+//! Valid documents: their parsed values, and their serialization.
 
-use super::{bytes, example, first, no_key_in, set};
+use super::{assert_no_key_in, bytes, example, example_document, set};
 use brassport_config_store::configuration::{
     difference, Configuration, Document, Idempotency, Limits, RouteTable, Version,
 };
 use serde_json::{json, Value};
 
-const R: &str = "/hosts/0/paths/0";
+const FIRST_ROUTE: &str = "/hosts/0/paths/0";
 
 #[test]
 fn the_example_is_parsed_field_by_field() {
-    let document = first();
+    let document = example_document();
     let read = document.configuration();
     assert_eq!(document.version(), Version(7));
     assert_eq!(read.version, Version(7));
@@ -84,14 +84,14 @@
 
 #[test]
 fn a_target_of_weight_0_is_left_out() {
-    let document = set(&format!("{R}/split/1/weight"), json!(0));
+    let document = set(&format!("{FIRST_ROUTE}/split/1/weight"), json!(0));
     let document = Document::empty().replace(&bytes(&document)).unwrap();
     assert_eq!(document.configuration().routes[0].targets, [("huvo11a".to_owned(), 90)]);
 }
 
 #[test]
 fn a_document_round_trips_through_its_bytes() {
-    let document = first();
+    let document = example_document();
     let bytes = document.to_bytes();
     assert_eq!(serde_json::from_slice::<Value>(&bytes).unwrap(), example());
     let again = Document::from_bytes(&bytes).unwrap();
@@ -105,9 +105,9 @@
 
 #[test]
 fn keys_are_never_printed() {
-    let document = first();
-    no_key_in(&format!("{document:?}"));
-    no_key_in(&format!("{:#?}", document.configuration()));
-    no_key_in(&format!("{:?}", RouteTable::new(document.configuration())));
-    no_key_in(&format!("{:?}", difference(&Configuration::default(), document.configuration())));
+    let document = example_document();
+    assert_no_key_in(&format!("{document:?}"));
+    assert_no_key_in(&format!("{:#?}", document.configuration()));
+    assert_no_key_in(&format!("{:?}", RouteTable::new(document.configuration())));
+    assert_no_key_in(&format!("{:?}", difference(&Configuration::default(), document.configuration())));
 }
--- a/crates/brassport-config-store/tests/it/configuration/mod.rs
+++ b/crates/brassport-config-store/tests/it/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration: what is rejected, how a change applies, and what the gateway reads.
+//! The operator's configuration: validation, changes, parsed values and route lookups.
 
 mod changes;
 mod documents;
@@ -10,7 +10,7 @@
 
 const KEYS: [&str; 3] = ["xd9dnn2ctnfzs989anu6", "wsjnbanfqasnmgkcuyj8", "k0000000000000000003"];
 
-/// The example of the protocol, with a second tenant and a field nobody knows.
+/// The example of the protocol's documentation, with a second tenant and unknown fields.
 fn example() -> Value {
     json!({
         "version": "00000007",
@@ -43,14 +43,14 @@
     serde_json::to_vec(value).unwrap()
 }
 
-fn first() -> Document {
+fn example_document() -> Document {
     Document::empty().replace(&bytes(&example())).unwrap()
 }
 
-/// The example with the value at a JSON pointer's place set, or taken away.
-fn edited(place: &str, to: Option<Value>) -> Value {
+/// The example with the value at a JSON pointer replaced or added, or removed if `to` is `None`. `-` appends to a list.
+fn edited(pointer: &str, to: Option<Value>) -> Value {
     let mut document = example();
-    let (parent, field) = place.rsplit_once('/').unwrap();
+    let (parent, field) = pointer.rsplit_once('/').unwrap();
     match (document.pointer_mut(parent).unwrap(), to) {
         (Value::Object(object), Some(value)) => {
             object.insert(field.to_owned(), value);
@@ -59,20 +59,20 @@
             object.remove(field).unwrap();
         }
         (Value::Array(list), Some(value)) => match field.parse::<usize>() {
-            Ok(place) => list[place] = value,
+            Ok(position) => list[position] = value,
             Err(_) => list.push(value),
         },
-        _ => panic!("nothing to take away at {place}"),
+        _ => panic!("nothing to remove at {pointer}"),
     }
     document
 }
 
-fn set(place: &str, to: Value) -> Value {
-    edited(place, Some(to))
+fn set(pointer: &str, to: Value) -> Value {
+    edited(pointer, Some(to))
 }
 
-fn without(place: &str) -> Value {
-    edited(place, None)
+fn without(pointer: &str) -> Value {
+    edited(pointer, None)
 }
 
 fn route(name: &str, path_prefix: &str, service: &str) -> Value {
@@ -80,17 +80,17 @@
            "service": service, "tries": 1, "public": false})
 }
 
-fn no_key_in(text: &str) {
+fn assert_no_key_in(text: &str) {
     for key in KEYS {
         assert!(!text.contains(key), "{text}");
     }
 }
 
-/// What a refused body's errors say, one a line.
+/// The text of the errors, one per line. Asserts that neither the text nor the `Debug` output contains a key.
 fn error_text(errors: &ValidationErrors) -> String {
     assert!(!errors.0.is_empty());
     let text = errors.to_string();
-    no_key_in(&text);
-    no_key_in(&format!("{errors:?}"));
+    assert_no_key_in(&text);
+    assert_no_key_in(&format!("{errors:?}"));
     text
 }
--- a/crates/brassport-config-store/tests/it/configuration/route_table.rs
+++ b/crates/brassport-config-store/tests/it/configuration/route_table.rs
@@ -1,6 +1,6 @@
-//! The route table, differences and versions.
+//! Route lookups, differences between configurations, and parsing of versions.
 
-use super::{bytes, first, no_key_in, route, KEYS};
+use super::{assert_no_key_in, bytes, example_document, route, KEYS};
 use brassport_config_store::configuration::{difference, Difference, Document, RouteTable, Version};
 use serde_json::{json, Value};
 use std::time::Instant;
@@ -10,17 +10,17 @@
 #[test_case("A.EXAMPLE:8443", "/x", Some("root"); "upper case and a port")]
 #[test_case("a.example", "/a", Some("root"); "a segment without its slash")]
 #[test_case("a.example", "/a/", Some("a"); "the prefix itself")]
-#[test_case("a.example", "/a/b", Some("a"); "the longest misses by its slash")]
+#[test_case("a.example", "/a/b", Some("a"); "the path without the final slash of the longest prefix")]
 #[test_case("a.example", "/a/b/c/d", Some("ab"); "the longest")]
 #[test_case("a.example", "/ab/", Some("root"); "another segment")]
 #[test_case("a.example", "/A/b/", Some("root"); "paths keep their case")]
 #[test_case("a.example", "", None; "no path")]
-#[test_case("a.example", "*", None; "a star")]
+#[test_case("a.example", "*", None; "an asterisk")]
 #[test_case("b.example", "/b/x", Some("b"); "another host")]
 #[test_case("b.example", "/x", None; "no route")]
-#[test_case("b.example", "/ü/b/", None; "other letters")]
-#[test_case("[::1]:80", "/x", Some("six"); "an address with a port")]
-#[test_case("[::1]", "/x", Some("six"); "an address")]
+#[test_case("b.example", "/ü/b/", None; "letters outside ASCII")]
+#[test_case("[::1]:80", "/x", Some("six"); "an IPv6 address with a port")]
+#[test_case("[::1]", "/x", Some("six"); "an IPv6 address")]
 #[test_case("c.example", "/", None; "unknown host")]
 #[test_case("", "/", None; "no host")]
 fn the_longest_prefix_wins(host: &str, path: &str, name: Option<&str>) {
@@ -30,21 +30,21 @@
         {"host": "[::1]", "paths": [route("six", "/", "s")]}
     ]});
     let document = Document::empty().replace(&bytes(&document)).unwrap();
-    let index = RouteTable::new(document.configuration());
-    assert_eq!(index.route(host, path).map(|route| route.name.as_str()), name);
+    let table = RouteTable::new(document.configuration());
+    assert_eq!(table.route(host, path).map(|route| route.name.as_str()), name);
 }
 
 #[test]
 fn keys_find_their_tenants() {
-    let index = RouteTable::new(first().configuration());
-    assert_eq!(index.tenant(KEYS[1]).unwrap().name, "yefi830");
-    assert_eq!(index.tenant(KEYS[2]).unwrap().name, "zola12");
-    assert!(index.tenant("").is_none());
-    assert!(index.tenant("XD9DNN2CTNFZS989ANU6").is_none());
+    let table = RouteTable::new(example_document().configuration());
+    assert_eq!(table.tenant(KEYS[1]).unwrap().name, "yefi830");
+    assert_eq!(table.tenant(KEYS[2]).unwrap().name, "zola12");
+    assert!(table.tenant("").is_none());
+    assert!(table.tenant("XD9DNN2CTNFZS989ANU6").is_none());
 }
 
 #[test]
-fn differences_are_listed_one_a_line() {
+fn differences_are_listed_one_per_line() {
     let change = json!({"version": "00000009", "remove": {"routes": ["r-two"], "customers": ["zola12"]}, "put": {
         "services": [{"name": "new"}, {"name": "huvo11a", "maxConnections": 7}],
         "customers": [
@@ -54,7 +54,7 @@
         "limits": {"maxHeaderBytes": 8192, "maxBodyBytes": 1048576, "headerWaitS": 2, "idleWaitS": 4},
         "hosts": [{"host": "x.example", "paths": [route("r-one", "/lepu270/", "new"), route("r-new", "/", "new")]}]
     }});
-    let before = first();
+    let before = example_document();
     let after = before.change(&bytes(&change)).unwrap();
     let found = difference(before.configuration(), after.configuration());
     let lines: Vec<String> = found.iter().map(Difference::to_string).collect();
@@ -73,7 +73,7 @@
         "limits: idleWaitS 15.0 -> 4.0",
     ];
     assert_eq!(lines, expected);
-    no_key_in(&lines.join("\n"));
+    assert_no_key_in(&lines.join("\n"));
     assert_eq!(difference(after.configuration(), after.configuration()), []);
 }
 
@@ -92,9 +92,10 @@
     }
 }
 
-/// Prints how long 350 routes take. Run it in release with `--ignored --nocapture`.
+/// Prints the time that operations on a configuration of 350 routes take. Run it in release mode with
+/// `--ignored --nocapture`.
 #[test]
-#[ignore = "a timing, which checks nothing"]
+#[ignore = "a benchmark, which checks nothing"]
 fn timing_of_350_routes() {
     let paths = |host: usize| -> Vec<Value> {
         (0..10).map(|at| route(&format!("r-{host}-{at}"), &format!("/p{at}/q/"), "s")).collect()
@@ -118,14 +119,14 @@
         println!("{what}: best of 50 {:?}", times.min().unwrap());
     };
     let before = Document::empty().replace(&body).unwrap();
-    let index = RouteTable::new(before.configuration());
+    let table = RouteTable::new(before.configuration());
     println!("body: {} bytes", body.len());
     best("replace", &|| drop(Document::empty().replace(&body).unwrap()));
     best("change", &|| drop(before.change(&change).unwrap()));
-    best("index", &|| drop(RouteTable::new(before.configuration())));
+    best("route table", &|| drop(RouteTable::new(before.configuration())));
     best("1000 routes found", &|| {
         for _ in 0..1000 {
-            assert!(index.route("h30.example", "/p4/q/x/y").is_some());
+            assert!(table.route("h30.example", "/p4/q/x/y").is_some());
         }
     });
 }
--- a/crates/brassport-config-store/tests/it/configuration/validation.rs
+++ b/crates/brassport-config-store/tests/it/configuration/validation.rs
@@ -1,13 +1,13 @@
-//! Documents that are rejected, and why.
+//! Invalid documents and their errors.
 
-use super::{bytes, error_text, example, first, route, set, without, KEYS};
+use super::{bytes, error_text, example, example_document, route, set, without, KEYS};
 use brassport_config_store::configuration::{Document, ValidationError};
 use serde_json::{json, Value};
 use test_case::test_case;
 
 #[test_case(set("/hosts/0/paths/0/split/1/service", json!("gone")), "hosts[0].paths[0].split[1].service", "no service \"gone\""; "unknown service in a split")]
 #[test_case(set("/hosts/1/paths/0/service", json!("gone")), "hosts[1].paths[0].service", "no service \"gone\""; "unknown service in a route")]
-#[test_case(set("/hosts/0/paths/-", route("r-new", "/lepu270/", "huvo11a")), "hosts[0].paths[1]", "of hosts[0].paths[0]"; "same place")]
+#[test_case(set("/hosts/0/paths/-", route("r-new", "/lepu270/", "huvo11a")), "hosts[0].paths[1]", "of hosts[0].paths[0]"; "same host and prefix")]
 #[test_case(set("/hosts/-", json!({"host": "JEPU9.Example", "paths": [route("r-new", "/lepu270/", "huvo11a")]})), "hosts[2].paths[0]", "of hosts[0].paths[0]"; "same prefix under the host in upper case")]
 #[test_case(set("/hosts/0/paths/-", route("r-two", "/other/", "huvo11a")), "hosts[1].paths[0]", "name \"r-two\" of hosts[0].paths[1]"; "two routes of one name")]
 #[test_case(set("/hosts/1/paths/0/giveUpS", json!(600.5)), "hosts[1].paths[0].giveUpS", "over ten minutes"; "long timeout")]
@@ -16,10 +16,10 @@
 #[test_case(without("/hosts/1/paths/0/giveUpS"), "hosts[1].paths[0].giveUpS", "is missing"; "no timeout")]
 #[test_case(set("/hosts/1/paths/0/giveUpS", Value::Null), "hosts[1].paths[0].giveUpS", "is missing"; "null timeout")]
 #[test_case(set("/hosts/1/paths/0/giveUpS", json!("2")), "hosts[1].paths[0].giveUpS", "is a text, but"; "timeout as a text")]
-#[test_case(set("/hosts/1/paths/0/goalS", json!(0)), "hosts[1].paths[0].goalS", "not above 0"; "goal of 0")]
-#[test_case(set("/hosts/1/paths/0/goalS", json!(-0.5)), "hosts[1].paths[0].goalS", "not above 0"; "negative goal")]
-#[test_case(set("/hosts/0/paths/0/pathStart", json!("lepu270/")), "hosts[0].paths[0].pathStart", "not begin with a slash"; "bare prefix")]
-#[test_case(set("/hosts/0/paths/0/pathStart", json!("/lepu270")), "hosts[0].paths[0].pathStart", "not end with a slash"; "prefix without an end")]
+#[test_case(set("/hosts/1/paths/0/goalS", json!(0)), "hosts[1].paths[0].goalS", "not above 0"; "latency target of 0")]
+#[test_case(set("/hosts/1/paths/0/goalS", json!(-0.5)), "hosts[1].paths[0].goalS", "not above 0"; "negative latency target")]
+#[test_case(set("/hosts/0/paths/0/pathStart", json!("lepu270/")), "hosts[0].paths[0].pathStart", "not begin with a slash"; "prefix without its first slash")]
+#[test_case(set("/hosts/0/paths/0/pathStart", json!("/lepu270")), "hosts[0].paths[0].pathStart", "not end with a slash"; "prefix without its final slash")]
 #[test_case(set("/hosts/0/paths/0/pathStart", json!("")), "hosts[0].paths[0].pathStart", "not begin with a slash"; "empty prefix")]
 #[test_case(without("/hosts/0/paths/0/pathStart"), "hosts[0].paths[0].pathStart", "is missing"; "no prefix")]
 #[test_case(set("/hosts/1/host", json!("")), "hosts[1].host", "is empty"; "empty host")]
@@ -51,14 +51,14 @@
 #[test_case(set("/limits/idleWaitS", json!(-1)), "limits.idleWaitS", "is negative"; "negative limit")]
 #[test_case(without("/version"), "version", "is missing"; "no version")]
 #[test_case(set("/version", json!(7)), "version", "eight hexadecimal digits"; "version as a number")]
-#[test_case(set("/version", json!("00x00007")), "version", "eight hexadecimal digits"; "version of other letters")]
+#[test_case(set("/version", json!("00x00007")), "version", "eight hexadecimal digits"; "version with a letter that is no hexadecimal digit")]
 #[test_case(set("/version", json!("00000000")), "version", "not above the current 00000000"; "version 0")]
-fn an_invalid_document_is_rejected_with_its_one_error(document: Value, at: &str, what: &str) {
+fn an_invalid_document_is_rejected_with_its_one_error(document: Value, path: &str, message: &str) {
     let errors = Document::empty().replace(&bytes(&document)).unwrap_err();
     let text = error_text(&errors);
     assert_eq!(errors.0.len(), 1, "{text}");
-    assert_eq!(errors.0[0].path(), at);
-    assert!(text.contains(what), "{text}");
+    assert_eq!(errors.0[0].path(), path);
+    assert!(text.contains(message), "{text}");
     assert!(!errors.0[0].help().is_empty());
 }
 
@@ -67,10 +67,10 @@
 #[test_case("00000008", true; "just above")]
 #[test_case("0000000A", true; "in upper case")]
 #[test_case("ffffffff", true; "the last")]
-fn a_version_has_to_be_above_the_current_one(version: &str, taken: bool) {
+fn a_version_has_to_be_above_the_current_one(version: &str, is_accepted: bool) {
     let document = set("/version", json!(version));
-    assert_eq!(first().replace(&bytes(&document)).is_ok(), taken);
-    assert_eq!(first().change(&bytes(&json!({ "version": version }))).is_ok(), taken);
+    assert_eq!(example_document().replace(&bytes(&document)).is_ok(), is_accepted);
+    assert_eq!(example_document().change(&bytes(&json!({ "version": version }))).is_ok(), is_accepted);
 }
 
 #[test_case(b""; "nothing")]
@@ -79,10 +79,10 @@
 #[test_case(b"\"x\""; "a text")]
 #[test_case(b"{\"version\":\"00000009\"} x"; "more after the end")]
 #[test_case(b"{\"version\":\"00000009\",\"put\":{\"hosts\":[1e999]}}"; "a number out of range")]
-#[test_case(b"\xff\xfe"; "no text")]
+#[test_case(b"\xff\xfe"; "invalid UTF-8")]
 fn a_body_that_is_no_json_object_is_rejected(body: &[u8]) {
     error_text(&Document::empty().replace(body).unwrap_err());
-    error_text(&first().change(body).unwrap_err());
+    error_text(&example_document().change(body).unwrap_err());
     error_text(&Document::from_bytes(body).unwrap_err());
 }
 
@@ -113,7 +113,7 @@
     document["customers"][1]["burst"] = json!(-1);
     let errors = Document::empty().replace(&bytes(&document)).unwrap_err();
     let text = error_text(&errors);
-    let at: Vec<&str> = errors.iter().map(ValidationError::path).collect();
+    let paths: Vec<&str> = errors.iter().map(ValidationError::path).collect();
     let expected = [
         "version",
         "services[0].tls",
@@ -124,6 +124,6 @@
         "hosts[1].host",
         "hosts[1].paths[0].service",
     ];
-    assert_eq!(at, expected, "{text}");
+    assert_eq!(paths, expected, "{text}");
     assert_eq!(text.lines().count(), expected.len());
 }
