--- a/crates/brassport-config-store/tests/it/configuration_requests.rs
+++ b/crates/brassport-config-store/tests/it/configuration_requests.rs
@@ -1,6 +1,6 @@
-//! Orders that are sent again, and orders that race: what is acknowledged, what is refused, and what gets no clear answer.
+//! Repeated and competing requests: which are acknowledged, which are rejected, and which get an unknown outcome.
 
-use crate::harness::single_voter::{body, forgotten_request_rejected, Alone, ME};
+use crate::harness::single_voter::{body, forgotten_request_rejected, SingleVoter, VOTER};
 use brassport_config_store::consensus::{
     AcceptedEntry, Action, ChangeScope, Command, DiskId, DurableState, Entry, LogIndex, Message, Outcome,
     Record, Replica, ReplicatedState, RequestDigest, Term, VoterId,
@@ -9,26 +9,30 @@
 
 #[test]
 fn a_request_is_identified_by_scope_base_version_and_body() {
-    let order = RequestDigest::of(ChangeScope::Full, 5, b"{}");
-    assert_eq!(order, RequestDigest::of(ChangeScope::Full, 5, b"{}"));
+    let digest = RequestDigest::of(ChangeScope::Full, 5, b"{}");
+    assert_eq!(digest, RequestDigest::of(ChangeScope::Full, 5, b"{}"));
     for other in [
         RequestDigest::of(ChangeScope::Partial, 5, b"{}"),
         RequestDigest::of(ChangeScope::Full, 6, b"{}"),
         RequestDigest::of(ChangeScope::Full, 5, b"{} "),
     ] {
-        assert_ne!(order, other);
+        assert_ne!(digest, other);
     }
 }
 
 #[test]
 fn of_two_requests_for_one_version_one_is_committed() {
-    let mut leader = Alone::new();
+    let mut leader = SingleVoter::new();
     let (one, other) = (body(5, "one"), body(5, "other"));
     assert_eq!(leader.put(0, &one), Outcome::Committed);
     assert_eq!(leader.put(0, &other), Outcome::VersionConflict);
-    assert_eq!(leader.put(0, &one), Outcome::Committed, "sent again it is acknowledged again");
+    assert_eq!(leader.put(0, &one), Outcome::Committed, "a repeated request is acknowledged again");
     assert_eq!(leader.put(5, &body(7, "next")), Outcome::Committed);
-    assert_eq!(leader.put(0, &one), Outcome::Committed, "also behind a newer one");
+    assert_eq!(
+        leader.put(0, &one),
+        Outcome::Committed,
+        "a repeated request is acknowledged after a newer one"
+    );
     assert_eq!(leader.put(0, &other), Outcome::VersionConflict);
 }
 
@@ -39,44 +43,44 @@
 
 #[test]
 fn a_snapshot_carries_the_applied_requests() {
-    let mut leader = Alone::new();
+    let mut leader = SingleVoter::new();
     let first = body(5, "one");
     assert_eq!(leader.put(0, &first), Outcome::Committed);
     assert_eq!(leader.put(5, &body(6, "two")), Outcome::Committed);
     let mut bytes = Vec::new();
-    ciborium::into_writer(&**leader.replica.state(), &mut bytes).expect("a state can be written");
-    let state: ReplicatedState = ciborium::from_reader(&bytes[..]).expect("and read");
-    let mut later = Alone::from(state);
+    ciborium::into_writer(&**leader.replica.state(), &mut bytes).expect("the state can be encoded");
+    let state: ReplicatedState = ciborium::from_reader(&bytes[..]).expect("the state can be decoded");
+    let mut later = SingleVoter::from(state);
     assert_eq!(later.put(0, &first), Outcome::Committed);
     assert_eq!(later.put(0, &body(5, "other")), Outcome::VersionConflict);
 }
 
-/// The leader is lost between choosing and answering: whoever leads next answers the same order as taken, whether it
-/// heard that the entry was chosen or adopts it as open.
+/// A leader fails after its entry was committed and before it responds. The next leader, which recovers the entry as
+/// accepted and adopts it, acknowledges the repeated request.
 #[test]
 fn the_next_leader_acknowledges_what_its_predecessor_committed() {
-    let order = body(5, "one");
-    let entry = Entry::Replace { base_version: 0, body: order.clone() };
+    let request = body(5, "one");
+    let entry = Entry::Replace { base_version: 0, body: request.clone() };
     let found = DurableState {
         promised: Term::new(1, DiskId(1)),
-        state: ReplicatedState::genesis(vec![ME], 4),
+        state: ReplicatedState::genesis(vec![VOTER], 4),
         accepted: Some(AcceptedEntry { term: Term::new(1, DiskId(1)), entry }),
     };
-    let mut next = Alone::recovered(found);
-    assert_eq!(next.put(0, &order), Outcome::Committed);
+    let mut next = SingleVoter::recovered(found);
+    assert_eq!(next.put(0, &request), Outcome::Committed);
     assert_eq!(next.put(0, &body(5, "other")), Outcome::VersionConflict);
 }
 
-/// A leader that hands over answers what is open, campaigns no more, and names the voter that knows most.
+/// A leader that shuts down names a successor, answers later commands with an unknown outcome, and campaigns no more.
 #[test]
 fn a_leaving_leader_names_its_successor_and_evaluates_nothing_more() {
     let other = VoterId { ip: Ipv4Addr::new(10, 0, 0, 2), disk: DiskId(8) };
     let found = DurableState {
         promised: Term::new(0, DiskId(0)),
-        state: ReplicatedState::genesis(vec![ME, other], 4),
+        state: ReplicatedState::genesis(vec![VOTER, other], 4),
         accepted: None,
     };
-    let mut leader = Replica::new(ME.ip, ME.disk, Some(found), 0);
+    let mut leader = Replica::new(VOTER.ip, VOTER.disk, Some(found), 0);
     let mut now = 0;
     while !leader.is_leader() {
         now += 50;
@@ -95,14 +99,14 @@
         }
     }
     let actions = leader.leave(now);
-    let named = actions.iter().find_map(|action| match action {
+    let successor = actions.iter().find_map(|action| match action {
         Action::Send(_, Message::TransferLeadership { to, .. }) => Some(*to),
         _ => None,
     });
-    assert_eq!(named, Some(other));
+    assert_eq!(successor, Some(other));
     assert!(!leader.is_leader());
-    let answer = leader.submit(now, 1, Command::Read);
-    assert_eq!(answer, [Action::Respond(1, Outcome::Unknown)]);
+    let response = leader.submit(now, 1, Command::Read);
+    assert_eq!(response, [Action::Respond(1, Outcome::Unknown)]);
     for later in 1..40 {
         assert!(leader.tick(now + later * 50).iter().all(|action| !matches!(action, Action::Send(..))));
     }
--- a/crates/brassport-config-store/tests/it/harness/mod.rs
+++ b/crates/brassport-config-store/tests/it/harness/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: simulated time and network, a model for exhaustive exploration, and a voter that is alone.
+//! Shared test harness: a simulation of a cluster, a model for exhaustive exploration, and single replicas.
 
 pub mod model;
 pub mod scenarios;
--- a/crates/brassport-config-store/tests/it/harness/model/mod.rs
+++ b/crates/brassport-config-store/tests/it/harness/model/mod.rs
@@ -1,8 +1,8 @@
-//! The model: voters that run the very [`Replica`], disks that lose what was not synced, and a network that delays,
-//! loses and repeats. Each voter has a clock of its own that moves only when the model says so: a voter whose clock
-//! stands is one that is frozen, or slow, for as long as it takes.
+//! A model of consensus for exhaustive exploration. The voters run the production [`Replica`], disks lose what was not
+//! synced, and the network delays, loses and duplicates messages. Each voter has its own clock, which advances only by
+//! a step of the model: a voter whose clock does not advance is frozen or slow.
 //!
-//! What is lost is never delivered, so that loss needs no step of its own.
+//! Loss of a message needs no step: a lost message is one that is never delivered.
 
 mod cluster;
 mod steps;
@@ -14,43 +14,43 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// A clock moves by so much at a time: longer than a leader that was heard counts as alive, shorter than what is path
-/// for a machine that stood still.
+/// The step of a voter's clock: longer than a leader counts as alive after a heartbeat (360 ms), shorter than the jump
+/// that is taken for a stall of the machine (420 ms).
 const TICK_MS: Millis = 410;
 
-/// How much is explored.
+/// The bounds of an exploration.
 #[derive(Debug, Clone, Copy)]
 pub struct Sizes {
     pub voters: usize,
-    /// How often all clocks together move.
+    /// Clock steps of all voters together.
     pub ticks: u8,
-    /// Of each voter at most so often.
+    /// Maximum of clock steps of a single voter.
     pub ticks_each: u8,
     pub configurations: u8,
     pub reads: u8,
-    /// Processes killed; their disks stay.
+    /// Crashes of processes, whose disks are kept.
     pub crashes: u8,
-    /// Disks lost, with their processes.
+    /// Losses of disks, each with a crash of the process.
     pub wipes: u8,
-    /// Writes that a disk refuses.
+    /// Failed writes.
     pub write_failures: u8,
-    /// Messages that come a second time.
+    /// Duplicated messages.
     pub duplicates: u8,
-    /// ChangeVoters of who votes.
+    /// Voter changes.
     pub changes: u8,
-    /// Machines that are there beside the voters, with empty disks.
+    /// Machines in addition to the voters, with empty disks.
     pub spares: usize,
-    /// Machines that go for good.
+    /// Machines that depart for good.
     pub departures: u8,
     /// Transfers of leadership.
     pub transfers: u8,
-    /// Whether the first voter leads at the beginning and all know; else no message was sent yet.
+    /// Whether the first voter leads initially and all voters know it; else no message has been sent yet.
     pub starts_with_leader: bool,
-    /// Steps from the beginning.
+    /// Maximum number of steps from the initial state.
     pub depth: usize,
 }
 
-pub const CALM: Sizes = Sizes {
+pub const NO_FAULTS: Sizes = Sizes {
     voters: 3,
     ticks: 2,
     ticks_each: 2,
@@ -73,13 +73,13 @@
     replica: Replica,
     disk: DiskId,
     durable: DurableState,
-    /// Whether its store stands on a gap until a snapshot is written.
+    /// Whether a write has failed and no snapshot has been written since.
     has_gap: bool,
-    /// Written, not yet synced, in their order.
+    /// Writes that are not synced yet, in order.
     writes: Vec<(u64, Record)>,
     ticks: u8,
-    /// Gone for good.
-    is_gone: bool,
+    /// Whether the machine has departed for good.
+    has_departed: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -88,27 +88,29 @@
     Fetch,
 }
 
-/// On its way: to whom, from whom.
+/// A packet in flight: receiver, sender and content.
 pub type Envelope = (usize, VoterId, Packet);
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Cluster {
     machines: Vec<Machine>,
     in_flight: BTreeSet<Envelope>,
-    /// What stands at each index, by whoever committed it first.
+    /// The entry at each index, as committed by the first replica that did so.
     committed: BTreeMap<LogIndex, Entry>,
     configurations: u8,
-    /// Digests of what was submitted, by number; of reads the newest version acknowledged when they began.
+    /// Digests of the submitted requests, by command number.
     submitted: BTreeMap<u64, RequestDigest>,
+    /// For each read, by command number, the newest version acknowledged when it began.
     reads: BTreeMap<u64, u32>,
     acknowledged: BTreeMap<RequestDigest, u32>,
     rejected: BTreeSet<RequestDigest>,
-    left: Budget,
-    /// Terms under which somebody led.
+    budget: Budget,
+    /// The terms of all leaders so far.
     leaders: BTreeSet<Term>,
     pub violation: Option<&'static str>,
 }
 
+/// The events that may still occur.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Budget {
     ticks: u8,
@@ -124,28 +126,29 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// A voter's clock moves on, and it ticks.
+    /// Advances a voter's clock by one step and calls its `tick`.
     Tick(usize),
     Deliver(Envelope),
-    /// The message stays, and may come again.
+    /// Delivers a message and keeps it in flight, so that it may be delivered again.
     DeliverTwice(Envelope),
     Synced(usize),
     WriteFails(usize),
-    /// Killed; so many of its open writes reached the disk all the same.
+    /// Crashes a process; this number of its pending writes are synced nevertheless.
     Crash(usize, usize),
     LoseDisk(usize),
-    /// A configuration on top of what the machine knows, submitted to whoever believes to lead.
+    /// Submits a configuration that builds on the version known to a machine that believes to lead.
     Configure(usize),
     Read(usize),
-    /// The leader removes a disk that was lost, or adds the new one.
+    /// The leader removes a lost disk or a departed machine, or adds a new one.
     ChangeVoters(usize),
-    /// Gone for good.
+    /// Removes a machine for good.
     Depart(usize),
-    /// Whoever leads transfers leadership.
+    /// A leader transfers leadership.
     TransferLeadership(usize),
 }
 
-pub struct Voters {
+/// The model, as explored by `stateright`.
+pub struct ConsensusModel {
     pub sizes: Sizes,
     pub mutant: Option<Mutant>,
 }
@@ -165,91 +168,94 @@
     Arc::new(text.into_bytes())
 }
 
-fn is_active(_mutant: Option<Mutant>) {
+fn activate(_mutant: Option<Mutant>) {
     #[cfg(feature = "mutants")]
     brassport_config_store::consensus::mutants::activate(_mutant);
 }
 
-impl Voters {
-    /// What may happen to whoever believes that it leads.
-    fn leader_steps(&self, cluster: &Cluster, one: usize, steps: &mut Vec<Step>) {
-        let left = &cluster.left;
+impl ConsensusModel {
+    /// The steps that are possible for a machine that believes to lead.
+    fn leader_steps(&self, cluster: &Cluster, node: usize, steps: &mut Vec<Step>) {
+        let budget = &cluster.budget;
         if cluster.configurations < self.sizes.configurations {
-            steps.push(Step::Configure(one));
+            steps.push(Step::Configure(node));
         }
-        if left.reads > 0 {
-            steps.push(Step::Read(one));
+        if budget.reads > 0 {
+            steps.push(Step::Read(node));
         }
-        if left.transfers > 0 {
-            steps.push(Step::TransferLeadership(one));
+        if budget.transfers > 0 {
+            steps.push(Step::TransferLeadership(node));
         }
-        if left.changes > 0 && cluster.change_due(one).is_some() {
-            steps.push(Step::ChangeVoters(one));
+        if budget.changes > 0 && cluster.change_due(node).is_some() {
+            steps.push(Step::ChangeVoters(node));
         }
     }
 }
 
-impl Model for Voters {
+impl Model for ConsensusModel {
     type State = Cluster;
     type Action = Step;
 
     fn init_states(&self) -> Vec<Cluster> {
-        vec![Cluster::begin(self.sizes)]
+        vec![Cluster::initial(self.sizes)]
     }
 
     fn actions(&self, cluster: &Cluster, steps: &mut Vec<Step>) {
-        is_active(self.mutant);
-        let left = &cluster.left;
+        activate(self.mutant);
+        let budget = &cluster.budget;
         for envelope in &cluster.in_flight {
             steps.push(Step::Deliver(envelope.clone()));
-            if left.duplicates > 0 {
+            if budget.duplicates > 0 {
                 steps.push(Step::DeliverTwice(envelope.clone()));
             }
         }
-        for (one, machine) in cluster.machines.iter().enumerate().filter(|(_, machine)| !machine.is_gone) {
-            if left.departures > 0 {
-                steps.push(Step::Depart(one));
+        for (node, machine) in
+            cluster.machines.iter().enumerate().filter(|(_, machine)| !machine.has_departed)
+        {
+            if budget.departures > 0 {
+                steps.push(Step::Depart(node));
             }
-            if left.ticks > 0 && machine.ticks < self.sizes.ticks_each {
-                steps.push(Step::Tick(one));
+            if budget.ticks > 0 && machine.ticks < self.sizes.ticks_each {
+                steps.push(Step::Tick(node));
             }
             if !machine.writes.is_empty() {
-                steps.push(Step::Synced(one));
-                if left.write_failures > 0 {
-                    steps.push(Step::WriteFails(one));
+                steps.push(Step::Synced(node));
+                if budget.write_failures > 0 {
+                    steps.push(Step::WriteFails(node));
                 }
             }
-            if left.crashes > 0 {
-                (0..=machine.writes.len()).for_each(|reached| steps.push(Step::Crash(one, reached)));
+            if budget.crashes > 0 {
+                (0..=machine.writes.len())
+                    .for_each(|synced_writes| steps.push(Step::Crash(node, synced_writes)));
             }
-            if left.wipes > 0 {
-                steps.push(Step::LoseDisk(one));
+            if budget.wipes > 0 {
+                steps.push(Step::LoseDisk(node));
             }
             if machine.replica.is_leader() {
-                self.leader_steps(cluster, one, steps);
+                self.leader_steps(cluster, node, steps);
             }
         }
     }
 
     fn next_state(&self, before: &Cluster, step: Step) -> Option<Cluster> {
-        is_active(self.mutant);
+        activate(self.mutant);
         let mut cluster = before.clone();
         match step {
-            Step::Tick(one) => cluster.step_tick(one),
+            Step::Tick(node) => cluster.step_tick(node),
             Step::Deliver(envelope) => cluster.step_deliver(envelope),
             Step::DeliverTwice(envelope) => cluster.step_deliver_twice(envelope),
-            Step::Synced(one) => cluster.step_synced(one, self.mutant),
-            Step::WriteFails(one) => cluster.step_write_fails(one),
-            Step::Crash(one, reached) => cluster.step_crash(one, reached),
-            Step::LoseDisk(one) => cluster.step_lose_disk(one, self.mutant),
-            Step::TransferLeadership(one) => cluster.step_transfer_leadership(one),
-            Step::Depart(one) => cluster.step_depart(one),
-            Step::Configure(one) => cluster.step_configure(one),
-            Step::Read(one) => cluster.step_read(one),
-            Step::ChangeVoters(one) => cluster.step_change_voters(one),
+            Step::Synced(node) => cluster.step_synced(node, self.mutant),
+            Step::WriteFails(node) => cluster.step_write_fails(node),
+            Step::Crash(node, synced_writes) => cluster.step_crash(node, synced_writes),
+            Step::LoseDisk(node) => cluster.step_lose_disk(node, self.mutant),
+            Step::TransferLeadership(node) => cluster.step_transfer_leadership(node),
+            Step::Depart(node) => cluster.step_depart(node),
+            Step::Configure(node) => cluster.step_configure(node),
+            Step::Read(node) => cluster.step_read(node),
+            Step::ChangeVoters(node) => cluster.step_change_voters(node),
         }
-        if !cluster.has_faults() {
-            cluster.settle();
+        if !cluster.has_disk_faults_left() {
+            cluster.sync_all();
         }
         Some(cluster)
     }
@@ -260,7 +266,7 @@
             Property::sometimes("a request is acknowledged", |_, cluster: &Cluster| {
                 !cluster.acknowledged.is_empty()
             }),
-            Property::sometimes("another leads", |model: &Voters, cluster: &Cluster| {
+            Property::sometimes("another voter leads", |model: &ConsensusModel, cluster: &Cluster| {
                 let disks: BTreeSet<DiskId> = cluster.leaders.iter().map(|term| term.disk).collect();
                 disks.len() >= 2 || model.sizes.ticks < 2
             }),
@@ -268,29 +274,29 @@
     }
 }
 
-/// What was explored.
+/// The extent of an exploration.
 #[derive(Debug, Clone, Copy)]
 pub struct Explored {
     pub states: usize,
     pub depth: usize,
 }
 
-/// Walks through the model at random, one walk a seed, until something breaks: for what lies too deep to explore all that
-/// is less deep. The seed, and the steps to what breaks.
+/// Walks through the model at random, one walk per seed, until an invariant is violated. Reaches states that are too
+/// deep for an exhaustive exploration. Returns the seed, the steps of its walk and the violation.
 pub fn walk(sizes: Sizes, mutant: Option<Mutant>, walks: u64) -> Option<(u64, Vec<Step>, &'static str)> {
-    let model = Voters { sizes, mutant };
-    is_active(model.mutant);
+    let model = ConsensusModel { sizes, mutant };
+    activate(model.mutant);
     let mut steps = Vec::new();
     (0..walks).find_map(|seed| {
         let mut rng = oorandom::Rand64::new(u128::from(seed));
-        let (mut cluster, mut path) = (Cluster::begin(sizes), Vec::new());
+        let (mut cluster, mut path) = (Cluster::initial(sizes), Vec::new());
         for _ in 0..sizes.depth {
             steps.clear();
             model.actions(&cluster, &mut steps);
-            // Most of what happens is that something arrives, or is synced.
-            let is_usual = |step: &Step| matches!(step, Step::Deliver(_) | Step::Synced(_));
-            if rng.rand_range(0..4) > 0 && steps.iter().any(is_usual) {
-                steps.retain(is_usual);
+            // Three in four steps deliver a message or sync a write, if there are any.
+            let is_common = |step: &Step| matches!(step, Step::Deliver(_) | Step::Synced(_));
+            if rng.rand_range(0..4) > 0 && steps.iter().any(is_common) {
+                steps.retain(is_common);
             }
             if steps.is_empty() {
                 break;
@@ -298,26 +304,31 @@
             let step = steps.swap_remove(rng.rand_range(0..steps.len() as u64) as usize);
             path.push(step.clone());
             cluster = model.next_state(&cluster, step)?;
-            if let Some(why) = cluster.violation {
-                return Some((seed, path, why));
+            if let Some(violation) = cluster.violation {
+                return Some((seed, path, violation));
             }
         }
         None
     })
 }
 
-fn broken(path: Option<stateright::Path<Cluster, Step>>) -> Option<(Vec<Step>, &'static str)> {
+fn steps_to_violation(path: Option<stateright::Path<Cluster, Step>>) -> Option<(Vec<Step>, &'static str)> {
     path.map(|path| {
-        let why = path.last_state().violation.unwrap_or_default();
-        (path.into_actions(), why)
+        let violation = path.last_state().violation.unwrap_or_default();
+        (path.into_actions(), violation)
     })
 }
 
-/// Explores until something breaks. The steps to what breaks, if anything does.
+/// Explores all states within the bounds, until an invariant is violated. Returns the extent, and the steps to the
+/// violation if there is one.
 pub fn explore(sizes: Sizes, mutant: Option<Mutant>) -> (Explored, Option<(Vec<Step>, &'static str)>) {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
-    let checker =
-        Voters { sizes, mutant }.checker().threads(threads).target_max_depth(sizes.depth).spawn_bfs().join();
+    let checker = ConsensusModel { sizes, mutant }
+        .checker()
+        .threads(threads)
+        .target_max_depth(sizes.depth)
+        .spawn_bfs()
+        .join();
     let explored = Explored { states: checker.unique_state_count(), depth: checker.max_depth() };
-    (explored, broken(checker.discovery("no invariant is violated")))
+    (explored, steps_to_violation(checker.discovery("no invariant is violated")))
 }
--- a/crates/brassport-config-store/tests/it/harness/scenarios.rs
+++ b/crates/brassport-config-store/tests/it/harness/scenarios.rs
@@ -1,4 +1,4 @@
-//! Single replicas, driven step by step to moments that the seeds would seldom meet.
+//! Scenarios of a single replica, driven step by step into states that few seeds of the simulation reach.
 
 use brassport_config_store::consensus::*;
 use std::net::Ipv4Addr;
@@ -7,7 +7,7 @@
     Ipv4Addr::new(10, 0, 0, machine as u8 + 1)
 }
 
-/// What one voter of three does, step by step, where the seeds would seldom meet the moment.
+/// What a voter of three does in its first term, observed before and after each condition is met.
 #[derive(Debug, Clone, Copy)]
 pub struct FirstTerm {
     pub leads_before_own_promise: bool,
@@ -16,7 +16,7 @@
     pub evaluates_after_quorum: bool,
 }
 
-/// Lets a voter campaign. Returns the term that it asks the others to promise.
+/// Advances the clock until a voter campaigns. Returns the term that it asks the others to promise.
 fn campaign_term(replica: &mut Replica) -> Option<Term> {
     let mut term = None;
     for now in [100, 200, 300] {
@@ -29,13 +29,13 @@
     term
 }
 
-/// Lets one voter of three campaign, lead and read.
+/// Makes one voter of three campaign, lead and read.
 pub fn one_voter_step_by_step() -> FirstTerm {
-    let id = |one: usize| VoterId { ip: ip(one), disk: DiskId(one as u64 + 1) };
+    let id = |node: usize| VoterId { ip: ip(node), disk: DiskId(node as u64 + 1) };
     let state = ReplicatedState::genesis((0..3).map(id).collect(), 4);
     let found = DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None };
     let mut replica = Replica::new(ip(0), DiskId(1), Some(found), 0);
-    let term = campaign_term(&mut replica).expect("the first in the order stands");
+    let term = campaign_term(&mut replica).expect("the first voter in the agreed order campaigns");
     let promise = Message::Promise { term, index: LogIndex(1), accepted: None };
     let mut actions = replica.step(301, id(1), promise.clone());
     actions.extend(replica.step(302, id(2), promise));
@@ -44,17 +44,17 @@
         Action::Persist(number, Record::Promised(_)) => Some(*number),
         _ => None,
     });
-    replica.on_persisted(303, write.expect("it writes its own promise"), true);
+    replica.on_persisted(303, write.expect("the candidate writes its own promise"), true);
     let leads_after_own_promise = replica.is_leader();
-    let answers = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Respond(9, _)));
-    let actions_of_read = replica.submit(304, 9, Command::Read);
-    let heartbeat = actions_of_read.iter().find_map(|action| match action {
+    let responds = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Respond(9, _)));
+    let read_actions = replica.submit(304, 9, Command::Read);
+    let heartbeat = read_actions.iter().find_map(|action| match action {
         Action::Send(_, Message::Heartbeat { heartbeat, .. }) => Some(*heartbeat),
         _ => None,
     });
-    let heartbeat = heartbeat.expect("it asks the others");
-    let evaluates_before_quorum = answers(&actions_of_read);
-    let evaluates_after_quorum = answers(&replica.step(
+    let heartbeat = heartbeat.expect("the leader sends a heartbeat");
+    let evaluates_before_quorum = responds(&read_actions);
+    let evaluates_after_quorum = responds(&replica.step(
         305,
         id(1),
         Message::HeartbeatResponse { term, index: LogIndex(1), heartbeat },
@@ -67,10 +67,10 @@
     }
 }
 
-/// A voter that is alone leads, and two changes are submitted at once, each of which would let another machine in.
-/// What it answers to both.
+/// Submits two voter changes to a single leading voter at once, each of which adds another machine. Returns the
+/// outcomes.
 pub fn two_changes_at_once() -> [Option<Outcome>; 2] {
-    let id = |one: usize| VoterId { ip: ip(one), disk: DiskId(one as u64 + 1) };
+    let id = |node: usize| VoterId { ip: ip(node), disk: DiskId(node as u64 + 1) };
     let state = ReplicatedState::genesis(vec![id(0)], 4);
     let mut replica = Replica::new(
         ip(0),
@@ -78,16 +78,16 @@
         Some(DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None }),
         0,
     );
-    let mut answers = [None, None];
+    let mut outcomes = [None, None];
     let mut actions = Vec::new();
-    // Alone it leads as soon as its promise is synced.
+    // A single voter leads as soon as its promise is synced.
     for now in 100..400 {
         let mut more = if now % 50 == 0 { replica.tick(now) } else { Vec::new() };
         for action in actions.drain(..) {
             match action {
                 Action::Persist(number, _) => more.extend(replica.on_persisted(now, number, true)),
-                Action::Respond(number @ 3..=4, outcome) => answers[number as usize - 3] = Some(outcome),
-                // The one that was added accepts what is proposed.
+                Action::Respond(number @ 3..=4, outcome) => outcomes[number as usize - 3] = Some(outcome),
+                // The voter that was added accepts the proposal.
                 Action::Send(to, Message::Accept { term, index, .. }) if to == ip(3) => {
                     more.extend(replica.step(now, id(3), Message::Accepted { term, index }));
                 }
@@ -109,35 +109,35 @@
         }
         actions = more;
     }
-    answers
+    outcomes
 }
 
-fn of_three(one: usize) -> Replica {
-    let id = |one: usize| VoterId { ip: ip(one), disk: DiskId(one as u64 + 1) };
+fn replica_of_three(node: usize) -> Replica {
+    let id = |node: usize| VoterId { ip: ip(node), disk: DiskId(node as u64 + 1) };
     let state = ReplicatedState::genesis((0..3).map(id).collect(), 4);
     Replica::new(
-        ip(one),
-        DiskId(one as u64 + 1),
+        ip(node),
+        DiskId(node as u64 + 1),
         Some(DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None }),
         0,
     )
 }
 
-/// The second of three voters, and who the first is.
+/// The replica of the second of three voters, and the identity of the first.
 pub fn follower_of_three() -> (Replica, VoterId) {
-    (of_three(1), VoterId { ip: ip(0), disk: DiskId(1) })
+    (replica_of_three(1), VoterId { ip: ip(0), disk: DiskId(1) })
 }
 
-/// The first of three voters, which leads from 300 ms on; who the second is; and the term.
+/// The replica of the first of three voters, which leads from 300 ms on, the identity of the second, and the term.
 pub fn leader_of_three() -> (Replica, VoterId, Term) {
-    let (mut replica, other) = (of_three(0), VoterId { ip: ip(1), disk: DiskId(2) });
-    let mut led = None;
+    let (mut replica, other) = (replica_of_three(0), VoterId { ip: ip(1), disk: DiskId(2) });
+    let mut leading_term = None;
     for now in (50..=300).step_by(50) {
         let mut actions = replica.tick(now);
         while let Some(action) = actions.pop() {
             match action {
                 Action::Send(to, Message::Prepare { term }) if to == other.ip => {
-                    led = Some(term);
+                    leading_term = Some(term);
                     actions.extend(replica.step(
                         now,
                         other,
@@ -150,5 +150,5 @@
         }
     }
     assert!(replica.is_leader());
-    (replica, other, led.expect("it has campaigned"))
+    (replica, other, leading_term.expect("the replica has campaigned"))
 }
--- a/crates/brassport-config-store/tests/it/harness/simulation/disk.rs
+++ b/crates/brassport-config-store/tests/it/harness/simulation/disk.rs
@@ -1,15 +1,15 @@
-//! A disk in memory.
+//! A voter's store in memory.
 
 use brassport_config_store::consensus::*;
 
-/// What a store does with a record.
+/// Applies a record to the durable state, like a store.
 pub fn append(durable: &mut DurableState, record: Record) {
     match record {
         Record::Promised(term) => durable.promised = durable.promised.max(term),
         Record::Accepted { term, index, entry } => {
             durable.promised = durable.promised.max(term);
             while durable.state.index + 1 < index {
-                // What stands before another was committed when that was accepted.
+                // An entry is accepted only after the entry before it was committed.
                 let Some(AcceptedEntry { entry: before, .. }) = durable.accepted.take() else { break };
                 durable.state.apply(&before);
             }
--- a/crates/brassport-config-store/tests/it/harness/simulation/faults.rs
+++ b/crates/brassport-config-store/tests/it/harness/simulation/faults.rs
@@ -1,68 +1,70 @@
-//! Faults: kills, freezes, cuts, full disks and lost ones; and the loss of a leader.
+//! Faults: killed and frozen processes, partitions, full disks and lost disks; and the loss of the leader.
 
 use super::{ip, Machine, Simulation, Step};
 use brassport_config_store::consensus::mutants::Mutant;
 use brassport_config_store::consensus::*;
 
 impl Simulation {
-    pub(super) fn fault(&mut self) {
-        let one = self.draw(self.machines.len() as u64) as usize;
+    /// Injects a random fault.
+    pub(super) fn inject_fault(&mut self) {
+        let node = self.draw(self.machines.len() as u64) as usize;
         match self.draw(12) {
             0..=2 => {
-                // Killed: what was on its way to the disk may be there or not, and none of it was said.
-                self.machines[one].replica = None;
-                self.machines[one].incarnation += 1;
-                self.back(one);
+                // Kills the process. Pending writes are lost; no message that depends on them was sent.
+                self.machines[node].replica = None;
+                self.machines[node].incarnation += 1;
+                self.restart(node);
             }
             3 => {
-                let long = 100 + self.draw(2_000);
-                self.machines[one].frozen_until = self.now + long;
-                // Asked the moment that it wakes, before it has looked at its clock.
-                self.at(long, Step::Submit);
+                let duration = 100 + self.draw(2_000);
+                self.machines[node].frozen_until = self.now + duration;
+                // Submits a command the moment that the process resumes, before its first tick.
+                self.schedule(duration, Step::Submit);
             }
-            4..=6 => self.cut(one),
-            7 | 8 => self.machines.iter_mut().for_each(|machine| machine.cut.clear()),
+            4..=6 => self.partition(node),
+            7 | 8 => self.machines.iter_mut().for_each(|machine| machine.cut_from.clear()),
             9 => {
-                let long = 100 + self.draw(1_500);
-                self.machines[one].full_until = self.now + long;
+                let duration = 100 + self.draw(1_500);
+                self.machines[node].full_until = self.now + duration;
             }
             10 => {
-                // All at once.
+                // Kills all processes at once.
                 for number in 0..self.machines.len() {
                     if self.machines[number].replica.is_some() {
                         self.machines[number].replica = None;
                         self.machines[number].incarnation += 1;
-                        self.back(number);
+                        self.restart(number);
                     }
                 }
             }
-            _ => self.wipe(one),
+            _ => self.wipe(node),
         }
     }
 
-    /// Cuts some links of a machine, some of them one way.
-    pub(super) fn cut(&mut self, one: usize) {
+    /// Cuts some links of a machine, some of them in one direction only.
+    pub(super) fn partition(&mut self, node: usize) {
         let others = self.machines.len() as u64;
         for _ in 0..=self.draw(3) {
             let other = self.draw(others) as usize;
-            self.machines[one].cut.insert(other);
+            self.machines[node].cut_from.insert(other);
             if self.draw(2) == 0 {
-                self.machines[other].cut.insert(one);
+                self.machines[other].cut_from.insert(node);
             }
         }
     }
 
-    /// A disk is lost, if all others are as they were: more than may be lost at once would prove nothing.
-    pub(super) fn wipe(&mut self, one: usize) {
+    /// Loses a disk, provided that all machines are up to date and vote with their current disks: more losses at once
+    /// are beyond what the protocol tolerates.
+    pub(super) fn wipe(&mut self, node: usize) {
         let newest =
             self.machines.iter().map(|machine| machine.durable.state.index).max().unwrap_or_default();
         let is_complete = |machine: &Machine| {
             let state = &machine.durable.state;
             let voters = &state.voters;
-            let in_order = machine.durable.state.index + 1 >= newest && voters.len() >= self.sizes.voters;
-            in_order && machine.replica.is_some()
+            let is_current = machine.durable.state.index + 1 >= newest && voters.len() >= self.sizes.voters;
+            is_current && machine.replica.is_some()
         };
-        let others_whole = self.machines.iter().all(|machine| {
+        let all_complete = self.machines.iter().all(|machine| {
             is_complete(machine)
                 && machine
                     .durable
@@ -70,10 +72,10 @@
                     .voters
                     .contains(&VoterId { ip: ip(self.number_of(machine)), disk: machine.disk })
         });
-        if self.sizes.wipes == 0 || !others_whole {
+        if self.sizes.wipes == 0 || !all_complete {
             return;
         }
-        let machine = &mut self.machines[one];
+        let machine = &mut self.machines[node];
         machine.replica = None;
         machine.incarnation += 1;
         if self.mutant != Some(Mutant::LostDiskKeepsVote) {
@@ -81,59 +83,60 @@
         }
         machine.durable = DurableState::empty();
         machine.has_gap = false;
-        self.back(one);
+        self.restart(node);
     }
 
     pub(super) fn number_of(&self, machine: &Machine) -> usize {
         self.machines.iter().position(|other| std::ptr::eq(other, machine)).unwrap_or_default()
     }
 
-    pub(super) fn back(&mut self, one: usize) {
-        // It starts again at once here; how long it is away is a matter of the cut that may follow.
-        let frozen = self.now + 20 + self.draw(600);
-        self.begin(one);
-        self.machines[one].frozen_until = frozen;
+    pub(super) fn restart(&mut self, node: usize) {
+        // The process starts at once, but is frozen for the time that a restart takes.
+        let frozen_until = self.now + 20 + self.draw(600);
+        self.start(node);
+        self.machines[node].frozen_until = frozen_until;
     }
 }
 
 /// How a leader is lost.
 #[derive(Debug, Clone, Copy)]
-pub enum Loss {
+pub enum LeaderLoss {
     Kill,
     Freeze,
     Cut,
 }
 
 impl Simulation {
-    /// Without other faults, loses the leader at a drawn moment. Returns how long it takes until another leads.
-    pub fn lose_leader(&mut self, loss: Loss) -> Option<Millis> {
+    /// Loses the leader at a random moment, without other faults. Returns the milliseconds until another voter leads;
+    /// `None` if no other voter leads within 8 s.
+    pub fn lose_leader(&mut self, loss: LeaderLoss) -> Option<Millis> {
         self.is_healed = true;
         let at = 2_000 + self.draw(500);
-        self.play_until(at, |_| false);
-        let leader = (0..self.machines.len()).find(|one| self.leads(*one))?;
+        self.run_until(at, |_| false);
+        let leader = (0..self.machines.len()).find(|node| self.leads(*node))?;
         match loss {
-            Loss::Kill => {
+            LeaderLoss::Kill => {
                 self.machines[leader].replica = None;
                 self.machines[leader].incarnation += 1;
             }
-            Loss::Freeze => self.machines[leader].frozen_until = self.now + 10_000,
-            Loss::Cut => {
+            LeaderLoss::Freeze => self.machines[leader].frozen_until = self.now + 10_000,
+            LeaderLoss::Cut => {
                 for other in (0..self.machines.len()).filter(|other| *other != leader) {
-                    self.machines[leader].cut.insert(other);
-                    self.machines[other].cut.insert(leader);
+                    self.machines[leader].cut_from.insert(other);
+                    self.machines[other].cut_from.insert(leader);
                 }
             }
         }
-        let lost = self.now;
-        let another = |simulation: &Simulation| {
-            (0..simulation.machines.len()).any(|one| one != leader && simulation.leads(one))
+        let lost_at = self.now;
+        let has_another_leader = |simulation: &Simulation| {
+            (0..simulation.machines.len()).any(|node| node != leader && simulation.leads(node))
         };
-        self.play_until(lost + 8_000, another);
-        another(self).then(|| self.now - lost)
+        self.run_until(lost_at + 8_000, has_another_leader);
+        has_another_leader(self).then(|| self.now - lost_at)
     }
 
-    fn play_until(&mut self, until: Millis, stop: impl Fn(&Simulation) -> bool) {
-        while self.now < until && !stop(self) {
+    fn run_until(&mut self, until: Millis, is_done: impl Fn(&Simulation) -> bool) {
+        while self.now < until && !is_done(self) {
             let Some(((at, _), step)) = self.queue.pop_first() else { return };
             self.now = self.now.max(at);
             self.step(step);
--- a/crates/brassport-config-store/tests/it/harness/single_voter.rs
+++ b/crates/brassport-config-store/tests/it/harness/single_voter.rs
@@ -1,4 +1,4 @@
-//! A voter that is alone, for what one replica shows by itself.
+//! A cluster of a single voter, to test the behaviour of one replica.
 
 use brassport_config_store::consensus::{
     Action, ChangeScope, Command, ConfigurationRequest, DiskId, DurableState, Outcome, Replica,
@@ -7,60 +7,60 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// A voter that is alone: it leads, and what it writes is synced at once.
-pub struct Alone {
+/// The only voter of a cluster, which leads, and whose writes are synced at once.
+pub struct SingleVoter {
     pub replica: Replica,
     pub now: u64,
-    next: u64,
+    last_command: u64,
 }
 
-pub const ME: VoterId = VoterId { ip: Ipv4Addr::new(10, 0, 0, 1), disk: DiskId(7) };
+pub const VOTER: VoterId = VoterId { ip: Ipv4Addr::new(10, 0, 0, 1), disk: DiskId(7) };
 
-impl Alone {
-    pub fn new() -> Alone {
-        Alone::from(ReplicatedState::genesis(vec![ME], 4))
+impl SingleVoter {
+    pub fn new() -> SingleVoter {
+        SingleVoter::from(ReplicatedState::genesis(vec![VOTER], 4))
     }
 
-    pub fn from(state: ReplicatedState) -> Alone {
-        Alone::recovered(DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None })
+    pub fn from(state: ReplicatedState) -> SingleVoter {
+        SingleVoter::recovered(DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None })
     }
 
-    pub fn recovered(found: DurableState) -> Alone {
-        let replica = Replica::new(ME.ip, ME.disk, Some(found), 0);
-        let mut alone = Alone { replica, now: 0, next: 0 };
-        while !alone.replica.is_leader() {
-            alone.now += 50;
-            let actions = alone.replica.tick(alone.now);
-            alone.execute(actions);
+    pub fn recovered(found: DurableState) -> SingleVoter {
+        let replica = Replica::new(VOTER.ip, VOTER.disk, Some(found), 0);
+        let mut voter = SingleVoter { replica, now: 0, last_command: 0 };
+        while !voter.replica.is_leader() {
+            voter.now += 50;
+            let actions = voter.replica.tick(voter.now);
+            voter.execute(actions);
         }
-        alone
+        voter
     }
 
     fn execute(&mut self, mut actions: Vec<Action>) -> Vec<(u64, Outcome)> {
-        let mut answers = Vec::new();
+        let mut outcomes = Vec::new();
         while let Some(action) = (!actions.is_empty()).then(|| actions.remove(0)) {
             match action {
                 Action::Persist(number, _) => {
                     actions.extend(self.replica.on_persisted(self.now, number, true));
                 }
-                Action::Respond(number, outcome) => answers.push((number, outcome)),
+                Action::Respond(number, outcome) => outcomes.push((number, outcome)),
                 _ => {}
             }
         }
-        answers
+        outcomes
     }
 
     pub fn put(&mut self, base_version: u32, body: &Arc<Vec<u8>>) -> Outcome {
-        self.next += 1;
+        self.last_command += 1;
         let command = Command::Configure(ConfigurationRequest {
             scope: ChangeScope::Full,
             base_version,
             body: body.clone(),
         });
-        let actions = self.replica.submit(self.now, self.next, command);
-        let mut answers = self.execute(actions);
-        assert_eq!(answers.len(), 1, "one answer to one order");
-        answers.remove(0).1
+        let actions = self.replica.submit(self.now, self.last_command, command);
+        let mut outcomes = self.execute(actions);
+        assert_eq!(outcomes.len(), 1, "one request has one outcome");
+        outcomes.remove(0).1
     }
 }
 
@@ -71,22 +71,24 @@
     Arc::new(text.into_bytes())
 }
 
-/// Takes more orders than are remembered and sends each of them again. What is wrong, if anything: one that is refused, or
-/// that has no clear answer although it is remembered.
+/// Submits more requests than are remembered, and then each of them again. Returns the first violation: a repeated
+/// request that is rejected, or one that is remembered and gets an unknown outcome.
 pub fn forgotten_request_rejected() -> Option<String> {
-    let mut leader = Alone::new();
-    let beyond = 100;
-    let versions = 1..=(REMEMBERED_REQUESTS as u32 + beyond);
+    let mut leader = SingleVoter::new();
+    let forgotten = 100;
+    let versions = 1..=(REMEMBERED_REQUESTS as u32 + forgotten);
     let bodies: Vec<(u32, Arc<Vec<u8>>)> =
         versions.map(|version| (version - 1, body(version, "a"))).collect();
     for (base_version, body) in &bodies {
         assert_eq!(leader.put(*base_version, body), Outcome::Committed);
     }
-    let wrong = bodies.iter().find_map(|(base_version, body)| {
-        let answer = leader.put(*base_version, body);
-        let expected = if *base_version >= beyond { Outcome::Committed } else { Outcome::Unknown };
-        (answer != expected).then(|| format!("on top of {base_version}: {answer:?}"))
+    let violation = bodies.iter().find_map(|(base_version, body)| {
+        let outcome = leader.put(*base_version, body);
+        let expected = if *base_version >= forgotten { Outcome::Committed } else { Outcome::Unknown };
+        (outcome != expected).then(|| format!("repeated request on version {base_version}: {outcome:?}"))
     });
     let other = leader.put(300, &body(900, "b"));
-    wrong.or_else(|| (other != Outcome::VersionConflict).then(|| format!("another order: {other:?}")))
+    violation.or_else(|| {
+        (other != Outcome::VersionConflict).then(|| format!("different request on version 300: {other:?}"))
+    })
 }
--- a/crates/brassport-config-store/tests/it/leadership.rs
+++ b/crates/brassport-config-store/tests/it/leadership.rs
@@ -1,5 +1,5 @@
-//! One voter, step by step: it holds leadership only once its own promise is on disk, and judges only once a majority has
-//! answered since it was asked.
+//! Leadership of a single replica, step by step: a candidate leads only once its own promise is on disk, and a leader
+//! evaluates a command only after a majority has responded since the command was submitted.
 
 use crate::harness::scenarios;
 use brassport_config_store::consensus::{Action, LogIndex, Message, Term};
@@ -7,13 +7,17 @@
 #[test]
 fn a_candidate_leads_after_its_own_promise_and_evaluates_after_a_quorum() {
     let first_term = scenarios::one_voter_step_by_step();
-    assert!(!first_term.leads_before_own_promise, "it leads before its own promise is synced");
-    assert!(first_term.leads_after_own_promise, "with it, it does");
-    assert!(!first_term.evaluates_before_quorum, "it evaluates before a majority has answered");
-    assert!(first_term.evaluates_after_quorum, "with that, it does");
+    assert!(!first_term.leads_before_own_promise, "leads before its own promise is synced");
+    assert!(first_term.leads_after_own_promise, "does not lead although its own promise is synced");
+    assert!(!first_term.evaluates_before_quorum, "evaluates a command before a majority has responded");
+    assert!(
+        first_term.evaluates_after_quorum,
+        "does not evaluate a command although a majority has responded"
+    );
 }
 
-/// Of [0, 1, 2] and [0, 1, 4] majorities need not meet: a change that was asked for while another was open is refused.
+/// A voter change that was submitted before another one was committed is rejected: the resulting sets may differ by two
+/// voters, and then their majorities need not intersect, as those of [0, 1, 2] and [0, 1, 4].
 #[test]
 fn a_change_of_voters_overtaken_by_another_is_rejected() {
     let [first, second] = scenarios::two_changes_at_once();
@@ -21,7 +25,7 @@
     assert_eq!(second, Some(brassport_config_store::consensus::Outcome::VersionConflict));
 }
 
-/// A heartbeat that comes again and again, late, is no sign of life: the follower campaigns all the same.
+/// Repeated delivery of one heartbeat does not reset the election timer: the follower campaigns nevertheless.
 #[test]
 fn a_duplicated_heartbeat_does_not_keep_a_lost_leader_alive() {
     let (mut follower, leader) = scenarios::follower_of_three();
@@ -37,13 +41,13 @@
     assert!(has_campaigned);
 }
 
-/// Nor is an answer to one: a leader that nobody hears steps down, whatever comes late.
+/// Repeated delivery of one heartbeat response does not preserve the quorum: the leader steps down.
 #[test]
 fn a_duplicated_response_does_not_keep_a_leader_without_quorum() {
     let (mut leader, other, term) = scenarios::leader_of_three();
-    let answer = Message::HeartbeatResponse { term, index: LogIndex(1), heartbeat: 1 };
+    let response = Message::HeartbeatResponse { term, index: LogIndex(1), heartbeat: 1 };
     for now in (400..2_000).step_by(50) {
-        leader.step(now, other, answer.clone());
+        leader.step(now, other, response.clone());
         leader.tick(now + 1);
     }
     assert!(!leader.is_leader());
--- a/crates/brassport-config-store/tests/it/main.rs
+++ b/crates/brassport-config-store/tests/it/main.rs
@@ -1,5 +1,5 @@
-//! Tests of configuration, consensus and store, in one binary.
-#![allow(clippy::needless_pass_by_value, reason = "test cases are made in place and passed on")]
+//! Integration tests of configuration, consensus and store, built as one binary.
+#![allow(clippy::needless_pass_by_value, reason = "arguments of test cases are constructed in place")]
 
 mod configuration;
 mod configuration_requests;
--- a/crates/brassport-config-store/tests/it/mutants.rs
+++ b/crates/brassport-config-store/tests/it/mutants.rs
@@ -1,6 +1,6 @@
-//! The tests can fail: each mutant is detected within some seeds.
+//! Mutation tests: simulations, random walks of the model or scenarios detect each mutant of consensus.
 
-use crate::harness::model::{walk, Sizes as ModelSizes, CALM};
+use crate::harness::model::{walk, Sizes as ModelSizes, NO_FAULTS};
 use crate::harness::scenarios::one_voter_step_by_step;
 use crate::harness::simulation::{Simulation, Sizes};
 use brassport_config_store::consensus::mutants::{activate, Mutant, CONSENSUS};
@@ -11,23 +11,23 @@
     Sizes { machines: 5, voters: 2, wipes: 0, fault_phase_ms: 12_000 },
 ];
 
-/// The first seed that a mutant breaks, and what broke.
+/// The first seed that detects a mutant, and the violation found.
 type Detection = Option<(u64, String)>;
 
-/// Detects a mutant, in this thread alone.
+/// Runs the tests against a mutant, which is active in this thread only, until they detect it.
 fn detect(mutant: Mutant) -> Detection {
     activate(Some(mutant));
     match mutant {
-        // Two mutants need a moment that few seeds meet: they are shown step by step.
+        // Few seeds reach the states in which these two mutants matter, so a scenario detects them.
         Mutant::LeadsBeforeOwnPromise | Mutant::EvaluatesWithoutQuorum => {
             let first_term = one_voter_step_by_step();
             (first_term.leads_before_own_promise || first_term.evaluates_before_quorum)
-                .then(|| (0, format!("step by step: {mutant:?}")))
+                .then(|| (0, format!("scenario: {mutant:?}")))
         }
         Mutant::ForgottenRequestRejected => {
             crate::harness::single_voter::forgotten_request_rejected().map(|violation| (0, violation))
         }
-        // Seeds that met it among 25,000.
+        // The seeds among 25,000 that detect it.
         Mutant::VoterChangeUnchecked => {
             [5_143, 5_473, 5_670, 16_326].into_iter().find_map(|seed| run_seed(seed, SIZES[2], mutant))
         }
@@ -47,7 +47,7 @@
         let running: Vec<_> = CONSENSUS.map(|mutant| (mutant, scope.spawn(move || detect(mutant)))).into();
         running
             .into_iter()
-            .filter_map(|(mutant, thread)| match thread.join().expect("the thread ends") {
+            .filter_map(|(mutant, thread)| match thread.join().expect("the thread does not panic") {
                 Some((seed, violation)) => {
                     println!("{mutant:?}: seed {seed}: {violation}");
                     None
@@ -56,7 +56,7 @@
             })
             .collect()
     });
-    assert!(missed.is_empty(), "not found: {missed:?}");
+    assert!(missed.is_empty(), "undetected mutants: {missed:?}");
 }
 
 #[test]
@@ -67,29 +67,29 @@
         ticks: 5,
         ticks_each: 3,
         depth: 60,
-        ..CALM
+        ..NO_FAULTS
     };
-    let walked = |mutant| match mutant {
+    let walk_sizes = |mutant| match mutant {
         Mutant::MessageBeforeSync => Some(ModelSizes { crashes: 1, ..with_leader }),
         Mutant::AcceptedEntryIgnored | Mutant::PromiseBroken | Mutant::QuorumOneShort => Some(with_leader),
         Mutant::LostDiskKeepsVote => Some(ModelSizes { wipes: 1, ..with_leader }),
         Mutant::EvaluatesWithoutQuorum => Some(ModelSizes { reads: 2, ..with_leader }),
-        // Found step by step, and by seeds: 200,000 walks did not meet their moment.
+        // Detected by scenarios and simulations: 200,000 walks did not reach the states in which they matter.
         _ => None,
     };
-    let found_by = |mutant, sizes| {
+    let undetected_by_walks = |mutant, sizes| {
         let found = walk(sizes, Some(mutant), 100_000);
-        let summary = found.as_ref().map(|(seed, steps, why)| (seed, steps.len(), why));
-        println!("{mutant:?}: {summary:?} (walk, steps, what broke)");
+        let summary = found.as_ref().map(|(seed, steps, violation)| (seed, steps.len(), violation));
+        println!("{mutant:?}: {summary:?} (seed, steps, violation)");
         found.is_none().then_some(mutant)
     };
     let missed: Vec<_> = std::thread::scope(|scope| {
         let threads: Vec<_> = CONSENSUS
             .iter()
-            .filter_map(|mutant| Some((*mutant, walked(*mutant)?)))
-            .map(|(mutant, sizes)| scope.spawn(move || found_by(mutant, sizes)))
+            .filter_map(|mutant| Some((*mutant, walk_sizes(*mutant)?)))
+            .map(|(mutant, sizes)| scope.spawn(move || undetected_by_walks(mutant, sizes)))
             .collect();
-        threads.into_iter().filter_map(|thread| thread.join().expect("the thread ends")).collect()
+        threads.into_iter().filter_map(|thread| thread.join().expect("the thread does not panic")).collect()
     });
     assert!(missed.is_empty(), "no counterexample: {missed:?}");
 }
