--- a/crates/brassport-config-store/src/configuration/document.rs
+++ b/crates/brassport-config-store/src/configuration/document.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The JSON text of the document, with its fields in the stored order.
+    /// The JSON text of the document, in the format of `Config.Replace` and with its fields in their order.
     pub fn to_bytes(&self) -> Vec<u8> {
         // Serializing a map of JSON values can't fail.
         serde_json::to_vec(&*self.raw).unwrap_or_default()
--- a/crates/brassport-config-store/src/configuration/validators.rs
+++ b/crates/brassport-config-store/src/configuration/validators.rs
@@ -1,5 +1,5 @@
 //! Validators of single fields with the signature that `schematic` calls: value, partial layout, context, and whether
-//! it is the final pass. In an error, the message follows the path of the field ("services[0].name: is empty").
+//! it is the final pass. In an error, the message follows the path of the field (`services[0].name: is empty`).
 
 use schematic::{PathSegment, ValidateError, ValidateResult};
 
--- a/crates/brassport-config-store/src/consensus/follower.rs
+++ b/crates/brassport-config-store/src/consensus/follower.rs
@@ -8,7 +8,7 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// Every replica writes a snapshot at each multiple of this index, which replaces the entries before it. This bounds
+/// Every replica takes a snapshot at each multiple of this index, which replaces the entries before it. This bounds
 /// the number of entries that a store replays when it is opened.
 const SNAPSHOT_INTERVAL_ENTRIES: u64 = 64;
 /// Heartbeat number recorded for messages other than heartbeats; lower than the number of any heartbeat.
--- a/crates/brassport-config-store/src/consensus/log.rs
+++ b/crates/brassport-config-store/src/consensus/log.rs
@@ -7,7 +7,7 @@
 /// An entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Entry {
-    /// Changes nothing; serves a leader to confirm its majority.
+    /// Changes nothing; a leader may propose it to confirm its majority.
     #[serde(rename = "Nothing")]
     Noop,
     /// Sets the voters from the next index on, and the number of quota shares.
