--- a/crates/brassport-policy-stats/src/in_flight.rs
+++ b/crates/brassport-policy-stats/src/in_flight.rs
@@ -3,7 +3,7 @@
 use crate::Millis;
 use std::collections::VecDeque;
 
-/// Identifies an attempt in flight in the [`InFlight`] that returned it.
+/// Identifies an attempt in flight in the [`InFlightAttempts`] that returned it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptHandle(u64);
 
@@ -24,7 +24,7 @@
 /// Counts the attempts in flight, and those of them younger than each of some ages. Each operation costs amortized
 /// constant time.
 #[derive(Debug, Clone, Default)]
-pub struct InFlight {
+pub struct InFlightAttempts {
     /// From the oldest attempt in flight on.
     attempts: VecDeque<Attempt>,
     /// Number of the first of those.
@@ -33,12 +33,12 @@
     windows: Vec<AgeWindow>,
 }
 
-impl InFlight {
+impl InFlightAttempts {
     /// Counts attempts, with an age window of each of these lengths.
-    pub fn new(window_lengths: impl IntoIterator<Item = Millis>) -> InFlight {
+    pub fn new(window_lengths: impl IntoIterator<Item = Millis>) -> InFlightAttempts {
         let window = |length| AgeWindow { length, count: 0, first: 0 };
         let windows = window_lengths.into_iter().map(window).collect();
-        InFlight { attempts: VecDeque::new(), first_number: 0, in_flight: 0, windows }
+        InFlightAttempts { attempts: VecDeque::new(), first_number: 0, in_flight: 0, windows }
     }
 
     /// Replaces the age windows.
@@ -59,7 +59,7 @@
     }
 
     /// Entries kept in memory: the attempts since the oldest in flight.
-    pub fn tracked(&self) -> usize {
+    pub fn retained_entries(&self) -> usize {
         self.attempts.len()
     }
 
--- a/crates/brassport-policy-stats/src/lib.rs
+++ b/crates/brassport-policy-stats/src/lib.rs
@@ -9,12 +9,12 @@
 //! | arrival rate with decaying weights | [`ExponentialRate`] |
 //! | average that decays back to 1 | [`DecayingFactor`], [`ewma_update`] |
 //! | token buckets: local, and shared with other instances | [`TokenBucket`], [`SharedTokenBucket`] |
-//! | attempts in flight by age | [`InFlight`] |
+//! | attempts in flight by age | [`InFlightAttempts`] |
 //! | units sent over time | [`SendLog`] |
 //! | values of a setting over time | [`ValueHistory`] |
 //! | which period a meter reading covers | [`MeterClock`] |
 //! | other instances' usage; typical usage of a plan | [`RemoteUsage`], [`PlanUsage`] |
-//! | retries after a rejection | [`RetryEstimator`], [`eventually_admitted`], [`attempt_probability`] |
+//! | retries after a rejection | [`RetryEstimator`], [`eventual_admission_fraction`], [`attempt_admission_probability`] |
 //! | classes: shares, response times, admission by value | [`ClassStatistics`] |
 //! | rejections and their log lines | [`RejectionCounts`] |
 //! | weighted sampling on a hash ring | [`WeightedRing`] |
@@ -25,13 +25,13 @@
 //! and in its error texts with `#[serde(expecting)]`; both must not change.
 //!
 //! ```
-//! use brassport_policy_stats::{InFlight, TokenBucket};
+//! use brassport_policy_stats::{InFlightAttempts, TokenBucket};
 //!
 //! let mut bucket = TokenBucket::empty(0.0);
 //! bucket.refill(500.0, 4.0, 10.0);
 //! assert!(bucket.try_take(2.0) && !bucket.try_take(1.0));
 //!
-//! let mut attempts = InFlight::new([100.0]);
+//! let mut attempts = InFlightAttempts::new([100.0]);
 //! attempts.start(0.0);
 //! attempts.start(60.0);
 //! assert_eq!((attempts.len(), attempts.count_within(0, 120.0)), (2, 1));
@@ -60,13 +60,13 @@
 pub use decaying_factor::{ewma_update, DecayingFactor};
 pub use due_queue::DueQueue;
 pub use exponential_rate::ExponentialRate;
-pub use in_flight::{AttemptHandle, InFlight};
+pub use in_flight::{AttemptHandle, InFlightAttempts};
 pub use maps::{remove_and_shrink, CyclicCursor, TrustedKeyMap, UntrustedKeyMap};
 pub use meter_clock::MeterClock;
 pub use plan_usage::{CustomerReading, PlanUsage};
 pub use rejection_counts::{ejection_log_line, RejectionCounts};
-pub use remote_usage::{Decay, RemoteUsage, UsageWindow};
-pub use retry_estimator::{attempt_probability, eventually_admitted, RetryEstimator};
+pub use remote_usage::{ReadingDecay, RemoteUsage, UsageWindow};
+pub use retry_estimator::{attempt_admission_probability, eventual_admission_fraction, RetryEstimator};
 pub use send_log::SendLog;
 pub use shared_token_bucket::{BucketFlow, SharedTokenBucket};
 pub use token_bucket::TokenBucket;
--- a/crates/brassport-policy-stats/src/meter_clock.rs
+++ b/crates/brassport-policy-stats/src/meter_clock.rs
@@ -50,7 +50,7 @@
     }
 
     /// End of the period that a reading received at `now` covers.
-    pub fn covered_until(&self, now: Millis) -> Millis {
+    pub fn covered_period_end(&self, now: Millis) -> Millis {
         if self.period <= 0.0 {
             return now;
         }
@@ -60,12 +60,12 @@
     }
 
     /// Delay from the end of a period until it is reported, in periods.
-    pub fn delay_periods(&self) -> f64 {
+    pub fn reporting_delay_periods(&self) -> f64 {
         (self.best % DELAYS) as f64 / PARTS as f64
     }
 
     /// How far back sends matter: no reading covers earlier ones.
-    pub fn max_age(&self) -> Millis {
+    pub fn max_reading_age(&self) -> Millis {
         (MAX_DELAY_PERIODS + 2) as f64 * self.period
     }
 
@@ -78,7 +78,7 @@
         let part = self.period / PARTS as f64;
         let parts = (now / part).floor();
         let mut sent = [0.0; EDGES];
-        sends.totals((0..EDGES).map(|back| (parts - back as f64) * part), &mut sent);
+        sends.totals_up_to((0..EDGES).map(|back| (parts - back as f64) * part), &mut sent);
         for end in 0..PARTS {
             // Parts of a period since the last one with this end. A delay up to that means the period that ended then;
             // each further period of delay means the one before.
--- a/crates/brassport-policy-stats/src/rejection_counts.rs
+++ b/crates/brassport-policy-stats/src/rejection_counts.rs
@@ -47,7 +47,7 @@
 
     /// Once a second returns the log lines that are due; `capacity` is the fraction of what the quotas admit that
     /// servers have capacity for.
-    pub fn report(&mut self, now: Millis, capacity: f64) -> Vec<String> {
+    pub fn take_log_lines(&mut self, now: Millis, capacity: f64) -> Vec<String> {
         let mut lines = Vec::new();
         if now < self.reported_at + REPORT_INTERVAL_MS {
             return lines;
--- a/crates/brassport-policy-stats/src/remote_usage.rs
+++ b/crates/brassport-policy-stats/src/remote_usage.rs
@@ -5,7 +5,7 @@
 
 /// Time constant of the decay of readings.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Decay {
+pub struct ReadingDecay {
     /// Rate, units a second, at which the `units` arrive.
     pub rate_per_s: f64,
     /// Units after whose arrival a factor of 1/e of a reading is left; no less than so many readings' gaps.
@@ -47,26 +47,26 @@
         self.reading_gap_s
     }
 
-    fn remaining(&self, now: Millis, decay: Decay) -> f64 {
+    fn remaining(&self, now: Millis, decay: ReadingDecay) -> f64 {
         let time_constant_s = decay.units * (1.0 / decay.rate_per_s).max(self.reading_gap_s);
         self.updated_at.map_or(0.0, |at| (-(now - at) / 1000.0 / time_constant_s).exp())
     }
 
     /// The readings so far, decayed up to `now`.
-    pub fn decayed(&self, now: Millis, decay: Decay) -> UsageWindow {
+    pub fn decayed(&self, now: Millis, decay: ReadingDecay) -> UsageWindow {
         let left = self.remaining(now, decay);
         UsageWindow { seconds: self.seconds * left, sent: self.sent * left, offered: self.offered * left }
     }
 
     /// The weight (0 to 1) of the readings in an estimate whose prior counts for `prior_units`.
-    pub fn confidence(&self, now: Millis, decay: Decay, prior_units: f64) -> f64 {
+    pub fn confidence(&self, now: Millis, decay: ReadingDecay, prior_units: f64) -> f64 {
         let seconds = self.decayed(now, decay).seconds;
         seconds / (prior_units / decay.rate_per_s + seconds)
     }
 
     /// Adds a reading of other instances; `gap_weight` (0 to 1) is the weight of the time since the last reading in
     /// the mean gap.
-    pub fn observe(&mut self, now: Millis, decay: Decay, reading: UsageWindow, gap_weight: f64) {
+    pub fn observe(&mut self, now: Millis, decay: ReadingDecay, reading: UsageWindow, gap_weight: f64) {
         if let Some(at) = self.updated_at {
             ewma_update(&mut self.reading_gap_s, (now - at) / 1000.0, gap_weight);
         }
--- a/crates/brassport-policy-stats/src/retry_estimator.rs
+++ b/crates/brassport-policy-stats/src/retry_estimator.rs
@@ -42,13 +42,13 @@
 
 /// The fraction of clients that are admitted in the end, with admission probability `p` for each attempt and retry
 /// probability `r`.
-pub fn eventually_admitted(p: f64, r: f64) -> f64 {
+pub fn eventual_admission_fraction(p: f64, r: f64) -> f64 {
     p / (1.0 - r * (1.0 - p))
 }
 
 /// The admission probability for each attempt by which the fraction `part` (0 to 1) of the clients is admitted in the
 /// end, with retry probability `r`: 1 - quota / offered is the matching rejection probability, with all attempts in the
 /// offered rate.
-pub fn attempt_probability(part: f64, r: f64) -> f64 {
+pub fn attempt_admission_probability(part: f64, r: f64) -> f64 {
     part * (1.0 - r) / (1.0 - part * r)
 }
--- a/crates/brassport-policy-stats/src/send_log.rs
+++ b/crates/brassport-policy-stats/src/send_log.rs
@@ -57,7 +57,7 @@
     }
 
     /// Writes to `totals` what [`total_up_to`](Self::total_up_to) returns for each of `moments`, which must descend.
-    pub fn totals(&self, moments: impl Iterator<Item = Millis>, totals: &mut [f64]) {
+    pub fn totals_up_to(&self, moments: impl Iterator<Item = Millis>, totals: &mut [f64]) {
         let mut count = self.sends.len();
         for (moment, total) in moments.zip(totals) {
             let is_later = |index: usize| self.sends[index].at > moment;
@@ -78,7 +78,7 @@
     }
 
     /// Recorded units sent after `from` and up to and including `to`.
-    pub fn between(&self, from: Millis, to: Millis) -> f64 {
+    pub fn units_between(&self, from: Millis, to: Millis) -> f64 {
         if to <= from {
             return 0.0;
         }
--- a/crates/brassport-policy-stats/src/shared_token_bucket.rs
+++ b/crates/brassport-policy-stats/src/shared_token_bucket.rs
@@ -48,7 +48,7 @@
     /// The estimated level at a moment no earlier than the settled one, from 0 to the capacity.
     pub fn level_at(&self, at: Millis, flow: BucketFlow) -> f64 {
         let flows = (flow.rate_per_s - flow.remote_per_s) * (at - self.settled_until) / 1000.0;
-        (self.level + flows - self.sends.between(self.settled_until, at)).clamp(0.0, flow.capacity)
+        (self.level + flows - self.sends.units_between(self.settled_until, at)).clamp(0.0, flow.capacity)
     }
 
     /// Settles the estimate up to `to`, for periods of which no reading came.
@@ -73,8 +73,8 @@
     }
 
     /// Units that this instance sent since the settled moment beyond this rate.
-    pub fn sent_beyond(&self, now: Millis, rate_per_s: f64) -> f64 {
-        let sent = self.sends.between(self.settled_until, now);
+    pub fn sent_above_rate(&self, now: Millis, rate_per_s: f64) -> f64 {
+        let sent = self.sends.units_between(self.settled_until, now);
         (sent - rate_per_s * (now - self.settled_until) / 1000.0).max(0.0)
     }
 }
--- a/crates/brassport-policy-stats/tests/it/in_flight.rs
+++ b/crates/brassport-policy-stats/tests/it/in_flight.rs
@@ -1,4 +1,4 @@
-use brassport_policy_stats::{AttemptHandle, InFlight, Millis};
+use brassport_policy_stats::{AttemptHandle, InFlightAttempts, Millis};
 use proptest::prelude::*;
 
 #[derive(Debug, Clone, Copy)]
@@ -27,7 +27,7 @@
     #[test]
     fn attempts_within_an_age_match_a_linear_scan(steps in steps()) {
         let mut windows = [500.0, 1000.0];
-        let mut counts = InFlight::new(windows);
+        let mut counts = InFlightAttempts::new(windows);
         let mut plain: Vec<(AttemptHandle, Millis)> = Vec::new();
         let mut ended = Vec::new();
         let mut now = 0.0;
@@ -59,13 +59,13 @@
         for (handle, _) in plain {
             counts.finish(handle);
         }
-        prop_assert!(counts.tracked() == 0);
+        prop_assert!(counts.retained_entries() == 0);
     }
 }
 
 #[test]
 fn an_attempt_as_old_as_the_window_is_outside_it() {
-    let mut counts = InFlight::new([100.0]);
+    let mut counts = InFlightAttempts::new([100.0]);
     let first = counts.start(0.0);
     counts.start(50.0);
     assert_eq!(counts.count_within(0, 99.0), 2);
--- a/crates/brassport-policy-stats/tests/it/meter_clock.rs
+++ b/crates/brassport-policy-stats/tests/it/meter_clock.rs
@@ -86,7 +86,7 @@
         if over > last {
             last = over;
         }
-        let units = sends.between(last - period, last) + others.between(last - period, last);
+        let units = sends.units_between(last - period, last) + others.units_between(last - period, last);
         clock.observe(now, units, &sends);
     }
     state(&clock).best
@@ -113,7 +113,7 @@
             }
             sends.discard_before(now - 4000.0);
             let over = ((now / 50.0).floor() - delay).div_euclid(10.0) * 500.0;
-            clock.observe(now, sends.between(over - 500.0, over), &sends);
+            clock.observe(now, sends.units_between(over - 500.0, over), &sends);
         }
         state(clock).best
     };
--- a/crates/brassport-policy-stats/tests/it/remote_usage.rs
+++ b/crates/brassport-policy-stats/tests/it/remote_usage.rs
@@ -1,7 +1,7 @@
-use brassport_policy_stats::{Decay, RemoteUsage, UsageWindow};
+use brassport_policy_stats::{ReadingDecay, RemoteUsage, UsageWindow};
 
 /// Four units at two a second.
-const DECAY: Decay = Decay { rate_per_s: 2.0, units: 4.0 };
+const DECAY: ReadingDecay = ReadingDecay { rate_per_s: 2.0, units: 4.0 };
 
 fn window(seconds: f64, sent: f64, offered: f64) -> UsageWindow {
     UsageWindow { seconds, sent, offered }
--- a/crates/brassport-policy-stats/tests/it/send_log.rs
+++ b/crates/brassport-policy-stats/tests/it/send_log.rs
@@ -19,14 +19,14 @@
         prop_assert_eq!(log.is_empty(), plain.is_empty());
         let moments: Vec<Millis> = (0..40).rev().map(|step| f64::from(step) * 230.0).collect();
         let mut totals = vec![0.0; moments.len()];
-        log.totals(moments.iter().copied(), &mut totals);
+        log.totals_up_to(moments.iter().copied(), &mut totals);
         for (moment, total) in moments.into_iter().zip(totals) {
             prop_assert!((total - log.total_up_to(moment)).abs() < 1e-9);
         }
         for (from, to) in queries {
             let (from, to) = (f64::from(from), f64::from(to));
             let sum: f64 = plain.iter().filter(|(at, _)| *at > from && *at <= to).map(|(_, units)| units).sum();
-            prop_assert!((log.between(from, to) - sum).abs() < 1e-9);
+            prop_assert!((log.units_between(from, to) - sum).abs() < 1e-9);
         }
     }
 }
--- a/crates/brassport-policy-stats/tests/it/shared_token_bucket.rs
+++ b/crates/brassport-policy-stats/tests/it/shared_token_bucket.rs
@@ -9,7 +9,7 @@
     assert_eq!(bucket.level_at(2000.0, FLOW), 7.0);
     bucket.record_send(1000.0, 3.0);
     assert_eq!(bucket.level_at(2000.0, FLOW), 4.0);
-    assert_eq!(bucket.sent_beyond(2000.0, 0.5), 2.0);
+    assert_eq!(bucket.sent_above_rate(2000.0, 0.5), 2.0);
     assert_eq!(bucket.level_at(60_000.0, FLOW), 10.0, "no more than it holds");
     // The whole refill was used; what this instance sent is a part of that.
     bucket.apply_reading(2000.0, 1.0, FLOW);
--- a/crates/brassport-policy/src/admission.rs
+++ b/crates/brassport-policy/src/admission.rs
@@ -6,7 +6,7 @@
 //! usage over all gateways in a past period, as a multiple of its quota.
 //!
 //! * **Set once per meter period**, and at each new reading: the admission probability is what quota and
-//!   burst allow, over the offered rate, corrected for retries ([`attempt_probability`]).
+//!   burst allow, over the offered rate, corrected for retries ([`attempt_admission_probability`]).
 //! * **Before a first reading** a customer is taken to use what its plan's customers typically use, and other
 //!   gateways' readings are expected at the rate that an even share of the quota would bring.
 //! * **A floor above 0** ([`MIN_PROBABILITY`]): at 0 no response would bring a reading, and the probability
@@ -16,8 +16,9 @@
 
 use crate::interface::*;
 use brassport_policy_stats::{
-    attempt_probability, eventually_admitted, BucketFlow, CustomerReading, Decay, ExponentialRate,
-    MeterClock, PlanUsage, RemoteUsage, RetryEstimator, SharedTokenBucket, UsageWindow, ValueHistory,
+    attempt_admission_probability, eventual_admission_fraction, BucketFlow, CustomerReading, ExponentialRate,
+    MeterClock, PlanUsage, ReadingDecay, RemoteUsage, RetryEstimator, SharedTokenBucket, UsageWindow,
+    ValueHistory,
 };
 use serde::{Deserialize, Serialize};
 
@@ -126,8 +127,8 @@
     offered: f64,
 }
 
-fn decay(plan: &Plan) -> Decay {
-    Decay { rate_per_s: plan.rate, units: RATE_UNITS }
+fn decay(plan: &Plan) -> ReadingDecay {
+    ReadingDecay { rate_per_s: plan.rate, units: RATE_UNITS }
 }
 
 impl QuotaAdmission {
@@ -168,13 +169,13 @@
         let units = (LOCAL_RATE_UNITS * account.gateways).max(RATE_UNITS);
         account.local_offered.decay_to(now, plan.rate, units);
         let basis = self.basis(IndexedPlan { plan, index: request.plan }, conditions);
-        account.discard_before(basis, self.meter.max_age());
+        account.discard_before(basis, self.meter.max_reading_age());
         if now >= account.probability_set_at + self.meter_period {
             account.set_probability(basis, self.meter_period);
         }
         self.record_arrival(account, request, basis);
         // Guards against sends beyond the quota between two settings of the probability.
-        let unseen = account.unseen_surge(basis, self.meter.delay_periods());
+        let unseen = account.unseen_surge(basis, self.meter.reporting_delay_periods());
         if account.bucket.level_at(now, account.flow(basis)) < unseen {
             return MIN_PROBABILITY;
         }
@@ -189,7 +190,7 @@
             return self.retries.record_retry();
         }
         account.local_offered.add(request.units);
-        let admitted = eventually_admitted(account.probability, basis.retry_probability);
+        let admitted = eventual_admission_fraction(account.probability, basis.retry_probability);
         self.plan_usage[request.plan].record_arrival(admitted, READING_WEIGHT / 3.0);
     }
 
@@ -219,7 +220,7 @@
         }
         let units = used * plan.rate * period / 1000.0;
         self.meter.observe(now, units, account.bucket.sends());
-        let to = self.meter.covered_until(now);
+        let to = self.meter.covered_period_end(now);
         if to <= account.read_until {
             return;
         }
@@ -283,14 +284,14 @@
         let flow = self.flow(basis);
         self.bucket.settle_until(start, flow);
         self.bucket.apply_reading(period.end, usage.used, flow);
-        let remote_sent = usage.units - self.bucket.sends().between(start, period.end);
+        let remote_sent = usage.units - self.bucket.sends().units_between(start, period.end);
         // Estimates from before this reading.
         let confidence = self.remote.confidence(now, decay(plan), PRIOR_UNITS);
         let estimated_offered = self.remote_rates(basis).offered / plan.rate;
         // Other gateways that know the customer no better admit as much of it as of all customers.
         let middle = period.end - period.length / 2.0;
         let probability = self.probabilities.value_at(middle).unwrap_or(1.0);
-        let admitted = eventually_admitted(probability, basis.retry_probability);
+        let admitted = eventual_admission_fraction(probability, basis.retry_probability);
         let admitted_fraction = basis.usage.remote_admitted_fraction(admitted, confidence);
         let offered = remote_sent / admitted_fraction;
         let window = UsageWindow { seconds: period.length / 1000.0, sent: remote_sent, offered };
@@ -322,7 +323,7 @@
     /// Units that other gateways have likely sent in a surge that no reading covers yet: the more, the longer
     /// the meter's delay.
     fn unseen_surge(&self, Basis { plan, now, .. }: Basis, delay_periods: f64) -> f64 {
-        let beyond = self.bucket.sent_beyond(now, plan.rate / self.gateways);
+        let beyond = self.bucket.sent_above_rate(now, plan.rate / self.gateways);
         SURGE_FACTOR * delay_periods * (self.gateways - 1.0) * beyond
     }
 
@@ -352,7 +353,7 @@
         let tokens = self.bucket.level_at(now, self.flow(basis));
         let allowed = plan.rate + tokens / release_s.max(self.remote.reading_gap_s());
         let part = if offered > allowed { allowed / offered } else { 1.0 };
-        self.probability = attempt_probability(part, basis.retry_probability).max(MIN_PROBABILITY);
+        self.probability = attempt_admission_probability(part, basis.retry_probability).max(MIN_PROBABILITY);
         self.probability_set_at = now;
         self.probabilities.record(now, self.probability);
     }
--- a/crates/brassport-policy/src/load_balancer.rs
+++ b/crates/brassport-policy/src/load_balancer.rs
@@ -9,7 +9,7 @@
 use crate::interface::*;
 use crate::server::{MeanResponse, Server, HUNG_SILENCE};
 use crate::slow_start::WarmUpCount;
-use brassport_policy_stats::{AttemptHandle, DueQueue, InFlight, TrustedKeyMap, WeightedRing};
+use brassport_policy_stats::{AttemptHandle, DueQueue, InFlightAttempts, TrustedKeyMap, WeightedRing};
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
 
@@ -88,7 +88,7 @@
     #[serde(rename = "passed")]
     pub(crate) choices: f64,
     #[serde(skip)]
-    in_flight: InFlight,
+    in_flight: InFlightAttempts,
 }
 
 impl LoadBalancer {
@@ -101,7 +101,7 @@
             warm_up_ends: DueQueue::default(),
             turns: DueQueue::default(),
             choices: 0.0,
-            in_flight: InFlight::new(classes.iter().map(|class| class.aim)),
+            in_flight: InFlightAttempts::new(classes.iter().map(|class| class.aim)),
         }
     }
 
--- a/crates/brassport-policy/src/policy.rs
+++ b/crates/brassport-policy/src/policy.rs
@@ -265,7 +265,7 @@
         for id in idle {
             remove_and_shrink(&mut self.customers, &id);
         }
-        let lines = self.rejections.report(now, self.concurrency.fraction);
+        let lines = self.rejections.take_log_lines(now, self.concurrency.fraction);
         actions.extend(lines.into_iter().map(Action::Log));
     }
 
