--- a/crates/brassport-control-plane/src/quota.rs
+++ b/crates/brassport-control-plane/src/quota.rs
@@ -5,15 +5,15 @@
 use crate::gossip::Exchange;
 use crate::peer_message::{GrantResponse, PeerMessage};
 use brassport_config_store::configuration::Configuration;
-use brassport_quota::{Lender, QuotaGrant, RateLimit, UsageReport};
+use brassport_quota::{QuotaCoordinator, QuotaGrant, RateLimit, UsageReport};
 use brassport_types::{Incarnation, TenantId};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// The lender, and the limits that it lends from.
+/// The coordinator, and the limits that it lends from.
 #[derive(Debug, Default)]
 pub(crate) struct Quota {
-    lender: Lender,
+    lender: QuotaCoordinator,
     is_lending: bool,
     limits: BTreeMap<TenantId, RateLimit>,
 }
@@ -41,14 +41,14 @@
         let is_leader = self.replica.is_leader();
         let was_lending = std::mem::replace(&mut self.quota.is_lending, is_leader);
         if is_leader && !was_lending {
-            self.quota.lender.begin(self.clock.now());
+            self.quota.lender.activate(self.clock.now());
             self.ring_rank.reset_registry();
             // All whom it knows hear at once who leads.
             for ip in self.view.sample(FULL_BROADCAST_PEERS, |_| true) {
                 self.gossip_to(ip, Exchange::Notify);
             }
         } else if !is_leader && was_lending {
-            self.quota.lender.end();
+            self.quota.lender.deactivate();
         }
     }
 
@@ -83,6 +83,6 @@
             return Vec::new();
         }
         let Quota { lender, limits, .. } = &mut self.quota;
-        lender.lend(now, (node, incarnation), usage, |tenant| limits.get(&tenant).copied())
+        lender.grant(now, (node, incarnation), usage, |tenant| limits.get(&tenant).copied())
     }
 }
--- a/crates/brassport-data-plane/src/data_plane.rs
+++ b/crates/brassport-data-plane/src/data_plane.rs
@@ -251,12 +251,12 @@
         self.resources.quotas.is_urgent()
     }
 
-    /// The next report of usage to the quota's lender, and its number.
+    /// The next report of usage to the quota's coordinator, and its number.
     pub fn report_usage(&self) -> (u32, Vec<UsageReport>) {
         self.resources.quotas.report_usage()
     }
 
-    /// Applies the lender's grants upon the report of this number.
+    /// Applies the coordinator's grants upon the report of this number.
     pub fn apply_grants(&self, term: Term, number: u32, grants: &[QuotaGrant]) {
         self.resources.quotas.apply_grants(term, number, grants);
     }
--- a/crates/brassport-data-plane/src/tenant_quotas.rs
+++ b/crates/brassport-data-plane/src/tenant_quotas.rs
@@ -1,10 +1,10 @@
-//! What tenants may send through this node: the rate limits of the configuration, and the grants of the quota's lender.
+//! What tenants may send through this node: the rate limits of the configuration, and the grants of the quota's coordinator.
 //! A tenant's quota is taken before each attempt, behind the policy's admission of its request.
 
 use brassport_policy::{CustomerId, Millis, Settings};
 use brassport_proxy::clock::Clock;
 use brassport_proxy::dispatch;
-use brassport_quota::{Borrower, QuotaGrant, RateLimit, TenantId, UsageReport, METER_PERIOD_MS};
+use brassport_quota::{NodeQuotas, QuotaGrant, RateLimit, TenantId, UsageReport, METER_PERIOD_MS};
 use brassport_types::Term;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,7 +22,7 @@
 pub struct TenantQuotas<C> {
     clock: C,
     start: Instant,
-    borrower: RefCell<Borrower>,
+    borrower: RefCell<NodeQuotas>,
     limits: RefCell<HashMap<TenantId, RateLimit>>,
     shares: Cell<u32>,
 }
@@ -59,7 +59,7 @@
     /// Counts a request that came, whatever becomes of it.
     pub fn record_offered(&self, tenant: TenantId) {
         if tenant != NO_TENANT {
-            self.borrower.borrow_mut().count_offered(self.now(), tenant);
+            self.borrower.borrow_mut().record_offered(self.now(), tenant);
         }
     }
 
@@ -68,22 +68,22 @@
         let (limit, now) = (self.limit(tenant), self.now());
         let borrower = self.borrower.borrow();
         let is_near = borrower
-            .reading(now, tenant)
+            .meter_reading(now, tenant)
             .is_some_and(|sent| f64::from(sent) >= NEAR_LIMIT * limit.rate_per_s);
         limit.rate_per_s > 0.0 && (is_near || borrower.rejected_recently(now, tenant))
     }
 
     /// Whether some tenant has little left here: its usage is to be reported without delay.
     pub fn is_urgent(&self) -> bool {
-        self.borrower.borrow().is_urgent()
+        self.borrower.borrow().is_report_urgent()
     }
 
-    /// The next report to the lender, and its number.
+    /// The next report to the coordinator, and its number.
     pub fn report_usage(&self) -> (u32, Vec<UsageReport>) {
-        self.borrower.borrow_mut().report(self.now())
+        self.borrower.borrow_mut().next_report(self.now())
     }
 
-    /// Applies the lender's grants upon the report of this number.
+    /// Applies the coordinator's grants upon the report of this number.
     pub fn apply_grants(&self, term: Term, number: u32, grants: &[QuotaGrant]) {
         self.borrower.borrow_mut().apply_grants(self.now(), term, number, grants);
     }
@@ -95,7 +95,7 @@
     /// Takes one attempt of a tenant's quota, also where nothing is left: those that come next make up for it.
     pub(crate) fn force_take(&self, tenant: TenantId) {
         if tenant != NO_TENANT {
-            self.borrower.borrow_mut().overdraw(self.now(), tenant);
+            self.borrower.borrow_mut().force_acquire(self.now(), tenant);
         }
     }
 
@@ -117,7 +117,7 @@
     u32::try_from(customer).map_or(NO_TENANT, TenantId)
 }
 
-/// The policy's meter: the tenants' usage over all nodes, as the lender reports it.
+/// The policy's meter: the tenants' usage over all nodes, as the coordinator reports it.
 #[derive(Debug)]
 pub(crate) struct UsageMeter<C> {
     quotas: Rc<TenantQuotas<C>>,
@@ -141,7 +141,7 @@
 
     fn reading(&mut self, _: Millis, customer: CustomerId, plan: usize) -> Option<f64> {
         let rate = self.rates_per_s.get(plan).copied().filter(|rate| *rate > 0.0)?;
-        let sent = self.quotas.borrower.borrow().reading(self.quotas.now(), tenant_of(customer))?;
+        let sent = self.quotas.borrower.borrow().meter_reading(self.quotas.now(), tenant_of(customer))?;
         Some(f64::from(sent) / (rate * METER_PERIOD_MS as f64 / 1000.0))
     }
 
--- a/crates/brassport-gateway/src/node/control_host.rs
+++ b/crates/brassport-gateway/src/node/control_host.rs
@@ -99,7 +99,7 @@
         self.calls.sweep(number);
     }
 
-    /// Reports to the lender what tenants use here.
+    /// Reports to the coordinator what tenants use here.
     pub(super) fn report_usage(&mut self) {
         self.data_plane.set_ring_position(self.control.ring_position());
         let (number, usage) = self.data_plane.report_usage();
--- a/crates/brassport-gateway/src/node/inputs.rs
+++ b/crates/brassport-gateway/src/node/inputs.rs
@@ -11,7 +11,7 @@
 
 /// Between two ticks of the control plane, whose shortest time-outs are a few of these.
 const TICK_INTERVAL: Duration = Duration::from_millis(60);
-/// Between two reports of what tenants use: several a period of the quota's lender.
+/// Between two reports of what tenants use: several a period of the quota's coordinator.
 const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// Between two readings of the settings file, which may change without a signal.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
--- a/crates/brassport-quota/src/account.rs
+++ b/crates/brassport-quota/src/account.rs
@@ -1,7 +1,7 @@
 //! What one node holds and counts of one tenant.
 
 use crate::rate_limit::NodeShare;
-use crate::retry_advice::{LenderContact, RetryAdvice};
+use crate::retry_advice::{CoordinatorContact, RetryAdvice};
 use crate::token_bucket::TokenBucket;
 use crate::{Millis, QuotaGrant, TenantId, UsageReport, METER_PERIOD_MS};
 
@@ -41,7 +41,7 @@
     }
 
     /// Counts a request that came.
-    pub(crate) fn count_offered(&mut self) {
+    pub(crate) fn record_offered(&mut self) {
         self.offered += 1;
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Counts a request that passes in any case, as a debt of what is granted ahead.
-    pub(crate) fn overdraw(&mut self) {
+    pub(crate) fn force_acquire(&mut self) {
         self.sent += 1;
         self.prefetched -= 1.0;
     }
@@ -83,7 +83,7 @@
     }
 
     /// Counts a rejection. Returns the milliseconds after which the client should retry.
-    pub(crate) fn reject(&mut self, now: Millis, share: &NodeShare, contact: LenderContact) -> Millis {
+    pub(crate) fn reject(&mut self, now: Millis, share: &NodeShare, contact: CoordinatorContact) -> Millis {
         let until_token_ms = self.base.as_ref().map_or(0.0, |base| base.until_one_ms(share.base_rate_per_s));
         self.advice.reject(now, until_token_ms, share, contact)
     }
@@ -99,7 +99,7 @@
         (now < reading.received_at + 2 * METER_PERIOD_MS).then_some(reading.sent_by_all)
     }
 
-    /// The report for the lender; none if it would say the same as the last one and asks for nothing.
+    /// The report for the coordinator; none if it would say the same as the last one and asks for nothing.
     pub(crate) fn report(&mut self, tenant: TenantId) -> Option<UsageReport> {
         let report =
             UsageReport { tenant, offered: self.offered, sent: self.sent, wanted: self.wanted as u16 };
@@ -110,7 +110,7 @@
         Some(report)
     }
 
-    /// Adds what the lender granted.
+    /// Adds what the coordinator granted.
     pub(crate) fn apply_grant(&mut self, now: Millis, grant: &QuotaGrant) {
         let requests = f64::from(grant.requests);
         self.prefetched += requests;
--- a/crates/brassport-quota/src/lender.rs
+++ b/crates/brassport-quota/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The lender's side: a bucket for each tenant, out of which nodes are granted requests ahead, and the reading of each
+//! The coordinator's side: a bucket for each tenant, out of which nodes are granted requests ahead, and the reading of each
 //! meter period.
 
 use crate::mutants::{is_active, Mutant};
@@ -12,7 +12,7 @@
 /// A node without a report for so long is forgotten. Far behind the time-out: a node that is forgotten and comes back has
 /// its next counts left out of the reading.
 const NODE_EXPIRY_MS: Millis = 10 * NODE_TIMEOUT_MS;
-/// A new lender starts with a debt of so many seconds of the rate. The one before may have granted until its lease ran out,
+/// A new coordinator starts with a debt of so many seconds of the rate. The one before may have granted until its lease ran out,
 /// up to 600 ms after its last contact with a majority, and no new one begins sooner than 360 ms after that.
 const TAKEOVER_DEBT_S: f64 = 0.3;
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// What the lender has of one tenant.
+/// What the coordinator has of one tenant.
 #[derive(Debug)]
 struct TenantBudget {
     bucket: TokenBucket,
@@ -54,13 +54,13 @@
 }
 
 impl TenantBudget {
-    fn new(lending_since: Millis, limit: &RateLimit) -> TenantBudget {
+    fn new(active_since: Millis, limit: &RateLimit) -> TenantBudget {
         let tokens = if is_active(Mutant::FullBucketAtTakeover) {
             limit.lent_depth()
         } else {
             limit.lent_debt(TAKEOVER_DEBT_S)
         };
-        let bucket = TokenBucket::new(tokens, lending_since);
+        let bucket = TokenBucket::new(tokens, active_since);
         TenantBudget { bucket, sent_this_period: 0, sent_last_period: 0 }
     }
 
@@ -77,25 +77,26 @@
     }
 }
 
-/// What the owner of the lender's role counts and grants. Before [`Lender::begin`] and after [`Lender::end`] it grants
+/// What the owner of the coordinator's role counts and grants. Before [`QuotaCoordinator::activate`] and after [`QuotaCoordinator::deactivate`] it grants
 /// nothing.
 #[derive(Debug, Default)]
-pub struct Lender {
-    lending_since: Option<Millis>,
+pub struct QuotaCoordinator {
+    active_since: Option<Millis>,
     nodes: BTreeMap<Ipv4Addr, Node>,
     tenants: BTreeMap<TenantId, TenantBudget>,
     period_start: Millis,
 }
 
-impl Lender {
-    /// Begins to lend, with nothing known of what the lender before granted.
-    pub fn begin(&mut self, now: Millis) {
-        *self = Lender { lending_since: Some(now), period_start: now, ..Lender::default() };
+impl QuotaCoordinator {
+    /// Begins to lend, with nothing known of what the coordinator before granted.
+    pub fn activate(&mut self, now: Millis) {
+        *self =
+            QuotaCoordinator { active_since: Some(now), period_start: now, ..QuotaCoordinator::default() };
     }
 
     /// Lends no more, and forgets all.
-    pub fn end(&mut self) {
-        *self = Lender::default();
+    pub fn deactivate(&mut self) {
+        *self = QuotaCoordinator::default();
     }
 
     /// How many nodes have reported lately.
@@ -106,16 +107,16 @@
     /// Counts the usage that a node reports, and grants it what it wants as far as the limits allow.
     ///
     /// Tenants without a limit get no grant. Not lending, it answers nothing.
-    pub fn lend(
+    pub fn grant(
         &mut self,
         now: Millis,
         (ip, incarnation): (Ipv4Addr, Incarnation),
         usage: &[UsageReport],
         limit: impl Fn(TenantId) -> Option<RateLimit>,
     ) -> Vec<QuotaGrant> {
-        let Some(lending_since) = self.lending_since else { return Vec::new() };
+        let Some(active_since) = self.active_since else { return Vec::new() };
         self.end_period_if_over(now);
-        // What an unknown node counted before belongs to no period of this lender.
+        // What an unknown node counted before belongs to no period of this coordinator.
         let is_first_report = !self.nodes.contains_key(&ip);
         let node = self.nodes.entry(ip).or_insert_with(|| Node::new(now, incarnation));
         node.refresh(now, incarnation);
@@ -124,7 +125,7 @@
             let Some(limit) = limit(report.tenant).filter(RateLimit::is_limited) else { continue };
             let sent = node.sent_since_last(report);
             let budget = self.tenants.entry(report.tenant);
-            let budget = budget.or_insert_with(|| TenantBudget::new(lending_since, &limit));
+            let budget = budget.or_insert_with(|| TenantBudget::new(active_since, &limit));
             budget.sent_this_period += if is_first_report { 0 } else { sent };
             let requests = budget.grant(now, report.wanted, &limit);
             grants.push(QuotaGrant { tenant: report.tenant, requests, sent_by_all: budget.sent_last_period });
--- a/crates/brassport-quota/src/messages.rs
+++ b/crates/brassport-quota/src/messages.rs
@@ -1,4 +1,4 @@
-//! What nodes and the lender exchange. On the wire each is a row: names of fields would weigh more than what they hold.
+//! What nodes and the coordinator exchange. On the wire each is a row: names of fields would weigh more than what they hold.
 
 use crate::TenantId;
 use serde::{Deserialize, Serialize};
--- a/crates/brassport-quota/src/mutants.rs
+++ b/crates/brassport-quota/src/mutants.rs
@@ -5,9 +5,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mutant {
-    /// Grants are not debited from the lender's bucket.
+    /// Grants are not debited from the coordinator's bucket.
     GrantsNotDebited = 1,
-    /// A new lender has a full bucket at once.
+    /// A new coordinator has a full bucket at once.
     FullBucketAtTakeover,
     /// Each node has the base of all.
     UndividedBase,
--- a/crates/brassport-quota/src/borrower.rs
+++ b/crates/brassport-quota/src/node_quotas.rs
@@ -1,27 +1,27 @@
-//! A node's side: for each tenant a bucket of its own, and requests that the lender granted ahead.
+//! A node's side: for each tenant a bucket of its own, and requests that the coordinator granted ahead.
 
 use crate::account::Account;
 use crate::mutants::{is_active, Mutant};
-use crate::retry_advice::LenderContact;
+use crate::retry_advice::CoordinatorContact;
 use crate::{Millis, QuotaGrant, RateLimit, TenantId, Term, UsageReport, GRANT_TIMEOUT_MS, METER_PERIOD_MS};
 use std::collections::BTreeMap;
 
 /// A tenant without a request for so long is forgotten, so that the table holds those in use alone.
 const ACCOUNT_IDLE_TIMEOUT_MS: Millis = 60_000;
 /// Reports that may be answered still: enough for the grants' time-out at the host's report period, and a bound on memory
-/// where no lender answers. The oldest is given up for a new one.
+/// where no coordinator answers. The oldest is given up for a new one.
 const MAX_PENDING_REPORTS: usize = 8;
-/// A lender that answered within this time is taken to be there.
-const LENDER_CONTACT_MS: Millis = 900;
+/// A coordinator that answered within this time is taken to be there.
+const COORDINATOR_CONTACT_MS: Millis = 900;
 
 /// One node's counts and shares of all tenants.
 ///
-/// The host calls [`Borrower::try_acquire`] for each request, sends [`Borrower::report`] to the lender at its period and at once
-/// when [`Borrower::is_urgent`] says so, and passes the answer to [`Borrower::apply_grants`].
+/// The host calls [`NodeQuotas::try_acquire`] for each request, sends [`NodeQuotas::next_report`] to the coordinator at its period and at once
+/// when [`NodeQuotas::is_report_urgent`] says so, and passes the answer to [`NodeQuotas::apply_grants`].
 #[derive(Debug, Default)]
-pub struct Borrower {
+pub struct NodeQuotas {
     accounts: BTreeMap<TenantId, Account>,
-    /// The highest term that granted here. A lender of a lower one is deposed: its grants are rejected.
+    /// The highest term that granted here. A coordinator of a lower one is deposed: its grants are rejected.
     term: Term,
     /// When each report without an answer was sent, by its number.
     pending_reports: BTreeMap<u32, Millis>,
@@ -30,10 +30,10 @@
     is_urgent: bool,
 }
 
-impl Borrower {
+impl NodeQuotas {
     /// Counts a request that came.
-    pub fn count_offered(&mut self, now: Millis, tenant: TenantId) {
-        self.account(now, tenant).count_offered();
+    pub fn record_offered(&mut self, now: Millis, tenant: TenantId) {
+        self.account(now, tenant).record_offered();
     }
 
     fn account(&mut self, now: Millis, tenant: TenantId) -> &mut Account {
@@ -53,7 +53,7 @@
         limit: RateLimit,
         quota_shares: u32,
     ) -> Result<(), Millis> {
-        let contact = self.lender_contact(now);
+        let contact = self.coordinator_contact(now);
         let account = self.account(now, tenant);
         if !limit.is_limited() {
             account.count_unlimited();
@@ -70,20 +70,20 @@
         result
     }
 
-    fn lender_contact(&self, now: Millis) -> LenderContact {
+    fn coordinator_contact(&self, now: Millis) -> CoordinatorContact {
         match self.last_grant {
-            Some(at) if now < at + LENDER_CONTACT_MS => LenderContact::Recent,
-            _ => LenderContact::Lost,
+            Some(at) if now < at + COORDINATOR_CONTACT_MS => CoordinatorContact::Recent,
+            _ => CoordinatorContact::Lost,
         }
     }
 
     /// Counts a request that passes in any case; those that come next make up for it.
-    pub fn overdraw(&mut self, now: Millis, tenant: TenantId) {
-        self.account(now, tenant).overdraw();
+    pub fn force_acquire(&mut self, now: Millis, tenant: TenantId) {
+        self.account(now, tenant).force_acquire();
     }
 
     /// Whether some tenant has little left here, so that the next report should be sent at once.
-    pub fn is_urgent(&self) -> bool {
+    pub fn is_report_urgent(&self) -> bool {
         self.is_urgent
     }
 
@@ -94,12 +94,12 @@
     }
 
     /// What all nodes sent of a tenant in the last complete meter period; none if nothing fresh is known of it.
-    pub fn reading(&self, now: Millis, tenant: TenantId) -> Option<u32> {
+    pub fn meter_reading(&self, now: Millis, tenant: TenantId) -> Option<u32> {
         self.accounts.get(&tenant)?.reading(now)
     }
 
-    /// The next report to the lender, with its number. It names the tenants whose counts changed or that want grants.
-    pub fn report(&mut self, now: Millis) -> (u32, Vec<UsageReport>) {
+    /// The next report to the coordinator, with its number. It names the tenants whose counts changed or that want grants.
+    pub fn next_report(&mut self, now: Millis) -> (u32, Vec<UsageReport>) {
         self.is_urgent = false;
         self.accounts.retain(|_, account| !account.is_idle(now, ACCOUNT_IDLE_TIMEOUT_MS));
         self.last_report = self.last_report.wrapping_add(1);
@@ -112,10 +112,10 @@
         (self.last_report, usage)
     }
 
-    /// Adds what a lender granted upon the report of this number.
+    /// Adds what a coordinator granted upon the report of this number.
     ///
     /// Ignored are: a second answer to a report, one later than [`GRANT_TIMEOUT_MS`], and one of a lower term than an
-    /// earlier answer had. A lender has debited what it granted, so that to ignore it can't exceed the limit.
+    /// earlier answer had. A coordinator has debited what it granted, so that to ignore it can't exceed the limit.
     pub fn apply_grants(&mut self, now: Millis, term: Term, number: u32, grants: &[QuotaGrant]) {
         let Some(sent_at) = self.pending_reports.remove(&number) else { return };
         if term < self.term || now >= sent_at + GRANT_TIMEOUT_MS {
--- a/crates/brassport-quota/src/rate_limit.rs
+++ b/crates/brassport-quota/src/rate_limit.rs
@@ -1,11 +1,11 @@
-//! A tenant's limit, and how it is divided between the nodes and the lender.
+//! A tenant's limit, and how it is divided between the nodes and the coordinator.
 
 /// Part of the rate that the nodes hold for good, in equal quota shares. With [`LENT_RATE`] it comes to 1.04: what is
 /// granted never lies quite where it is used, and the rule tolerates a tenth above the limit.
 const BASE_RATE: f64 = 0.5;
-/// Part of the rate at which the lender's bucket is refilled.
+/// Part of the rate at which the coordinator's bucket is refilled.
 const LENT_RATE: f64 = 0.54;
-/// Parts of the depth: in the nodes' base buckets, in the lender's bucket, and prefetched at the nodes. Together they stay
+/// Parts of the depth: in the nodes' base buckets, in the coordinator's bucket, and prefetched at the nodes. Together they stay
 /// below 1, as all of them may be spent at one moment.
 const BASE_DEPTH: f64 = 0.33;
 const LENT_DEPTH: f64 = 0.3;
@@ -33,17 +33,17 @@
         self.burst + BURST_TOLERANCE
     }
 
-    /// Requests a second at which the lender's bucket is refilled.
+    /// Requests a second at which the coordinator's bucket is refilled.
     pub(crate) fn lent_rate_per_s(&self) -> f64 {
         LENT_RATE * self.rate_per_s
     }
 
-    /// Requests that the lender's bucket holds at most.
+    /// Requests that the coordinator's bucket holds at most.
     pub(crate) fn lent_depth(&self) -> f64 {
         LENT_DEPTH * self.depth()
     }
 
-    /// Requests that the lender's bucket would yield in so many seconds, as a debt: below zero.
+    /// Requests that the coordinator's bucket would yield in so many seconds, as a debt: below zero.
     pub(crate) fn lent_debt(&self, seconds: f64) -> f64 {
         // This order of the factors fixes the last bit of the result, which the golden exchanges pin.
         -seconds * LENT_RATE * self.rate_per_s
--- a/crates/brassport-quota/src/retry_advice.rs
+++ b/crates/brassport-quota/src/retry_advice.rs
@@ -4,10 +4,10 @@
 use crate::rate_limit::NodeShare;
 use crate::Millis;
 
-/// Longest advice where a lender answers: by then a request for more grants is answered.
-const WITH_LENDER_MS: Millis = 60;
-/// Longest advice where no lender was heard of late: another one must take over first.
-const WITHOUT_LENDER_MS: Millis = 450;
+/// Longest advice where a coordinator answers: by then a request for more grants is answered.
+const WITH_COORDINATOR_MS: Millis = 60;
+/// Longest advice where no coordinator was heard of late: another one must take over first.
+const WITHOUT_COORDINATOR_MS: Millis = 450;
 /// Clients rejected one after the other are advised to come this many requests' time apart, measured by the node's part of
 /// the rate. One would leave nothing for those who come meanwhile.
 const SPACING_REQUESTS: f64 = 2.0;
@@ -17,18 +17,18 @@
 
 /// Whether grants may be expected soon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum LenderContact {
-    /// A lender answered lately.
+pub(crate) enum CoordinatorContact {
+    /// A coordinator answered lately.
     Recent,
-    /// No lender answered lately.
+    /// No coordinator answered lately.
     Lost,
 }
 
-impl LenderContact {
+impl CoordinatorContact {
     fn longest_wait_ms(self) -> Millis {
         match self {
-            LenderContact::Recent => WITH_LENDER_MS,
-            LenderContact::Lost => WITHOUT_LENDER_MS,
+            CoordinatorContact::Recent => WITH_COORDINATOR_MS,
+            CoordinatorContact::Lost => WITHOUT_COORDINATOR_MS,
         }
     }
 }
@@ -53,7 +53,7 @@
         now: Millis,
         until_token_ms: f64,
         share: &NodeShare,
-        contact: LenderContact,
+        contact: CoordinatorContact,
     ) -> Millis {
         self.last_rejection = Some(now);
         let now_ms = now as f64;
--- a/crates/brassport-quota/tests/it/cluster/faults.rs
+++ b/crates/brassport-quota/tests/it/cluster/faults.rs
@@ -1,10 +1,10 @@
 //! The faults of the simulated cluster.
 
 use super::{Cluster, LeaderTerm, Node};
-use brassport_quota::{Borrower, Incarnation};
+use brassport_quota::{Incarnation, NodeQuotas};
 
-/// A lender that no majority answers lends on for so long at the most, and no other begins sooner.
-const DEPOSED_LENDS_MS: u64 = 600;
+/// A coordinator that no majority answers lends on for so long at the most, and no other begins sooner.
+const DEPOSED_GRANTS_MS: u64 = 600;
 const SOONEST_TAKEOVER_MS: u64 = 360;
 
 impl Cluster {
@@ -14,10 +14,10 @@
             0 => self.nodes[node].restart(),
             1 => self.nodes[node].is_partitioned = true,
             2 => self.nodes.iter_mut().for_each(|node| node.is_partitioned = false),
-            // The deposed lender goes on until it is sure of its lease no more; the new one begins no sooner than it may.
-            3 | 4 => self.change_leader(DEPOSED_LENDS_MS - SOONEST_TAKEOVER_MS),
+            // The deposed coordinator goes on until it is sure of its lease no more; the new one begins no sooner than it may.
+            3 | 4 => self.change_leader(DEPOSED_GRANTS_MS - SOONEST_TAKEOVER_MS),
             6 => {
-                // All at one moment, the lender too.
+                // All at one moment, the coordinator too.
                 self.nodes.iter_mut().for_each(Node::restart);
                 self.change_leader(0);
             }
@@ -25,10 +25,10 @@
         }
     }
 
-    fn change_leader(&mut self, deposed_lends_ms: u64) {
+    fn change_leader(&mut self, deposed_grants_ms: u64) {
         let now = self.now;
         let deposed = self.leaders.last_mut().expect("a cluster begins with a leader");
-        deposed.lends_until = now + deposed_lends_ms;
+        deposed.grants_until = now + deposed_grants_ms;
         let number = deposed.number + 1;
         self.leaders.push(LeaderTerm::begin(now, number));
     }
@@ -37,7 +37,7 @@
 impl Node {
     /// Another incarnation: what the node was granted is lost, and it has its base again.
     fn restart(&mut self) {
-        self.borrower = Borrower::default();
+        self.borrower = NodeQuotas::default();
         self.incarnation = Incarnation(self.incarnation.0 + 1_000);
     }
 }
--- a/crates/brassport-quota/tests/it/cluster/mod.rs
+++ b/crates/brassport-quota/tests/it/cluster/mod.rs
@@ -1,11 +1,13 @@
-//! A cluster of nodes and lenders on simulated time, with one tenant that sends many times its usual load at some nodes or
-//! at all. Messages are lost, delayed and duplicated; nodes are partitioned and restarted, lenders are deposed and don't
+//! A cluster of nodes and coordinators on simulated time, with one tenant that sends many times its usual load at some nodes or
+//! at all. Messages are lost, delayed and duplicated; nodes are partitioned and restarted, coordinators are deposed and don't
 //! notice for a while. All requests that pass are judged by the rule: in no window of five seconds more than the limit with
 //! its tolerance.
 
 mod faults;
 
-use brassport_quota::{Borrower, Incarnation, Lender, QuotaGrant, RateLimit, TenantId, Term, UsageReport};
+use brassport_quota::{
+    Incarnation, NodeQuotas, QuotaCoordinator, QuotaGrant, RateLimit, TenantId, Term, UsageReport,
+};
 use brassport_types::DiskId;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
@@ -46,7 +48,7 @@
 }
 
 struct Usage {
-    lender: usize,
+    coordinator: usize,
     node: usize,
     incarnation: Incarnation,
     number: u32,
@@ -63,23 +65,23 @@
 }
 
 struct Node {
-    borrower: Borrower,
+    borrower: NodeQuotas,
     incarnation: Incarnation,
     is_partitioned: bool,
     requests_per_s: f64,
 }
 
 struct LeaderTerm {
-    lender: Lender,
+    coordinator: QuotaCoordinator,
     number: u64,
-    lends_until: u64,
+    grants_until: u64,
 }
 
 impl LeaderTerm {
     fn begin(now: u64, number: u64) -> LeaderTerm {
-        let mut lender = Lender::default();
-        lender.begin(now);
-        LeaderTerm { lender, number, lends_until: u64::MAX }
+        let mut coordinator = QuotaCoordinator::default();
+        coordinator.activate(now);
+        LeaderTerm { coordinator, number, grants_until: u64::MAX }
     }
 }
 
@@ -124,7 +126,7 @@
         for node in 0..count {
             let part = if is_at_two { f64::from(u8::from(node < 2)) / 2.0 } else { 1.0 / count as f64 };
             self.nodes.push(Node {
-                borrower: Borrower::default(),
+                borrower: NodeQuotas::default(),
                 incarnation: Incarnation(node as u64),
                 is_partitioned: false,
                 requests_per_s: (overload * self.limit.rate_per_s * part).max(0.2),
@@ -150,7 +152,7 @@
                 self.report(node);
                 self.schedule(REPORT_PERIOD_MS, Event::ReportDue { node });
             }
-            Event::UsageArrives(usage) => self.lend(&usage),
+            Event::UsageArrives(usage) => self.grant(&usage),
             Event::GrantArrives(grant) => {
                 let node = &mut self.nodes[grant.node];
                 if node.incarnation == grant.incarnation {
@@ -169,11 +171,11 @@
         self.offered += 1;
         let quota_shares = self.nodes.len() as u32;
         let borrower = &mut self.nodes[node].borrower;
-        borrower.count_offered(self.now, TENANT);
+        borrower.record_offered(self.now, TENANT);
         if borrower.try_acquire(self.now, TENANT, self.limit, quota_shares).is_ok() {
             self.passed.push(self.now);
         }
-        if borrower.is_urgent() {
+        if borrower.is_report_urgent() {
             self.report(node);
         }
         let gap_s = -(1.0 - self.rng.rand_float()).ln() / self.nodes[node].requests_per_s;
@@ -183,22 +185,25 @@
     fn report(&mut self, node: usize) {
         let now = self.now;
         let Node { borrower, incarnation, is_partitioned, .. } = &mut self.nodes[node];
-        let (number, reports) = borrower.report(now);
+        let (number, reports) = borrower.next_report(now);
         let incarnation = *incarnation;
         if *is_partitioned {
             return;
         }
-        // A node may still take a deposed lender for the one that leads.
+        // A node may still take a deposed coordinator for the one that leads.
         let newest = self.leaders.len() - 1;
-        let lender = if newest > 0 && self.draw(3) == 0 { newest - 1 } else { newest };
+        let coordinator = if newest > 0 && self.draw(3) == 0 { newest - 1 } else { newest };
         let delay_ms = 1 + self.draw(8);
-        self.schedule(delay_ms, Event::UsageArrives(Usage { lender, node, incarnation, number, reports }));
+        self.schedule(
+            delay_ms,
+            Event::UsageArrives(Usage { coordinator, node, incarnation, number, reports }),
+        );
     }
 
-    fn lend(&mut self, usage: &Usage) {
+    fn grant(&mut self, usage: &Usage) {
         let (now, limit) = (self.now, self.limit);
-        let leader = &mut self.leaders[usage.lender];
-        if now >= leader.lends_until {
+        let leader = &mut self.leaders[usage.coordinator];
+        if now >= leader.grants_until {
             return;
         }
         let ip = Ipv4Addr::from(usage.node as u32 + 1);
@@ -207,7 +212,7 @@
             incarnation: usage.incarnation,
             term: Term::new(leader.number, DiskId::NONE),
             number: usage.number,
-            grants: leader.lender.lend(now, (ip, usage.incarnation), &usage.reports, |_| Some(limit)),
+            grants: leader.coordinator.grant(now, (ip, usage.incarnation), &usage.reports, |_| Some(limit)),
         };
         let delay_ms = 1 + self.draw(8);
         if self.draw(20) == 0 {
--- a/crates/brassport-quota/tests/it/golden.rs
+++ b/crates/brassport-quota/tests/it/golden.rs
@@ -3,7 +3,9 @@
 
 use brassport_golden::hex;
 use brassport_golden::Fixtures;
-use brassport_quota::{Borrower, Incarnation, Lender, QuotaGrant, RateLimit, TenantId, Term, UsageReport};
+use brassport_quota::{
+    Incarnation, NodeQuotas, QuotaCoordinator, QuotaGrant, RateLimit, TenantId, Term, UsageReport,
+};
 use brassport_types::DiskId;
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
@@ -49,17 +51,17 @@
 #[test]
 fn an_exchange_of_reports_and_grants_keeps_its_bytes() {
     let (tenant, limit) = (TenantId::of_name("acme"), RateLimit { rate_per_s: 100.0, burst: 100.0 });
-    let (mut node, mut lender) = (Borrower::default(), Lender::default());
-    lender.begin(0);
+    let (mut node, mut coordinator) = (NodeQuotas::default(), QuotaCoordinator::default());
+    coordinator.activate(0);
     let mut cases = Vec::new();
     for step in 1..=6_u64 {
         let now = step * 400;
         for _ in 0..40 {
-            node.count_offered(now, tenant);
+            node.record_offered(now, tenant);
             let _ = node.try_acquire(now, tenant, limit, 4);
         }
-        let (number, used) = node.report(now);
-        let grants = lender.lend(now, ([10, 0, 0, 1].into(), Incarnation(1)), &used, |_| Some(limit));
+        let (number, used) = node.next_report(now);
+        let grants = coordinator.grant(now, ([10, 0, 0, 1].into(), Incarnation(1)), &used, |_| Some(limit));
         node.apply_grants(now, Term::new(1, DiskId(1)), number, &grants);
         cases.push(encoded(&format!("report {step}"), &used));
         cases.push(encoded(&format!("loans {step}"), &grants));
--- a/crates/brassport-quota/tests/it/borrower.rs
+++ b/crates/brassport-quota/tests/it/node_quotas.rs
@@ -1,7 +1,7 @@
 //! A node's side: which grants count, what is reported, and what is urgent.
 
 use brassport_quota::{
-    Borrower, Millis, QuotaGrant, RateLimit, TenantId, Term, UsageReport, GRANT_TIMEOUT_MS, METER_PERIOD_MS,
+    Millis, NodeQuotas, QuotaGrant, RateLimit, TenantId, Term, UsageReport, GRANT_TIMEOUT_MS, METER_PERIOD_MS,
 };
 use brassport_types::DiskId;
 
@@ -15,15 +15,15 @@
 }
 
 /// A node whose base is spent, and the number of its report.
-fn exhausted(now: Millis) -> (Borrower, u32) {
-    let mut node = Borrower::default();
+fn exhausted(now: Millis) -> (NodeQuotas, u32) {
+    let mut node = NodeQuotas::default();
     assert!(passing(&mut node, now) >= 1);
-    let (number, _) = node.report(now);
+    let (number, _) = node.next_report(now);
     (node, number)
 }
 
 /// How many requests pass until one is rejected.
-fn passing(node: &mut Borrower, now: Millis) -> usize {
+fn passing(node: &mut NodeQuotas, now: Millis) -> usize {
     (0..1_000).take_while(|_| node.try_acquire(now, TENANT, LIMIT, QUOTA_SHARES).is_ok()).count()
 }
 
@@ -47,17 +47,17 @@
 fn a_grant_later_than_its_timeout_is_ignored() {
     let (mut node, number) = exhausted(1_000);
     node.apply_grants(1_000 + GRANT_TIMEOUT_MS, TERM, number, &grant(2));
-    assert_eq!(node.reading(1_000 + GRANT_TIMEOUT_MS, TENANT), None);
+    assert_eq!(node.meter_reading(1_000 + GRANT_TIMEOUT_MS, TENANT), None);
     let (mut node, number) = exhausted(1_000);
     node.apply_grants(1_000 + GRANT_TIMEOUT_MS - 1, TERM, number, &grant(2));
-    assert_eq!(node.reading(1_000 + GRANT_TIMEOUT_MS - 1, TENANT), Some(40));
+    assert_eq!(node.meter_reading(1_000 + GRANT_TIMEOUT_MS - 1, TENANT), Some(40));
 }
 
 #[test]
 fn a_grant_of_a_lower_term_is_ignored() {
     let (mut node, number) = exhausted(1_000);
     node.apply_grants(1_001, TERM, number, &grant(0));
-    let (number, _) = node.report(1_002);
+    let (number, _) = node.next_report(1_002);
     node.apply_grants(1_003, Term::new(2, DiskId(9)), number, &grant(2));
     assert_eq!(passing(&mut node, 1_003), 0);
 }
@@ -74,49 +74,52 @@
 #[test]
 fn an_overdraft_is_made_up_for_by_later_grants() {
     let (mut node, number) = exhausted(1_000);
-    node.overdraw(1_001, TENANT);
+    node.force_acquire(1_001, TENANT);
     node.apply_grants(1_002, TERM, number, &grant(3));
     assert_eq!(passing(&mut node, 1_002), 2);
 }
 
 #[test]
 fn without_a_limit_every_request_passes_and_is_counted() {
-    let mut node = Borrower::default();
+    let mut node = NodeQuotas::default();
     let unlimited = RateLimit { rate_per_s: 0.0, burst: 0.0 };
     for _ in 0..500 {
-        node.count_offered(1_000, TENANT);
+        node.record_offered(1_000, TENANT);
         assert_eq!(node.try_acquire(1_000, TENANT, unlimited, QUOTA_SHARES), Ok(()));
     }
-    let (_, usage) = node.report(1_000);
+    let (_, usage) = node.next_report(1_000);
     assert_eq!(usage, [UsageReport { tenant: TENANT, offered: 500, sent: 500, wanted: 0 }]);
 }
 
 #[test]
 fn unchanged_counts_are_reported_once() {
-    let mut node = Borrower::default();
-    node.count_offered(1_000, TENANT);
-    assert_eq!(node.report(1_000), (1, vec![UsageReport { tenant: TENANT, offered: 1, sent: 0, wanted: 0 }]));
-    assert_eq!(node.report(1_400), (2, Vec::new()));
+    let mut node = NodeQuotas::default();
+    node.record_offered(1_000, TENANT);
+    assert_eq!(
+        node.next_report(1_000),
+        (1, vec![UsageReport { tenant: TENANT, offered: 1, sent: 0, wanted: 0 }])
+    );
+    assert_eq!(node.next_report(1_400), (2, Vec::new()));
 }
 
 #[test]
 fn an_idle_tenant_is_forgotten() {
-    let mut node = Borrower::default();
-    node.count_offered(1_000, TENANT);
-    node.report(61_001);
-    node.count_offered(61_002, TENANT);
-    let (_, usage) = node.report(61_003);
+    let mut node = NodeQuotas::default();
+    node.record_offered(1_000, TENANT);
+    node.next_report(61_001);
+    node.record_offered(61_002, TENANT);
+    let (_, usage) = node.next_report(61_003);
     assert_eq!(usage[0].offered, 1);
 }
 
 #[test]
 fn a_node_that_runs_low_is_urgent_until_its_report() {
-    let mut node = Borrower::default();
-    assert!(!node.is_urgent());
+    let mut node = NodeQuotas::default();
+    assert!(!node.is_report_urgent());
     passing(&mut node, 1_000);
-    assert!(node.is_urgent());
-    node.report(1_000);
-    assert!(!node.is_urgent());
+    assert!(node.is_report_urgent());
+    node.next_report(1_000);
+    assert!(!node.is_report_urgent());
 }
 
 #[test]
@@ -124,6 +127,6 @@
     let (mut node, number) = exhausted(1_000);
     node.apply_grants(1_000, TERM, number, &grant(0));
     let (last, over) = (1_000 + 2 * METER_PERIOD_MS - 1, 1_000 + 2 * METER_PERIOD_MS);
-    assert_eq!((node.reading(last, TENANT), node.reading(over, TENANT)), (Some(40), None));
+    assert_eq!((node.meter_reading(last, TENANT), node.meter_reading(over, TENANT)), (Some(40), None));
     assert!(node.rejected_recently(last, TENANT) && !node.rejected_recently(over, TENANT));
 }
