--- a/crates/brassport-policy-stats/tests/it/retry_estimator.rs
+++ b/crates/brassport-policy-stats/tests/it/retry_estimator.rs
@@ -3,13 +3,13 @@
 
 proptest! {
     #[test]
-    fn attempt_probability_inverts_eventual_admission(part in 0.0..=1.0f64, retry in 0.0..=0.8f64) {
-        let probability = attempt_admission_probability(part, retry);
-        prop_assert!((0.0..=part + 1e-12).contains(&probability), "{probability} of {part}");
-        prop_assert!((eventual_admission_fraction(probability, retry) - part).abs() < 1e-9);
-        // The definition: admitted clients over all attempts that are offered.
+    fn attempt_probability_inverts_eventual_admission(admitted in 0.0..=1.0f64, retry in 0.0..=0.8f64) {
+        let probability = attempt_admission_probability(admitted, retry);
+        prop_assert!((0.0..=admitted + 1e-12).contains(&probability), "{probability} of {admitted}");
+        prop_assert!((eventual_admission_fraction(probability, retry) - admitted).abs() < 1e-9);
+        // By definition: admitted clients divided by all offered attempts.
         let attempts = 1.0 / (1.0 - retry * (1.0 - probability));
-        prop_assert!((probability - part / attempts).abs() < 1e-9);
+        prop_assert!((probability - admitted / attempts).abs() < 1e-9);
     }
 }
 
