--- a/crates/brassport-policy-stats/src/meter_clock.rs
+++ b/crates/brassport-policy-stats/src/meter_clock.rs
@@ -1,96 +1,107 @@
-//! Which period of the meter a reading covers.
+//! Estimates which period of the meter a reading covers.
 //!
-//! A reading says what a customer used in the last period that the meter has summed, but not which period that is. When
-//! periods end and how late they are reported is the same for all customers and rarely changes, so it can be learned:
-//! with the right alignment, what this instance sent is a part of what the meter counted. Each reading adds its misfit
-//! to every candidate alignment, and the candidate with the least misfit is taken.
+//! A reading contains a customer's usage in the last period that the meter has summed, but does not identify the period.
+//! The ends of the periods and the delay until they are reported are the same for all customers and rarely change. They
+//! can be estimated, as the sends of this instance in the covered period are a part of the usage that the meter counted.
+//! Each reading adds the difference between the two, its misfit, to every candidate alignment. The estimate is the
+//! candidate with the lowest total.
 
 use crate::{Millis, SendLog};
 use serde::{Deserialize, Serialize};
 
-/// Candidate ends within a period, and candidate reporting delays in each period of delay.
-const PARTS: usize = 10;
-/// Longest reporting delay among the candidates, in periods.
+/// Parts into which a period is divided: the resolution of the candidate period ends and reporting delays.
+const PARTS_PER_PERIOD: usize = 10;
+/// Upper bound of the candidate reporting delays, which are shorter, in periods.
 const MAX_DELAY_PERIODS: usize = 4;
-const DELAYS: usize = PARTS * MAX_DELAY_PERIODS;
-/// Reporting delay that is assumed before any reading, in periods.
+/// Number of candidate reporting delays for each candidate period end.
+const DELAY_CANDIDATES: usize = PARTS_PER_PERIOD * MAX_DELAY_PERIODS;
+/// Reporting delay that is assumed before the first reading, in periods.
 const PRIOR_DELAY_PERIODS: f64 = 1.0;
-/// Initial misfit of a candidate for each period that its delay differs from that, in units.
-const PRIOR_MISFIT: f64 = 1.0;
-/// Most units of misfit that one reading counts for: what other instances sent must not outweigh the rest.
+/// Initial misfit of a candidate per period of difference from [`PRIOR_DELAY_PERIODS`], in units.
+const PRIOR_MISFIT_PER_PERIOD: f64 = 1.0;
+/// Upper bound of the misfit of one reading, in units. Limits the effect of the sends of other instances.
 const MAX_READING_MISFIT: f64 = 2.0;
-/// Fraction of the misfit left after each reading: about the last thousand count, in case the delay changes.
-const RETAINED: f64 = 0.999;
-/// Weight of a reading above which all misfits are scaled down, so that they stay exact enough.
+/// Fraction of the total misfit that is retained at each reading. About the last thousand readings count, so that a
+/// changed delay is detected.
+const MISFIT_RETENTION: f64 = 0.999;
+/// Weight of a reading above which all misfits are scaled down, to preserve their precision.
 const MAX_WEIGHT: f64 = 1e9;
-/// Lanes in which the minimum is computed, for vector instructions.
+/// Number of independent minima that are computed in parallel, so that the compiler can use vector instructions.
 const LANES: usize = 8;
-/// Moments, a part of a period apart, at which sends are summed for a reading.
-const EDGES: usize = DELAYS + 2 * PARTS;
+/// Number of times, one part of a period apart, up to which sends are summed for a reading.
+const PART_BOUNDARIES: usize = DELAY_CANDIDATES + 2 * PARTS_PER_PERIOD;
 
-/// Learns when the meter's periods end and how long after that they are reported.
+/// Estimates when the meter's periods end and how long after their end they are reported.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MeterClock {
     period: Millis,
-    /// Misfit of each candidate: of each end, of every delay. Scaled by `weight`, which grows with each reading in place
-    /// of a decay of all others.
+    /// Total misfit of each candidate, scaled by `weight`. The index is the period end, in parts, times
+    /// [`DELAY_CANDIDATES`] plus the delay, in parts.
     misfit: Vec<f64>,
+    /// Weight of the last reading. It grows with each reading, which is equivalent to a decay of the previous misfits.
     weight: f64,
+    /// Index of the candidate with the lowest misfit.
     best: usize,
 }
 
 impl MeterClock {
-    /// A clock for periods of this length; 0 if there is no meter.
+    /// Creates an estimator for periods of this length; 0 if there is no meter.
     pub fn new(period: Millis) -> MeterClock {
-        let prior =
-            |n: usize| PRIOR_MISFIT * ((n % DELAYS) as f64 / PARTS as f64 - PRIOR_DELAY_PERIODS).abs();
-        let misfit: Vec<f64> = (0..PARTS * DELAYS).map(prior).collect();
+        let prior = |n: usize| {
+            PRIOR_MISFIT_PER_PERIOD
+                * ((n % DELAY_CANDIDATES) as f64 / PARTS_PER_PERIOD as f64 - PRIOR_DELAY_PERIODS).abs()
+        };
+        let misfit: Vec<f64> = (0..PARTS_PER_PERIOD * DELAY_CANDIDATES).map(prior).collect();
         let best = index_of_min(&misfit);
         MeterClock { period, misfit, weight: 1.0, best }
     }
 
-    /// End of the period that a reading received at `now` covers.
+    /// Returns the end of the period that a reading received at `now` covers, or `now` without a meter.
     pub fn covered_period_end(&self, now: Millis) -> Millis {
         if self.period <= 0.0 {
             return now;
         }
-        let part = self.period / PARTS as f64;
-        let (end, delay) = ((self.best / DELAYS) as f64 * part, (self.best % DELAYS) as f64 * part);
+        let part = self.period / PARTS_PER_PERIOD as f64;
+        let (end, delay) =
+            ((self.best / DELAY_CANDIDATES) as f64 * part, (self.best % DELAY_CANDIDATES) as f64 * part);
         ((now - delay - end) / self.period).floor() * self.period + end
     }
 
-    /// Delay from the end of a period until it is reported, in periods.
+    /// Returns the delay from the end of a period to its report, in periods.
     pub fn reporting_delay_periods(&self) -> f64 {
-        (self.best % DELAYS) as f64 / PARTS as f64
+        (self.best % DELAY_CANDIDATES) as f64 / PARTS_PER_PERIOD as f64
     }
 
-    /// How far back sends matter: no reading covers earlier ones.
+    /// Returns the age from which on no reading covers a send.
     pub fn max_reading_age(&self) -> Millis {
         (MAX_DELAY_PERIODS + 2) as f64 * self.period
     }
 
-    /// Compares a reading of so many units with this instance's sends to the same customer.
+    /// Compares a customer's reading, in units, with the sends of this instance for the same customer.
     pub fn observe(&mut self, now: Millis, units: f64, sends: &SendLog) {
         if self.period <= 0.0 || sends.is_empty() {
             return;
         }
-        self.weight /= RETAINED;
-        let part = self.period / PARTS as f64;
+        self.weight /= MISFIT_RETENTION;
+        let part = self.period / PARTS_PER_PERIOD as f64;
         let parts = (now / part).floor();
-        let mut sent = [0.0; EDGES];
-        sends.totals_up_to((0..EDGES).map(|back| (parts - back as f64) * part), &mut sent);
-        for end in 0..PARTS {
-            // Parts of a period since the last one with this end. A delay up to that means the period that ended then;
-            // each further period of delay means the one before.
-            let since = (parts - end as f64).rem_euclid(PARTS as f64) as usize;
-            let candidates = &mut self.misfit[end * DELAYS..][..DELAYS];
+        let mut sent_until = [0.0; PART_BOUNDARIES];
+        sends.totals_up_to(
+            (0..PART_BOUNDARIES).map(|parts_back| (parts - parts_back as f64) * part),
+            &mut sent_until,
+        );
+        for end in 0..PARTS_PER_PERIOD {
+            // Parts of a period since the last period end of this candidate. With a delay of at most that, the reading
+            // covers the period that ended then; each further period of delay moves it to the period before.
+            let since = (parts - end as f64).rem_euclid(PARTS_PER_PERIOD as f64) as usize;
+            let candidates = &mut self.misfit[end * DELAY_CANDIDATES..][..DELAY_CANDIDATES];
             let mut first = 0;
             for period in 0..=MAX_DELAY_PERIODS {
-                let edge = since + period * PARTS;
-                let sent_here = (sent[edge] - sent[edge + PARTS]).max(0.0);
-                let more = (units - sent_here).abs().min(MAX_READING_MISFIT) * self.weight;
-                let last = (edge + 1).min(DELAYS);
-                candidates[first..last].iter_mut().for_each(|misfit| *misfit += more);
+                let boundary = since + period * PARTS_PER_PERIOD;
+                let local_sent = (sent_until[boundary] - sent_until[boundary + PARTS_PER_PERIOD]).max(0.0);
+                let reading_misfit = (units - local_sent).abs().min(MAX_READING_MISFIT) * self.weight;
+                let last = (boundary + 1).min(DELAY_CANDIDATES);
+                candidates[first..last].iter_mut().for_each(|misfit| *misfit += reading_misfit);
                 first = last;
             }
         }
@@ -102,11 +113,11 @@
     }
 }
 
-/// Index of the first minimum.
+/// Returns the index of the first minimum.
 fn index_of_min(misfit: &[f64]) -> usize {
     let mut lanes = [f64::INFINITY; LANES];
-    for some in misfit.chunks_exact(LANES) {
-        for (lane, &misfit) in lanes.iter_mut().zip(some) {
+    for chunk in misfit.chunks_exact(LANES) {
+        for (lane, &misfit) in lanes.iter_mut().zip(chunk) {
             *lane = if misfit < *lane { misfit } else { *lane };
         }
     }
