--- a/crates/brassport-policy-stats/src/rejection_counts.rs
+++ b/crates/brassport-policy-stats/src/rejection_counts.rs
@@ -1,9 +1,11 @@
-//! Counts of rejections that are not due to a quota, and the log lines about them.
+//! Counts of rejections for other reasons than a quota, and the log lines that report them.
+//!
+//! The log lines are sent as text over the wire protocol of `brassport-policy`, whose golden fixtures contain them.
 
 use crate::Millis;
 
-/// The log line about a server whose consecutive failures changed, if it was ejected by that or is no longer;
-/// `threshold` failures eject it.
+/// Returns the log line for a server that was ejected by a failure, or has responded after its ejection; `None` if
+/// neither happened. `failures` is the number of consecutive failures, of which `threshold` eject a server.
 pub fn ejection_log_line(server: u32, was_ejected: bool, failures: u32, threshold: u32) -> Option<String> {
     let text = match (was_ejected, failures) {
         (true, 0) => "answers again",
@@ -13,43 +15,46 @@
     Some(format!("server {server} {text}"))
 }
 
-/// Time between two reports: what is reported together.
-const REPORT_INTERVAL_MS: Millis = 1000.0;
+/// Interval in which rejections are counted and then logged together.
+const LOG_INTERVAL_MS: Millis = 1000.0;
 
-/// Rejections by cause, since the last report and in total.
+/// Rejections by cause, in the current log interval and in total.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RejectionCounts {
-    /// Rejections since the last report because servers had no capacity.
+    /// Rejections in the current log interval because the servers had no capacity.
     pub no_capacity: u32,
-    /// Rejections since the last report because no server was available.
+    /// Rejections in the current log interval because no server was available.
     pub no_server: u32,
-    reported_at: Millis,
+    interval_start: Millis,
+    /// Whether requests were rejected for lack of capacity in the previous log interval.
     was_overloaded: bool,
-    past_no_capacity: u64,
-    past_no_server: u64,
+    /// Total of the previous log intervals.
+    previous_no_capacity: u64,
+    /// Total of the previous log intervals.
+    previous_no_server: u64,
 }
 
 impl RejectionCounts {
-    /// Counts from `now` on.
+    /// Creates counts of 0, with a log interval that starts at `now`.
     pub fn new(now: Millis) -> RejectionCounts {
-        RejectionCounts { reported_at: now, ..RejectionCounts::default() }
+        RejectionCounts { interval_start: now, ..RejectionCounts::default() }
     }
 
-    /// Rejections for lack of capacity since the start.
+    /// Returns the number of rejections for lack of capacity since the start.
     pub fn total_no_capacity(&self) -> u64 {
-        self.past_no_capacity + u64::from(self.no_capacity)
+        self.previous_no_capacity + u64::from(self.no_capacity)
     }
 
-    /// Rejections for lack of a server since the start.
+    /// Returns the number of rejections for lack of a server since the start.
     pub fn total_no_server(&self) -> u64 {
-        self.past_no_server + u64::from(self.no_server)
+        self.previous_no_server + u64::from(self.no_server)
     }
 
-    /// Once a second returns the log lines that are due; `capacity` is the fraction of what the quotas admit that
-    /// servers have capacity for.
+    /// If the log interval of a second has ended, returns its log lines and starts the next one. `capacity` is the capacity
+    /// of the servers as a fraction of the load that the quotas admit.
     pub fn take_log_lines(&mut self, now: Millis, capacity: f64) -> Vec<String> {
         let mut lines = Vec::new();
-        if now < self.reported_at + REPORT_INTERVAL_MS {
+        if now < self.interval_start + LOG_INTERVAL_MS {
             return lines;
         }
         let is_overloaded = self.no_capacity > 0;
@@ -61,10 +66,10 @@
             lines.push(format!("no server to send to: {} refused", self.no_server));
         }
         *self = RejectionCounts {
-            reported_at: now,
+            interval_start: now,
             was_overloaded: is_overloaded,
-            past_no_capacity: self.total_no_capacity(),
-            past_no_server: self.total_no_server(),
+            previous_no_capacity: self.total_no_capacity(),
+            previous_no_server: self.total_no_server(),
             ..RejectionCounts::default()
         };
         lines
