--- a/crates/brassport-policy-stats/src/decaying_factor.rs
+++ b/crates/brassport-policy-stats/src/decaying_factor.rs
@@ -1,14 +1,14 @@
-//! Averages: one step of an exponentially weighted average, and a factor that decays back to 1.
+//! An exponentially weighted moving average, and a factor that decays to 1.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 
-/// One step of an exponentially weighted moving average: moves `average` towards `sample` by `weight` (0 to 1).
+/// Adds a sample of this weight (0 to 1) to an exponentially weighted moving average.
 pub fn ewma_update(average: &mut f64, sample: f64, weight: f64) {
     *average += weight * (sample - *average);
 }
 
-/// A moving average of a dimensionless factor, which decays back to 1 while no sample comes.
+/// A moving average of a dimensionless factor that decays to 1 while it receives no samples.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Factor")]
 pub struct DecayingFactor {
@@ -18,12 +18,12 @@
 }
 
 impl DecayingFactor {
-    /// The factor 1.
+    /// Creates a factor with the value 1.
     pub fn new(now: Millis) -> DecayingFactor {
         DecayingFactor { value: 1.0, updated_at: now }
     }
 
-    /// The value at `now`; the difference from 1 decays with the time constant `time_constant`.
+    /// Returns the value at `now`; its difference from 1 decays exponentially with `time_constant`.
     pub fn value_at(&self, now: Millis, time_constant: Millis) -> f64 {
         if self.value == 1.0 {
             return 1.0;
@@ -41,8 +41,8 @@
         ewma_update(&mut self.value, sample, weight);
     }
 
-    /// Adds a censored sample, of which only a lower bound was measured: a bound below the average carries no
-    /// information and is dropped.
+    /// Adds a censored sample, of which only a lower bound is known. A bound below the average carries no information
+    /// and is ignored.
     pub fn observe_lower_bound(&mut self, bound: f64, weight: f64) {
         if bound > self.value {
             self.observe(bound, weight);
--- a/crates/brassport-policy-stats/src/in_flight.rs
+++ b/crates/brassport-policy-stats/src/in_flight.rs
@@ -1,9 +1,9 @@
-//! Attempts in flight, counted by their age.
+//! Counts of the attempts in flight by age.
 
 use crate::Millis;
 use std::collections::VecDeque;
 
-/// Identifies an attempt in flight in the [`InFlightAttempts`] that returned it.
+/// Identifies an attempt within the [`InFlightAttempts`] that returned the handle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptHandle(u64);
 
@@ -13,28 +13,31 @@
     is_in_flight: bool,
 }
 
-/// An age window: the attempts in flight that started within it, and the number of the first that may have.
+/// The attempts in flight up to an age.
 #[derive(Debug, Clone)]
 struct AgeWindow {
+    /// Age from which on an attempt is outside the window.
     length: Millis,
+    /// Number of attempts in flight from `first` on.
     count: usize,
+    /// Sequence number of the oldest attempt that may be in the window.
     first: u64,
 }
 
-/// Counts the attempts in flight, and those of them younger than each of some ages. Each operation costs amortized
-/// constant time.
+/// Counts the attempts in flight, in total and in each of several age windows. Each operation takes amortized constant
+/// time.
 #[derive(Debug, Clone, Default)]
 pub struct InFlightAttempts {
-    /// From the oldest attempt in flight on.
+    /// All attempts since the oldest one in flight, in order of their start.
     attempts: VecDeque<Attempt>,
-    /// Number of the first of those.
+    /// Sequence number of the first entry of `attempts`.
     first_number: u64,
     in_flight: usize,
     windows: Vec<AgeWindow>,
 }
 
 impl InFlightAttempts {
-    /// Counts attempts, with an age window of each of these lengths.
+    /// Creates empty counts, with one age window for each length.
     pub fn new(window_lengths: impl IntoIterator<Item = Millis>) -> InFlightAttempts {
         let window = |length| AgeWindow { length, count: 0, first: 0 };
         let windows = window_lengths.into_iter().map(window).collect();
@@ -43,27 +46,27 @@
 
     /// Replaces the age windows.
     pub fn set_windows(&mut self, window_lengths: impl IntoIterator<Item = Millis>) {
-        // Attempts that are too old for a window leave its count at the next query.
+        // The next query removes attempts that are too old for a window from its count.
         let window = |length| AgeWindow { length, count: self.in_flight, first: self.first_number };
         self.windows = window_lengths.into_iter().map(window).collect();
     }
 
-    /// Attempts in flight, of any age.
+    /// Returns the number of attempts in flight, of any age.
     pub fn len(&self) -> usize {
         self.in_flight
     }
 
-    /// Whether no attempt is in flight.
+    /// Returns whether no attempt is in flight.
     pub fn is_empty(&self) -> bool {
         self.in_flight == 0
     }
 
-    /// Entries kept in memory: the attempts since the oldest in flight.
+    /// Returns the number of entries in memory: all attempts, ended ones included, since the oldest in flight.
     pub fn retained_entries(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Records the start of an attempt, at a moment no earlier than any before.
+    /// Records the start of an attempt. `now` must not be earlier than in previous calls.
     pub fn start(&mut self, now: Millis) -> AttemptHandle {
         self.attempts.push_back(Attempt { started_at: now, is_in_flight: true });
         self.in_flight += 1;
@@ -71,7 +74,7 @@
         AttemptHandle(self.first_number + self.attempts.len() as u64 - 1)
     }
 
-    /// Records the end of an attempt. A second end of the same attempt has no effect.
+    /// Records the end of an attempt. A repeated call for the same attempt has no effect.
     pub fn finish(&mut self, handle: AttemptHandle) {
         let Some(index) = handle.0.checked_sub(self.first_number) else { return };
         let attempt = self.attempts.get_mut(index as usize).filter(|attempt| attempt.is_in_flight);
@@ -87,13 +90,14 @@
         }
     }
 
-    /// Attempts in flight that started less than the length of the window with this index before `now`.
+    /// Returns the number of attempts in flight whose age at `now` is less than the length of the window with this
+    /// index.
     ///
     /// # Panics
-    /// If there is no window with this index.
+    /// If no window has this index.
     pub fn count_within(&mut self, window: usize, now: Millis) -> usize {
         let window = &mut self.windows[window];
-        // What left the front of the queue had ended, and is in no count.
+        // Attempts that were removed from the front of the queue had ended, and no count includes them.
         window.first = window.first.max(self.first_number);
         while let Some(attempt) = self.attempts.get((window.first - self.first_number) as usize) {
             if attempt.started_at > now - window.length {
--- a/crates/brassport-policy-stats/src/lib.rs
+++ b/crates/brassport-policy-stats/src/lib.rs
@@ -1,28 +1,28 @@
-//! Counters, estimators and ordered structures of the decision module `brassport-policy`.
+//! Counters, estimators and ordered collections of the decision module `brassport-policy`.
 //!
-//! Each type keeps one statistic at a cost per operation that is constant or logarithmic in what it keeps. None of them
-//! decides anything (which request is admitted, which server gets an attempt: that is `brassport-policy`), does I/O or
-//! reads a clock: times are arguments, in milliseconds of one monotonic clock, and must not run backwards.
+//! Each type maintains one statistic. An operation takes constant or logarithmic time in the number of entries. The types
+//! make no decisions (`brassport-policy` decides which requests are admitted and which server gets an attempt), do no I/O
+//! and read no clock. Times are arguments, in milliseconds of one monotonic clock, and must not decrease between calls.
 //!
 //! | concept | type |
 //! | --- | --- |
 //! | arrival rate with decaying weights | [`ExponentialRate`] |
-//! | average that decays back to 1 | [`DecayingFactor`], [`ewma_update`] |
-//! | token buckets: local, and shared with other instances | [`TokenBucket`], [`SharedTokenBucket`] |
+//! | average that decays to 1 | [`DecayingFactor`], [`ewma_update`] |
+//! | token buckets: local and shared with other instances | [`TokenBucket`], [`SharedTokenBucket`] |
 //! | attempts in flight by age | [`InFlightAttempts`] |
 //! | units sent over time | [`SendLog`] |
 //! | values of a setting over time | [`ValueHistory`] |
-//! | which period a meter reading covers | [`MeterClock`] |
-//! | other instances' usage; typical usage of a plan | [`RemoteUsage`], [`PlanUsage`] |
-//! | retries after a rejection | [`RetryEstimator`], [`eventual_admission_fraction`], [`attempt_admission_probability`] |
+//! | end and reporting delay of the meter's periods | [`MeterClock`] |
+//! | usage at other instances; typical usage of a plan's customers | [`RemoteUsage`], [`PlanUsage`] |
+//! | retries after a rejection, and their effect on admission | [`RetryEstimator`], [`eventual_admission_fraction`], [`attempt_admission_probability`] |
 //! | classes: shares, response times, admission by value | [`ClassStatistics`] |
 //! | rejections and their log lines | [`RejectionCounts`] |
 //! | weighted sampling on a hash ring | [`WeightedRing`] |
-//! | entries by due time | [`DueQueue`] |
-//! | maps by trust in their keys, cyclic scans | [`UntrustedKeyMap`], [`TrustedKeyMap`], [`CyclicCursor`] |
+//! | identifiers by due time | [`DueQueue`] |
+//! | maps with trusted or untrusted keys, cyclic scans | [`UntrustedKeyMap`], [`TrustedKeyMap`], [`CyclicCursor`] |
 //!
-//! Several are part of the hand-over text of `brassport-policy`: their names in it are pinned with `#[serde(rename)]`,
-//! and in its error texts with `#[serde(expecting)]`; both must not change.
+//! Several types are part of the hand-over state that `brassport-policy` serializes. `#[serde(rename)]` fixes their names
+//! in the serialized form and `#[serde(expecting)]` those in its error messages. These names must not change.
 //!
 //! ```
 //! use brassport_policy_stats::{InFlightAttempts, TokenBucket};
@@ -73,5 +73,5 @@
 pub use value_history::ValueHistory;
 pub use weighted_ring::{ring_position, WeightedRing};
 
-/// A moment of a monotonic clock, or a span of it, in milliseconds.
+/// A time of a monotonic clock or a duration, in milliseconds.
 pub type Millis = f64;
--- a/crates/brassport-policy-stats/src/maps.rs
+++ b/crates/brassport-policy-stats/src/maps.rs
@@ -1,4 +1,4 @@
-//! Maps by whether their keys are trusted, and incremental iteration over them.
+//! Maps with trusted or untrusted keys, and incremental iteration over them.
 
 use indexmap::IndexMap;
 use rustc_hash::FxBuildHasher;
@@ -6,24 +6,24 @@
 use std::hash::{BuildHasher, Hash};
 use std::iter::Flatten;
 
-/// A map whose keys clients may choose: its hash is keyed, so that they cannot provoke collisions.
+/// A map whose keys clients may choose. Its hash is randomly keyed, so that clients cannot provoke collisions.
 pub type UntrustedKeyMap<K, V> = IndexMap<K, V>;
-/// A map whose keys this program or the operator assigns: a fast hash without a key.
+/// A map whose keys this program or the operator assigns. Its hash is fast and not keyed.
 pub type TrustedKeyMap<K, V> = IndexMap<K, V, FxBuildHasher>;
 
-/// Capacity up to which a map is never shrunk, in entries.
-const MIN_SHRINK_CAPACITY: usize = 64;
+/// Maps with at most this capacity are not shrunk.
+const MAX_UNSHRUNK_CAPACITY: usize = 64;
 
-/// Removes an entry, and returns memory once a map holds less than a quarter of its capacity.
+/// Removes an entry and returns its value. Shrinks the map once less than a quarter of its capacity is used.
 pub fn remove_and_shrink<K: Hash + Eq, V, S: BuildHasher>(map: &mut IndexMap<K, V, S>, key: &K) -> Option<V> {
     let value = map.swap_remove(key);
-    if map.capacity() > MIN_SHRINK_CAPACITY && map.len() < map.capacity() / 4 {
+    if map.capacity() > MAX_UNSHRUNK_CAPACITY && map.len() < map.capacity() / 4 {
         map.shrink_to(2 * map.len());
     }
     value
 }
 
-/// A cursor that cycles through a map, `STEP` entries at a time, while the map changes.
+/// A cursor that cycles through a map, `STEP` entries at a time. The map may change between the steps.
 #[derive(Debug, Clone, Default)]
 pub struct CyclicCursor<const STEP: usize> {
     index: usize,
@@ -37,8 +37,8 @@
         matches: impl Fn(&V) -> bool,
     ) -> Flatten<IntoIter<Option<K>, STEP>> {
         let mut found = [None; STEP];
-        // Backwards: `swap_remove` moves the last entry to a removed one's index, so none is skipped, and entries
-        // appended meanwhile cannot delay the end of the cycle.
+        // Iterates backwards: `swap_remove` moves the last entry to the index of the removed one, so that no entry is
+        // skipped, and entries that are appended during a cycle don't extend it.
         for slot in &mut found {
             self.index = self.index.min(map.len()).checked_sub(1).unwrap_or(map.len().saturating_sub(1));
             let Some((key, value)) = map.get_index(self.index) else { break };
--- a/crates/brassport-policy-stats/src/send_log.rs
+++ b/crates/brassport-policy-stats/src/send_log.rs
@@ -1,16 +1,16 @@
-//! A log of units sent over time, with sums over any interval.
+//! A log of units sent over time, with sums over arbitrary intervals.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// One record; serialized as the row `[at, units, total]`.
+/// One record, serialized as the array `[at, units, total]`.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(from = "(Millis, f64, f64)", into = "(Millis, f64, f64)")]
 struct Send {
     at: Millis,
     units: f64,
-    /// Units of all records up to and including this one.
+    /// Sum of the units of all records up to and including this one.
     total: f64,
 }
 
@@ -26,29 +26,29 @@
     }
 }
 
-/// Units sent over time. A query costs the logarithm of the number of records.
+/// Units sent over time. A query takes logarithmic time in the number of records.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(expecting = "struct Sends")]
 pub struct SendLog {
     sends: VecDeque<Send>,
-    /// The total up to what has been discarded.
+    /// Total up to and including the last discarded record.
     #[serde(rename = "dropped")]
     discarded: f64,
 }
 
 impl SendLog {
-    /// Records units sent at a moment no earlier than any before.
+    /// Records units sent at a time that is not earlier than that of previous records.
     pub fn record(&mut self, at: Millis, units: f64) {
         let before = self.sends.back().map_or(self.discarded, |last| last.total);
         self.sends.push_back(Send { at, units, total: before + units });
     }
 
-    /// Whether the log holds no record.
+    /// Returns whether the log contains no records.
     pub fn is_empty(&self) -> bool {
         self.sends.is_empty()
     }
 
-    /// Recorded units sent up to and including `to`.
+    /// Returns the units that were sent up to and including `to`, without discarded records.
     pub fn total_up_to(&self, to: Millis) -> f64 {
         match self.sends.partition_point(|send| send.at <= to) {
             0 => 0.0,
@@ -56,12 +56,13 @@
         }
     }
 
-    /// Writes to `totals` what [`total_up_to`](Self::total_up_to) returns for each of `moments`, which must descend.
-    pub fn totals_up_to(&self, moments: impl Iterator<Item = Millis>, totals: &mut [f64]) {
+    /// Writes the result of [`total_up_to`](Self::total_up_to) for each of `times`, which must be in descending order, to
+    /// `totals`.
+    pub fn totals_up_to(&self, times: impl Iterator<Item = Millis>, totals: &mut [f64]) {
         let mut count = self.sends.len();
-        for (moment, total) in moments.zip(totals) {
-            let is_later = |index: usize| self.sends[index].at > moment;
-            // Galloping search: consecutive moments lie close together, so few steps are needed.
+        for (time, total) in times.zip(totals) {
+            let is_later = |index: usize| self.sends[index].at > time;
+            // Galloping search: consecutive times are close to each other, so that few steps are needed.
             let mut step = 1;
             while step <= count && is_later(count - step) {
                 count -= step;
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Recorded units sent after `from` and up to and including `to`.
+    /// Returns the units that were sent after `from` and up to and including `to`, without discarded records.
     pub fn units_between(&self, from: Millis, to: Millis) -> f64 {
         if to <= from {
             return 0.0;
@@ -85,13 +86,13 @@
         (self.total_up_to(to) - self.total_up_to(from)).max(0.0)
     }
 
-    /// Discards the records from before `moment`.
-    pub fn discard_before(&mut self, moment: Millis) {
-        while let Some(send) = self.sends.front().filter(|send| send.at < moment) {
+    /// Discards the records that are earlier than `time`.
+    pub fn discard_before(&mut self, time: Millis) {
+        while let Some(send) = self.sends.front().filter(|send| send.at < time) {
             self.discarded = send.total;
             self.sends.pop_front();
         }
-        // Totals restart at 0 with an empty log, so that they stay small enough to be exact.
+        // An empty log restarts its totals at 0, to preserve their precision.
         if self.sends.is_empty() {
             self.discarded = 0.0;
         }
--- a/crates/brassport-policy-stats/src/token_bucket.rs
+++ b/crates/brassport-policy-stats/src/token_bucket.rs
@@ -1,9 +1,9 @@
-//! A token bucket.
+//! A local token bucket.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 
-/// A token bucket whose rate and capacity are given at each refill, as both may be reconfigured.
+/// A token bucket. Rate and capacity are arguments of each refill, as both may be reconfigured.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Store")]
 pub struct TokenBucket {
@@ -13,18 +13,18 @@
 }
 
 impl TokenBucket {
-    /// An empty bucket that refills from `now` on.
+    /// Creates an empty bucket, whose refill starts at `now`.
     pub fn empty(now: Millis) -> TokenBucket {
         TokenBucket { level: 0.0, refilled_at: now }
     }
 
-    /// Adds the tokens accrued since the last refill, up to `capacity`.
+    /// Adds the tokens that accrued since the last refill, up to `capacity`.
     pub fn refill(&mut self, now: Millis, rate_per_s: f64, capacity: f64) {
         self.level = (self.level + (now - self.refilled_at).max(0.0) / 1000.0 * rate_per_s).min(capacity);
         self.refilled_at = now;
     }
 
-    /// Takes so many tokens if the bucket holds them; returns whether it did.
+    /// Takes the tokens if the bucket contains as many; returns whether it did.
     pub fn try_take(&mut self, tokens: f64) -> bool {
         let is_available = self.level >= tokens;
         self.level -= if is_available { tokens } else { 0.0 };
--- a/crates/brassport-policy-stats/src/value_history.rs
+++ b/crates/brassport-policy-stats/src/value_history.rs
@@ -1,10 +1,10 @@
-//! The recent values of a figure that is set now and then.
+//! The recent values of a variable.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// A figure that is set now and then, with its values at earlier moments.
+/// The recent values of a variable that changes from time to time, with the time of each change.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(expecting = "struct History")]
 pub struct ValueHistory {
@@ -13,20 +13,20 @@
 }
 
 impl ValueHistory {
-    /// Records the value that holds from `now` on, a moment no earlier than any before.
+    /// Records the value from `now` on. `now` must not be earlier than in previous calls.
     pub fn record(&mut self, now: Millis, value: f64) {
         self.values.push_back((now, value));
     }
 
-    /// The value that held at `moment`, or the first recorded one if that came later; `None` if there is none.
-    pub fn value_at(&self, moment: Millis) -> Option<f64> {
-        let held = self.values.iter().rev().find(|(at, _)| *at <= moment);
-        held.or(self.values.front()).map(|held| held.1)
+    /// Returns the value at `time`, or the first recorded value if that is later; `None` if no value was recorded.
+    pub fn value_at(&self, time: Millis) -> Option<f64> {
+        let last_change = self.values.iter().rev().find(|(at, _)| *at <= time);
+        last_change.or(self.values.front()).map(|change| change.1)
     }
 
-    /// Discards values that no longer held at `moment`.
-    pub fn discard_before(&mut self, moment: Millis) {
-        while self.values.len() > 1 && self.values[1].0 < moment {
+    /// Discards values that were replaced before `time`.
+    pub fn discard_before(&mut self, time: Millis) {
+        while self.values.len() > 1 && self.values[1].0 < time {
             self.values.pop_front();
         }
     }
--- a/crates/brassport-policy-stats/src/weighted_ring.rs
+++ b/crates/brassport-policy-stats/src/weighted_ring.rs
@@ -1,11 +1,11 @@
-//! A weighted set on a hash ring, from which members are sampled.
+//! Weighted sampling of the members of a hash ring.
 
 use crate::TrustedKeyMap;
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// A member at its position on the ring.
+/// A member, its position on the ring and its weight.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 struct Slot {
     #[serde(rename = "at")]
@@ -14,31 +14,33 @@
     weight: f64,
 }
 
-/// A set of weighted members, ordered on a ring by a hash of their identifiers: two sets with equal members and weights
-/// sample the same member for the same fraction, however each was built. A change and a sample cost the logarithm of
-/// the number of members.
+/// A set of weighted members on a ring, ordered by a hash of their identifiers. Two sets with equal members and weights
+/// sample the same member for the same fraction, independent of the order of insertion. Changes and samples take
+/// logarithmic time in the number of members.
 ///
-/// The ring is cut into arcs, at least as many as members; a Fenwick tree over the arcs' weights finds the arc of a
-/// fraction.
+/// The ring is divided into at least as many arcs as there are members. A Fenwick tree over the weights of the arcs finds
+/// the arc for a fraction.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(expecting = "struct Members")]
 pub struct WeightedRing {
-    /// The members, in no order, and the index of each.
+    /// The members, in arbitrary order.
     #[serde(rename = "row")]
     members: Vec<u32>,
+    /// The index of each member in `members`.
     #[serde(rename = "places")]
     indices: TrustedKeyMap<u32, usize>,
-    /// A power of two of arcs, no fewer than the members; within an arc the slots are sorted by position.
+    /// The slots of each arc, sorted by position. The number of arcs is 0 or a power of two, and never less than that of
+    /// the members.
     arcs: Vec<Vec<Slot>>,
-    /// Fenwick tree: sums of the arcs' weights over ranges that end at each arc.
+    /// Fenwick tree over the weights of the arcs: each element is the sum of a range that ends at its arc.
     sums: Vec<f64>,
-    /// Changes since the sums were last computed afresh, which removes accumulated rounding.
+    /// Changes since `sums` was last recomputed, which removes accumulated rounding errors.
     #[serde(rename = "changed")]
     changes: usize,
 }
 
-/// The position of a member on the ring. The same in every version of the program, as instances of two versions run
-/// side by side during an upgrade.
+/// Returns the position of a member on the ring. All versions of the program must compute the same position, as instances
+/// of two versions run at the same time during an upgrade.
 pub fn ring_position(member: u32) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write_u32(member);
@@ -46,17 +48,17 @@
 }
 
 impl WeightedRing {
-    /// The members, in no order.
+    /// Returns the members, in arbitrary order.
     pub fn members(&self) -> &[u32] {
         &self.members
     }
 
-    /// The mean weight, 0 if the set is empty.
+    /// Returns the mean weight; 0 if the set is empty.
     pub fn mean_weight(&self) -> f64 {
         self.sums.last().copied().unwrap_or(0.0) / self.members.len().max(1) as f64
     }
 
-    /// Adds a member or changes its weight; removes it if the weight is not a finite number above 0.
+    /// Adds a member or changes its weight. Removes the member if the weight is not a finite number above 0.
     pub fn set_weight(&mut self, member: u32, weight: f64) {
         let is_member = weight > 0.0 && weight.is_finite();
         match (self.indices.get(&member).copied(), is_member) {
@@ -81,28 +83,28 @@
         }
     }
 
-    /// Samples the member at this fraction (0 up to 1) of the ring's total weight; for uniform fractions each has a
-    /// probability in proportion to its weight. `None` if the set is empty.
+    /// Returns the member at this fraction (0 inclusive to 1 exclusive) of the total weight, in ring order; `None` if the
+    /// set is empty. With uniformly distributed fractions, the probability of a member is proportional to its weight.
     pub fn sample(&self, fraction: f64) -> Option<u32> {
-        let mut left = fraction * self.sums.last().copied().unwrap_or(0.0);
+        let mut rest = fraction * self.sums.last().copied().unwrap_or(0.0);
         let (mut arc, mut step) = (0, self.arcs.len() / 2);
         while step > 0 {
-            // The last sum is the total, and `left` lies below it.
-            if self.sums[arc + step - 1] <= left {
-                left -= self.sums[arc + step - 1];
+            // The last sum is the total weight, and `rest` is less than the total.
+            if self.sums[arc + step - 1] <= rest {
+                rest -= self.sums[arc + step - 1];
                 arc += step;
             }
             step /= 2;
         }
-        // Rounding may lead past the last slot of an arc, or to an empty arc.
-        let from = self.arcs.iter().skip(arc).flatten();
+        // Rounding errors may lead past the last slot of an arc or to an empty arc.
+        let slots = self.arcs.iter().skip(arc).flatten();
         let mut last = None;
-        for slot in from {
+        for slot in slots {
             last = Some(slot.member);
-            if left < slot.weight {
+            if rest < slot.weight {
                 return last;
             }
-            left -= slot.weight;
+            rest -= slot.weight;
         }
         last.or_else(|| self.arcs.iter().flatten().next().map(|slot| slot.member))
     }
@@ -126,9 +128,9 @@
         }
     }
 
-    /// The arc that covers a position.
+    /// Returns the index of the arc that contains a position.
     fn arc_of(&self, position: u64) -> usize {
-        // There is a power of two of arcs: the highest bits of the position.
+        // The number of arcs is a power of two, so that the highest bits of the position are the index.
         let bits = self.arcs.len().trailing_zeros();
         position.checked_shr(64 - bits).unwrap_or(0) as usize
     }
@@ -155,10 +157,10 @@
         for arc in 0..self.arcs.len() {
             let weight: f64 = self.arcs[arc].iter().map(|slot| slot.weight).sum();
             let number = arc + 1;
-            let (mut sum, mut below, least) = (weight, number - 1, number & (number - 1));
-            while below > least {
-                sum += self.sums[below - 1];
-                below &= below - 1;
+            let (mut sum, mut child, range_start) = (weight, number - 1, number & (number - 1));
+            while child > range_start {
+                sum += self.sums[child - 1];
+                child &= child - 1;
             }
             self.sums.push(sum);
         }
--- a/crates/brassport-policy-stats/tests/it/in_flight.rs
+++ b/crates/brassport-policy-stats/tests/it/in_flight.rs
@@ -8,7 +8,7 @@
     FinishAgain(usize),
     Wait(u16),
     Query(usize),
-    Windows(u16, u16),
+    SetWindows(u16, u16),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -18,7 +18,7 @@
         1 => any::<usize>().prop_map(Step::FinishAgain),
         2 => (0u16..400).prop_map(Step::Wait),
         2 => (0usize..2).prop_map(Step::Query),
-        1 => (1u16..1500, 1u16..1500).prop_map(|(a, b)| Step::Windows(a, b)),
+        1 => (1u16..1500, 1u16..1500).prop_map(|(a, b)| Step::SetWindows(a, b)),
     ];
     prop::collection::vec(step, 0..200)
 }
@@ -28,35 +28,35 @@
     fn attempts_within_an_age_match_a_linear_scan(steps in steps()) {
         let mut windows = [500.0, 1000.0];
         let mut counts = InFlightAttempts::new(windows);
-        let mut plain: Vec<(AttemptHandle, Millis)> = Vec::new();
-        let mut ended = Vec::new();
+        let mut model: Vec<(AttemptHandle, Millis)> = Vec::new();
+        let mut finished = Vec::new();
         let mut now = 0.0;
         for step in steps {
             match step {
-                Step::Start => plain.push((counts.start(now), now)),
-                Step::Finish(which) if !plain.is_empty() => {
-                    let (handle, _) = plain.swap_remove(which % plain.len());
+                Step::Start => model.push((counts.start(now), now)),
+                Step::Finish(index) if !model.is_empty() => {
+                    let (handle, _) = model.swap_remove(index % model.len());
                     counts.finish(handle);
-                    ended.push(handle);
+                    finished.push(handle);
                 }
                 Step::Finish(_) => {}
-                Step::FinishAgain(which) => {
-                    let again = ended.get(which % ended.len().max(1)).copied();
-                    again.into_iter().for_each(|handle| counts.finish(handle));
+                Step::FinishAgain(index) => {
+                    let repeated = finished.get(index % finished.len().max(1)).copied();
+                    repeated.into_iter().for_each(|handle| counts.finish(handle));
                 }
-                Step::Windows(first, second) => {
+                Step::SetWindows(first, second) => {
                     windows = [f64::from(first), f64::from(second)];
                     counts.set_windows(windows);
                 }
                 Step::Wait(millis) => now += f64::from(millis),
-                Step::Query(span) => {
-                    let young = plain.iter().filter(|(_, at)| *at > now - windows[span]).count();
-                    prop_assert_eq!(counts.count_within(span, now), young);
+                Step::Query(window) => {
+                    let expected = model.iter().filter(|(_, at)| *at > now - windows[window]).count();
+                    prop_assert_eq!(counts.count_within(window, now), expected);
                 }
             }
-            prop_assert_eq!(counts.len(), plain.len());
+            prop_assert_eq!(counts.len(), model.len());
         }
-        for (handle, _) in plain {
+        for (handle, _) in model {
             counts.finish(handle);
         }
         prop_assert!(counts.retained_entries() == 0);
--- a/crates/brassport-policy-stats/tests/it/main.rs
+++ b/crates/brassport-policy-stats/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Each estimator against a plain model of it, and its limits.
+//! Tests of each type against a simple reference implementation, and of its edge cases.
 
 mod class_statistics;
 mod cyclic_cursor;
--- a/crates/brassport-policy-stats/tests/it/shared_token_bucket.rs
+++ b/crates/brassport-policy-stats/tests/it/shared_token_bucket.rs
@@ -10,12 +10,12 @@
     bucket.record_send(1000.0, 3.0);
     assert_eq!(bucket.level_at(2000.0, FLOW), 4.0);
     assert_eq!(bucket.sent_above_rate(2000.0, 0.5), 2.0);
-    assert_eq!(bucket.level_at(60_000.0, FLOW), 10.0, "no more than it holds");
-    // The whole refill was used; what this instance sent is a part of that.
+    assert_eq!(bucket.level_at(60_000.0, FLOW), 10.0, "the level is at most the capacity");
+    // All instances together used as much as was refilled, which includes the sends of this instance.
     bucket.apply_reading(2000.0, 1.0, FLOW);
     assert_eq!((bucket.level_at(2000.0, FLOW), bucket.settled_until()), (4.0, 2000.0));
     bucket.apply_reading(1000.0, 0.0, FLOW);
-    assert_eq!(bucket.settled_until(), 2000.0, "what is settled stays so");
+    assert_eq!(bucket.settled_until(), 2000.0, "an earlier reading does not change the settled time");
 }
 
 proptest! {
@@ -34,7 +34,7 @@
         let mut cuts = cuts;
         cuts.sort_unstable();
         cuts.into_iter().for_each(|cut| in_steps.discard_before(f64::from(cut).min(now), flow));
-        let (one, other) = (at_once.level_at(20_000.0, flow), in_steps.level_at(20_000.0, flow));
-        prop_assert!((one - other).abs() < 1e-6, "{one} {other}");
+        let (expected, actual) = (at_once.level_at(20_000.0, flow), in_steps.level_at(20_000.0, flow));
+        prop_assert!((expected - actual).abs() < 1e-6, "{actual} instead of {expected}");
     }
 }
--- a/crates/brassport-policy-stats/tests/it/weighted_ring.rs
+++ b/crates/brassport-policy-stats/tests/it/weighted_ring.rs
@@ -4,30 +4,31 @@
 
 proptest! {
     #[test]
-    fn members_are_those_set_last_and_are_sampled_by_weight(
+    fn members_and_samples_match_a_linear_scan(
         steps in prop::collection::vec((0u32..20, 0u8..4), 0..300),
         fraction in 0.0..1.0f64,
     ) {
-        let (mut members, mut plain) = (WeightedRing::default(), BTreeMap::new());
+        let (mut ring, mut model) = (WeightedRing::default(), BTreeMap::new());
         for (member, weight) in steps {
             let weight = f64::from(weight);
-            members.set_weight(member, weight);
-            if weight > 0.0 { plain.insert(member, weight); } else { plain.remove(&member); }
-            let mut listed = members.members().to_vec();
+            ring.set_weight(member, weight);
+            if weight > 0.0 { model.insert(member, weight); } else { model.remove(&member); }
+            let mut listed = ring.members().to_vec();
             listed.sort_unstable();
-            prop_assert_eq!(listed, plain.keys().copied().collect::<Vec<_>>());
-            // Integer weights are added without rounding: the sample is the member in whose range the fraction falls.
-            let mut ring: Vec<u32> = plain.keys().copied().collect();
-            ring.sort_by_key(|&member| ring_position(member));
-            let total: f64 = plain.values().sum();
+            prop_assert_eq!(listed, model.keys().copied().collect::<Vec<_>>());
+            // Integer weights are added without rounding errors, so that the sample must be the member whose range contains
+            // the fraction.
+            let mut ring_order: Vec<u32> = model.keys().copied().collect();
+            ring_order.sort_by_key(|&member| ring_position(member));
+            let total: f64 = model.values().sum();
             let (mut sum, mut expected) = (0.0, None);
-            for member in ring {
-                sum += plain[&member];
+            for member in ring_order {
+                sum += model[&member];
                 if expected.is_none() && fraction * total < sum {
                     expected = Some(member);
                 }
             }
-            prop_assert_eq!(members.sample(fraction), expected);
+            prop_assert_eq!(ring.sample(fraction), expected);
         }
     }
 }
