--- a/crates/brassport-policy-stats/src/class_statistics.rs
+++ b/crates/brassport-policy-stats/src/class_statistics.rs
@@ -1,5 +1,5 @@
-//! Statistics of the request classes: each class's share of the arrivals, its response time, and the fraction of it that
-//! is admitted when classes of higher value have priority.
+//! Statistics of the request classes: each class's share of the arrivals, its response time, and the fraction
+//! of it that is admitted when classes of higher value have priority.
 
 use crate::{ewma_update, Millis};
 use serde::{Deserialize, Serialize};
@@ -44,8 +44,8 @@
         statistics
     }
 
-    /// Applies a new list of classes: replaces their values and keeps their statistics. An added class starts with a
-    /// share of 0.
+    /// Applies a new list of classes: replaces their values and keeps their statistics. An added class starts
+    /// with a share of 0.
     pub fn reconfigure(&mut self, classes: impl Iterator<Item = ClassPrior> + Clone) {
         let values: Vec<f64> = classes.clone().map(|class| class.value).collect();
         self.response_ms.extend(classes.skip(self.response_ms.len()).map(|class| class.response_ms));
@@ -70,14 +70,16 @@
         self.shares[class]
     }
 
-    /// Records an arrival; `weight` (0 to 1) is the weight of the sample in the moving averages of the shares.
+    /// Records an arrival; `weight` (0 to 1) is the weight of the sample in the moving averages of the
+    /// shares.
     pub fn record_arrival(&mut self, class: usize, weight: f64) {
         for (other, share) in self.shares.iter_mut().enumerate() {
             ewma_update(share, f64::from(u8::from(other == class)), weight);
         }
     }
 
-    /// Records a response time; `weight` (0 to 1) is the weight of the sample in the moving average of the class.
+    /// Records a response time; `weight` (0 to 1) is the weight of the sample in the moving average of the
+    /// class.
     pub fn record_response(&mut self, class: usize, time: Millis, weight: f64) {
         ewma_update(&mut self.response_ms[class], time, weight);
     }
@@ -92,12 +94,12 @@
         self.response_ms.iter().zip(&self.shares).map(|(time, share)| time * share).sum()
     }
 
-    /// Estimates the time from a client's first attempt to this attempt, whose time-out is `remaining`. Returns 0 for
-    /// a first attempt, and for a retry whose time-out does not allow an estimate.
+    /// Estimates the time from a client's first attempt to this attempt, whose time-out is `remaining`.
+    /// Returns 0 for a first attempt, and for a retry whose time-out does not allow an estimate.
     ///
-    /// A client limits each attempt by its own time-out and by the time left until its deadline. A time-out that is
-    /// shorter than the longest one of first attempts by more than `slack` is therefore the time left until the
-    /// deadline.
+    /// A client limits each attempt by its own time-out and by the time left until its deadline. A time-out
+    /// that is shorter than the longest one of first attempts by more than `slack` is therefore the time left
+    /// until the deadline.
     pub fn elapsed_before_retry(
         &mut self,
         class: usize,
@@ -114,8 +116,8 @@
         0.0
     }
 
-    /// Returns the fraction of a class to admit when `fraction` of all arrivals can be admitted. Classes of the lowest
-    /// value are shed first. A class with a share of 0 gets `fraction`.
+    /// Returns the fraction of a class to admit when `fraction` of all arrivals can be admitted. Classes of
+    /// the lowest value are shed first. A class with a share of 0 gets `fraction`.
     pub fn admitted_fraction(&self, fraction: f64, class: usize) -> f64 {
         let shares = &self.shares;
         let mut available = fraction * shares.iter().sum::<f64>();
--- a/crates/brassport-policy-stats/src/decaying_factor.rs
+++ b/crates/brassport-policy-stats/src/decaying_factor.rs
@@ -41,8 +41,8 @@
         ewma_update(&mut self.value, sample, weight);
     }
 
-    /// Adds a censored sample, of which only a lower bound is known. A bound below the average carries no information
-    /// and is ignored.
+    /// Adds a censored sample, of which only a lower bound is known. A bound below the average carries no
+    /// information and is ignored.
     pub fn observe_lower_bound(&mut self, bound: f64, weight: f64) {
         if bound > self.value {
             self.observe(bound, weight);
--- a/crates/brassport-policy-stats/src/due_queue.rs
+++ b/crates/brassport-policy-stats/src/due_queue.rs
@@ -19,8 +19,8 @@
         self.entries.push(Reverse((due.max(0.0).to_bits(), id)));
     }
 
-    /// Removes the earliest entry if it is due at or before `now`, and returns its due time and identifier. Entries with
-    /// the same due time are returned in ascending order of their identifiers.
+    /// Removes the earliest entry if it is due at or before `now`, and returns its due time and identifier.
+    /// Entries with the same due time are returned in ascending order of their identifiers.
     pub fn pop_due(&mut self, now: f64) -> Option<(f64, u32)> {
         let &Reverse((due, id)) = self.entries.peek()?;
         let due = f64::from_bits(due);
--- a/crates/brassport-policy-stats/src/exponential_rate.rs
+++ b/crates/brassport-policy-stats/src/exponential_rate.rs
@@ -3,8 +3,8 @@
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 
-/// An exponentially weighted rate: the quotient of an amount and the time in which it was observed, both of which decay
-/// with age.
+/// An exponentially weighted rate: the quotient of an amount and the time in which it was observed, both of
+/// which decay with age.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Fading")]
 pub struct ExponentialRate {
@@ -22,7 +22,8 @@
 
     /// Decays the amount and the observed time up to `now` and adds the time since the last call.
     ///
-    /// The time constant is `units / rate_per_s` seconds, which is the time in which `units` arrive at that rate.
+    /// The time constant is `units / rate_per_s` seconds, which is the time in which `units` arrive at that
+    /// rate.
     pub fn decay_to(&mut self, now: Millis, rate_per_s: f64, units: f64) {
         let seconds = (now - self.updated_at) / 1000.0;
         let retained = (-seconds * rate_per_s / units).exp();
@@ -45,8 +46,8 @@
         self.seconds
     }
 
-    /// Returns the rate per second, averaged over at least `min_seconds`, so that a single early event does not appear
-    /// as a high rate.
+    /// Returns the rate per second, averaged over at least `min_seconds`, so that a single early event does
+    /// not appear as a high rate.
     pub fn per_second(&self, min_seconds: f64) -> f64 {
         self.amount / self.seconds.max(min_seconds)
     }
--- a/crates/brassport-policy-stats/src/in_flight.rs
+++ b/crates/brassport-policy-stats/src/in_flight.rs
@@ -24,8 +24,8 @@
     first: u64,
 }
 
-/// Counts the attempts in flight, in total and in each of several age windows. Each operation takes amortized constant
-/// time.
+/// Counts the attempts in flight, in total and in each of several age windows. Each operation takes amortized
+/// constant time.
 #[derive(Debug, Clone, Default)]
 pub struct InFlightAttempts {
     /// All attempts since the oldest one in flight, in order of their start.
@@ -61,7 +61,8 @@
         self.in_flight == 0
     }
 
-    /// Returns the number of entries in memory: all attempts, ended ones included, since the oldest in flight.
+    /// Returns the number of entries in memory: all attempts, ended ones included, since the oldest in
+    /// flight.
     pub fn retained_entries(&self) -> usize {
         self.attempts.len()
     }
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Returns the number of attempts in flight whose age at `now` is less than the length of the window with this
-    /// index.
+    /// Returns the number of attempts in flight whose age at `now` is less than the length of the window with
+    /// this index.
     ///
     /// # Panics
     /// If no window has this index.
--- a/crates/brassport-policy-stats/src/lib.rs
+++ b/crates/brassport-policy-stats/src/lib.rs
@@ -1,8 +1,9 @@
 //! Counters, estimators and ordered collections of the decision module `brassport-policy`.
 //!
-//! Each type maintains one statistic. An operation takes constant or logarithmic time in the number of entries. The types
-//! make no decisions (`brassport-policy` decides which requests are admitted and which server gets an attempt), do no I/O
-//! and read no clock. Times are arguments, in milliseconds of one monotonic clock, and must not decrease between calls.
+//! Each type maintains one statistic. An operation takes constant or logarithmic time in the number of
+//! entries. The types make no decisions (`brassport-policy` decides which requests are admitted and which
+//! server gets an attempt), do no I/O and read no clock. Times are arguments, in milliseconds of one
+//! monotonic clock, and must not decrease between calls.
 //!
 //! | concept | type |
 //! | --- | --- |
@@ -14,15 +15,17 @@
 //! | values of a setting over time | [`ValueHistory`] |
 //! | end and reporting delay of the meter's periods | [`MeterClock`] |
 //! | usage at other instances; typical usage of a plan's customers | [`RemoteUsage`], [`PlanUsage`] |
-//! | retries after a rejection, and their effect on admission | [`RetryEstimator`], [`eventual_admission_fraction`], [`attempt_admission_probability`] |
+//! | probability of a retry after a rejection | [`RetryEstimator`] |
+//! | effect of retries on admission | [`eventual_admission_fraction`], [`attempt_admission_probability`] |
 //! | classes: shares, response times, admission by value | [`ClassStatistics`] |
 //! | rejections and their log lines | [`RejectionCounts`] |
 //! | weighted sampling on a hash ring | [`WeightedRing`] |
 //! | identifiers by due time | [`DueQueue`] |
 //! | maps with trusted or untrusted keys, cyclic scans | [`UntrustedKeyMap`], [`TrustedKeyMap`], [`CyclicCursor`] |
 //!
-//! Several types are part of the hand-over state that `brassport-policy` serializes. `#[serde(rename)]` fixes their names
-//! in the serialized form and `#[serde(expecting)]` those in its error messages. These names must not change.
+//! Several types are part of the hand-over state that `brassport-policy` serializes. `#[serde(rename)]` fixes
+//! their names in the serialized form and `#[serde(expecting)]` those in its error messages. These names must
+//! not change.
 //!
 //! ```
 //! use brassport_policy_stats::{InFlightAttempts, TokenBucket};
--- a/crates/brassport-policy-stats/src/maps.rs
+++ b/crates/brassport-policy-stats/src/maps.rs
@@ -6,7 +6,8 @@
 use std::hash::{BuildHasher, Hash};
 use std::iter::Flatten;
 
-/// A map whose keys clients may choose. Its hash is randomly keyed, so that clients cannot provoke collisions.
+/// A map whose keys clients may choose. Its hash is randomly keyed, so that clients cannot provoke
+/// collisions.
 pub type UntrustedKeyMap<K, V> = IndexMap<K, V>;
 /// A map whose keys this program or the operator assigns. Its hash is fast and not keyed.
 pub type TrustedKeyMap<K, V> = IndexMap<K, V, FxBuildHasher>;
@@ -37,8 +38,8 @@
         matches: impl Fn(&V) -> bool,
     ) -> Flatten<IntoIter<Option<K>, STEP>> {
         let mut found = [None; STEP];
-        // Iterates backwards: `swap_remove` moves the last entry to the index of the removed one, so that no entry is
-        // skipped, and entries that are appended during a cycle don't extend it.
+        // Iterates backwards: `swap_remove` moves the last entry to the index of the removed one, so that no
+        // entry is skipped, and entries that are appended during a cycle don't extend it.
         for slot in &mut found {
             self.index = self.index.min(map.len()).checked_sub(1).unwrap_or(map.len().saturating_sub(1));
             let Some((key, value)) = map.get_index(self.index) else { break };
--- a/crates/brassport-policy-stats/src/meter_clock.rs
+++ b/crates/brassport-policy-stats/src/meter_clock.rs
@@ -1,10 +1,10 @@
 //! Estimates which period of the meter a reading covers.
 //!
-//! A reading contains a customer's usage in the last period that the meter has summed, but does not identify the period.
-//! The ends of the periods and the delay until they are reported are the same for all customers and rarely change. They
-//! can be estimated, as the sends of this instance in the covered period are a part of the usage that the meter counted.
-//! Each reading adds the difference between the two, its misfit, to every candidate alignment. The estimate is the
-//! candidate with the lowest total.
+//! A reading contains a customer's usage in the last period that the meter has summed, but does not identify
+//! the period. The ends of the periods and the delay until they are reported are the same for all customers
+//! and rarely change. They can be estimated, as the sends of this instance in the covered period are a part
+//! of the usage that the meter counted. Each reading adds the difference between the two, its misfit, to
+//! every candidate alignment. The estimate is the candidate with the lowest total.
 
 use crate::{Millis, SendLog};
 use serde::{Deserialize, Serialize};
@@ -21,12 +21,13 @@
 const PRIOR_MISFIT_PER_PERIOD: f64 = 1.0;
 /// Upper bound of the misfit of one reading, in units. Limits the effect of the sends of other instances.
 const MAX_READING_MISFIT: f64 = 2.0;
-/// Fraction of the total misfit that is retained at each reading. About the last thousand readings count, so that a
-/// changed delay is detected.
+/// Fraction of the total misfit that is retained at each reading. About the last thousand readings count, so
+/// that a changed delay is detected.
 const MISFIT_RETENTION: f64 = 0.999;
 /// Weight of a reading above which all misfits are scaled down, to preserve their precision.
 const MAX_WEIGHT: f64 = 1e9;
-/// Number of independent minima that are computed in parallel, so that the compiler can use vector instructions.
+/// Number of independent minima that are computed in parallel, so that the compiler can use vector
+/// instructions.
 const LANES: usize = 8;
 /// Number of times, one part of a period apart, up to which sends are summed for a reading.
 const PART_BOUNDARIES: usize = DELAY_CANDIDATES + 2 * PARTS_PER_PERIOD;
@@ -38,7 +39,8 @@
     /// Total misfit of each candidate, scaled by `weight`. The index is the period end, in parts, times
     /// [`DELAY_CANDIDATES`] plus the delay, in parts.
     misfit: Vec<f64>,
-    /// Weight of the last reading. It grows with each reading, which is equivalent to a decay of the previous misfits.
+    /// Weight of the last reading. It grows with each reading, which is equivalent to a decay of the previous
+    /// misfits.
     weight: f64,
     /// Index of the candidate with the lowest misfit.
     best: usize,
@@ -91,8 +93,9 @@
             &mut sent_until,
         );
         for end in 0..PARTS_PER_PERIOD {
-            // Parts of a period since the last period end of this candidate. With a delay of at most that, the reading
-            // covers the period that ended then; each further period of delay moves it to the period before.
+            // Parts of a period since the last period end of this candidate. With a delay of at most that,
+            // the reading covers the period that ended then; each further period of delay moves it to the
+            // period before.
             let since = (parts - end as f64).rem_euclid(PARTS_PER_PERIOD as f64) as usize;
             let candidates = &mut self.misfit[end * DELAY_CANDIDATES..][..DELAY_CANDIDATES];
             let mut first = 0;
--- a/crates/brassport-policy-stats/src/plan_usage.rs
+++ b/crates/brassport-policy-stats/src/plan_usage.rs
@@ -1,8 +1,12 @@
 //! Estimates the typical usage of a plan's customers from meter readings.
 //!
-//! Readings are biased in two ways, and both are corrected. A reading arrives with a response, so that it counts only
-//! admitted requests: the usage is divided by the admitted fraction of first attempts to get the offered load. Customers
-//! that offer more are read more often: a reading is weighted by the inverse of the customer's estimated offered load.
+//! Readings are biased in two ways, and both are corrected:
+//!
+//! * A reading arrives with a response, so that only customers with admitted requests have readings, and
+//!   these cover only the units that were sent. Dividing them by the admitted fraction of first attempts
+//!   yields the offered load.
+//! * Customers that offer more have more readings. A reading is therefore weighted by the inverse of the
+//!   customer's estimated offered load.
 
 use crate::ewma_update;
 use serde::{Deserialize, Serialize};
@@ -19,7 +23,7 @@
     pub local_offered: f64,
     /// Fraction of the customer's first attempts that other instances admit.
     pub admitted_fraction: f64,
-    /// Estimate, before this reading, of the rate offered to all instances.
+    /// Estimate, before this reading, of the rate that the customer offers.
     pub estimated_offered: f64,
 }
 
@@ -42,21 +46,21 @@
         PlanUsage { sent: usage, offered: usage, admitted_fraction: 1.0 }
     }
 
-    /// Records a first attempt of a customer whose requests are admitted with this probability. `weight` (0 to 1) is the
-    /// weight of the sample.
+    /// Records a first attempt of a customer whose requests are admitted with this probability. `weight` (0
+    /// to 1) is the weight of the sample.
     pub fn record_arrival(&mut self, admitted_fraction: f64, weight: f64) {
         ewma_update(&mut self.admitted_fraction, admitted_fraction, weight);
     }
 
-    /// Estimates the fraction of a customer's first attempts that other instances admit: the mean of the fraction
-    /// admitted here, `local`, and that of all customers. `confidence` (0 to 1) is the weight of `local`, the probability
-    /// that other instances know the customer as well as this one.
+    /// Estimates the fraction of a customer's first attempts that other instances admit: the weighted mean of
+    /// the fraction admitted here, `local`, and that of all customers. `confidence` (0 to 1) is the weight of
+    /// `local`, the probability that other instances know the customer as well as this one.
     pub fn remote_admitted_fraction(&self, local: f64, confidence: f64) -> f64 {
         confidence * local + (1.0 - confidence) * self.admitted_fraction
     }
 
-    /// Applies a reading with this weight (0 to 1). In the mean offered load the weight is divided by the customer's
-    /// estimated offered load.
+    /// Applies a reading with this weight (0 to 1). In the mean offered load the weight is divided by the
+    /// customer's estimated offered load.
     pub fn observe(&mut self, reading: CustomerReading, weight: f64) {
         let CustomerReading { remote_sent, local_offered, .. } = reading;
         let sent = (remote_sent + local_offered * reading.admitted_fraction).max(0.0);
--- a/crates/brassport-policy-stats/src/rejection_counts.rs
+++ b/crates/brassport-policy-stats/src/rejection_counts.rs
@@ -1,11 +1,13 @@
 //! Counts of rejections for other reasons than a quota, and the log lines that report them.
 //!
-//! The log lines are sent as text over the wire protocol of `brassport-policy`, whose golden fixtures contain them.
+//! The log lines are sent as text over the wire protocol of `brassport-policy`, whose golden fixtures contain
+//! them.
 
 use crate::Millis;
 
-/// Returns the log line for a server that was ejected by a failure, or has responded after its ejection; `None` if
-/// neither happened. `failures` is the number of consecutive failures, of which `threshold` eject a server.
+/// Returns the log line for a server that was ejected by a failure, or has responded after its ejection;
+/// `None` if neither happened. `failures` is the number of consecutive failures, of which `threshold` eject a
+/// server.
 pub fn ejection_log_line(server: u32, was_ejected: bool, failures: u32, threshold: u32) -> Option<String> {
     let text = match (was_ejected, failures) {
         (true, 0) => "answers again",
@@ -50,8 +52,8 @@
         self.previous_no_server + u64::from(self.no_server)
     }
 
-    /// If the log interval of a second has ended, returns its log lines and starts the next one. `capacity` is the capacity
-    /// of the servers as a fraction of the load that the quotas admit.
+    /// If the log interval of a second has ended, returns its log lines and starts the next one. `capacity`
+    /// is the capacity of the servers as a fraction of the load that the quotas admit.
     pub fn take_log_lines(&mut self, now: Millis, capacity: f64) -> Vec<String> {
         let mut lines = Vec::new();
         if now < self.interval_start + LOG_INTERVAL_MS {
--- a/crates/brassport-policy-stats/src/remote_usage.rs
+++ b/crates/brassport-policy-stats/src/remote_usage.rs
@@ -3,8 +3,8 @@
 use crate::{ewma_update, Millis};
 use serde::{Deserialize, Serialize};
 
-/// The time constant with which readings decay: the time in which `units` arrive, but at least `units` times the mean
-/// time between readings.
+/// The time constant with which readings decay: the time in which `units` arrive, but at least `units` times
+/// the mean time between readings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReadingDecay {
     /// Rate at which the units arrive, in units per second.
@@ -38,7 +38,8 @@
 }
 
 impl RemoteUsage {
-    /// Creates an estimate without readings. `reading_gap_s` is the expected time between readings, in seconds.
+    /// Creates an estimate without readings. `reading_gap_s` is the expected time between readings, in
+    /// seconds.
     pub fn new(reading_gap_s: f64) -> RemoteUsage {
         RemoteUsage { seconds: 0.0, sent: 0.0, offered: 0.0, updated_at: None, reading_gap_s }
     }
@@ -63,14 +64,15 @@
         }
     }
 
-    /// Returns the weight (0 to 1) of the readings in an estimate whose prior has the weight of `prior_units` units.
+    /// Returns the weight (0 to 1) of the readings in an estimate whose prior has the weight of `prior_units`
+    /// units.
     pub fn confidence(&self, now: Millis, decay: ReadingDecay, prior_units: f64) -> f64 {
         let seconds = self.decayed(now, decay).seconds;
         seconds / (prior_units / decay.rate_per_s + seconds)
     }
 
-    /// Adds a reading of other instances. `gap_weight` (0 to 1) is the weight of the time since the last reading in the
-    /// mean time between readings.
+    /// Adds a reading of other instances. `gap_weight` (0 to 1) is the weight of the time since the last
+    /// reading in the mean time between readings.
     pub fn observe(&mut self, now: Millis, decay: ReadingDecay, reading: UsageWindow, gap_weight: f64) {
         if let Some(at) = self.updated_at {
             ewma_update(&mut self.reading_gap_s, (now - at) / 1000.0, gap_weight);
--- a/crates/brassport-policy-stats/src/send_log.rs
+++ b/crates/brassport-policy-stats/src/send_log.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Writes the result of [`total_up_to`](Self::total_up_to) for each of `times`, which must be in descending order, to
-    /// `totals`.
+    /// Writes the result of [`total_up_to`](Self::total_up_to) for each of `times`, which must be in
+    /// descending order, to `totals`.
     pub fn totals_up_to(&self, times: impl Iterator<Item = Millis>, totals: &mut [f64]) {
         let mut count = self.sends.len();
         for (time, total) in times.zip(totals) {
--- a/crates/brassport-policy-stats/src/shared_token_bucket.rs
+++ b/crates/brassport-policy-stats/src/shared_token_bucket.rs
@@ -16,9 +16,9 @@
 
 /// A shared token bucket: its level at the settled time, and the recent sends of this instance.
 ///
-/// The level is settled up to the end of the last period whose usage is taken into account, from a meter reading or, for
-/// periods too old for a reading, from an estimate. From the settled time on it is estimated from the refill, the sends
-/// of this instance and the estimated usage of the others.
+/// The level is settled up to the end of the last period whose usage is taken into account, from a meter
+/// reading or, for periods too old for a reading, from an estimate. From the settled time on it is estimated
+/// from the refill, the sends of this instance and the estimated usage of the others.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(expecting = "struct Shared")]
 pub struct SharedTokenBucket {
@@ -69,15 +69,16 @@
         self.sends.discard_before(oldest);
     }
 
-    /// Settles the level up to `to` with a reading: from the settled time to `to`, all instances together used the refill
-    /// times `used`.
+    /// Settles the level up to `to` with a reading: from the settled time to `to`, all instances together
+    /// used the refill times `used`.
     pub fn apply_reading(&mut self, to: Millis, used: f64, flow: BucketFlow) {
         let seconds = (to - self.settled_until).max(0.0) / 1000.0;
         self.level = (self.level + (1.0 - used) * flow.rate_per_s * seconds).clamp(0.0, flow.capacity);
         self.settled_until = self.settled_until.max(to);
     }
 
-    /// Returns by how many units the sends of this instance since the settled time exceed this rate; 0 if they don't.
+    /// Returns by how many units the sends of this instance since the settled time exceed this rate; 0 if
+    /// they don't.
     pub fn sent_above_rate(&self, now: Millis, rate_per_s: f64) -> f64 {
         let sent = self.sends.units_between(self.settled_until, now);
         (sent - rate_per_s * (now - self.settled_until) / 1000.0).max(0.0)
--- a/crates/brassport-policy-stats/src/value_history.rs
+++ b/crates/brassport-policy-stats/src/value_history.rs
@@ -18,7 +18,8 @@
         self.values.push_back((now, value));
     }
 
-    /// Returns the value at `time`, or the first recorded value if that is later; `None` if no value was recorded.
+    /// Returns the value at `time`, or the first recorded value if that is later; `None` if no value was
+    /// recorded.
     pub fn value_at(&self, time: Millis) -> Option<f64> {
         let last_change = self.values.iter().rev().find(|(at, _)| *at <= time);
         last_change.or(self.values.front()).map(|change| change.1)
--- a/crates/brassport-policy-stats/src/weighted_ring.rs
+++ b/crates/brassport-policy-stats/src/weighted_ring.rs
@@ -14,12 +14,12 @@
     weight: f64,
 }
 
-/// A set of weighted members on a ring, ordered by a hash of their identifiers. Two sets with equal members and weights
-/// sample the same member for the same fraction, independent of the order of insertion. Changes and samples take
-/// logarithmic time in the number of members.
+/// A set of weighted members on a ring, ordered by a hash of their identifiers. Two sets with equal members
+/// and weights sample the same member for the same fraction, independent of the order of insertion. Changes
+/// and samples take logarithmic time in the number of members.
 ///
-/// The ring is divided into at least as many arcs as there are members. A Fenwick tree over the weights of the arcs finds
-/// the arc for a fraction.
+/// The ring is divided into at least as many arcs as there are members. A Fenwick tree over the weights of
+/// the arcs finds the arc for a fraction.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(expecting = "struct Members")]
 pub struct WeightedRing {
@@ -29,8 +29,8 @@
     /// The index of each member in `members`.
     #[serde(rename = "places")]
     indices: TrustedKeyMap<u32, usize>,
-    /// The slots of each arc, sorted by position. The number of arcs is 0 or a power of two, and never less than that of
-    /// the members.
+    /// The slots of each arc, sorted by position. The number of arcs is 0 or a power of two, and never less
+    /// than that of the members.
     arcs: Vec<Vec<Slot>>,
     /// Fenwick tree over the weights of the arcs: each element is the sum of a range that ends at its arc.
     sums: Vec<f64>,
@@ -39,8 +39,8 @@
     changes: usize,
 }
 
-/// Returns the position of a member on the ring. All versions of the program must compute the same position, as instances
-/// of two versions run at the same time during an upgrade.
+/// Returns the position of a member on the ring. All versions of the program must compute the same position,
+/// as instances of two versions run at the same time during an upgrade.
 pub fn ring_position(member: u32) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write_u32(member);
@@ -83,8 +83,9 @@
         }
     }
 
-    /// Returns the member at this fraction (0 inclusive to 1 exclusive) of the total weight, in ring order; `None` if the
-    /// set is empty. With uniformly distributed fractions, the probability of a member is proportional to its weight.
+    /// Returns the member at this fraction (0 inclusive to 1 exclusive) of the total weight, in ring order;
+    /// `None` if the set is empty. With uniformly distributed fractions, the probability of a member is
+    /// proportional to its weight.
     pub fn sample(&self, fraction: f64) -> Option<u32> {
         let mut rest = fraction * self.sums.last().copied().unwrap_or(0.0);
         let (mut arc, mut step) = (0, self.arcs.len() / 2);
--- a/crates/brassport-policy-stats/tests/it/cyclic_cursor.rs
+++ b/crates/brassport-policy-stats/tests/it/cyclic_cursor.rs
@@ -10,8 +10,8 @@
     ) {
         let mut map: UntrustedKeyMap<u32, bool> = (0..permanent as u32).map(|key| (key, true)).collect();
         let (mut cursor, mut visited) = (CyclicCursor::<4>::default(), BTreeSet::new());
-        // Keys from 100 on are inserted and removed during the cycles. The map has at most 100 entries, so that a cycle
-        // has at most 25 steps of 4 entries.
+        // Keys from 100 on are inserted and removed during the cycles. The map has at most 100 entries, so
+        // that a cycle has at most 25 steps of 4 entries.
         let mut changes = changes.into_iter();
         for _ in 0..2 * 25 {
             for (is_inserted, key) in changes.by_ref().take(1) {
--- a/crates/brassport-policy-stats/tests/it/meter_clock.rs
+++ b/crates/brassport-policy-stats/tests/it/meter_clock.rs
@@ -21,7 +21,8 @@
     serde_json::from_value(serde_json::to_value(clock).unwrap()).unwrap()
 }
 
-/// Reference implementation: compares every candidate with every reading and decays the misfits at each reading.
+/// Reference implementation: compares every candidate with every reading and decays the misfits at each
+/// reading.
 struct ReferenceModel {
     misfit: Vec<f64>,
 }
@@ -71,8 +72,8 @@
     }
 }
 
-/// Observes readings of a meter with this period end and delay, in parts of a period, for one customer whose requests
-/// this gateway and another one send. Returns the estimated candidate.
+/// Observes readings of a meter with this period end and delay, in parts of a period, for one customer whose
+/// requests this gateway and another one send. Returns the estimated candidate.
 fn estimate(end: usize, delay: usize, readings: usize) -> usize {
     let (period, part) = (500.0, 50.0);
     let mut clock = MeterClock::new(period);
@@ -105,7 +106,8 @@
 
 #[test]
 fn a_changed_delay_is_detected_after_the_weight_was_rescaled() {
-    // Three times as many readings as it takes the weight to reach its maximum, then a longer reporting delay.
+    // Three times as many readings as it takes the weight to reach its maximum, then a longer reporting
+    // delay.
     let mut clock = MeterClock::new(500.0);
     let mut sends = SendLog::default();
     let mut estimate = |clock: &mut MeterClock, steps: std::ops::Range<u32>, delay: f64| {
--- a/crates/brassport-policy-stats/tests/it/plan_usage.rs
+++ b/crates/brassport-policy-stats/tests/it/plan_usage.rs
@@ -4,8 +4,8 @@
     CustomerReading { remote_sent, local_offered: 0.0, admitted_fraction, estimated_offered }
 }
 
-/// One customer in eight offers 2.5 quotas, the others 0.5. The number of a customer's readings is proportional to its
-/// admitted load.
+/// One customer in eight offers 2.5 quotas, the others 0.5. The number of a customer's readings is
+/// proportional to its admitted load.
 #[test]
 fn readings_of_admitted_customers_yield_the_mean_offered_load() {
     let mut usage = PlanUsage::new(0.5);
@@ -35,7 +35,8 @@
     let mut usage = PlanUsage::new(0.5);
     for _ in 0..500 {
         usage.record_arrival(0.8, 0.03);
-        // A tenth of this customer's first attempts is admitted. The scaling uses the fraction of all customers, 0.8.
+        // A tenth of this customer's first attempts is admitted. The scaling uses the fraction of all
+        // customers, 0.8.
         usage.observe(reading(2.0, 0.1, 1.0), 0.05);
     }
     assert!((usage.offered - 2.5).abs() < 0.01, "{}", usage.offered);
--- a/crates/brassport-policy-stats/tests/it/remote_usage.rs
+++ b/crates/brassport-policy-stats/tests/it/remote_usage.rs
@@ -17,7 +17,8 @@
     let retained = (-1.0f64).exp();
     let UsageWindow { seconds, sent, .. } = usage.decayed(5000.0, DECAY);
     assert!((seconds - 0.5 * retained).abs() < 1e-12 && (sent - 3.0 * retained).abs() < 1e-12);
-    // The gap was 4 s. With a weight of 0.3 the mean gap rises from 1 s to 1.9 s, and the time constant to 7.6 s.
+    // The gap was 4 s. With a weight of 0.3 the mean gap rises from 1 s to 1.9 s, and the time constant to
+    // 7.6 s.
     usage.observe(5000.0, DECAY, window(0.5, -9.0, 0.0), 0.3);
     let past_seconds = usage.decayed(5000.0, DECAY).seconds - 0.5;
     let confidence = usage.confidence(5000.0, DECAY, 1.0);
--- a/crates/brassport-policy-stats/tests/it/weighted_ring.rs
+++ b/crates/brassport-policy-stats/tests/it/weighted_ring.rs
@@ -16,8 +16,8 @@
             let mut listed = ring.members().to_vec();
             listed.sort_unstable();
             prop_assert_eq!(listed, model.keys().copied().collect::<Vec<_>>());
-            // Integer weights are added without rounding errors, so that the sample must be the member whose range contains
-            // the fraction.
+            // Integer weights are added without rounding errors, so that the sample must be the member whose
+            // range contains the fraction.
             let mut ring_order: Vec<u32> = model.keys().copied().collect();
             ring_order.sort_by_key(|&member| ring_position(member));
             let total: f64 = model.values().sum();
