--- a/crates/brassport-quota/src/account.rs
+++ b/crates/brassport-quota/src/account.rs
@@ -1,106 +1,115 @@
-//! What one node holds and counts of one tenant.
+//! The account of one tenant at a node.
 
 use crate::rate_limit::NodeShare;
-use crate::retry_advice::{CoordinatorContact, RetryAdvice};
+use crate::retry_delays::{CoordinatorContact, RetryDelays};
 use crate::token_bucket::TokenBucket;
 use crate::{Millis, QuotaGrant, TenantId, UsageReport, METER_PERIOD_MS};
 
-/// What all nodes sent in the last complete meter period, and when that was received.
+/// The last meter reading that the node received.
 #[derive(Debug)]
-struct Reading {
+struct MeterReading {
+    /// Requests forwarded by all nodes in the last complete meter period.
     sent_by_all: u32,
     received_at: Millis,
 }
 
-/// One tenant's account at a node.
+/// One node's quota and counters of one tenant.
 #[derive(Debug, Default)]
 pub(crate) struct Account {
+    /// Requests received since the account was created.
     offered: u64,
+    /// Requests forwarded since the account was created.
     sent: u64,
-    /// The node's own part of the limit; none before the first request under a limit.
-    base: Option<TokenBucket>,
-    /// Requests granted ahead. Below zero where requests passed that had to.
+    /// The node's base share of the limit; `None` until the first request with a limit.
+    base_bucket: Option<TokenBucket>,
+    /// Requests granted in advance and not spent. Negative after forced requests.
     prefetched: f64,
     /// Requests that the next report asks for.
     wanted: f64,
-    reading: Option<Reading>,
+    meter_reading: Option<MeterReading>,
     last_used: Millis,
-    advice: RetryAdvice,
+    retry_delays: RetryDelays,
     last_reported: Option<UsageReport>,
 }
 
 impl Account {
-    /// Notes that the tenant is in use.
-    pub(crate) fn touch(&mut self, now: Millis) {
+    /// Records that the tenant is in use.
+    pub(crate) fn record_use(&mut self, now: Millis) {
         self.last_used = now;
     }
 
-    /// Whether nothing came of the tenant for longer than this.
+    /// Returns whether the tenant was not in use for longer than `idle_timeout`.
     pub(crate) fn is_idle(&self, now: Millis, idle_timeout: Millis) -> bool {
         now > self.last_used + idle_timeout
     }
 
-    /// Counts a request that came.
+    /// Counts a received request.
     pub(crate) fn record_offered(&mut self) {
         self.offered += 1;
     }
 
-    /// Counts a request that no limit applies to.
-    pub(crate) fn count_unlimited(&mut self) {
+    /// Counts a forwarded request without a limit.
+    pub(crate) fn record_unlimited(&mut self) {
         self.sent += 1;
     }
 
-    /// Counts a request that passes in any case, as a debt of what is granted ahead.
+    /// Counts a request that is forwarded in any case, and deducts it from the granted requests, which may
+    /// become negative.
     pub(crate) fn force_acquire(&mut self) {
         self.sent += 1;
         self.prefetched -= 1.0;
     }
 
-    /// Brings the tokens up to now. A limit that was lowered holds for what is prefetched too.
+    /// Refills the base bucket up to `now`. Caps the prefetched requests too, as the limit may have been
+    /// lowered.
     pub(crate) fn refill(&mut self, now: Millis, share: &NodeShare) {
-        // A new process has half a bucket: what an earlier incarnation spent is not known.
-        let base = self.base.get_or_insert_with(|| TokenBucket::new((share.base_depth / 2.0).max(1.0), now));
-        base.refill(now, share.base_rate_per_s, share.base_depth);
+        // A new process starts with half a bucket, as the usage of earlier incarnations is unknown.
+        let base_bucket =
+            self.base_bucket.get_or_insert_with(|| TokenBucket::new((share.base_depth / 2.0).max(1.0), now));
+        base_bucket.refill(now, share.base_rate_per_s, share.base_depth);
         self.prefetched = self.prefetched.min(share.prefetch_limit);
     }
 
-    /// Spends one request, prefetched ones first. Returns whether there was one.
-    pub(crate) fn try_spend(&mut self, share: &NodeShare) -> bool {
+    /// Takes one request, from the prefetched ones first and from the base bucket otherwise; returns whether
+    /// it did.
+    pub(crate) fn try_acquire(&mut self, share: &NodeShare) -> bool {
         let is_spent = if self.prefetched >= 1.0 {
             self.prefetched -= 1.0;
             true
         } else {
-            self.base.as_mut().is_some_and(TokenBucket::try_take_one)
+            self.base_bucket.as_mut().is_some_and(TokenBucket::try_take_one)
         };
         self.sent += u64::from(is_spent);
         self.wanted = (share.prefetch_limit - self.prefetched).max(0.0);
         is_spent
     }
 
-    /// Whether the next two requests may not pass without a grant.
+    /// Returns whether fewer than two further requests could be forwarded without a grant.
     pub(crate) fn is_low(&self) -> bool {
-        self.prefetched < 1.0 && self.base.as_ref().is_none_or(|base| base.tokens() < 2.0)
+        self.prefetched < 1.0 && self.base_bucket.as_ref().is_none_or(|bucket| bucket.tokens() < 2.0)
     }
 
-    /// Counts a rejection. Returns the milliseconds after which the client should retry.
+    /// Records a rejection and returns the retry delay for the client, in milliseconds.
     pub(crate) fn reject(&mut self, now: Millis, share: &NodeShare, contact: CoordinatorContact) -> Millis {
-        let until_token_ms = self.base.as_ref().map_or(0.0, |base| base.until_one_ms(share.base_rate_per_s));
-        self.advice.reject(now, until_token_ms, share, contact)
+        let bucket = self.base_bucket.as_ref();
+        let until_token_ms = bucket.map_or(0.0, |bucket| bucket.until_one_ms(share.base_rate_per_s));
+        self.retry_delays.reject(now, until_token_ms, share, contact)
     }
 
-    /// When a request was rejected last.
+    /// Returns the time of the last rejection.
     pub(crate) fn last_rejection(&self) -> Option<Millis> {
-        self.advice.last_rejection()
+        self.retry_delays.last_rejection()
     }
 
-    /// What all nodes sent in the last complete meter period, unless the reading is older than two periods.
-    pub(crate) fn reading(&self, now: Millis) -> Option<u32> {
-        let reading = self.reading.as_ref()?;
+    /// Returns the requests forwarded by all nodes in the last complete meter period; `None` if the reading
+    /// is two periods old or older.
+    pub(crate) fn meter_reading(&self, now: Millis) -> Option<u32> {
+        let reading = self.meter_reading.as_ref()?;
         (now < reading.received_at + 2 * METER_PERIOD_MS).then_some(reading.sent_by_all)
     }
 
-    /// The report for the coordinator; none if it would say the same as the last one and asks for nothing.
-    pub(crate) fn report(&mut self, tenant: TenantId) -> Option<UsageReport> {
+    /// Returns the report for the coordinator; `None` if it equals the last one and asks for no requests.
+    pub(crate) fn next_report(&mut self, tenant: TenantId) -> Option<UsageReport> {
         let report =
             UsageReport { tenant, offered: self.offered, sent: self.sent, wanted: self.wanted as u16 };
         if self.last_reported == Some(report) && report.wanted == 0 {
@@ -110,11 +119,11 @@
         Some(report)
     }
 
-    /// Adds what the coordinator granted.
+    /// Adds the requests that the coordinator granted.
     pub(crate) fn apply_grant(&mut self, now: Millis, grant: &QuotaGrant) {
         let requests = f64::from(grant.requests);
         self.prefetched += requests;
         self.wanted = (self.wanted - requests).max(0.0);
-        self.reading = Some(Reading { sent_by_all: grant.sent_by_all, received_at: now });
+        self.meter_reading = Some(MeterReading { sent_by_all: grant.sent_by_all, received_at: now });
     }
 }
--- a/crates/brassport-quota/src/coordinator.rs
+++ b/crates/brassport-quota/src/coordinator.rs
@@ -1,5 +1,5 @@
-//! The coordinator's side: a bucket for each tenant, out of which nodes are granted requests ahead, and the reading of each
-//! meter period.
+//! The coordinator's part of the protocol: a token bucket for each tenant, from which requests are granted to
+//! nodes in advance, and the meter reading of each period.
 
 use crate::mutants::{is_active, Mutant};
 use crate::token_bucket::TokenBucket;
@@ -7,66 +7,69 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// A node without a report for so long is not counted as live.
+/// Time without a report after which a node is not counted as live.
 const NODE_TIMEOUT_MS: Millis = 4_000;
-/// A node without a report for so long is forgotten. Far behind the time-out: a node that is forgotten and comes back has
-/// its next counts left out of the reading.
+/// Time without a report after which a node's counts are removed. It is much longer than [`NODE_TIMEOUT_MS`],
+/// as the first report of a node that returns after the removal is left out of the meter reading.
 const NODE_EXPIRY_MS: Millis = 10 * NODE_TIMEOUT_MS;
-/// A new coordinator starts with a debt of so many seconds of the rate. The one before may have granted until its lease ran out,
-/// up to 600 ms after its last contact with a majority, and no new one begins sooner than 360 ms after that.
+/// Debt of a new coordinator, in seconds of the rate. The previous coordinator may have granted until its
+/// lease expired, up to 600 ms after its last contact with a majority, and a new one starts no earlier than
+/// 360 ms after that contact.
 const TAKEOVER_DEBT_S: f64 = 0.3;
 
-/// What a node reported.
+/// The last report of a node.
 #[derive(Debug)]
-struct Node {
+struct ReportingNode {
     incarnation: Incarnation,
     last_report: Millis,
-    /// Requests of each tenant that it had forwarded.
+    /// Requests that the node has forwarded since its start, by tenant.
     sent: BTreeMap<TenantId, u64>,
 }
 
-impl Node {
-    fn new(now: Millis, incarnation: Incarnation) -> Node {
-        Node { incarnation, last_report: now, sent: BTreeMap::new() }
+impl ReportingNode {
+    fn new(now: Millis, incarnation: Incarnation) -> ReportingNode {
+        ReportingNode { incarnation, last_report: now, sent: BTreeMap::new() }
     }
 
-    /// Notes that a report came. Another incarnation counts from zero.
-    fn refresh(&mut self, now: Millis, incarnation: Incarnation) {
+    /// Records that a report arrived. The counts of another incarnation start at 0.
+    fn record_report(&mut self, now: Millis, incarnation: Incarnation) {
         if self.incarnation != incarnation {
-            *self = Node::new(now, incarnation);
+            *self = ReportingNode::new(now, incarnation);
         }
         self.last_report = now;
     }
 
-    /// Requests of a tenant that the node forwarded since its report before.
-    fn sent_since_last(&mut self, usage: &UsageReport) -> u32 {
-        let before = std::mem::replace(self.sent.entry(usage.tenant).or_default(), usage.sent);
-        usage.sent.saturating_sub(before) as u32
+    /// Returns the tenant's requests that the node forwarded since its previous report.
+    fn sent_since_last_report(&mut self, usage: &UsageReport) -> u32 {
+        let previously_sent = std::mem::replace(self.sent.entry(usage.tenant).or_default(), usage.sent);
+        usage.sent.saturating_sub(previously_sent) as u32
     }
 }
 
-/// What the coordinator has of one tenant.
+/// The coordinator's token bucket and counters of one tenant.
 #[derive(Debug)]
 struct TenantBudget {
     bucket: TokenBucket,
+    /// Requests forwarded by all nodes in the current meter period.
     sent_this_period: u32,
+    /// Requests forwarded by all nodes in the last complete meter period.
     sent_last_period: u32,
 }
 
 impl TenantBudget {
     fn new(active_since: Millis, limit: &RateLimit) -> TenantBudget {
         let tokens = if is_active(Mutant::FullBucketAtTakeover) {
-            limit.lent_depth()
+            limit.granted_depth()
         } else {
-            limit.lent_debt(TAKEOVER_DEBT_S)
+            limit.granted_debt(TAKEOVER_DEBT_S)
         };
         let bucket = TokenBucket::new(tokens, active_since);
         TenantBudget { bucket, sent_this_period: 0, sent_last_period: 0 }
     }
 
-    /// Grants as many of the wanted requests as the bucket has.
+    /// Grants as many of the wanted requests as the bucket contains.
     fn grant(&mut self, now: Millis, wanted: u16, limit: &RateLimit) -> u16 {
-        self.bucket.refill(now, limit.lent_rate_per_s(), limit.lent_depth());
+        self.bucket.refill(now, limit.granted_rate_per_s(), limit.granted_depth());
         let granted = self.bucket.available(f64::from(wanted));
         self.bucket.debit(if is_active(Mutant::GrantsNotDebited) { 0.0 } else { granted });
         granted as u16
@@ -77,36 +80,38 @@
     }
 }
 
-/// What the owner of the coordinator's role counts and grants. Before [`QuotaCoordinator::activate`] and after [`QuotaCoordinator::deactivate`] it grants
-/// nothing.
+/// The coordinator's state for all tenants and nodes. It grants requests only while it is active, between
+/// [`QuotaCoordinator::activate`] and [`QuotaCoordinator::deactivate`].
 #[derive(Debug, Default)]
 pub struct QuotaCoordinator {
+    /// `None` while the coordinator is inactive.
     active_since: Option<Millis>,
-    nodes: BTreeMap<Ipv4Addr, Node>,
+    nodes: BTreeMap<Ipv4Addr, ReportingNode>,
     tenants: BTreeMap<TenantId, TenantBudget>,
     period_start: Millis,
 }
 
 impl QuotaCoordinator {
-    /// Begins to lend, with nothing known of what the coordinator before granted.
+    /// Starts to grant requests, without knowledge of the grants of the previous coordinator.
     pub fn activate(&mut self, now: Millis) {
         *self =
             QuotaCoordinator { active_since: Some(now), period_start: now, ..QuotaCoordinator::default() };
     }
 
-    /// Lends no more, and forgets all.
+    /// Stops granting requests and removes all state.
     pub fn deactivate(&mut self) {
         *self = QuotaCoordinator::default();
     }
 
-    /// How many nodes have reported lately.
+    /// Returns the number of nodes with a recent report.
     pub fn live_nodes(&self, now: Millis) -> usize {
         self.nodes.values().filter(|node| now < node.last_report + NODE_TIMEOUT_MS).count()
     }
 
-    /// Counts the usage that a node reports, and grants it what it wants as far as the limits allow.
+    /// Counts the usage that a node reports, and grants the requests that it asks for as far as the limits
+    /// allow.
     ///
-    /// Tenants without a limit get no grant. Not lending, it answers nothing.
+    /// Returns no grants for tenants without a limit, and none at all while the coordinator is inactive.
     pub fn grant(
         &mut self,
         now: Millis,
@@ -116,14 +121,14 @@
     ) -> Vec<QuotaGrant> {
         let Some(active_since) = self.active_since else { return Vec::new() };
         self.end_period_if_over(now);
-        // What an unknown node counted before belongs to no period of this coordinator.
+        // The first counts of a node cover an unknown time and are therefore left out of the meter reading.
         let is_first_report = !self.nodes.contains_key(&ip);
-        let node = self.nodes.entry(ip).or_insert_with(|| Node::new(now, incarnation));
-        node.refresh(now, incarnation);
+        let node = self.nodes.entry(ip).or_insert_with(|| ReportingNode::new(now, incarnation));
+        node.record_report(now, incarnation);
         let mut grants = Vec::with_capacity(usage.len());
         for report in usage {
             let Some(limit) = limit(report.tenant).filter(RateLimit::is_limited) else { continue };
-            let sent = node.sent_since_last(report);
+            let sent = node.sent_since_last_report(report);
             let budget = self.tenants.entry(report.tenant);
             let budget = budget.or_insert_with(|| TenantBudget::new(active_since, &limit));
             budget.sent_this_period += if is_first_report { 0 } else { sent };
@@ -133,7 +138,7 @@
         grants
     }
 
-    /// Ends a meter period that is over, and forgets nodes that are gone for good.
+    /// Ends the meter period if it is over, and removes nodes without a report for [`NODE_EXPIRY_MS`].
     fn end_period_if_over(&mut self, now: Millis) {
         if now < self.period_start + METER_PERIOD_MS {
             return;
--- a/crates/brassport-quota/src/lib.rs
+++ b/crates/brassport-quota/src/lib.rs
@@ -1,15 +1,19 @@
-//! Shares of tenants' rate limits, so that all nodes of a cluster together keep a limit without asking for each request.
+//! Distributed rate limits of tenants: all nodes of a cluster together keep a limit without coordinating each
+//! request.
 //!
-//! A limit is divided in two. One part is the base: each node ([`NodeQuotas`]) holds an equal share of it for good, in a token
-//! bucket of its own. The other part is refilled in a bucket at the owner of the coordinator's role ([`QuotaCoordinator`]), out of which
-//! nodes are granted a few requests ahead, by need. A node that loses contact has its base, and may spend what it was
-//! granted once, whenever that is. So all nodes together never exceed the limit's tolerance, whatever is partitioned, killed
-//! or suspended: each token is counted where it lies.
+//! A limit is divided into two parts. The base part is divided equally among the nodes: each node
+//! ([`NodeQuotas`]) permanently holds a share of it in a local token bucket. The granted part refills a token
+//! bucket at the coordinator ([`QuotaCoordinator`]), which grants nodes a few requests in advance, on demand.
+//! A node without contact to the coordinator still has its base share, and may spend what it was granted
+//! once, at any later time. Each token is in exactly one place, so that all nodes together stay within the
+//! tolerance of the limit whichever nodes are partitioned, killed or suspended.
 //!
-//! From the same reports the coordinator makes the reading of each meter period, by which nodes set the probability of admission.
+//! From the same usage reports the coordinator computes a meter reading for each meter period. Nodes set the
+//! probability of admission from the readings.
 //!
-//! Not for I/O or clocks: messages are plain data that the host carries, and time is an argument. It decides neither who is
-//! the coordinator nor what is sent to a backend.
+//! The package does no I/O and reads no clock: the host transfers the messages, which are plain data, and
+//! passes the time as an argument. The host also decides which node is the coordinator and what is sent to a
+//! backend.
 //!
 //! ```
 //! use brassport_quota::{NodeQuotas, Incarnation, QuotaCoordinator, RateLimit, TenantId, Term};
@@ -19,10 +23,10 @@
 //! let (mut node, mut coordinator) = (NodeQuotas::default(), QuotaCoordinator::default());
 //! coordinator.activate(0);
 //!
-//! // With nothing granted, one of ten nodes has its base.
+//! // Without a grant, each of ten nodes can spend its base share.
 //! assert!(node.try_acquire(1_000, tenant, limit, 10).is_ok());
 //!
-//! // It reports, is granted what it wants, and spends that first.
+//! // The node reports its usage, receives a grant and spends the granted requests first.
 //! let (number, usage) = node.next_report(1_000);
 //! let from = ([10, 0, 0, 1].into(), Incarnation(1));
 //! let grants = coordinator.grant(1_002, from, &usage, |_| Some(limit));
@@ -41,7 +45,7 @@
 pub mod mutants;
 mod node_quotas;
 mod rate_limit;
-mod retry_advice;
+mod retry_delays;
 mod token_bucket;
 
 pub use coordinator::QuotaCoordinator;
@@ -51,8 +55,9 @@
 
 pub use brassport_types::{Incarnation, Millis, TenantId, Term};
 
-/// Grants that arrive this long after their report, or later, are ignored, in milliseconds. It bounds how long a grant
-/// may be under way: several periods of the reports, and longer than a coordinator without a majority goes on (600 ms).
+/// Age of a usage report, in milliseconds, from which on its grants are ignored. It limits how long a grant
+/// may be in transit: several report periods, and longer than a coordinator without a majority continues to
+/// grant (600 ms).
 pub const GRANT_TIMEOUT_MS: Millis = 900;
-/// The meter period, in milliseconds: how often a reading is made.
+/// The meter period, in milliseconds: the interval of the meter readings.
 pub const METER_PERIOD_MS: Millis = 1_000;
--- a/crates/brassport-quota/src/messages.rs
+++ b/crates/brassport-quota/src/messages.rs
@@ -1,19 +1,21 @@
-//! What nodes and the coordinator exchange. On the wire each is a row: names of fields would weigh more than what they hold.
+//! The messages between nodes and the coordinator. They are encoded as arrays, as field names would take more
+//! bytes than the values.
 
 use crate::TenantId;
 use serde::{Deserialize, Serialize};
 
-/// A node's counts of one tenant since its start, and how many requests it wants granted ahead.
+/// A node's counts for one tenant since the node's start, and the number of requests that it asks to be
+/// granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "UsageRow", into = "UsageRow")]
 pub struct UsageReport {
     /// The tenant.
     pub tenant: TenantId,
-    /// Requests that came.
+    /// Requests received from clients.
     pub offered: u64,
-    /// Requests that were forwarded.
+    /// Requests forwarded to backends.
     pub sent: u64,
-    /// Requests that it wants granted ahead.
+    /// Requests to be granted in advance.
     pub wanted: u16,
 }
 
@@ -31,15 +33,15 @@
     }
 }
 
-/// Requests of a tenant's limit that a node is granted ahead, with the reading that goes along.
+/// A grant of requests of a tenant's limit to a node, with the tenant's meter reading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "GrantRow", into = "GrantRow")]
 pub struct QuotaGrant {
     /// The tenant.
     pub tenant: TenantId,
-    /// Requests granted.
+    /// Requests granted in advance.
     pub requests: u16,
-    /// What all nodes together sent in the last complete meter period.
+    /// Requests forwarded by all nodes together in the last complete meter period.
     pub sent_by_all: u32,
 }
 
--- a/crates/brassport-quota/src/mutants.rs
+++ b/crates/brassport-quota/src/mutants.rs
@@ -1,5 +1,5 @@
-//! Deliberate faults, one at a time, to show that the test of the bound can fail. Without the feature `mutants` each is
-//! `false` when it is compiled.
+//! Deliberate faults, one at a time, that the test of the rate bound must detect. Without the feature
+//! `mutants` the check for a fault is the constant `false`.
 
 /// A deliberate fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -7,13 +7,13 @@
 pub enum Mutant {
     /// Grants are not debited from the coordinator's bucket.
     GrantsNotDebited = 1,
-    /// A new coordinator has a full bucket at once.
+    /// A new coordinator starts with a full bucket.
     FullBucketAtTakeover,
-    /// Each node has the base of all.
+    /// Each node has the whole base part instead of its share.
     UndividedBase,
 }
 
-/// Every fault.
+/// All faults.
 pub const ALL: [Mutant; 3] = [Mutant::GrantsNotDebited, Mutant::FullBucketAtTakeover, Mutant::UndividedBase];
 
 #[cfg(feature = "mutants")]
@@ -25,7 +25,7 @@
         static ACTIVE: Cell<u8> = const { Cell::new(0) };
     }
 
-    /// Activates one fault in this thread, or none.
+    /// Activates a fault in the current thread; `None` deactivates all.
     pub fn activate(mutant: Option<Mutant>) {
         ACTIVE.set(mutant.map_or(0, |mutant| mutant as u8));
     }
--- a/crates/brassport-quota/src/rate_limit.rs
+++ b/crates/brassport-quota/src/rate_limit.rs
@@ -1,55 +1,60 @@
-//! A tenant's limit, and how it is divided between the nodes and the coordinator.
+//! A tenant's rate limit, and its division between the nodes and the coordinator.
 
-/// Part of the rate that the nodes hold for good, in equal quota shares. With [`LENT_RATE`] it comes to 1.04: what is
-/// granted never lies quite where it is used, and the rule tolerates a tenth above the limit.
+/// Fraction of the rate that refills the base buckets of all nodes together. The sum with [`GRANTED_RATE`] is
+/// 1.04, above 1, as a part of the grants is not used by the node that holds it. A tolerance of a tenth above
+/// the limit is allowed.
 const BASE_RATE: f64 = 0.5;
-/// Part of the rate at which the coordinator's bucket is refilled.
-const LENT_RATE: f64 = 0.54;
-/// Parts of the depth: in the nodes' base buckets, in the coordinator's bucket, and prefetched at the nodes. Together they stay
-/// below 1, as all of them may be spent at one moment.
+/// Fraction of the rate that refills the coordinator's bucket.
+const GRANTED_RATE: f64 = 0.54;
+/// Fraction of the depth in the base buckets of all nodes together. The sum with [`GRANTED_DEPTH`] and
+/// [`PREFETCHED_DEPTH`] must be less than 1, as all three may be spent at the same time.
 const BASE_DEPTH: f64 = 0.33;
-const LENT_DEPTH: f64 = 0.3;
+/// Fraction of the depth in the coordinator's bucket.
+const GRANTED_DEPTH: f64 = 0.3;
+/// Fraction of the depth that all nodes together may hold as granted requests.
 const PREFETCHED_DEPTH: f64 = 0.3;
-/// Requests that the rule tolerates at one moment beside the burst.
+/// Requests that are tolerated at one time in addition to the burst.
 const BURST_TOLERANCE: f64 = 16.0;
 
-/// A tenant's limit over all nodes.
+/// A tenant's rate limit over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second; 0 or less means that there is no limit.
+    /// Requests per second; 0 or less for no limit.
     pub rate_per_s: f64,
-    /// Requests that may come at one moment, on top of the rate.
+    /// Requests that are allowed at one time in addition to the rate.
     pub burst: f64,
 }
 
 impl RateLimit {
-    /// Whether requests are limited at all.
+    /// Returns whether there is a limit.
     pub(crate) fn is_limited(&self) -> bool {
         self.rate_per_s > 0.0
     }
 
-    /// Requests that may come at one moment, the rule's own tolerance included.
+    /// Returns the number of requests that are allowed at one time, including the tolerance.
     fn depth(&self) -> f64 {
         self.burst + BURST_TOLERANCE
     }
 
-    /// Requests a second at which the coordinator's bucket is refilled.
-    pub(crate) fn lent_rate_per_s(&self) -> f64 {
-        LENT_RATE * self.rate_per_s
+    /// Returns the refill rate of the coordinator's bucket, in requests per second.
+    pub(crate) fn granted_rate_per_s(&self) -> f64 {
+        GRANTED_RATE * self.rate_per_s
     }
 
-    /// Requests that the coordinator's bucket holds at most.
-    pub(crate) fn lent_depth(&self) -> f64 {
-        LENT_DEPTH * self.depth()
+    /// Returns the depth of the coordinator's bucket, in requests.
+    pub(crate) fn granted_depth(&self) -> f64 {
+        GRANTED_DEPTH * self.depth()
     }
 
-    /// Requests that the coordinator's bucket would yield in so many seconds, as a debt: below zero.
-    pub(crate) fn lent_debt(&self, seconds: f64) -> f64 {
-        // This order of the factors fixes the last bit of the result, which the golden exchanges pin.
-        -seconds * LENT_RATE * self.rate_per_s
+    /// Returns the refill of the coordinator's bucket in this time as a debt, a negative number of requests.
+    pub(crate) fn granted_debt(&self, seconds: f64) -> f64 {
+        // The order of the factors determines the last bit of the result, which the golden fixtures depend
+        // on.
+        -seconds * GRANTED_RATE * self.rate_per_s
     }
 
-    /// What one node has of the limit, where it is divided into so many shares. No shares count as one.
+    /// Returns one node's share of the limit when it is divided into `quota_shares` equal shares; 0 is
+    /// treated as 1.
     pub(crate) fn share(&self, quota_shares: u32) -> NodeShare {
         let shares = f64::from(quota_shares.max(1));
         NodeShare {
@@ -62,21 +67,23 @@
     }
 }
 
-/// One node's part of a limit.
+/// One node's share of a rate limit.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct NodeShare {
-    /// Requests a second at which the node's base bucket is refilled.
+    /// Refill rate of the node's base bucket, in requests per second.
     pub(crate) base_rate_per_s: f64,
-    /// Requests that the base bucket holds at most, and never less than one.
+    /// Depth of the base bucket, in requests; at least 1.
     pub(crate) base_depth: f64,
-    /// Requests that the node may have prefetched, and never less than one.
+    /// Granted requests that the node may hold; at least 1.
     pub(crate) prefetch_limit: f64,
+    /// Rate of the whole limit, in requests per second.
     rate_per_s: f64,
+    /// Number of equal shares; at least 1.
     shares: f64,
 }
 
 impl NodeShare {
-    /// The time that the node's equal part of the rate takes for so many requests.
+    /// Returns the time in which the node's equal share of the rate allows this number of requests.
     pub(crate) fn time_for_ms(&self, requests: f64) -> f64 {
         requests * 1000.0 * self.shares / self.rate_per_s
     }
--- a/crates/brassport-quota/src/token_bucket.rs
+++ b/crates/brassport-quota/src/token_bucket.rs
@@ -1,11 +1,11 @@
-//! A token bucket, the form that both sides of a limit share.
+//! The token bucket that nodes and the coordinator use.
 
 use crate::Millis;
 
-/// Tokens that are refilled at a rate up to a depth. One token is one request.
+/// A token bucket; one token is one request.
 ///
-/// Rate and depth are arguments, as the configuration may change them at any time. The tokens may be below zero: a debt
-/// that the refill pays off first.
+/// Rate and depth are arguments of each refill, as the configuration may change them at any time. A negative
+/// number of tokens is a debt, which the refill pays off first.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -13,24 +13,24 @@
 }
 
 impl TokenBucket {
-    /// A bucket that held these tokens at that time.
+    /// Creates a bucket that contains `tokens` at the time `refilled_at`.
     pub(crate) fn new(tokens: f64, refilled_at: Millis) -> TokenBucket {
         TokenBucket { tokens, refilled_at }
     }
 
-    /// Adds what the time since the last refill yields, up to the depth. A clock that went back adds nothing.
+    /// Adds the tokens that accrued since the last refill, up to the depth. Adds none if the clock went back.
     pub(crate) fn refill(&mut self, now: Millis, rate_per_s: f64, depth: f64) {
         let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1000.0;
         self.tokens = (self.tokens + rate_per_s * elapsed_s).min(depth);
         self.refilled_at = now;
     }
 
-    /// Tokens as of the last refill.
+    /// Returns the tokens, as of the last refill.
     pub(crate) fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Takes one token, if there is a complete one.
+    /// Takes a token if the bucket contains at least one; returns whether it did.
     pub(crate) fn try_take_one(&mut self) -> bool {
         let has_one = self.tokens >= 1.0;
         if has_one {
@@ -39,19 +39,20 @@
         has_one
     }
 
-    /// How many of the wanted tokens could be taken now: complete ones, and none out of a debt.
+    /// Returns how many of the wanted tokens the bucket contains: a whole number, 0 if it is in debt.
     pub(crate) fn available(&self, wanted: f64) -> f64 {
         wanted.min(self.tokens.floor()).max(0.0)
     }
 
-    /// Takes tokens that [`TokenBucket::available`] found.
+    /// Takes tokens that [`TokenBucket::available`] returned.
     pub(crate) fn debit(&mut self, tokens: f64) {
         self.tokens -= tokens;
     }
 
-    /// Milliseconds until one complete token is there at this rate; below zero if it is there already.
+    /// Returns the time until the bucket contains one token at this rate, in milliseconds; negative if it
+    /// contains more.
     pub(crate) fn until_one_ms(&self, rate_per_s: f64) -> f64 {
-        // A rate near zero must not yield an infinite time.
+        // Prevents an infinite time for a rate near 0.
         (1.0 - self.tokens) / rate_per_s.max(1e-6) * 1000.0
     }
 }
--- a/crates/brassport-quota/tests/it/cluster/mod.rs
+++ b/crates/brassport-quota/tests/it/cluster/mod.rs
@@ -1,7 +1,7 @@
-//! A cluster of nodes and coordinators on simulated time, with one tenant that sends many times its usual load at some nodes or
-//! at all. Messages are lost, delayed and duplicated; nodes are partitioned and restarted, coordinators are deposed and don't
-//! notice for a while. All requests that pass are judged by the rule: in no window of five seconds more than the limit with
-//! its tolerance.
+//! A simulated cluster of nodes and coordinators, with one tenant whose load on two nodes or on all of them
+//! is up to eight times its limit. Messages are lost, delayed and duplicated, nodes are partitioned and
+//! restarted, and coordinators are deposed without noticing it for a while. In each window of five seconds
+//! the admitted requests must stay within the limit and its tolerance.
 
 mod faults;
 
@@ -18,15 +18,15 @@
 const DURATION_MS: u64 = 30_000;
 const REPORT_PERIOD_MS: u64 = 400;
 
-/// How one run ended.
+/// The result of one run.
 pub struct Outcome {
-    /// The requests of the worst window, as a part of what the rule tolerates.
+    /// Admitted requests in the worst window, as a fraction of the tolerated ones.
     pub worst_window: f64,
-    /// The requests that passed, as a part of those that the limit allows.
+    /// Admitted requests, as a fraction of those that the limit allows.
     pub utilization: f64,
 }
 
-/// Runs the cluster of one seed.
+/// Simulates a cluster; the seed determines its size, load and faults.
 pub fn run(seed: u64) -> Outcome {
     let mut cluster = Cluster::new(seed);
     while let Some(((at, _), event)) = cluster.queue.pop_first() {
@@ -65,7 +65,7 @@
 }
 
 struct Node {
-    borrower: NodeQuotas,
+    quotas: NodeQuotas,
     incarnation: Incarnation,
     is_partitioned: bool,
     requests_per_s: f64,
@@ -74,14 +74,14 @@
 struct LeaderTerm {
     coordinator: QuotaCoordinator,
     number: u64,
-    grants_until: u64,
+    granting_until: u64,
 }
 
 impl LeaderTerm {
-    fn begin(now: u64, number: u64) -> LeaderTerm {
+    fn start(now: u64, number: u64) -> LeaderTerm {
         let mut coordinator = QuotaCoordinator::default();
         coordinator.activate(now);
-        LeaderTerm { coordinator, number, grants_until: u64::MAX }
+        LeaderTerm { coordinator, number, granting_until: u64::MAX }
     }
 }
 
@@ -93,7 +93,7 @@
     nodes: Vec<Node>,
     leaders: Vec<LeaderTerm>,
     limit: RateLimit,
-    passed: Vec<u64>,
+    admitted_at: Vec<u64>,
     offered: u64,
 }
 
@@ -109,9 +109,9 @@
             queue: BTreeMap::new(),
             last_event: 0,
             nodes: Vec::new(),
-            leaders: vec![LeaderTerm::begin(0, 1)],
+            leaders: vec![LeaderTerm::start(0, 1)],
             limit,
-            passed: Vec::new(),
+            admitted_at: Vec::new(),
             offered: 0,
         };
         cluster.start_nodes(nodes);
@@ -119,17 +119,19 @@
         cluster
     }
 
-    /// Starts nodes with the load of a tenant that asks for up to eight times its limit, at two nodes or at all.
+    /// Starts nodes with a load of up to eight times the tenant's limit in total, on two nodes or evenly on
+    /// all.
     fn start_nodes(&mut self, count: usize) {
-        let is_at_two = self.draw(3) == 0;
+        let is_on_two_nodes = self.draw(3) == 0;
         let overload = 0.5 + self.draw(8) as f64;
         for node in 0..count {
-            let part = if is_at_two { f64::from(u8::from(node < 2)) / 2.0 } else { 1.0 / count as f64 };
+            let load_share =
+                if is_on_two_nodes { f64::from(u8::from(node < 2)) / 2.0 } else { 1.0 / count as f64 };
             self.nodes.push(Node {
-                borrower: NodeQuotas::default(),
+                quotas: NodeQuotas::default(),
                 incarnation: Incarnation(node as u64),
                 is_partitioned: false,
-                requests_per_s: (overload * self.limit.rate_per_s * part).max(0.2),
+                requests_per_s: (overload * self.limit.rate_per_s * load_share).max(0.2),
             });
             self.schedule(node as u64, Event::Request { node });
             self.schedule(node as u64 * 7, Event::ReportDue { node });
@@ -156,7 +158,7 @@
             Event::GrantArrives(grant) => {
                 let node = &mut self.nodes[grant.node];
                 if node.incarnation == grant.incarnation {
-                    node.borrower.apply_grants(self.now, grant.term, grant.number, &grant.grants);
+                    node.quotas.apply_grants(self.now, grant.term, grant.number, &grant.grants);
                 }
             }
             Event::FaultDue => {
@@ -170,12 +172,12 @@
     fn request(&mut self, node: usize) {
         self.offered += 1;
         let quota_shares = self.nodes.len() as u32;
-        let borrower = &mut self.nodes[node].borrower;
-        borrower.record_offered(self.now, TENANT);
-        if borrower.try_acquire(self.now, TENANT, self.limit, quota_shares).is_ok() {
-            self.passed.push(self.now);
+        let quotas = &mut self.nodes[node].quotas;
+        quotas.record_offered(self.now, TENANT);
+        if quotas.try_acquire(self.now, TENANT, self.limit, quota_shares).is_ok() {
+            self.admitted_at.push(self.now);
         }
-        if borrower.is_report_urgent() {
+        if quotas.is_report_urgent() {
             self.report(node);
         }
         let gap_s = -(1.0 - self.rng.rand_float()).ln() / self.nodes[node].requests_per_s;
@@ -184,13 +186,13 @@
 
     fn report(&mut self, node: usize) {
         let now = self.now;
-        let Node { borrower, incarnation, is_partitioned, .. } = &mut self.nodes[node];
-        let (number, reports) = borrower.next_report(now);
+        let Node { quotas, incarnation, is_partitioned, .. } = &mut self.nodes[node];
+        let (number, reports) = quotas.next_report(now);
         let incarnation = *incarnation;
         if *is_partitioned {
             return;
         }
-        // A node may still take a deposed coordinator for the one that leads.
+        // A node may not know yet that a coordinator was deposed.
         let newest = self.leaders.len() - 1;
         let coordinator = if newest > 0 && self.draw(3) == 0 { newest - 1 } else { newest };
         let delay_ms = 1 + self.draw(8);
@@ -203,7 +205,7 @@
     fn grant(&mut self, usage: &Usage) {
         let (now, limit) = (self.now, self.limit);
         let leader = &mut self.leaders[usage.coordinator];
-        if now >= leader.grants_until {
+        if now >= leader.granting_until {
             return;
         }
         let ip = Ipv4Addr::from(usage.node as u32 + 1);
@@ -216,7 +218,7 @@
         };
         let delay_ms = 1 + self.draw(8);
         if self.draw(20) == 0 {
-            // A duplicate.
+            // The response is duplicated.
             self.schedule(delay_ms + 300, Event::GrantArrives(grant.clone()));
         }
         if self.draw(20) > 0 {
@@ -229,8 +231,8 @@
         let tolerated = (self.limit.rate_per_s * window_s + self.limit.burst) * 1.1 + 20.0;
         let mut worst = 0;
         let mut first = 0;
-        for (last, at) in self.passed.iter().enumerate() {
-            while self.passed[first] + WINDOW_MS <= *at {
+        for (last, at) in self.admitted_at.iter().enumerate() {
+            while self.admitted_at[first] + WINDOW_MS <= *at {
                 first += 1;
             }
             worst = worst.max(last + 1 - first);
@@ -238,7 +240,7 @@
         let allowed = (self.offered as f64).min(self.limit.rate_per_s * DURATION_MS as f64 / 1000.0);
         Outcome {
             worst_window: worst as f64 / tolerated,
-            utilization: self.passed.len() as f64 / allowed.max(1.0),
+            utilization: self.admitted_at.len() as f64 / allowed.max(1.0),
         }
     }
 }
--- a/crates/brassport-quota/tests/it/coordinator.rs
+++ b/crates/brassport-quota/tests/it/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator's side: what it grants, and how it counts nodes and periods.
+//! Tests of the coordinator: what it grants, and how it counts nodes and requests per period.
 
 use brassport_quota::{
     Incarnation, Millis, QuotaCoordinator, QuotaGrant, RateLimit, TenantId, UsageReport, METER_PERIOD_MS,
@@ -16,7 +16,7 @@
     coordinator
 }
 
-/// One report of a node that forwarded so many requests and wants so many.
+/// Reports the forwarded and wanted requests of a node, and returns the grant.
 fn report(
     coordinator: &mut QuotaCoordinator,
     now: Millis,
@@ -44,14 +44,14 @@
 fn a_new_coordinator_pays_off_its_takeover_debt_first() {
     let mut coordinator = coordinator();
     assert_eq!(report(&mut coordinator, 300, (NODE, 1), 0, 10).requests, 0);
-    // 54 tokens a second, for 100 ms behind the debt of 300 ms.
+    // 54 tokens per second for the 100 ms after the debt of 300 ms.
     assert_eq!(report(&mut coordinator, 400, (NODE, 1), 0, 10).requests, 5);
 }
 
 #[test]
-fn grants_are_debited_from_what_others_may_get() {
+fn granted_requests_are_not_available_to_other_nodes() {
     let mut coordinator = coordinator();
-    // The depth: 0.3 of the burst and the tolerance of 16.
+    // The bucket's depth is 30: 0.3 of the sum of the burst, 84, and the tolerance, 16.
     assert_eq!(report(&mut coordinator, 9_000, (NODE, 1), 0, 20).requests, 20);
     assert_eq!(report(&mut coordinator, 9_000, (OTHER_NODE, 2), 0, 20).requests, 10);
     assert_eq!(report(&mut coordinator, 9_000, (OTHER_NODE, 2), 0, 20).requests, 0);
@@ -67,9 +67,9 @@
 }
 
 #[test]
-fn a_reading_sums_what_all_nodes_sent_in_the_last_complete_period() {
+fn a_reading_is_the_sum_over_all_nodes_in_the_last_complete_period() {
     let mut coordinator = coordinator();
-    // Counts of before the coordinator knew a node are left out.
+    // The first report of each node is left out of the reading.
     report(&mut coordinator, 100, (NODE, 1), 500, 0);
     report(&mut coordinator, 100, (OTHER_NODE, 2), 900, 0);
     report(&mut coordinator, 400, (NODE, 1), 510, 0);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn another_incarnation_of_a_node_counts_from_zero() {
+fn the_counts_of_another_incarnation_of_a_node_start_at_zero() {
     let mut coordinator = coordinator();
     report(&mut coordinator, 100, (NODE, 1), 500, 0);
     report(&mut coordinator, 400, (NODE, 9), 3, 0);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn nodes_are_counted_until_their_timeout() {
+fn nodes_are_live_until_their_timeout() {
     let mut coordinator = coordinator();
     report(&mut coordinator, 100, (NODE, 1), 0, 0);
     report(&mut coordinator, 1_100, (OTHER_NODE, 2), 0, 0);
--- a/crates/brassport-quota/tests/it/golden.rs
+++ b/crates/brassport-quota/tests/it/golden.rs
@@ -1,5 +1,5 @@
-//! Golden bytes: usage reports, grants and the hash that identifies a tenant, compared with the fixtures in
-//! `tests/golden`. The names of cases are those that the fixtures had from the beginning.
+//! Compares encoded usage reports, encoded grants and the hash that identifies a tenant with the fixtures in
+//! `tests/golden`. The names of the cases must not change, as the fixtures contain them.
 
 use brassport_golden::hex;
 use brassport_golden::Fixtures;
@@ -14,9 +14,9 @@
 
 fn encoded<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) -> (String, String) {
     let mut bytes = Vec::new();
-    ciborium::into_writer(value, &mut bytes).expect("a vector takes all");
-    let read: T = ciborium::from_reader(&bytes[..]).expect("the bytes can be read");
-    assert_eq!(&read, value, "{name}");
+    ciborium::into_writer(value, &mut bytes).expect("writing to a vector does not fail");
+    let decoded: T = ciborium::from_reader(&bytes[..]).expect("the encoded value can be decoded");
+    assert_eq!(&decoded, value, "{name}");
     (name.to_owned(), hex(&bytes))
 }
 
@@ -39,7 +39,7 @@
     GOLDEN.same_lines("messages", &cases);
 }
 
-/// The hash stands in messages: nodes of two versions must have the same.
+/// Messages contain the hash, so that nodes of different versions must compute the same one.
 #[test]
 fn tenant_ids_keep_their_hashes() {
     let names = ["", "a", "acme", "Acme", "öl", "a name of some length, with spaces"];
@@ -47,7 +47,7 @@
     GOLDEN.same_lines("tenants", &cases);
 }
 
-/// What a node reports and is granted, by the same steps.
+/// Runs a fixed sequence of requests, reports and grants between a node and a coordinator.
 #[test]
 fn an_exchange_of_reports_and_grants_keeps_its_bytes() {
     let (tenant, limit) = (TenantId::of_name("acme"), RateLimit { rate_per_s: 100.0, burst: 100.0 });
@@ -60,10 +60,10 @@
             node.record_offered(now, tenant);
             let _ = node.try_acquire(now, tenant, limit, 4);
         }
-        let (number, used) = node.next_report(now);
-        let grants = coordinator.grant(now, ([10, 0, 0, 1].into(), Incarnation(1)), &used, |_| Some(limit));
+        let (number, usage) = node.next_report(now);
+        let grants = coordinator.grant(now, ([10, 0, 0, 1].into(), Incarnation(1)), &usage, |_| Some(limit));
         node.apply_grants(now, Term::new(1, DiskId(1)), number, &grants);
-        cases.push(encoded(&format!("report {step}"), &used));
+        cases.push(encoded(&format!("report {step}"), &usage));
         cases.push(encoded(&format!("loans {step}"), &grants));
     }
     GOLDEN.same_lines("exchange", &cases);
--- a/crates/brassport-quota/tests/it/main.rs
+++ b/crates/brassport-quota/tests/it/main.rs
@@ -1,5 +1,5 @@
-//! The quota's behaviour: the bound over all nodes, each side's rules, the advice to rejected clients, and the bytes of the
-//! messages.
+//! Tests of the rate bound over all nodes, of the rules of node and coordinator, of the retry delays of
+//! rejected clients, and of the encoded messages.
 
 mod bound;
 mod cluster;
@@ -8,4 +8,4 @@
 #[cfg(feature = "mutants")]
 mod mutants;
 mod node_quotas;
-mod retry_advice;
+mod retry_delays;
--- a/crates/brassport-quota/tests/it/mutants.rs
+++ b/crates/brassport-quota/tests/it/mutants.rs
@@ -1,4 +1,4 @@
-//! The test of the bound can fail: each deliberate fault is found within some seeds.
+//! Shows that the test of the rate bound detects each deliberate fault within 2,000 seeds.
 
 use crate::cluster;
 use brassport_quota::mutants::{activate, ALL};
@@ -14,5 +14,5 @@
         }
         activate(None);
     }
-    assert!(missed.is_empty(), "not found: {missed:?}");
+    assert!(missed.is_empty(), "not detected: {missed:?}");
 }
--- a/crates/brassport-quota/tests/it/node_quotas.rs
+++ b/crates/brassport-quota/tests/it/node_quotas.rs
@@ -1,4 +1,4 @@
-//! A node's side: which grants count, what is reported, and what is urgent.
+//! Tests of a node's quotas: which grants are applied, what is reported, and when a report is urgent.
 
 use brassport_quota::{
     Millis, NodeQuotas, QuotaGrant, RateLimit, TenantId, Term, UsageReport, GRANT_TIMEOUT_MS, METER_PERIOD_MS,
@@ -14,33 +14,33 @@
     vec![QuotaGrant { tenant: TENANT, requests, sent_by_all: 40 }]
 }
 
-/// A node whose base is spent, and the number of its report.
+/// Returns a node whose base share is used up, and the number of its pending report.
 fn exhausted(now: Millis) -> (NodeQuotas, u32) {
     let mut node = NodeQuotas::default();
-    assert!(passing(&mut node, now) >= 1);
+    assert!(admitted_requests(&mut node, now) >= 1);
     let (number, _) = node.next_report(now);
     (node, number)
 }
 
-/// How many requests pass until one is rejected.
-fn passing(node: &mut NodeQuotas, now: Millis) -> usize {
+/// Makes requests until one is rejected, and returns the number of those before it.
+fn admitted_requests(node: &mut NodeQuotas, now: Millis) -> usize {
     (0..1_000).take_while(|_| node.try_acquire(now, TENANT, LIMIT, QUOTA_SHARES).is_ok()).count()
 }
 
 #[test]
-fn a_grant_is_spent_once() {
+fn granted_requests_are_spent_once() {
     let (mut node, number) = exhausted(1_000);
     node.apply_grants(1_010, TERM, number, &grant(2));
-    assert_eq!(passing(&mut node, 1_010), 2);
-    assert_eq!(passing(&mut node, 1_010), 0);
+    assert_eq!(admitted_requests(&mut node, 1_010), 2);
+    assert_eq!(admitted_requests(&mut node, 1_010), 0);
 }
 
 #[test]
-fn a_duplicate_answer_grants_nothing() {
+fn a_duplicate_response_grants_nothing() {
     let (mut node, number) = exhausted(1_000);
     node.apply_grants(1_010, TERM, number, &grant(2));
     node.apply_grants(1_011, TERM, number, &grant(2));
-    assert_eq!(passing(&mut node, 1_011), 2);
+    assert_eq!(admitted_requests(&mut node, 1_011), 2);
 }
 
 #[test]
@@ -59,28 +59,28 @@
     node.apply_grants(1_001, TERM, number, &grant(0));
     let (number, _) = node.next_report(1_002);
     node.apply_grants(1_003, Term::new(2, DiskId(9)), number, &grant(2));
-    assert_eq!(passing(&mut node, 1_003), 0);
+    assert_eq!(admitted_requests(&mut node, 1_003), 0);
 }
 
 #[test]
-fn a_lowered_limit_cuts_what_is_prefetched() {
+fn a_lowered_limit_caps_the_prefetched_requests() {
     let (mut node, number) = exhausted(1_000);
     node.apply_grants(1_001, TERM, number, &grant(3));
     let lowered = RateLimit { rate_per_s: 10.0, burst: 4.0 };
-    let passed = (0..10).filter(|_| node.try_acquire(1_001, TENANT, lowered, QUOTA_SHARES).is_ok()).count();
-    assert_eq!(passed, 1);
+    let admitted = (0..10).filter(|_| node.try_acquire(1_001, TENANT, lowered, QUOTA_SHARES).is_ok()).count();
+    assert_eq!(admitted, 1);
 }
 
 #[test]
-fn an_overdraft_is_made_up_for_by_later_grants() {
+fn a_forced_request_is_deducted_from_later_grants() {
     let (mut node, number) = exhausted(1_000);
     node.force_acquire(1_001, TENANT);
     node.apply_grants(1_002, TERM, number, &grant(3));
-    assert_eq!(passing(&mut node, 1_002), 2);
+    assert_eq!(admitted_requests(&mut node, 1_002), 2);
 }
 
 #[test]
-fn without_a_limit_every_request_passes_and_is_counted() {
+fn without_a_limit_every_request_is_admitted_and_counted() {
     let mut node = NodeQuotas::default();
     let unlimited = RateLimit { rate_per_s: 0.0, burst: 0.0 };
     for _ in 0..500 {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_idle_tenant_is_forgotten() {
+fn the_account_of_an_idle_tenant_is_removed() {
     let mut node = NodeQuotas::default();
     node.record_offered(1_000, TENANT);
     node.next_report(61_001);
@@ -113,20 +113,20 @@
 }
 
 #[test]
-fn a_node_that_runs_low_is_urgent_until_its_report() {
+fn a_report_is_urgent_while_a_share_is_almost_used_up() {
     let mut node = NodeQuotas::default();
     assert!(!node.is_report_urgent());
-    passing(&mut node, 1_000);
+    admitted_requests(&mut node, 1_000);
     assert!(node.is_report_urgent());
     node.next_report(1_000);
     assert!(!node.is_report_urgent());
 }
 
 #[test]
-fn readings_and_rejections_are_fresh_for_two_meter_periods() {
+fn readings_and_rejections_are_valid_for_two_meter_periods() {
     let (mut node, number) = exhausted(1_000);
     node.apply_grants(1_000, TERM, number, &grant(0));
-    let (last, over) = (1_000 + 2 * METER_PERIOD_MS - 1, 1_000 + 2 * METER_PERIOD_MS);
-    assert_eq!((node.meter_reading(last, TENANT), node.meter_reading(over, TENANT)), (Some(40), None));
-    assert!(node.rejected_recently(last, TENANT) && !node.rejected_recently(over, TENANT));
+    let (valid, expired) = (1_000 + 2 * METER_PERIOD_MS - 1, 1_000 + 2 * METER_PERIOD_MS);
+    assert_eq!((node.meter_reading(valid, TENANT), node.meter_reading(expired, TENANT)), (Some(40), None));
+    assert!(node.rejected_recently(valid, TENANT) && !node.rejected_recently(expired, TENANT));
 }
