--- a/crates/brassport-types/src/lib.rs
+++ b/crates/brassport-types/src/lib.rs
@@ -1,10 +1,11 @@
-//! Identifiers and units that several packages of the cluster share: log positions, terms, disks, process incarnations
-//! and tenants.
+//! Identifiers and units that several packages of the cluster share: log positions, terms, disks, process
+//! incarnations and tenants.
 //!
-//! Each is a newtype, so that one can't stand where another is meant, and each is encoded as the plain number (a [`Term`]
-//! as a row of two), because names of fields would weigh more on the wire than what they hold.
+//! Each identifier is a type of its own, so that the compiler rejects mix-ups. Identifiers are encoded as
+//! plain numbers and a [`Term`] as an array of two numbers, as field names would take more bytes on the wire
+//! than the values.
 //!
-//! Not for types that a single package owns, and not for behaviour.
+//! Types that only one package uses belong to that package. This package contains no application logic.
 //!
 //! ```
 //! use brassport_types::{DiskId, LogIndex, Term};
@@ -24,6 +25,6 @@
 pub use ids::{DiskId, Incarnation, TenantId};
 pub use log_position::{LogIndex, Term};
 
-/// Milliseconds on the host's monotonic clock, counted from a moment that the host chose. Never wall time, and never
-/// compared between machines.
+/// A time of the host's monotonic clock, in milliseconds since an arbitrary start, or a duration in
+/// milliseconds. Never a wall-clock time, and not comparable between machines.
 pub type Millis = u64;
--- a/crates/brassport-types/src/log_position.rs
+++ b/crates/brassport-types/src/log_position.rs
@@ -1,22 +1,22 @@
-//! Positions in the replicated log, and terms of leadership.
+//! Positions in the replicated log, and leadership terms.
 
 use crate::DiskId;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub};
 
-/// The position of an entry in the replicated log. The first entry has index 1; 0 stands before it.
+/// The position of an entry in the replicated log. The first entry has index 1; 0 is the position before it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LogIndex(pub u64);
 
 impl LogIndex {
-    /// The index before this one; that before 0 is 0.
+    /// Returns the previous index; 0 for index 0.
     pub fn previous(self) -> LogIndex {
         LogIndex(self.0.saturating_sub(1))
     }
 
-    /// How many entries this index is ahead of another; 0 if it is behind.
+    /// Returns the number of entries from `other` to this index; 0 if this index is lower.
     pub fn saturating_sub(self, other: LogIndex) -> u64 {
         self.0.saturating_sub(other.0)
     }
@@ -25,10 +25,10 @@
 impl Add<u64> for LogIndex {
     type Output = LogIndex;
 
-    /// The index so many entries later.
+    /// Returns the index that is this number of entries later.
     ///
     /// # Panics
-    /// On overflow, where overflow checks are on.
+    /// On overflow, if overflow checks are enabled.
     fn add(self, entries: u64) -> LogIndex {
         LogIndex(self.0 + entries)
     }
@@ -43,38 +43,38 @@
 impl Sub<LogIndex> for LogIndex {
     type Output = u64;
 
-    /// How many entries this index is ahead of another that is not behind it.
+    /// Returns the number of entries from `other`, which must not be higher, to this index.
     ///
     /// # Panics
-    /// If the other is ahead, where overflow checks are on; see [`LogIndex::saturating_sub`].
+    /// If `other` is higher and overflow checks are enabled; see [`LogIndex::saturating_sub`].
     fn sub(self, other: LogIndex) -> u64 {
         self.0 - other.0
     }
 }
 
 impl fmt::Display for LogIndex {
-    /// The plain decimal number.
+    /// Writes the decimal number.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
 }
 
-/// A period of leadership. Terms are ordered by their number first; the candidate's disk makes sure that no two
-/// leaders ever have the same term.
+/// A leadership term. Terms are ordered by number and then by the candidate's disk, which ensures that no two
+/// leaders have the same term.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(u64, DiskId)", into = "(u64, DiskId)")]
 pub struct Term {
-    /// How often leadership was sought before, as far as the candidate knew, and once more.
+    /// One more than the highest number that the candidate knew when it started its campaign.
     pub number: u64,
-    /// The disk of the candidate.
+    /// Identity of the candidate's disk.
     pub disk: DiskId,
 }
 
 impl Term {
-    /// The term before any leader.
+    /// The term before the first leader.
     pub const ZERO: Term = Term { number: 0, disk: DiskId::NONE };
 
-    /// A term by its number and the candidate's disk.
+    /// Creates a term from its number and the candidate's disk.
     pub const fn new(number: u64, disk: DiskId) -> Term {
         Term { number, disk }
     }
@@ -93,7 +93,7 @@
 }
 
 impl fmt::Display for Term {
-    /// The number and the disk, both decimal, in parentheses.
+    /// Writes the number and the disk in parentheses, both as decimal numbers.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "({}, {})", self.number, self.disk.0)
     }
--- a/crates/brassport-types/tests/it/ids.rs
+++ b/crates/brassport-types/tests/it/ids.rs
@@ -1,4 +1,4 @@
-//! Disks, incarnations and tenants.
+//! Tests of the identifiers of disks, incarnations and tenants.
 
 use crate::cbor;
 use brassport_types::{DiskId, Incarnation, TenantId};
@@ -8,7 +8,7 @@
     assert_eq!(cbor(&DiskId(77)), cbor(&77_u64));
     assert_eq!(cbor(&Incarnation(u64::MAX)), cbor(&u64::MAX));
     assert_eq!(cbor(&TenantId(5)), cbor(&5_u32));
-    assert_eq!(serde_json::to_string(&DiskId(77)).expect("it is JSON"), "77");
+    assert_eq!(serde_json::to_string(&DiskId(77)).expect("the identifier can be encoded as JSON"), "77");
 }
 
 #[test]
--- a/crates/brassport-types/tests/it/log_position.rs
+++ b/crates/brassport-types/tests/it/log_position.rs
@@ -1,13 +1,17 @@
-//! Terms and log indexes.
+//! Tests of terms and log indexes.
 
 use crate::cbor;
 use brassport_types::{DiskId, LogIndex, Term};
 
 #[test]
-fn a_term_is_a_row_of_its_number_and_its_disk() {
+fn a_term_is_encoded_as_an_array_of_number_and_disk() {
     let term = Term::new(3, DiskId(900));
     assert_eq!(cbor(&term), cbor(&(3_u64, 900_u64)));
-    assert_eq!(ciborium::from_reader::<Term, _>(&cbor(&(3_u64, 900_u64))[..]).expect("it is a term"), term);
+    assert_eq!(
+        ciborium::from_reader::<Term, _>(&cbor(&(3_u64, 900_u64))[..])
+            .expect("the array can be decoded as a term"),
+        term
+    );
 }
 
 #[test]
@@ -18,7 +22,7 @@
 }
 
 #[test]
-fn an_index_is_a_plain_number_on_the_wire() {
+fn an_index_is_encoded_as_a_plain_number() {
     assert_eq!(cbor(&LogIndex(64)), cbor(&64_u64));
 }
 
--- a/crates/brassport-types/tests/it/main.rs
+++ b/crates/brassport-types/tests/it/main.rs
@@ -1,11 +1,11 @@
-//! The shared identifiers: their order, and their form on the wire.
+//! Tests of the shared identifiers: ordering, arithmetic and wire encoding.
 
 mod ids;
 mod log_position;
 
-/// The bytes of a value on the wire.
+/// Returns the wire encoding of a value.
 fn cbor(value: &impl serde::Serialize) -> Vec<u8> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(value, &mut bytes).expect("a vector takes all that is written to it");
+    ciborium::into_writer(value, &mut bytes).expect("writing to a vector does not fail");
     bytes
 }
