--- a/crates/brassport-quota/src/coordinator.rs
+++ b/crates/brassport-quota/src/coordinator.rs
@@ -22,7 +22,7 @@
 struct ReportingNode {
     incarnation: Incarnation,
     last_report: Millis,
-    /// Requests that the node has forwarded since its start, by tenant.
+    /// Requests that the node has forwarded, as of its last report, by tenant.
     sent: BTreeMap<TenantId, u64>,
 }
 
--- a/crates/brassport-quota/src/lib.rs
+++ b/crates/brassport-quota/src/lib.rs
@@ -16,7 +16,7 @@
 //! backend.
 //!
 //! ```
-//! use brassport_quota::{NodeQuotas, Incarnation, QuotaCoordinator, RateLimit, TenantId, Term};
+//! use brassport_quota::{Incarnation, NodeQuotas, QuotaCoordinator, RateLimit, TenantId, Term};
 //!
 //! let tenant = TenantId::of_name("acme");
 //! let limit = RateLimit { rate_per_s: 100.0, burst: 100.0 };
--- a/crates/brassport-quota/src/messages.rs
+++ b/crates/brassport-quota/src/messages.rs
@@ -4,8 +4,8 @@
 use crate::TenantId;
 use serde::{Deserialize, Serialize};
 
-/// A node's counts for one tenant since the node's start, and the number of requests that it asks to be
-/// granted.
+/// A node's counts for one tenant since the node created the tenant's account, and the number of requests
+/// that the node asks to be granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "UsageRow", into = "UsageRow")]
 pub struct UsageReport {
