--- a/crates/brassport-quota/tests/it/main.rs
+++ b/crates/brassport-quota/tests/it/main.rs
@@ -1,11 +1,11 @@
-//! The quota's behaviour: the bound over all nodes, each side's rules, the advice to rejected clients, and the bytes of the
-//! messages.
+//! Tests of the rate bound over all nodes, of the rules of node and coordinator, of the retry delays of
+//! rejected clients, and of the encoded messages.
 
-mod borrower;
 mod bound;
 mod cluster;
+mod coordinator;
 mod golden;
-mod lender;
 #[cfg(feature = "mutants")]
 mod mutants;
-mod retry_advice;
+mod node_quotas;
+mod retry_delays;
