--- a/crates/brassport-gateway/src/lib.rs
+++ b/crates/brassport-gateway/src/lib.rs
@@ -15,7 +15,7 @@
 //! use brassport_gateway::settings::Settings;
 //!
 //! let settings = Settings::parse("node: n1\nip: 10.0.1.7\ninternalPorts: [9001]\n").expect("complete settings");
-//! assert_eq!((settings.node.as_str(), settings.port), ("n1", 9001));
+//! assert_eq!((settings.node.as_str(), settings.internal_port), ("n1", 9001));
 //! let problems = Settings::parse("ip: here\n").expect_err("no address, no port");
 //! assert_eq!(problems[0].to_string(), "ip: \"here\" is no IPv4 address");
 //! ```
--- a/crates/brassport-gateway/src/node/build.rs
+++ b/crates/brassport-gateway/src/node/build.rs
@@ -6,7 +6,7 @@
 use super::shutdown::GracefulShutdown;
 use super::{Node, Options, SystemDataPlane};
 use crate::listeners::{self, PendingCall};
-use crate::settings::{ListenOn, Settings};
+use crate::settings::{ListenAddresses, Settings};
 use crate::store_thread::{StoreEvent, StoreHandle};
 use brassport_control_plane::{self as control_plane, ControlPlane};
 use brassport_data_plane::{self as data_plane, downstream, DataPlane, RetryBudget};
@@ -37,9 +37,10 @@
         let start = Instant::now();
         let identity = Identity::draw();
         let (inbound, frames) = mpsc::unbounded_channel();
-        let links = Links::open(settings.ip, settings.port, settings.reached_at.clone(), inbound)
-            .await
-            .map_err(StartStep::Links.failed())?;
+        let links =
+            Links::open(settings.ip, settings.internal_port, settings.address_overrides.clone(), inbound)
+                .await
+                .map_err(StartStep::Links.failed())?;
         let (store_events, store_queue) = mpsc::unbounded_channel();
         let store = open_store(&settings, store_events);
         let data_plane = DataPlane::new(SystemClock, Tcp, data_plane_options(&settings, identity.seed));
@@ -56,7 +57,7 @@
         log::info!("node started node={} ip={}", settings.node, settings.ip);
         Ok(Node {
             inputs: Inputs::new(signals, Queues { store: store_queue, frames, calls }),
-            shutdown: GracefulShutdown::new(settings.bound("graceS", 6.0)),
+            shutdown: GracefulShutdown::new(settings.parameter("graceS", 6.0)),
             settings,
             settings_file,
             control,
@@ -104,10 +105,10 @@
         zone: settings.zone.clone(),
         zones: settings.zones.clone(),
         descriptors: settings.open_files.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DESCRIPTORS),
-        drain_ms: settings.bound("drainS", 2.0) * 1000.0,
+        drain_ms: settings.parameter("drainS", 2.0) * 1000.0,
         retry_budget: RetryBudget {
-            ratio: settings.bound("retryRatio", 0.1),
-            burst: settings.bound("retryExtra", 10.0),
+            ratio: settings.parameter("retryRatio", 0.1),
+            burst: settings.parameter("retryExtra", 10.0),
         },
         seed,
     }
@@ -143,14 +144,18 @@
 }
 
 impl Listeners<'_> {
-    fn open_control(&self, at: ListenOn, calls: UnboundedSender<PendingCall>) -> Result<(), StartError> {
+    fn open_control(
+        &self,
+        at: ListenAddresses,
+        calls: UnboundedSender<PendingCall>,
+    ) -> Result<(), StartError> {
         if let Some(listener) = bind(at.control, StartStep::ControlListener)? {
             spawn_local(listeners::control(listener, calls));
         }
         Ok(())
     }
 
-    fn open_ready(&self, at: ListenOn) -> Result<(), StartError> {
+    fn open_ready(&self, at: ListenAddresses) -> Result<(), StartError> {
         if let Some(listener) = bind(at.ready, StartStep::ReadyListener)? {
             let (data_plane, phase) = (self.data_plane.clone(), self.phase.clone());
             let is_ready = move || phase.phase() == Phase::Serving && data_plane.is_ready();
@@ -167,7 +172,7 @@
         Ok(())
     }
 
-    fn open_downstream(&self, at: ListenOn) -> Result<Option<JoinHandle<()>>, StartError> {
+    fn open_downstream(&self, at: ListenAddresses) -> Result<Option<JoinHandle<()>>, StartError> {
         let listener = bind(at.downstream, StartStep::DownstreamListener)?;
         Ok(listener.map(|listener| {
             spawn_local(downstream::serve(listener, self.data_plane.clone(), self.phase.clone()))
--- a/crates/brassport-gateway/src/settings/check.rs
+++ b/crates/brassport-gateway/src/settings/check.rs
@@ -1,39 +1,41 @@
-//! From the file's fields to checked settings: one function a group of fields, and every problem reported at once.
+//! Validation of the parsed settings file: one function for each group of fields. All problems are collected and reported
+//! together.
 
 use super::error::Problem;
 use super::layout::Layout;
-use super::{ListenOn, Settings};
+use super::{ListenAddresses, Settings};
 use brassport_control_plane::FaultTolerance;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
 
-/// Descriptors of a process, and megabytes, where `limits` says nothing.
+/// The limit on open file descriptors where `limits.openFiles` is not set.
 const DEFAULT_OPEN_FILES: f64 = 1024.0;
+/// The memory limit where `limits.memoryMb` is not set.
 const DEFAULT_MEMORY_MB: f64 = 256.0;
 
-/// Checks all fields.
+/// Validates all fields.
 ///
 /// # Errors
-/// Every problem that was found, in the order of the fields.
-pub(super) fn check(layout: Layout) -> Result<Settings, Vec<Problem>> {
+/// All problems found, in the order in which the fields are checked.
+pub(super) fn validate(layout: Layout) -> Result<Settings, Vec<Problem>> {
     let mut problems = Vec::new();
-    let ip = ip(&layout.ip, &mut problems);
-    let listen_on = listeners(&layout.listen_on, &mut problems);
-    let seeds = seeds(&layout.seeds, &mut problems);
-    let port = internal_port(&layout.internal_ports, &mut problems);
-    let bounds = bounds(&layout.bounds, &mut problems);
-    let reached_at = reached_at(&layout.reached_at, &mut problems);
+    let ip = parse_ip(&layout.ip, &mut problems);
+    let listen_on = parse_listen_addresses(&layout.listen_on, &mut problems);
+    let seeds = parse_seeds(&layout.seeds, &mut problems);
+    let internal_port = first_internal_port(&layout.internal_ports, &mut problems);
+    let parameters = parse_parameters(&layout.bounds, &mut problems);
+    let address_overrides = parse_address_overrides(&layout.reached_at, &mut problems);
     if !problems.is_empty() {
         return Err(problems);
     }
     let limit = |name: &str, default: f64| layout.limits.get(name).copied().flatten().unwrap_or(default);
     Ok(Settings {
         ip,
-        port,
+        internal_port,
         seeds,
-        bounds,
-        reached_at,
+        parameters,
+        address_overrides,
         listen_on,
         fault_tolerance: fault_tolerance(&layout),
         open_files: limit("openFiles", DEFAULT_OPEN_FILES) as usize,
@@ -48,15 +50,18 @@
     })
 }
 
-fn ip(text: &str, problems: &mut Vec<Problem>) -> Ipv4Addr {
+fn parse_ip(text: &str, problems: &mut Vec<Problem>) -> Ipv4Addr {
     text.parse().unwrap_or_else(|_| {
         problems.push(Problem::Ip(text.to_owned()));
         Ipv4Addr::UNSPECIFIED
     })
 }
 
-fn listeners(entries: &BTreeMap<String, Option<String>>, problems: &mut Vec<Problem>) -> ListenOn {
-    let mut listener = |name: &'static str| -> Option<SocketAddrV4> {
+fn parse_listen_addresses(
+    entries: &BTreeMap<String, Option<String>>,
+    problems: &mut Vec<Problem>,
+) -> ListenAddresses {
+    let mut parse_listener = |name: &'static str| -> Option<SocketAddrV4> {
         let text = entries.get(name)?.as_ref()?;
         let address = text.parse().ok();
         if address.is_none() {
@@ -64,11 +69,15 @@
         }
         address
     };
-    // In this order: so are the problems.
-    ListenOn { downstream: listener("front"), ready: listener("ready"), control: listener("control") }
+    // Problems are reported in the order of these calls.
+    ListenAddresses {
+        downstream: parse_listener("front"),
+        ready: parse_listener("ready"),
+        control: parse_listener("control"),
+    }
 }
 
-fn seeds(entries: &[String], problems: &mut Vec<Problem>) -> Vec<Ipv4Addr> {
+fn parse_seeds(entries: &[String], problems: &mut Vec<Problem>) -> Vec<Ipv4Addr> {
     let mut seeds = Vec::with_capacity(entries.len());
     for (index, text) in entries.iter().enumerate() {
         match text.parse::<SocketAddrV4>() {
@@ -79,51 +88,51 @@
     seeds
 }
 
-fn internal_port(ports: &[u16], problems: &mut Vec<Problem>) -> u16 {
+fn first_internal_port(ports: &[u16], problems: &mut Vec<Problem>) -> u16 {
     ports.first().copied().unwrap_or_else(|| {
         problems.push(Problem::NoInternalPort);
         0
     })
 }
 
-fn bounds(entries: &[String], problems: &mut Vec<Problem>) -> BTreeMap<String, f64> {
-    let mut bounds = BTreeMap::new();
+fn parse_parameters(entries: &[String], problems: &mut Vec<Problem>) -> BTreeMap<String, f64> {
+    let mut parameters = BTreeMap::new();
     for (index, text) in entries.iter().enumerate() {
         let Some((name, value)) = text.split_once('=') else {
             problems.push(Problem::Bound { index, text: text.clone() });
             continue;
         };
-        let figure = match value.trim() {
+        let number = match value.trim() {
             "true" => Some(1.0),
             "false" => Some(0.0),
             other => other.parse().ok(),
         };
-        // The list is shared with other programs: a value that is neither a number nor true or false is theirs.
-        bounds.extend(figure.map(|figure| (name.trim().to_owned(), figure)));
+        // Other programs read the same list: a value that is neither a number nor a boolean is theirs and is skipped.
+        parameters.extend(number.map(|number| (name.trim().to_owned(), number)));
     }
-    bounds
+    parameters
 }
 
-fn reached_at(
+fn parse_address_overrides(
     entries: &BTreeMap<String, String>,
     problems: &mut Vec<Problem>,
 ) -> BTreeMap<Ipv4Addr, Ipv4Addr> {
-    let mut reached_at = BTreeMap::new();
+    let mut overrides = BTreeMap::new();
     for (node, address) in entries {
         match (node.parse::<Ipv4Addr>(), address.parse::<Ipv4Addr>()) {
-            (Ok(node), Ok(address)) => drop(reached_at.insert(node, address)),
+            (Ok(node), Ok(address)) => drop(overrides.insert(node, address)),
             _ => problems.push(Problem::ReachedAt { node: node.clone(), address: address.clone() }),
         }
     }
-    reached_at
+    overrides
 }
 
 fn fault_tolerance(layout: &Layout) -> FaultTolerance {
-    let count = |name: &str| layout.survive.get(name).copied().unwrap_or_default();
+    let tolerated = |name: &str| layout.survive.get(name).copied().unwrap_or_default();
     FaultTolerance {
-        machines: count("machines"),
-        zones: count("zones"),
-        regions: count("regions"),
+        machines: tolerated("machines"),
+        zones: tolerated("zones"),
+        regions: tolerated("regions"),
         region_of: layout.zones.clone(),
     }
 }
--- a/crates/brassport-gateway/src/settings/error.rs
+++ b/crates/brassport-gateway/src/settings/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a settings file.
+//! Errors of reading, parsing and validating the settings file.
 
 use std::error::Error;
 use std::fmt;
@@ -10,38 +10,38 @@
 pub enum Problem {
     /// The file can't be read.
     Io(io::Error),
-    /// The text is no YAML, or a field has another type.
+    /// The text is not valid YAML, or a field has the wrong type.
     Malformed(Box<schematic::ConfigError>),
-    /// `ip` is no address.
+    /// `ip` is not an IPv4 address.
     Ip(String),
-    /// An entry of `listenOn` is no address with a port.
+    /// An entry of `listenOn` is not an IPv4 address with a port.
     Listener {
-        /// The entry's name.
+        /// The key of the entry.
         name: &'static str,
-        /// What the file says.
+        /// The value in the file.
         text: String,
     },
-    /// An entry of `seeds` is no address with a port.
+    /// An entry of `seeds` is not an IPv4 address with a port.
     Seed {
-        /// Its index in the list.
+        /// The position of the entry in the list, from 0.
         index: usize,
-        /// What the file says.
+        /// The value in the file.
         text: String,
     },
-    /// `internalPorts` is empty.
+    /// `internalPorts` is missing or empty.
     NoInternalPort,
     /// An entry of `bounds` is not `name=value`.
     Bound {
-        /// Its index in the list.
+        /// The position of the entry in the list, from 0.
         index: usize,
-        /// What the file says.
+        /// The value in the file.
         text: String,
     },
-    /// An entry of `reachedAt` is not a pair of addresses.
+    /// The key or the value of an entry of `reachedAt` is not an IPv4 address.
     ReachedAt {
-        /// The node's own address, as the file has it.
+        /// The key: the node's own address.
         node: String,
-        /// Where it is reached, as the file has it.
+        /// The value: the address at which the node is reached.
         address: String,
     },
 }
@@ -79,7 +79,7 @@
     }
 }
 
-/// An error with those behind it: the innermost names the line.
+/// Writes an error and its sources; the innermost one names the line in the file.
 fn write_chain(f: &mut fmt::Formatter<'_>, error: &dyn Error) -> fmt::Result {
     write!(f, "{error}")?;
     let mut source = error.source();
@@ -90,13 +90,13 @@
     Ok(())
 }
 
-/// Settings that can't be used: a file with all its problems.
+/// A settings file that cannot be used, with all its problems.
 #[derive(Debug, miette::Diagnostic)]
 #[diagnostic(help("the file is YAML, as DEPLOY says; its path stands in BRASSPORT_CONFIG; `brassport-gateway check` reads it without starting"))]
 pub struct SettingsError {
-    /// The file.
+    /// The path of the settings file.
     pub file: PathBuf,
-    /// What is wrong, each with its field, or the line where the file can't be read.
+    /// At least one problem. The text of each names the field, or the line where parsing failed.
     pub problems: Vec<Problem>,
 }
 
@@ -109,7 +109,7 @@
 
 impl Error for SettingsError {}
 
-/// The environment names no settings file.
+/// The environment variable [`FILE_VARIABLE`](super::FILE_VARIABLE) is not set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, miette::Diagnostic)]
 #[diagnostic(help("set it to the path of the settings file"))]
 pub struct NoSettingsFile;
--- a/crates/brassport-gateway/src/settings/layout.rs
+++ b/crates/brassport-gateway/src/settings/layout.rs
@@ -1,9 +1,9 @@
-//! The settings file as it is written. A field that is not named here is ignored.
+//! The fields of the settings file, before validation. Unknown fields are ignored.
 
 use schematic::{Config, ConfigLoader};
 use std::collections::BTreeMap;
 
-/// The file's fields, unchecked. The loader names this type in its error texts (`PartialLayout`).
+/// The fields of the file as parsed. The loader's error messages contain the name of this type (`PartialLayout`).
 #[derive(Debug, Config)]
 #[config(allow_unknown_fields)]
 #[serde(rename_all = "camelCase")]
@@ -11,7 +11,7 @@
     pub(super) node: String,
     pub(super) ip: String,
     pub(super) zone: String,
-    /// The region of each zone.
+    /// The zones in the order of their names, each with its region.
     pub(super) zones: BTreeMap<String, String>,
     pub(super) listen_on: BTreeMap<String, Option<String>>,
     pub(super) internal_ports: Vec<u16>,
@@ -28,7 +28,7 @@
 }
 
 impl Layout {
-    /// Reads the text of a file.
+    /// Parses the text of a settings file.
     pub(super) fn parse(text: &str) -> Result<Layout, schematic::ConfigError> {
         let mut loader = ConfigLoader::<Layout>::new();
         Ok(loader.code(text, "settings.yaml")?.load()?.config)
--- a/crates/brassport-gateway/src/settings/mod.rs
+++ b/crates/brassport-gateway/src/settings/mod.rs
@@ -1,4 +1,5 @@
-//! The settings file of a node: read once at the start, and again for what may change while the process runs.
+//! The settings file of a node. It is read at startup, and again while the process runs for the settings that may change
+//! without a restart.
 
 mod check;
 mod error;
@@ -12,87 +13,88 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 
-/// The environment variable that holds the file's path.
+/// The environment variable that holds the path of the settings file.
 pub const FILE_VARIABLE: &str = "BRASSPORT_CONFIG";
 
-/// The settings of one node, checked.
+/// The validated settings of one node. The name of each setting in the file is given in parentheses.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Its machine's name (`node`).
+    /// The name of the machine (`node`).
     pub node: String,
-    /// Its address (`ip`).
+    /// The address of this node (`ip`).
     pub ip: Ipv4Addr,
-    /// Its zone (`zone`).
+    /// The zone of this node (`zone`).
     pub zone: String,
-    /// All zones, in their order (the keys of `zones`).
+    /// All zones, sorted by name (the keys of `zones`).
     pub zones: Vec<String>,
-    /// Where it listens (`listenOn`).
-    pub listen_on: ListenOn,
-    /// The port of the nodes' links, the same on each (the first of `internalPorts`).
-    pub port: u16,
-    /// Addresses of the seeds (`seeds`).
+    /// The addresses of the listeners (`listenOn`).
+    pub listen_on: ListenAddresses,
+    /// The port for traffic between nodes, the same on every node (the first of `internalPorts`).
+    pub internal_port: u16,
+    /// The nodes to contact first when joining the cluster (`seeds`).
     pub seeds: Vec<Ipv4Addr>,
-    /// Whether the cluster starts for the first time (`firstStart`).
+    /// Whether the whole cluster starts for the first time (`firstStart`).
     pub first_start: bool,
-    /// Whether this machine is one of the core, which may vote (`counted`).
+    /// Whether this node belongs to the core, whose nodes may become voters of the consensus group (`counted`).
     pub is_core: bool,
-    /// Most file descriptors (`limits.openFiles`).
+    /// The limit on open file descriptors (`limits.openFiles`).
     pub open_files: usize,
-    /// Most memory, in megabytes (`limits.memoryMb`).
+    /// The memory limit in megabytes (`limits.memoryMb`).
     pub memory_mb: f64,
-    /// The folder of its durable state, if it has a disk (`dataFolder`).
+    /// The folder for durable state; `None` on a node without a disk (`dataFolder`).
     pub data_folder: Option<PathBuf>,
-    /// Between two heartbeats of a backend, in seconds (`reportEveryS`).
+    /// The interval between heartbeats of a backend, in seconds (`reportEveryS`).
     pub heartbeat_interval_s: f64,
-    /// What may fail at once (`survive`, and the regions of `zones`).
+    /// How many machines, zones and regions may fail at the same time (`survive`, and the regions in `zones`).
     pub fault_tolerance: FaultTolerance,
-    /// Figures by name (`bounds`); see [`Settings::bound`].
-    pub bounds: BTreeMap<String, f64>,
-    /// Nodes that are reached from here at another address than their own, as behind address translation (`reachedAt`).
-    pub reached_at: BTreeMap<Ipv4Addr, Ipv4Addr>,
+    /// Tuning parameters by name (`bounds`); see [`Settings::parameter`].
+    pub parameters: BTreeMap<String, f64>,
+    /// For nodes that this one reaches at another address, such as behind network address translation: the address to
+    /// connect to, by the node's own address (`reachedAt`).
+    pub address_overrides: BTreeMap<Ipv4Addr, Ipv4Addr>,
 }
 
-/// Addresses of a node's listeners; one that is not set is not opened.
+/// The addresses that a node listens on. A listener without an address is not opened.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ListenOn {
-    /// Clients' requests (`front`).
+pub struct ListenAddresses {
+    /// For requests of clients (`front`).
     pub downstream: Option<SocketAddrV4>,
-    /// The platform's readiness check (`ready`).
+    /// For the readiness check of the deployment platform (`ready`).
     pub ready: Option<SocketAddrV4>,
-    /// Calls of backends and operators (`control`).
+    /// For control calls of backends and operators (`control`).
     pub control: Option<SocketAddrV4>,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// It can't be read, or some of it is invalid: every problem that was found.
+    /// The file cannot be read, or is invalid; the error holds all problems found.
     pub fn read(file: &Path) -> Result<Settings, SettingsError> {
         let error = |problems| SettingsError { file: file.to_owned(), problems };
         let text = std::fs::read_to_string(file).map_err(|io| error(vec![Problem::Io(io)]))?;
         Settings::parse(&text).map_err(error)
     }
 
-    /// As [`read`](Settings::read), from the text of a file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// Every problem that was found.
+    /// All problems found.
     pub fn parse(text: &str) -> Result<Settings, Vec<Problem>> {
         let layout = Layout::parse(text).map_err(|error| vec![Problem::Malformed(Box::new(error))])?;
-        check::check(layout)
+        check::validate(layout)
     }
 
-    /// The figure of this name in `bounds`, in the unit that its name ends with; `default` where there is none.
-    pub fn bound(&self, name: &str, default: f64) -> f64 {
-        self.bounds.get(name).copied().unwrap_or(default)
+    /// The value of a tuning parameter, in the unit that ends its name; `default` if it is not set.
+    pub fn parameter(&self, name: &str, default: f64) -> f64 {
+        self.parameters.get(name).copied().unwrap_or(default)
     }
 }
 
-/// The settings file that the environment names in [`FILE_VARIABLE`].
+/// The path of the settings file, from the environment variable [`FILE_VARIABLE`].
 ///
 /// # Errors
-/// It names none.
+/// The variable is not set.
 pub fn file_from_environment() -> Result<PathBuf, NoSettingsFile> {
     std::env::var_os(FILE_VARIABLE).map(PathBuf::from).ok_or(NoSettingsFile)
 }
