--- a/crates/brassport-gateway/src/command/error.rs
+++ b/crates/brassport-gateway/src/command/error.rs
@@ -1,46 +1,47 @@
-//! Why a verb could not do its work.
+//! Errors of the subcommands.
 
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a verb could not do its work; errors of settings, configurations and stores are those packages' own.
+/// An error of a subcommand. Errors in settings, configurations and stores have types of their own and are reported as they
+/// are.
 #[derive(Debug, miette::Diagnostic)]
 pub enum CommandError {
-    /// The verb needs a file.
+    /// The required file argument is missing.
     FileMissing,
-    /// `difference` needs two files.
+    /// `difference` was not given exactly two files.
     #[diagnostic(help("brassport-gateway difference OLDER NEWER"))]
     TwoFilesMissing,
-    /// `status` needs an address.
+    /// `status` was given no address.
     #[diagnostic(help("brassport-gateway status 10.0.0.1:8381 ..."))]
     AddressMissing,
-    /// A file can't be read.
+    /// A file cannot be read.
     Read {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
-    /// Nodes did not answer `status`.
+    /// At least one node did not answer the request of `status`.
     Unanswered {
-        /// How many did not.
-        silent: usize,
-        /// Of how many.
+        /// The number of nodes without a valid answer.
+        failed: usize,
+        /// The number of nodes asked.
         total: usize,
     },
-    /// A folder has no store.
+    /// The folder contains no store.
     #[diagnostic(help("name the data folder"))]
     StoreMissing {
-        /// The folder.
+        /// The folder searched.
         folder: PathBuf,
     },
-    /// The testbed's program can't be started.
-    #[diagnostic(help("`cargo build --release --workspace` makes it"))]
+    /// The testbed executable cannot be started.
+    #[diagnostic(help("build it with `cargo build --release --workspace`"))]
     Testbed {
-        /// Where it was expected.
+        /// The path where the executable was expected.
         program: PathBuf,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
 }
@@ -48,11 +49,11 @@
 impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CommandError::FileMissing => f.write_str("a file is wanted"),
+            CommandError::FileMissing => f.write_str("a file argument is required"),
             CommandError::TwoFilesMissing => f.write_str("two files are wanted"),
-            CommandError::AddressMissing => f.write_str("an address is wanted"),
+            CommandError::AddressMissing => f.write_str("at least one address is required"),
             CommandError::Read { file, error } => write!(f, "{}: {error}", file.display()),
-            CommandError::Unanswered { silent, total } => write!(f, "{silent} of {total} did not answer"),
+            CommandError::Unanswered { failed, total } => write!(f, "{failed} of {total} did not answer"),
             CommandError::StoreMissing { folder } => write!(f, "{}: no store is there", folder.display()),
             CommandError::Testbed { program, error } => {
                 write!(f, "cannot start {}: {error}", program.display())
--- a/crates/brassport-gateway/src/command/mod.rs
+++ b/crates/brassport-gateway/src/command/mod.rs
@@ -1,7 +1,7 @@
-//! The command line: its verbs and options, and the exit code.
+//! The command line: its subcommands and options, and the exit code.
 
 mod error;
-mod verbs;
+mod subcommands;
 
 pub use error::CommandError;
 
@@ -9,37 +9,35 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The exit code of a command line that can't be read, or names no verb.
+/// The exit code for a command line that is invalid or has no subcommand.
 const USAGE_ERROR: u8 = 2;
 
-/// Options in front of the verb.
+/// Options before the command:
 #[derive(Debug, Options)]
 struct Arguments {
-    #[options(help = "print this")]
+    #[options(help = "print this help")]
     help: bool,
     #[options(help = "print the version")]
     version: bool,
     #[options(command)]
-    verb: Option<Verb>,
+    subcommand: Option<Subcommand>,
 }
 
 #[derive(Debug, Options)]
-enum Verb {
-    #[options(help = "run a door, as the settings file says that BRASSPORT_CONFIG names")]
+enum Subcommand {
+    #[options(help = "run a gateway node with the settings file named by BRASSPORT_CONFIG")]
     Run(RunOptions),
-    #[options(help = "check a settings file, or the one that BRASSPORT_CONFIG names")]
+    #[options(help = "validate a settings file (default: the one named by BRASSPORT_CONFIG)")]
     Check(File),
-    #[options(help = "check a configuration of the operator's before it is sent")]
+    #[options(help = "validate a configuration before it is sent to a node")]
     CheckConfiguration(File),
-    #[options(help = "say what differs between two configurations")]
+    #[options(help = "print the differences between two configurations")]
     Difference(TwoFiles),
-    #[options(
-        help = "ask running doors (addresses of their control listeners): versions, duty, voters, who lags"
-    )]
+    #[options(help = "print the state of running nodes, given the addresses of their control listeners")]
     Status(Addresses),
-    #[options(help = "say what a voter's store holds; the process that owns it must not run")]
+    #[options(help = "print the contents of a voter's store; the node that owns it must be stopped")]
     Store(File),
-    #[options(help = "try a whole small site on loopback; see brassport-gateway try --help")]
+    #[options(help = "run a small complete site on the loopback network; see brassport-gateway try --help")]
     Try(TestbedArguments),
 }
 
@@ -48,7 +46,7 @@
     #[options(
         no_short,
         meta = "PORT",
-        help = "serve counters at http://ADDRESS:PORT/metrics, at the door's own address (none)"
+        help = "serve metrics at http://ADDRESS:PORT/metrics, where ADDRESS is the node's own (default: off)"
     )]
     metrics_port: Option<u16>,
 }
@@ -61,9 +59,9 @@
 
 #[derive(Debug, Options)]
 struct Addresses {
-    #[options(free, help = "addresses as 10.0.0.1:8381")]
+    #[options(free, help = "addresses of control listeners, such as 10.0.0.1:8381")]
     addresses: Vec<String>,
-    #[options(no_short, help = "print what each says, a line of JSON each")]
+    #[options(no_short, help = "print the JSON answers, one on a line")]
     json: bool,
 }
 
@@ -75,15 +73,15 @@
 
 #[derive(Debug, Options)]
 struct TestbedArguments {
-    #[options(free, help = "the words of brassport-testbed, options among them")]
-    words: Vec<String>,
+    #[options(free, help = "arguments of brassport-testbed, including its options")]
+    arguments: Vec<String>,
 }
 
-/// Runs a command line, without the program's name in front.
+/// Runs the subcommand of a command line; `arguments` excludes the name of the program.
 pub fn main(arguments: &[String]) -> ExitCode {
-    // The testbed's options are its own: they must not be read as the gateway's.
+    // Everything after `try` belongs to the testbed: its options must not be parsed as those of the gateway.
     if let Some(("try", rest)) = arguments.split_first().map(|(first, rest)| (first.as_str(), rest)) {
-        return exit_code(verbs::run_testbed(rest).map_err(Into::into));
+        return exit_code(subcommands::run_testbed(rest).map_err(Into::into));
     }
     let arguments = match Arguments::parse_args_default(arguments) {
         Ok(arguments) => arguments,
@@ -96,8 +94,8 @@
         println!("brassport-gateway {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
-    match arguments.verb.filter(|_| !arguments.help) {
-        Some(verb) => exit_code(execute(verb)),
+    match arguments.subcommand.filter(|_| !arguments.help) {
+        Some(subcommand) => exit_code(execute(subcommand)),
         None => {
             print_help();
             if arguments.help {
@@ -110,12 +108,12 @@
 }
 
 fn print_help() {
-    println!("The gateway.\n\nbrassport-gateway VERB\n\n{}", Arguments::usage());
-    println!("\nVerbs:\n{}", Arguments::command_list().unwrap_or_default());
+    println!("The API gateway.\n\nUsage: brassport-gateway COMMAND\n\n{}", Arguments::usage());
+    println!("\nCommands:\n{}", Arguments::command_list().unwrap_or_default());
 }
 
-fn exit_code(outcome: miette::Result<()>) -> ExitCode {
-    match outcome {
+fn exit_code(result: miette::Result<()>) -> ExitCode {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
             eprintln!("brassport-gateway: {report:?}");
@@ -124,17 +122,17 @@
     }
 }
 
-fn execute(verb: Verb) -> miette::Result<()> {
-    match verb {
-        Verb::Run(RunOptions { metrics_port }) => verbs::run(metrics_port),
-        Verb::Check(File { file }) => verbs::check(file),
-        Verb::CheckConfiguration(File { file }) => verbs::check_configuration(file),
-        Verb::Difference(TwoFiles { files }) => verbs::print_difference(&files),
-        Verb::Status(Addresses { addresses, json }) => {
-            let format = if json { verbs::StatusFormat::Json } else { verbs::StatusFormat::Text };
-            Ok(verbs::print_status(&addresses, format)?)
+fn execute(subcommand: Subcommand) -> miette::Result<()> {
+    match subcommand {
+        Subcommand::Run(RunOptions { metrics_port }) => subcommands::run(metrics_port),
+        Subcommand::Check(File { file }) => subcommands::check(file),
+        Subcommand::CheckConfiguration(File { file }) => subcommands::check_configuration(file),
+        Subcommand::Difference(TwoFiles { files }) => subcommands::print_difference(&files),
+        Subcommand::Status(Addresses { addresses, json }) => {
+            let format = if json { subcommands::StatusFormat::Json } else { subcommands::StatusFormat::Text };
+            Ok(subcommands::print_status(&addresses, format)?)
         }
-        Verb::Store(File { file }) => verbs::print_store(file),
-        Verb::Try(TestbedArguments { words }) => Ok(verbs::run_testbed(&words)?),
+        Subcommand::Store(File { file }) => subcommands::print_store(file),
+        Subcommand::Try(TestbedArguments { arguments }) => Ok(subcommands::run_testbed(&arguments)?),
     }
 }
--- a/crates/brassport-gateway/src/command/verbs.rs
+++ b/crates/brassport-gateway/src/command/subcommands.rs
@@ -1,4 +1,5 @@
-//! The verbs, a function each. Output goes to standard output; an error is the caller's to print.
+//! The subcommands, one function for each. Each prints its result to standard output and returns its error, which the caller
+//! prints.
 
 use super::CommandError;
 use crate::settings::{file_from_environment, Settings};
@@ -10,16 +11,16 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// How `status` prints a node's answer.
+/// The output format of `status`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StatusFormat {
-    /// A line for the node, and one for each that lags.
+    /// A summary line for each node asked, followed by a line for each peer whose replica lags behind it.
     Text,
-    /// As it came.
+    /// The unchanged body of each answer.
     Json,
 }
 
-/// `run`: a node, until SIGTERM.
+/// `run`: runs a node until SIGTERM has shut it down.
 pub(super) fn run(metrics_port: Option<u16>) -> miette::Result<()> {
     logging::init()?;
     let file = file_from_environment()?;
@@ -27,7 +28,7 @@
     Ok(node::run(node::Options { settings, settings_file: file, metrics_port })?)
 }
 
-/// `check`: a settings file.
+/// `check`: validates a settings file, by default the one that the environment names.
 pub(super) fn check(file: Option<PathBuf>) -> miette::Result<()> {
     let file = file.map_or_else(file_from_environment, Ok)?;
     let settings = Settings::read(&file)?;
@@ -35,7 +36,7 @@
     Ok(())
 }
 
-/// `check-configuration`: a configuration of the operator's.
+/// `check-configuration`: validates a configuration and prints a summary of it.
 pub(super) fn check_configuration(file: Option<PathBuf>) -> miette::Result<()> {
     let document = read_document(&required(file)?)?;
     let configuration = document.configuration();
@@ -49,7 +50,7 @@
     Ok(())
 }
 
-/// `difference`: of two configurations, a line each.
+/// `difference`: prints the differences between two configurations, one on a line.
 pub(super) fn print_difference(files: &[PathBuf]) -> miette::Result<()> {
     let [older, newer] = files else { return Err(CommandError::TwoFilesMissing.into()) };
     let (older, newer) = (read_document(older)?, read_document(newer)?);
@@ -59,32 +60,32 @@
     Ok(())
 }
 
-/// `status`: of running nodes. Those that don't answer don't keep the others from being printed.
+/// `status`: prints the status of each node. A node that fails to answer does not stop the output for the others.
 pub(super) fn print_status(addresses: &[String], format: StatusFormat) -> Result<(), CommandError> {
     if addresses.is_empty() {
         return Err(CommandError::AddressMissing);
     }
-    let mut silent = 0;
+    let mut failed = 0;
     for address in addresses {
         match (status::fetch(address), format) {
             (Ok(body), StatusFormat::Json) => println!("{body}"),
             (Ok(body), StatusFormat::Text) => println!("{}", status::describe(address, &body)),
             (Err(error), _) => {
-                silent += 1;
+                failed += 1;
                 eprintln!("{address}: {error}");
             }
         }
     }
-    match silent {
+    match failed {
         0 => Ok(()),
-        silent => Err(CommandError::Unanswered { silent, total: addresses.len() }),
+        failed => Err(CommandError::Unanswered { failed, total: addresses.len() }),
     }
 }
 
-/// `store`: what a voter's store holds.
+/// `store`: prints the contents of a voter's store, which must not be open in another process.
 pub(super) fn print_store(folder: Option<PathBuf>) -> miette::Result<()> {
     let folder = required(folder)?;
-    // Opening would make one.
+    // `Store::open` creates a store where there is none.
     if !folder.join(FILE_NAME).is_file() {
         return Err(CommandError::StoreMissing { folder }.into());
     }
@@ -100,10 +101,10 @@
     Ok(())
 }
 
-/// `try`: becomes the testbed's program, which lies beside this one.
+/// `try`: replaces this process by the testbed executable, which is expected in the same folder as this one.
 ///
 /// # Errors
-/// It can't be started; otherwise this does not return.
+/// The executable cannot be started. On success, this function does not return.
 pub(super) fn run_testbed(arguments: &[String]) -> Result<(), CommandError> {
     let program = std::env::current_exe().unwrap_or_default().with_file_name("brassport-testbed");
     let error = Command::new(&program).args(arguments).exec();
--- a/crates/brassport-gateway/src/status.rs
+++ b/crates/brassport-gateway/src/status.rs
@@ -1,4 +1,4 @@
-//! The client of a running node's `GET /Status`: the request, a typed reading of the answer, and its text for people.
+//! The client of the control call `GET /Status`: sends the request, parses the answer and formats it as text.
 
 use serde::Deserialize;
 use std::fmt;
@@ -6,24 +6,24 @@
 use std::net::{TcpStream, ToSocketAddrs};
 use std::time::Duration;
 
-/// For the connection, and for each read: a node answers within milliseconds or not at all.
+/// The time limit of the connection and of each read. A node answers within milliseconds or not at all.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why there is no status.
+/// An error of fetching the status of a node.
 #[derive(Debug)]
 pub enum StatusError {
-    /// The address can't be resolved, or has no port.
+    /// The address cannot be resolved, or has no port.
     InvalidAddress,
-    /// There was no exchange.
+    /// The connection, the request or reading the answer failed.
     Io(io::Error),
-    /// The answer was not a success.
+    /// The status code of the answer is not 200.
     Rejected,
 }
 
 impl fmt::Display for StatusError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StatusError::InvalidAddress => f.write_str("no address with a port"),
+            StatusError::InvalidAddress => f.write_str("the address cannot be resolved or has no port"),
             StatusError::Io(error) => error.fmt(f),
             StatusError::Rejected => f.write_str("this is no door of the gateway, or it can't answer now"),
         }
@@ -45,25 +45,26 @@
     }
 }
 
-/// Fetches the status of the node whose control listener is at `address`: the body as it came, JSON.
+/// Fetches the status of the node whose control listener is at `address`, and returns the unparsed JSON body.
 ///
 /// # Errors
-/// The address is invalid, the exchange failed, or the answer was not a success.
+/// The address is invalid, the exchange failed, or the status code of the answer is not 200.
 pub fn fetch(address: &str) -> Result<String, StatusError> {
     let mut resolved = address.to_socket_addrs().map_err(|_| StatusError::InvalidAddress)?;
-    let at = resolved.next().ok_or(StatusError::InvalidAddress)?;
-    let mut stream = TcpStream::connect_timeout(&at, TIMEOUT)?;
+    let socket_address = resolved.next().ok_or(StatusError::InvalidAddress)?;
+    let mut stream = TcpStream::connect_timeout(&socket_address, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
     write!(stream, "GET /Status HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n")?;
-    let mut text = String::new();
-    stream.read_to_string(&mut text)?;
-    match text.split_once("\r\n\r\n") {
+    let mut response = String::new();
+    stream.read_to_string(&mut response)?;
+    match response.split_once("\r\n\r\n") {
         Some((head, body)) if head.starts_with("HTTP/1.1 200") => Ok(body.to_owned()),
         _ => Err(StatusError::Rejected),
     }
 }
 
-/// The status of one node. A field that a node of another release leaves out is printed as `null`.
+/// The status of one node. All fields are optional, as nodes of other releases may leave some out; a missing one is printed
+/// as `null`.
 #[derive(Debug, Deserialize)]
 pub struct NodeStatus {
     zone: Option<String>,
@@ -72,7 +73,7 @@
     leader: Option<LeaderStatus>,
     #[serde(default)]
     voters: Vec<VoterStatus>,
-    /// The other nodes, as this one has heard of them.
+    /// The other nodes, as last reported to this one.
     #[serde(default, rename = "doors")]
     peers: Vec<PeerStatus>,
     #[serde(default)]
@@ -93,8 +94,9 @@
 #[derive(Debug, Deserialize)]
 struct PeerStatus {
     ip: Option<String>,
-    /// By how many indexes its replica is behind this node's.
+    /// The number of log indexes by which the peer's replica is behind that of this node.
     behind: Option<u64>,
+    /// Milliseconds since the last message from the peer.
     #[serde(rename = "heardMsAgo")]
     heard_ms_ago: Option<u64>,
 }
@@ -108,7 +110,7 @@
     draining: Option<u64>,
 }
 
-/// A value, or `null`.
+/// Displays a missing value as `null`.
 struct OrNull<T>(T);
 
 impl<T: fmt::Display> fmt::Display for OrNull<&Option<T>> {
@@ -147,8 +149,8 @@
     }
 }
 
-/// The status for people: a line for the node, and one for each node that lags behind it. What can't be read is printed as
-/// it came.
+/// Formats a status as text: a line for the node, and one for each peer that lags behind it. A body that cannot be parsed is
+/// returned unchanged after the address.
 pub fn describe(address: &str, body: &str) -> String {
     match serde_json::from_str::<NodeStatus>(body) {
         Ok(status) => format!("{address}: {status}"),
--- a/crates/brassport-gateway/tests/it/main.rs
+++ b/crates/brassport-gateway/tests/it/main.rs
@@ -1,4 +1,5 @@
-//! The gateway's tests, one binary: settings, listeners, verbs, the log's level, the graceful shutdown, and the process.
+//! The integration tests of the gateway, in one binary: settings, listeners, subcommands, log level, graceful shutdown, and
+//! a node as a process.
 #![forbid(unsafe_code)]
 
 mod common;
@@ -8,4 +9,4 @@
 mod settings;
 mod shutdown;
 mod status;
-mod verbs;
+mod subcommands;
--- a/crates/brassport-gateway/tests/it/verbs.rs
+++ b/crates/brassport-gateway/tests/it/subcommands.rs
@@ -1,15 +1,17 @@
-//! The verbs that work on files: exit code, output and errors, against the fixture `files`.
+//! Tests of the subcommands that take files: their exit codes, standard output and standard error are compared with the
+//! fixture `files`.
 
 use crate::common::{GOLDEN, PACKAGE, SETTINGS};
 use brassport_config_store::store::FILE_NAME;
 use std::path::Path;
 use std::process::Command;
 
-/// Runs the program on files of a folder: exit code, output and errors; the folder as `FOLDER`.
-fn run_on(folder: &Path, verb: &str, files: &[&str]) -> String {
+/// Runs a subcommand on files in `folder`, and returns the exit code, standard output and standard error, with the path of the
+/// folder replaced by `FOLDER`.
+fn run_on(folder: &Path, subcommand: &str, files: &[&str]) -> String {
     let files = files.iter().map(|file| folder.join(file));
     let mut command = Command::new(env!("CARGO_BIN_EXE_brassport-gateway"));
-    let output = command.arg(verb).args(files).output().expect("it runs");
+    let output = command.arg(subcommand).args(files).output().expect("the gateway runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let (out, err) = (text(&output.stdout), text(&output.stderr));
     let text = format!("code {:?}\nout {out}err {err}", output.status.code());
@@ -17,19 +19,19 @@
 }
 
 #[test]
-fn verbs_on_files_print_pinned_texts() {
+fn subcommands_on_files_print_the_expected_texts() {
     let folder = std::env::temp_dir().join(format!("brassport-gateway-golden-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(folder.join("data")).expect("a folder");
+    std::fs::create_dir_all(folder.join("data")).expect("the folder is created");
     let older = r#"{"version":"00000001","services":[{"name":"a"}],"hosts":[]}"#;
     let newer = r#"{"version":"00000002","services":[{"name":"b"}],"hosts":[]}"#;
     let files =
         [("settings.yaml", SETTINGS), ("older.json", older), ("newer.json", newer), ("bad.json", "{}")];
     for (file, text) in files {
-        std::fs::write(folder.join(file), text).expect("written");
+        std::fs::write(folder.join(file), text).expect("the file is written");
     }
-    let store = Path::new(PACKAGE).join("../brassport-config-store/tests/golden/store-2.sqlite");
-    std::fs::copy(store, folder.join("data").join(FILE_NAME)).expect("the fixture is there");
+    let store_fixture = Path::new(PACKAGE).join("../brassport-config-store/tests/golden/store-2.sqlite");
+    std::fs::copy(store_fixture, folder.join("data").join(FILE_NAME)).expect("the fixture is copied");
     let cases = [
         ("check", run_on(&folder, "check", &["settings.yaml"])),
         ("check-configuration", run_on(&folder, "check-configuration", &["older.json"])),
