--- a/crates/brassport-gateway/src/node/build.rs
+++ b/crates/brassport-gateway/src/node/build.rs
@@ -1,4 +1,4 @@
-//! The construction of a node: links, store, planes and listeners, opened one after another.
+//! Construction of a node: opens its links, its store and its listeners, and creates the data plane and the control plane.
 
 use super::control_host::{ControlHost, Sender, Targets};
 use super::error::{StartError, StartStep};
@@ -24,18 +24,18 @@
 use tokio::sync::mpsc::{self, UnboundedSender};
 use tokio::task::{spawn_local, JoinHandle};
 
-/// Descriptors that are reserved for links, callers and the store.
+/// The file descriptors reserved for links to other nodes, control calls and the store.
 const RESERVED_DESCRIPTORS: usize = 300;
-/// Descriptors that the request path has at the least, whatever the limit is.
+/// The minimum number of file descriptors for the request path, even if the process limit is lower.
 const MIN_DESCRIPTORS: usize = 64;
 
 impl Node {
-    /// Opens all that a node owns. Listeners come last: nobody is accepted by a node that can't start.
+    /// Builds a node. Its listeners are opened last, so that a node that fails to start accepts no connections.
     pub(super) async fn build(options: Options) -> Result<Node, StartError> {
         let Options { settings, settings_file, metrics_port } = options;
         let signals = Signals::install()?;
         let start = Instant::now();
-        let identity = Identity::draw();
+        let identity = Identity::random();
         let (inbound, frames) = mpsc::unbounded_channel();
         let links =
             Links::open(settings.ip, settings.internal_port, settings.address_overrides.clone(), inbound)
@@ -68,21 +68,22 @@
     }
 }
 
-/// What tells this run of the process from every other.
+/// Random values that distinguish this run of the process from all others.
 struct Identity {
     incarnation: Incarnation,
-    /// Of the planes' random choices.
+    /// The seed of the random choices of the data plane and the control plane.
     seed: u64,
 }
 
 impl Identity {
-    fn draw() -> Identity {
-        Identity { incarnation: Incarnation(unique_number()), seed: unique_number() }
+    fn random() -> Identity {
+        Identity { incarnation: Incarnation(unique_nonzero()), seed: unique_nonzero() }
     }
 }
 
-/// A number that no other run has had, whatever the wall clock says; never 0.
-fn unique_number() -> u64 {
+/// Returns a nonzero number that differs between runs of the process even if the wall clock is set back: it is a hash of the
+/// time and the process ID with a random key.
+fn unique_nonzero() -> u64 {
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     hasher.write_u128(unix.as_nanos());
@@ -90,9 +91,10 @@
     hasher.finish() | 1
 }
 
-/// Only a machine of the core may vote; one without a data folder votes for as long as its process lives.
+/// Opens the store of the node. Only nodes of the core may vote; the vote of a node without a data folder is lost when its
+/// process ends.
 fn open_store(settings: &Settings, events: UnboundedSender<StoreEvent>) -> StoreHandle {
-    let new_disk = DiskId(unique_number());
+    let new_disk = DiskId(unique_nonzero());
     match (settings.is_core, settings.data_folder.clone()) {
         (true, Some(folder)) => StoreHandle::on_disk(folder, new_disk, events),
         (true, None) => StoreHandle::in_memory(new_disk, events),
@@ -131,13 +133,13 @@
         seed: identity.seed,
     };
     let mut control = ControlPlane::new(options, 0);
-    if let Some(at) = settings.listen_on.control {
-        control.set_control_port(at.port());
+    if let Some(address) = settings.listen_on.control {
+        control.set_control_port(address.port());
     }
     control
 }
 
-/// Opens listeners; each has a task.
+/// Opens the listeners, each served by a task of its own.
 struct Listeners<'a> {
     data_plane: &'a Rc<SystemDataPlane>,
     phase: &'a Rc<Shutdown>,
@@ -146,17 +148,17 @@
 impl Listeners<'_> {
     fn open_control(
         &self,
-        at: ListenAddresses,
+        addresses: ListenAddresses,
         calls: UnboundedSender<PendingCall>,
     ) -> Result<(), StartError> {
-        if let Some(listener) = bind(at.control, StartStep::ControlListener)? {
+        if let Some(listener) = bind(addresses.control, StartStep::ControlListener)? {
             spawn_local(listeners::control(listener, calls));
         }
         Ok(())
     }
 
-    fn open_ready(&self, at: ListenAddresses) -> Result<(), StartError> {
-        if let Some(listener) = bind(at.ready, StartStep::ReadyListener)? {
+    fn open_ready(&self, addresses: ListenAddresses) -> Result<(), StartError> {
+        if let Some(listener) = bind(addresses.ready, StartStep::ReadyListener)? {
             let (data_plane, phase) = (self.data_plane.clone(), self.phase.clone());
             let is_ready = move || phase.phase() == Phase::Serving && data_plane.is_ready();
             spawn_local(listeners::ready(listener, is_ready));
@@ -164,22 +166,22 @@
         Ok(())
     }
 
-    fn open_metrics(&self, at: Option<SocketAddrV4>) -> Result<(), StartError> {
-        if let Some(listener) = bind(at, StartStep::MetricsListener)? {
+    fn open_metrics(&self, address: Option<SocketAddrV4>) -> Result<(), StartError> {
+        if let Some(listener) = bind(address, StartStep::MetricsListener)? {
             let data_plane = self.data_plane.clone();
             spawn_local(listeners::metrics(listener, move || data_plane.metrics()));
         }
         Ok(())
     }
 
-    fn open_downstream(&self, at: ListenAddresses) -> Result<Option<JoinHandle<()>>, StartError> {
-        let listener = bind(at.downstream, StartStep::DownstreamListener)?;
+    fn open_downstream(&self, addresses: ListenAddresses) -> Result<Option<JoinHandle<()>>, StartError> {
+        let listener = bind(addresses.downstream, StartStep::DownstreamListener)?;
         Ok(listener.map(|listener| {
             spawn_local(downstream::serve(listener, self.data_plane.clone(), self.phase.clone()))
         }))
     }
 }
 
-fn bind(at: Option<SocketAddrV4>, step: StartStep) -> Result<Option<TcpListener>, StartError> {
-    at.map(listeners::bind).transpose().map_err(step.failed())
+fn bind(address: Option<SocketAddrV4>, step: StartStep) -> Result<Option<TcpListener>, StartError> {
+    address.map(listeners::bind).transpose().map_err(step.failed())
 }
--- a/crates/brassport-gateway/src/node/control_host.rs
+++ b/crates/brassport-gateway/src/node/control_host.rs
@@ -1,4 +1,4 @@
-//! The host of the control plane: the one owner of its state, which executes its actions.
+//! The host of the control plane: it owns the control plane, passes events to it, and executes the actions it returns.
 
 use super::SystemDataPlane;
 use crate::listeners::PendingCall;
@@ -15,15 +15,15 @@
 use std::time::Instant;
 use tokio::sync::oneshot;
 
-/// After so many calls, those whose callers have given up are forgotten.
+/// The number of calls between two removals of abandoned calls.
 const CALLS_BETWEEN_SWEEPS: u64 = 64;
 
-/// The control plane with what its actions go to.
+/// The control plane, and the targets of its actions.
 pub(super) struct ControlHost {
     control: ControlPlane,
-    /// The control plane's times are milliseconds from here.
+    /// The time 0 of the control plane, which counts milliseconds from here.
     start: Instant,
-    /// Stands on each message that this node sends.
+    /// The sender of the messages of this node, sent in the envelope of each.
     sender: Sender,
     links: Rc<Links>,
     store: StoreHandle,
@@ -31,14 +31,14 @@
     calls: PendingCalls,
 }
 
-/// Who sends this node's messages.
+/// Identifies a node as the sender of a message.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Sender {
     pub(super) ip: Ipv4Addr,
     pub(super) incarnation: Incarnation,
 }
 
-/// Where the control plane's actions go.
+/// The targets of the actions of the control plane.
 pub(super) struct Targets {
     pub(super) links: Rc<Links>,
     pub(super) store: StoreHandle,
@@ -46,7 +46,7 @@
 }
 
 impl ControlHost {
-    /// The control plane's time is 0 at `start`.
+    /// Creates a host; the time of the control plane is 0 at `start`.
     pub(super) fn new(
         control: ControlPlane,
         start: Instant,
@@ -57,7 +57,7 @@
         ControlHost { control, start, sender, links, store, data_plane, calls: PendingCalls::default() }
     }
 
-    /// Hands over an event, and executes the actions that follow.
+    /// Passes an event to the control plane, and executes the actions it returns.
     pub(super) fn handle(&mut self, event: Event) {
         let now = self.start.elapsed().as_millis() as Millis;
         for action in self.control.handle(now, event) {
@@ -85,21 +85,22 @@
         }
     }
 
-    /// A frame came from another node. What can't be decoded is of another release, or of nobody: it is dropped.
+    /// Handles a frame from another node. A frame that cannot be decoded is dropped: it comes from an incompatible release, or
+    /// not from a node.
     pub(super) fn on_frame(&mut self, bytes: &[u8]) {
         if let Some(envelope) = frame::decode::<Envelope>(bytes) {
             self.handle(Event::PeerMessage(envelope));
         }
     }
 
-    /// A backend or an operator called.
+    /// Handles a call of a backend or an operator.
     pub(super) fn on_call(&mut self, PendingCall { call, reply_to }: PendingCall) {
         let number = self.calls.insert(reply_to);
         self.handle(Event::Call(number, call));
         self.calls.sweep(number);
     }
 
-    /// Reports to the coordinator what tenants use here.
+    /// Reports the usage of tenants on this node to the quota coordinator.
     pub(super) fn report_usage(&mut self) {
         self.data_plane.set_ring_position(self.control.ring_position());
         let (number, usage) = self.data_plane.report_usage();
@@ -108,34 +109,36 @@
         }
     }
 
-    /// Whether the cluster can do without this node, which is shutting down.
+    /// Whether the cluster has released this node, which is shutting down: it no longer depends on it.
     pub(super) fn is_released(&self) -> bool {
         self.control.is_released()
     }
 }
 
-/// Calls that await their replies, by number.
+/// Calls that await a reply, by number.
 #[derive(Default)]
 struct PendingCalls {
-    last: u64,
+    /// The number of the latest call.
+    last_number: u64,
     reply_to: HashMap<u64, oneshot::Sender<Reply>>,
 }
 
 impl PendingCalls {
     fn insert(&mut self, reply_to: oneshot::Sender<Reply>) -> u64 {
-        self.last += 1;
-        self.reply_to.insert(self.last, reply_to);
-        self.last
+        self.last_number += 1;
+        self.reply_to.insert(self.last_number, reply_to);
+        self.last_number
     }
 
     fn respond(&mut self, number: u64, reply: Reply) {
         if let Some(reply_to) = self.reply_to.remove(&number) {
-            // The caller may have given up.
+            // Sending fails if the caller has disconnected or timed out.
             let _ = reply_to.send(reply);
         }
     }
 
-    /// Guards the memory against calls that are never answered.
+    /// Removes abandoned calls at each multiple of [`CALLS_BETWEEN_SWEEPS`]: calls that are never answered would otherwise
+    /// accumulate in memory.
     fn sweep(&mut self, number: u64) {
         if number.is_multiple_of(CALLS_BETWEEN_SWEEPS) {
             self.reply_to.retain(|_, reply_to| !reply_to.is_closed());
--- a/crates/brassport-gateway/src/node/error.rs
+++ b/crates/brassport-gateway/src/node/error.rs
@@ -1,47 +1,47 @@
-//! Why a node could not start.
+//! Errors of starting a node.
 
 use std::fmt;
 use std::io;
 
-/// What a node opens at its start.
+/// A step of starting a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartStep {
-    /// The runtime of its tasks.
+    /// Creating the async runtime.
     Runtime,
-    /// The handlers of the process's signals.
+    /// Installing the signal handlers.
     Signals,
-    /// The links to the other nodes.
+    /// Opening the internal port for links to other nodes.
     Links,
-    /// The control listener.
+    /// Opening the control listener.
     ControlListener,
-    /// The readiness listener.
+    /// Opening the readiness listener.
     ReadyListener,
-    /// The metrics listener.
+    /// Opening the metrics listener.
     MetricsListener,
-    /// The clients' listener.
+    /// Opening the listener for clients.
     DownstreamListener,
 }
 
 impl fmt::Display for StartStep {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            StartStep::Runtime => "cannot start",
-            StartStep::Signals => "signals",
-            StartStep::Links => "the doors' own port",
-            StartStep::ControlListener => "the callers' port",
-            StartStep::ReadyListener => "the platform's port",
-            StartStep::MetricsListener => "the metrics' port",
-            StartStep::DownstreamListener => "the clients' port",
+            StartStep::Runtime => "cannot create the async runtime",
+            StartStep::Signals => "cannot install the signal handlers",
+            StartStep::Links => "cannot open the internal port (internalPorts)",
+            StartStep::ControlListener => "cannot open the control listener (listenOn.control)",
+            StartStep::ReadyListener => "cannot open the readiness listener (listenOn.ready)",
+            StartStep::MetricsListener => "cannot open the metrics listener (--metrics-port)",
+            StartStep::DownstreamListener => "cannot open the listener for clients (listenOn.front)",
         })
     }
 }
 
-/// A node can't start.
+/// A node failed to start.
 #[derive(Debug, miette::Diagnostic)]
 pub struct StartError {
-    /// What it could not open.
+    /// The step that failed.
     pub step: StartStep,
-    /// Why.
+    /// The cause.
     pub error: io::Error,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl StartStep {
-    /// For `map_err`: an error of this step.
+    /// Returns a function for `map_err` that reports a failure of this step.
     pub(super) fn failed(self) -> impl FnOnce(io::Error) -> StartError {
         move |error| StartError { step: self, error }
     }
--- a/crates/brassport-gateway/src/node/inputs.rs
+++ b/crates/brassport-gateway/src/node/inputs.rs
@@ -1,4 +1,4 @@
-//! What the event loop waits for: signals, the store, the links, callers and timers.
+//! The inputs of the event loop: signals, events of the store, frames from other nodes, control calls and timers.
 
 use super::error::{StartError, StartStep};
 use super::shutdown::TerminateSignal;
@@ -9,69 +9,69 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{interval, Interval, MissedTickBehavior};
 
-/// Between two ticks of the control plane, whose shortest time-outs are a few of these.
+/// The interval between ticks of the control plane, whose shortest timeouts are a few ticks long.
 const TICK_INTERVAL: Duration = Duration::from_millis(60);
-/// Between two reports of what tenants use: several a period of the quota's coordinator.
+/// The interval between usage reports of tenants. The quota coordinator receives several in each of its periods.
 const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// Between two readings of the settings file, which may change without a signal.
-const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
+/// The interval between checks of the settings file, which may change without a SIGHUP.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// One event of the loop.
+/// One input of the event loop.
 pub(super) enum Input {
-    /// SIGTERM: the process is to end.
+    /// SIGTERM: starts the graceful shutdown.
     Terminate,
-    /// SIGHUP: the settings file may have changed.
+    /// SIGHUP: the settings file is read again.
     Hangup,
-    /// The store opened, or ended a write.
+    /// The store was opened, or finished a write.
     Store(StoreEvent),
-    /// A frame of another node.
+    /// A frame arrived from another node.
     Frame(Vec<u8>),
-    /// A call of a backend or an operator.
+    /// A control call arrived from a backend or an operator.
     Call(PendingCall),
-    /// Time has passed.
+    /// A tick of the control plane is due.
     Tick,
-    /// The usage of tenants is due to be reported.
+    /// A usage report of tenants is due.
     ReportUsage,
-    /// The settings file is due to be read again.
+    /// A check of the settings file is due.
     CheckSettings,
 }
 
-/// The process's signals.
+/// The streams of the handled signals.
 pub(super) struct Signals {
     terminate: Signal,
     hangup: Signal,
 }
 
 impl Signals {
-    /// Installs the handlers.
+    /// Installs the signal handlers.
     pub(super) fn install() -> Result<Signals, StartError> {
         let install = |kind| signal(kind).map_err(StartStep::Signals.failed());
         Ok(Signals { terminate: install(SignalKind::terminate())?, hangup: install(SignalKind::hangup())? })
     }
 }
 
-/// The queues that tasks and threads feed.
+/// The receiving sides of the channels from other tasks and threads.
 pub(super) struct Queues {
     pub(super) store: UnboundedReceiver<StoreEvent>,
     pub(super) frames: UnboundedReceiver<Vec<u8>>,
     pub(super) calls: UnboundedReceiver<PendingCall>,
 }
 
-/// All sources of events.
+/// All sources of inputs.
 pub(super) struct Inputs {
     signals: Signals,
     queues: Queues,
     tick: Interval,
     usage_report: Interval,
-    settings: Interval,
+    settings_check: Interval,
 }
 
 impl Inputs {
-    /// Timers start now.
+    /// Starts the timers; each fires for the first time immediately.
     pub(super) fn new(signals: Signals, queues: Queues) -> Inputs {
         let timer = |period| {
             let mut timer = interval(period);
-            // Guards against a burst of ticks after the process stood still.
+            // Avoids a burst of ticks after the process was suspended or blocked.
             timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
             timer
         };
@@ -80,11 +80,12 @@
             queues,
             tick: timer(TICK_INTERVAL),
             usage_report: timer(USAGE_REPORT_INTERVAL),
-            settings: timer(SETTINGS_INTERVAL),
+            settings_check: timer(SETTINGS_CHECK_INTERVAL),
         }
     }
 
-    /// The next event. Of several that are ready the first in this order comes: timers never hold up what has come.
+    /// Waits for the next input. If several are ready, the first in the order below is returned, so that timers never delay
+    /// signals, store events, frames or calls.
     pub(super) async fn next(&mut self, terminate: TerminateSignal) -> Input {
         tokio::select! {
             biased;
@@ -95,11 +96,11 @@
             Some(call) = self.queues.calls.recv() => Input::Call(call),
             _ = self.tick.tick() => Input::Tick,
             _ = self.usage_report.tick() => Input::ReportUsage,
-            _ = self.settings.tick() => Input::CheckSettings,
+            _ = self.settings_check.tick() => Input::CheckSettings,
         }
     }
 
-    /// The next usage report is due a full interval from now.
+    /// Restarts the interval of usage reports: the next one is due a full interval from now.
     pub(super) fn postpone_usage_report(&mut self) {
         self.usage_report.reset();
     }
--- a/crates/brassport-gateway/src/node/mod.rs
+++ b/crates/brassport-gateway/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! One running node: the owner of the control plane, the data plane, the links, the store, the listeners and the signals of
-//! the process, and the event loop that connects them.
+//! A running node. It owns the control plane, the data plane, the links to other nodes, the store, the listeners and the
+//! signal handlers, and connects them in an event loop.
 
 mod build;
 mod control_host;
@@ -18,31 +18,31 @@
 use brassport_proxy::shutdown::{Phase, Shutdown};
 use control_host::ControlHost;
 use inputs::{Input, Inputs};
-use shutdown::{GracefulShutdown, Progress, Step, FINAL_RESPONSES};
+use shutdown::{GracefulShutdown, Progress, Step, FINAL_RESPONSE_TIME};
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Instant;
 use tokio::task::{JoinHandle, LocalSet};
 use tokio::time::timeout;
 
-/// The data plane on the system's clock and network.
+/// The data plane with the clock and the TCP sockets of the operating system.
 type SystemDataPlane = DataPlane<SystemClock, Tcp>;
 
-/// What a node is started with.
+/// The options for starting a node.
 #[derive(Debug)]
 pub struct Options {
-    /// The settings.
+    /// The settings read at startup.
     pub settings: Settings,
-    /// The file they were read from, which is read again while the node runs.
+    /// The file of the settings. It is read again while the node runs.
     pub settings_file: PathBuf,
-    /// Where the metrics page is served at the node's own address, if at all.
+    /// The port of the metrics listener at the node's own address; `None` opens no such listener.
     pub metrics_port: Option<u16>,
 }
 
-/// Runs a node on this thread until SIGTERM has shut it down gracefully.
+/// Runs a node on the current thread, and returns after the graceful shutdown that SIGTERM starts.
 ///
 /// # Errors
-/// It can't start.
+/// The node cannot be started.
 pub fn run(options: Options) -> Result<(), StartError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -54,23 +54,23 @@
     })
 }
 
-/// A node, started.
+/// A running node.
 struct Node {
-    /// As they were read last.
+    /// The settings as last read successfully.
     settings: Settings,
     settings_file: PathBuf,
     inputs: Inputs,
     control: ControlHost,
     data_plane: Rc<SystemDataPlane>,
-    /// How far the request path has shut down, for its tasks.
+    /// The shutdown phase of the request path, shared with its tasks.
     phase: Rc<Shutdown>,
     shutdown: GracefulShutdown,
-    /// The task of the clients' listener and connections.
+    /// The task that accepts and serves the connections of clients; `None` without that listener.
     downstream: Option<JoinHandle<()>>,
 }
 
 impl Node {
-    /// The event loop.
+    /// Runs the event loop until the shutdown is complete.
     async fn run(mut self) {
         loop {
             let input = self.inputs.next(self.shutdown.accepts_signal()).await;
@@ -111,14 +111,14 @@
     fn on_tick(&mut self) {
         self.control.handle(Event::Tick);
         self.data_plane.remove_displaced_backends();
-        // A tenant that is about to use up its share can't wait for the next report.
+        // A tenant that has nearly used up its quota here needs a new grant before the next regular report.
         if self.data_plane.is_quota_urgent() {
             self.inputs.postpone_usage_report();
             self.control.report_usage();
         }
     }
 
-    /// Applies what may change while the process runs: the seeds. All else holds from the next start on.
+    /// Reads the settings file again, and applies a change of the seeds. Other changes take effect at the next start.
     fn reload_settings(&mut self) {
         match Settings::read(&self.settings_file) {
             Ok(settings) if settings != self.settings => {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Takes the steps of the shutdown that are due; a break ends the loop.
+    /// Takes the steps of the shutdown that are due. `Break` ends the event loop.
     async fn advance_shutdown(&mut self) -> std::ops::ControlFlow<()> {
         loop {
             let progress = Progress {
@@ -152,12 +152,12 @@
         }
     }
 
-    /// Answers what is in flight with an error, and gives the responses the time to go out.
+    /// Answers the requests in flight with an error, and allows time for sending these responses.
     async fn fail_in_flight(&mut self) {
         log::warn!("shutdown deadline reached in_flight={}", self.data_plane.in_flight());
         self.data_plane.fail_in_flight();
         if let Some(downstream) = &mut self.downstream {
-            let _ = timeout(FINAL_RESPONSES / 2, downstream).await;
+            let _ = timeout(FINAL_RESPONSE_TIME / 2, downstream).await;
         }
     }
 }
--- a/crates/brassport-gateway/src/node/shutdown.rs
+++ b/crates/brassport-gateway/src/node/shutdown.rs
@@ -1,18 +1,20 @@
-//! The graceful shutdown, as a state machine without I/O: a node is taken out of the platform's rotation, closes its
-//! listeners, waits until its connections have ended and the cluster has released it, and fails what is still in flight
-//! when its grace period ends.
+//! The graceful shutdown, as a state machine without I/O. The node reports that it is not ready, so that the deployment
+//! platform stops routing clients to it, then closes its listeners, and waits until its connections have ended and the
+//! cluster has released it. Shortly before the end of the grace period, it fails the requests still in flight.
 
 use std::time::{Duration, Instant};
 
-/// How long clients may still come after SIGTERM: the platform checks each second and needs two failures.
-pub const DEREGISTRATION: Duration = Duration::from_millis(2_600);
-/// The end of the grace period that is left for the last responses.
-pub const FINAL_RESPONSES: Duration = Duration::from_millis(700);
-/// Bounds of the grace period: below there is no time for a response, above the platform has killed the process.
+/// How long the listeners stay open after SIGTERM. The deployment platform checks readiness every second and stops routing
+/// clients to the node after two failed checks. The delay is at most half of the grace period.
+pub const DEREGISTRATION_DELAY: Duration = Duration::from_millis(2_600);
+/// The time reserved at the end of the grace period for sending error responses to the requests still in flight.
+pub const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(700);
+/// The shortest grace period, in seconds: a shorter one leaves no time for a response.
 const MIN_GRACE_S: f64 = 0.5;
+/// The longest grace period, in seconds: the deployment platform kills the process before a longer one ends.
 const MAX_GRACE_S: f64 = 600.0;
 
-/// A shutdown, from before it starts.
+/// The state of a graceful shutdown, from before its start until the process ends.
 #[derive(Debug)]
 pub struct GracefulShutdown {
     grace: Duration,
@@ -21,58 +23,58 @@
 
 #[derive(Debug, Clone, Copy)]
 enum State {
-    /// The node serves.
+    /// The shutdown has not started.
     Serving,
-    /// The node reports that it is not ready; clients that don't know yet are still served.
+    /// The node reports that it is not ready, and still serves the clients that the platform routes to it.
     Deregistering { since: Instant },
-    /// The listeners are closed; what is in flight is completed.
+    /// The listeners are closed; requests in flight are completed.
     Draining { since: Instant },
 }
 
-/// Whether SIGTERM is waited for.
+/// Whether the event loop handles SIGTERM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TerminateSignal {
-    /// It starts the shutdown.
+    /// SIGTERM starts the shutdown.
     Accepted,
-    /// The shutdown has started: another one changes nothing.
+    /// The shutdown has started already, and a further SIGTERM has no effect.
     Ignored,
 }
 
-/// What the node sees of its own shutdown.
+/// The progress of the shutdown outside this state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
-    /// Whether every client's connection has ended.
+    /// Whether all connections of clients have ended.
     pub connections_closed: bool,
-    /// Whether the cluster can do without this node.
+    /// Whether the cluster no longer depends on this node.
     pub released_by_cluster: bool,
 }
 
-/// What the node is to do next.
+/// The next action of the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing until the next event.
+    /// Do nothing until the next input of the event loop.
     Wait,
-    /// Accept no more connections, then call [`GracefulShutdown::step`] again.
+    /// Close the listeners, then call [`GracefulShutdown::step`] again.
     CloseListeners,
-    /// End the process: all is done.
+    /// End the process: the shutdown is complete.
     Exit,
-    /// Fail what is in flight, then end the process: the grace period is over.
+    /// Fail the requests in flight, then end the process: only [`FINAL_RESPONSE_TIME`] is left of the grace period.
     FailInFlight,
 }
 
 impl GracefulShutdown {
-    /// One that has not started, with a grace period in seconds (clamped to 0.5 to 600).
+    /// Creates a shutdown that has not started. The grace period, in seconds, is clamped to the range from 0.5 to 600.
     pub fn new(grace_s: f64) -> GracefulShutdown {
         let grace = Duration::from_secs_f64(grace_s.clamp(MIN_GRACE_S, MAX_GRACE_S));
         GracefulShutdown { grace, state: State::Serving }
     }
 
-    /// The grace period: from the start of the shutdown to the end of the process.
+    /// The grace period: the time limit from the start of the shutdown to the end of the process.
     pub fn grace(&self) -> Duration {
         self.grace
     }
 
-    /// Whether SIGTERM would start it.
+    /// Whether SIGTERM is still handled: only before the shutdown starts.
     pub fn accepts_signal(&self) -> TerminateSignal {
         match self.state {
             State::Serving => TerminateSignal::Accepted,
@@ -80,24 +82,24 @@
         }
     }
 
-    /// Starts it; one that has started goes on as it is.
+    /// Starts the shutdown. Has no effect if it has started already.
     pub fn start(&mut self, now: Instant) {
         if matches!(self.state, State::Serving) {
             self.state = State::Deregistering { since: now };
         }
     }
 
-    /// The step that is due now. To be called again after [`Step::CloseListeners`].
+    /// Returns the step that is due at `now`. After [`Step::CloseListeners`], it must be called again.
     pub fn step(&mut self, now: Instant, progress: Progress) -> Step {
-        let is_done = progress.connections_closed && progress.released_by_cluster;
-        let deadline = self.grace.saturating_sub(FINAL_RESPONSES);
+        let is_complete = progress.connections_closed && progress.released_by_cluster;
+        let deadline = self.grace.saturating_sub(FINAL_RESPONSE_TIME);
         match self.state {
             State::Serving => Step::Wait,
-            State::Deregistering { since } if now - since >= DEREGISTRATION.min(self.grace / 2) => {
+            State::Deregistering { since } if now - since >= DEREGISTRATION_DELAY.min(self.grace / 2) => {
                 self.state = State::Draining { since };
                 Step::CloseListeners
             }
-            State::Draining { .. } if is_done => Step::Exit,
+            State::Draining { .. } if is_complete => Step::Exit,
             State::Deregistering { since } | State::Draining { since } if now - since >= deadline => {
                 Step::FailInFlight
             }
--- a/crates/brassport-gateway/tests/it/shutdown.rs
+++ b/crates/brassport-gateway/tests/it/shutdown.rs
@@ -1,12 +1,12 @@
-//! The graceful shutdown's state machine, step by step under a clock of its own.
+//! Tests of the state machine of the graceful shutdown, with times passed in as arguments.
 
 use brassport_gateway::node::shutdown::{
-    GracefulShutdown, Progress, Step, TerminateSignal, DEREGISTRATION, FINAL_RESPONSES,
+    GracefulShutdown, Progress, Step, TerminateSignal, DEREGISTRATION_DELAY, FINAL_RESPONSE_TIME,
 };
 use std::time::{Duration, Instant};
 
-const BUSY: Progress = Progress { connections_closed: false, released_by_cluster: false };
-const DONE: Progress = Progress { connections_closed: true, released_by_cluster: true };
+const INCOMPLETE: Progress = Progress { connections_closed: false, released_by_cluster: false };
+const COMPLETE: Progress = Progress { connections_closed: true, released_by_cluster: true };
 const MILLISECOND: Duration = Duration::from_millis(1);
 
 fn started(grace_s: f64) -> (GracefulShutdown, Instant) {
@@ -16,60 +16,60 @@
 }
 
 #[test]
-fn nothing_is_due_before_the_signal() {
+fn no_step_is_due_before_sigterm() {
     let mut shutdown = GracefulShutdown::new(6.0);
     assert_eq!(shutdown.accepts_signal(), TerminateSignal::Accepted);
-    assert_eq!(shutdown.step(Instant::now() + Duration::from_secs(60), DONE), Step::Wait);
+    assert_eq!(shutdown.step(Instant::now() + Duration::from_secs(60), COMPLETE), Step::Wait);
 }
 
 #[test]
-fn listeners_close_once_the_platform_has_deregistered_the_node() {
+fn listeners_close_after_the_deregistration_delay() {
     let (mut shutdown, now) = started(6.0);
     assert_eq!(shutdown.accepts_signal(), TerminateSignal::Ignored);
-    assert_eq!(shutdown.step(now + DEREGISTRATION - MILLISECOND, DONE), Step::Wait);
-    assert_eq!(shutdown.step(now + DEREGISTRATION, DONE), Step::CloseListeners);
-    assert_eq!(shutdown.step(now + DEREGISTRATION, DONE), Step::Exit);
+    assert_eq!(shutdown.step(now + DEREGISTRATION_DELAY - MILLISECOND, COMPLETE), Step::Wait);
+    assert_eq!(shutdown.step(now + DEREGISTRATION_DELAY, COMPLETE), Step::CloseListeners);
+    assert_eq!(shutdown.step(now + DEREGISTRATION_DELAY, COMPLETE), Step::Exit);
 }
 
 #[test]
-fn a_draining_node_waits_for_its_connections_and_for_the_cluster() {
+fn draining_lasts_until_connections_are_closed_and_the_cluster_has_released_the_node() {
     let (mut shutdown, now) = started(6.0);
-    assert_eq!(shutdown.step(now + DEREGISTRATION, BUSY), Step::CloseListeners);
+    assert_eq!(shutdown.step(now + DEREGISTRATION_DELAY, INCOMPLETE), Step::CloseListeners);
     let later = now + Duration::from_secs(4);
-    assert_eq!(shutdown.step(later, Progress { connections_closed: true, ..BUSY }), Step::Wait);
-    assert_eq!(shutdown.step(later, Progress { released_by_cluster: true, ..BUSY }), Step::Wait);
-    assert_eq!(shutdown.step(later, DONE), Step::Exit);
+    assert_eq!(shutdown.step(later, Progress { connections_closed: true, ..INCOMPLETE }), Step::Wait);
+    assert_eq!(shutdown.step(later, Progress { released_by_cluster: true, ..INCOMPLETE }), Step::Wait);
+    assert_eq!(shutdown.step(later, COMPLETE), Step::Exit);
 }
 
 #[test]
-fn what_is_in_flight_fails_before_the_grace_period_ends() {
+fn requests_in_flight_fail_before_the_grace_period_ends() {
     let (mut shutdown, now) = started(6.0);
-    assert_eq!(shutdown.step(now + DEREGISTRATION, BUSY), Step::CloseListeners);
-    let deadline = now + Duration::from_secs(6) - FINAL_RESPONSES;
-    assert_eq!(shutdown.step(deadline - MILLISECOND, BUSY), Step::Wait);
-    assert_eq!(shutdown.step(deadline, BUSY), Step::FailInFlight);
+    assert_eq!(shutdown.step(now + DEREGISTRATION_DELAY, INCOMPLETE), Step::CloseListeners);
+    let deadline = now + Duration::from_secs(6) - FINAL_RESPONSE_TIME;
+    assert_eq!(shutdown.step(deadline - MILLISECOND, INCOMPLETE), Step::Wait);
+    assert_eq!(shutdown.step(deadline, INCOMPLETE), Step::FailInFlight);
 }
 
 #[test]
-fn a_short_grace_period_is_halved_between_deregistration_and_draining() {
+fn a_short_grace_period_limits_the_deregistration_delay_to_its_half() {
     let (mut shutdown, now) = started(2.0);
-    assert_eq!(shutdown.step(now + Duration::from_millis(999), BUSY), Step::Wait);
-    assert_eq!(shutdown.step(now + Duration::from_secs(1), BUSY), Step::CloseListeners);
-    assert_eq!(shutdown.step(now + Duration::from_millis(1_300), BUSY), Step::FailInFlight);
+    assert_eq!(shutdown.step(now + Duration::from_millis(999), INCOMPLETE), Step::Wait);
+    assert_eq!(shutdown.step(now + Duration::from_secs(1), INCOMPLETE), Step::CloseListeners);
+    assert_eq!(shutdown.step(now + Duration::from_millis(1_300), INCOMPLETE), Step::FailInFlight);
 }
 
 #[test]
-fn the_grace_period_is_held_to_its_bounds() {
+fn the_grace_period_is_clamped_to_its_bounds() {
     let grace = |seconds| GracefulShutdown::new(seconds).grace();
     assert_eq!((grace(0.0), grace(1e9)), (Duration::from_millis(500), Duration::from_secs(600)));
-    // There is no time to deregister in: what is in flight fails at once.
+    // The shortest grace period is shorter than the time for final responses: requests in flight fail immediately.
     let (mut shutdown, now) = started(0.0);
-    assert_eq!(shutdown.step(now, BUSY), Step::FailInFlight);
+    assert_eq!(shutdown.step(now, INCOMPLETE), Step::FailInFlight);
 }
 
 #[test]
-fn a_second_signal_does_not_start_the_grace_period_anew() {
+fn a_second_sigterm_does_not_restart_the_grace_period() {
     let (mut shutdown, now) = started(6.0);
     shutdown.start(now + Duration::from_secs(5));
-    assert_eq!(shutdown.step(now + DEREGISTRATION, BUSY), Step::CloseListeners);
+    assert_eq!(shutdown.step(now + DEREGISTRATION_DELAY, INCOMPLETE), Step::CloseListeners);
 }
