--- a/crates/brassport-gateway/src/lib.rs
+++ b/crates/brassport-gateway/src/lib.rs
@@ -1,15 +1,16 @@
-//! The gateway's program: it reads its settings, opens what a node owns, and runs the node's event loop until the process
-//! is terminated.
+//! The API gateway executable: its command line, and a node of the gateway as one process.
 //!
-//! - [`command`]: the command line, one function a verb;
-//! - [`settings`]: the settings file, read and checked;
-//! - [`node`]: one running node: construction, event loop, graceful shutdown;
-//! - [`store_thread`]: the thread that owns a voter's store;
-//! - [`listeners`]: the HTTP listeners beside the request path (control, readiness, metrics);
+//! A node reads its settings, opens its sockets and its store, and runs an event loop until SIGTERM.
+//!
+//! - [`command`]: the command line and its subcommands;
+//! - [`settings`]: reading and validation of the settings file;
+//! - [`node`]: a running node: construction, event loop and graceful shutdown;
+//! - [`store_thread`]: the thread that reads and writes a voter's store;
+//! - [`listeners`]: the HTTP listeners outside the request path (control, readiness, metrics);
 //! - [`logging`]: the log on standard error.
 //!
-//! It decides nothing itself: which backend a request goes to is the data plane's and the policy's, what the cluster agrees
-//! on is the control plane's. Here their actions meet sockets, the disk and the process's signals.
+//! This package makes no routing or cluster decisions: the data plane and the policy choose the backend of a request, and
+//! the control plane maintains the replicated state. The code here connects them to sockets, the disk and signals.
 //!
 //! ```
 //! use brassport_gateway::settings::Settings;
--- a/crates/brassport-gateway/src/listeners/control.rs
+++ b/crates/brassport-gateway/src/listeners/control.rs
@@ -1,4 +1,5 @@
-//! The control listener: calls of backends and operators, decoded here and handed to the owner of the control plane.
+//! The control listener: decodes the calls of backends and operators, and passes them to the owner of the control plane
+//! through a channel.
 
 use super::{serve, text, Handler};
 use brassport_control_plane::call::{Call, DecodeError, Reply};
@@ -13,41 +14,42 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// Most bytes of a call's body: a configuration of 35,000 routes has some 10 MB.
+/// The size limit of a request body. A configuration with 35,000 routes has about 10 MB.
 const MAX_BODY_BYTES: usize = 24 << 20;
-/// For a call's body, and again for its reply: a proposal that a majority does not confirm by then is not going to be.
+/// The time limit for receiving a body, and again for its reply. A proposal that a majority has not confirmed by then is not
+/// expected to be confirmed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
-/// The version that a configuration builds on.
-const BASE_VERSION: &str = "x-built-on";
-/// Advice to callers of a node that can't answer now, in seconds: about the time of an election.
+/// The request header with the version that a new configuration is based on.
+const BASE_VERSION_HEADER: &str = "x-built-on";
+/// The `Retry-After` value of a node that is temporarily unable to answer, in seconds: about the duration of an election.
 const RETRY_AFTER_S: HeaderValue = HeaderValue::from_static("0.2");
 
 /// A call that awaits its reply.
 #[derive(Debug)]
 pub struct PendingCall {
-    /// What is called.
+    /// The decoded call.
     pub call: Call,
-    /// Where the reply goes; closed once the caller's time is up.
+    /// The channel for the reply. It is closed once the call has timed out or the caller has disconnected.
     pub reply_to: oneshot::Sender<Reply>,
 }
 
-/// Serves the calls of backends and operators; each goes to `calls`.
+/// Serves the calls of backends and operators, and sends each decoded call to `calls`.
 pub async fn control(listener: TcpListener, calls: mpsc::UnboundedSender<PendingCall>) {
-    let port = listener.local_addr().map_or(0, |at| at.port());
+    let port = listener.local_addr().map_or(0, |address| address.port());
     serve(listener, Control { calls, port }).await;
 }
 
 #[derive(Clone)]
 struct Control {
     calls: mpsc::UnboundedSender<PendingCall>,
-    /// The same on all nodes: redirects go to it.
+    /// The port of this listener. All nodes use the same one, so it is also the port of a redirect to another node.
     port: u16,
 }
 
 impl Handler for Control {
     async fn handle(self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
-        match self.call(&head, body).await {
+        match self.execute_call(&head, body).await {
             Ok(reply) => self.respond(&head, reply),
             Err(rejection) => rejection.into_response(),
         }
@@ -55,16 +57,16 @@
 }
 
 impl Control {
-    async fn call(&self, head: &Parts, body: Incoming) -> Result<Reply, Rejection> {
-        let body = read(body).await?;
-        let base_version = head.headers.get(BASE_VERSION).and_then(|value| value.to_str().ok());
+    async fn execute_call(&self, head: &Parts, body: Incoming) -> Result<Reply, Rejection> {
+        let body = read_body(body).await?;
+        let base_version = head.headers.get(BASE_VERSION_HEADER).and_then(|value| value.to_str().ok());
         let call = Call::decode(head.method.as_str(), head.uri.path(), base_version, body)
             .map_err(Rejection::Decode)?;
         let (reply_to, reply) = oneshot::channel();
         self.calls.send(PendingCall { call, reply_to }).map_err(|_| Rejection::Stopped)?;
         match timeout(CALL_TIMEOUT, reply).await {
             Ok(Ok(reply)) => Ok(reply),
-            _ => Err(Rejection::NoReply),
+            _ => Err(Rejection::ReplyTimeout),
         }
     }
 
@@ -83,52 +85,56 @@
                 }
                 response
             }
-            Reply::Invalid(why) => text(StatusCode::BAD_REQUEST, &why),
+            Reply::Invalid(reason) => text(StatusCode::BAD_REQUEST, &reason),
             Reply::VersionConflict => text(StatusCode::PRECONDITION_FAILED, "another version is in place"),
-            Reply::Unavailable(why) => unavailable(why),
+            Reply::Unavailable(reason) => unavailable(reason),
         }
     }
 }
 
-async fn read(body: Incoming) -> Result<Vec<u8>, Rejection> {
+async fn read_body(body: Incoming) -> Result<Vec<u8>, Rejection> {
     match timeout(CALL_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes().to_vec()),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Rejection::TooLong),
-        // The part that came may decode as another call than the caller meant.
-        Ok(Err(_)) => Err(Rejection::Incomplete),
-        Err(_) => Err(Rejection::TooSlow),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Rejection::BodyTooLarge),
+        // A truncated body must not be decoded: it could be valid as a call that the caller did not make.
+        Ok(Err(_)) => Err(Rejection::BodyIncomplete),
+        Err(_) => Err(Rejection::BodyTimeout),
     }
 }
 
-/// Why a request did not become a call with a reply.
+/// The reason why a request was not answered with a reply of the control plane.
 enum Rejection {
-    TooLong,
-    Incomplete,
-    TooSlow,
+    /// The body exceeds [`MAX_BODY_BYTES`].
+    BodyTooLarge,
+    /// Reading the body failed before its end.
+    BodyIncomplete,
+    /// The body did not arrive within [`CALL_TIMEOUT`].
+    BodyTimeout,
     Decode(DecodeError),
     /// The owner of the control plane has stopped.
     Stopped,
-    NoReply,
+    /// The control plane did not reply within [`CALL_TIMEOUT`].
+    ReplyTimeout,
 }
 
 impl Rejection {
     fn into_response(self) -> Response<Full<Bytes>> {
         match self {
-            Rejection::TooLong => text(StatusCode::PAYLOAD_TOO_LARGE, "more than 24 MiB"),
-            Rejection::Incomplete => text(StatusCode::BAD_REQUEST, "the body did not come whole"),
-            Rejection::TooSlow => text(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
+            Rejection::BodyTooLarge => text(StatusCode::PAYLOAD_TOO_LARGE, "more than 24 MiB"),
+            Rejection::BodyIncomplete => text(StatusCode::BAD_REQUEST, "the body did not come whole"),
+            Rejection::BodyTimeout => text(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
             Rejection::Decode(error @ DecodeError::UnknownCall) => {
                 text(StatusCode::NOT_FOUND, &error.to_string())
             }
             Rejection::Decode(error) => text(StatusCode::BAD_REQUEST, &error.to_string()),
             Rejection::Stopped => unavailable("it ends"),
-            Rejection::NoReply => unavailable("no answer in time"),
+            Rejection::ReplyTimeout => unavailable("no answer in time"),
         }
     }
 }
 
-fn unavailable(why: &str) -> Response<Full<Bytes>> {
-    let mut response = text(StatusCode::SERVICE_UNAVAILABLE, why);
+fn unavailable(reason: &str) -> Response<Full<Bytes>> {
+    let mut response = text(StatusCode::SERVICE_UNAVAILABLE, reason);
     response.headers_mut().insert(RETRY_AFTER, RETRY_AFTER_S);
     response
 }
--- a/crates/brassport-gateway/src/listeners/metrics.rs
+++ b/crates/brassport-gateway/src/listeners/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics page, in the Prometheus text format.
+//! The metrics listener. Metrics have the Prometheus text format.
 
 use super::{serve, text, Handler};
 use http_body_util::Full;
@@ -9,9 +9,9 @@
 
 const PATH: &str = "/metrics";
 
-/// Serves `GET /metrics` with the text that `page` returns at that moment.
-pub async fn metrics(listener: TcpListener, page: impl Fn() -> String + Clone + 'static) {
-    serve(listener, Metrics(page)).await;
+/// Serves `GET /metrics`. `render` is called for each request and returns the text of all metrics.
+pub async fn metrics(listener: TcpListener, render: impl Fn() -> String + Clone + 'static) {
+    serve(listener, Metrics(render)).await;
 }
 
 #[derive(Clone)]
--- a/crates/brassport-gateway/src/listeners/mod.rs
+++ b/crates/brassport-gateway/src/listeners/mod.rs
@@ -1,5 +1,5 @@
-//! The HTTP/1 listeners beside the request path: calls of backends and operators ([`control`]), the platform's readiness
-//! check ([`ready`]), and the metrics page ([`metrics`]).
+//! The HTTP/1 listeners outside the request path: control calls of backends and operators ([`control`]), the readiness
+//! check of the deployment platform ([`ready`]), and metrics ([`metrics`]).
 
 mod control;
 mod metrics;
@@ -21,33 +21,34 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::spawn_local;
 
-/// Connections that the system keeps until they are accepted: more than all clients that come within one slow tick.
+/// The number of connections that the kernel queues until they are accepted: more than arrive during one slow iteration of
+/// the event loop.
 const BACKLOG: u32 = 1024;
-/// Most bytes that a connection buffers for a head.
+/// The size limit of the read buffer of a connection, and with it of a request head.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// For an idle connection, and for the head of its next request.
+/// The time limit of an idle connection, and of receiving the head of its next request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// After a failed accept, which for want of descriptors would fail again at once.
+/// The pause after a failed accept. Without it, the loop would spin while the process has no free file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Binds a listener.
+/// Opens a listening socket.
 ///
 /// # Errors
-/// The address can't be bound.
-pub fn bind(at: SocketAddrV4) -> std::io::Result<TcpListener> {
+/// The address cannot be bound.
+pub fn bind(address: SocketAddrV4) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
-    socket.bind(at.into())?;
+    socket.bind(address.into())?;
     socket.listen(BACKLOG)
 }
 
-/// What answers the requests of one listener.
+/// The request handler of a listener.
 trait Handler: Clone + 'static {
-    /// Answers one request.
+    /// Returns the response to a request.
     async fn handle(self, request: Request<Incoming>) -> Response<Full<Bytes>>;
 }
 
-/// Accepts connections until the task is dropped.
+/// Accepts connections until the task is dropped, and serves each in a task of its own.
 async fn serve(listener: TcpListener, handler: impl Handler) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -67,11 +68,11 @@
     let mut builder = http1::Builder::new();
     builder.max_buf_size(READ_BUFFER_BYTES).auto_date_header(false);
     builder.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT);
-    // An error is the client's: it has left, or sent what is no HTTP.
+    // Errors are caused by the client, which has disconnected or sent invalid HTTP, and need no handling here.
     let _ = builder.serve_connection(TokioIo::new(stream), service).await;
 }
 
-/// A response of one line.
+/// Returns a plain-text response with one line.
 fn text(status: StatusCode, line: &str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(format!("{line}\n"))));
     *response.status_mut() = status;
--- a/crates/brassport-gateway/src/listeners/ready.rs
+++ b/crates/brassport-gateway/src/listeners/ready.rs
@@ -1,4 +1,4 @@
-//! The readiness check: whether the platform is to send clients here.
+//! The readiness listener, which the deployment platform checks before it routes clients to this node.
 
 use super::{serve, text, Handler};
 use http_body_util::Full;
@@ -8,7 +8,7 @@
 
 const PATH: &str = "/ready";
 
-/// Serves `GET /ready`: 200 while `is_ready` says so, 503 otherwise.
+/// Serves `GET /ready` with status 200 while `is_ready` returns `true`, and 503 otherwise.
 pub async fn ready(listener: TcpListener, is_ready: impl Fn() -> bool + Clone + 'static) {
     serve(listener, Ready(is_ready)).await;
 }
--- a/crates/brassport-gateway/src/logging.rs
+++ b/crates/brassport-gateway/src/logging.rs
@@ -1,20 +1,20 @@
-//! The log: lines on standard error, filtered by a level from the environment.
+//! The log: lines on standard error, with the maximum level set by the environment.
 
 use log::LevelFilter;
 use std::fmt;
 
-/// Names the level: `error`, `warn`, `info` or `debug`.
+/// The environment variable with the log level: `error`, `warn`, `info` or `debug`.
 pub const LEVEL_VARIABLE: &str = "BRASSPORT_GATEWAY_LOG";
-/// The name of [`LEVEL_VARIABLE`] in earlier releases; read where the present one is not set.
+/// The name of [`LEVEL_VARIABLE`] in earlier releases. It is read where the current variable is not set.
 pub const FORMER_LEVEL_VARIABLE: &str = "JUNCTION_LOG";
 
-/// The log could not be set up, as a process has only one.
+/// The logger could not be installed: the process has one already.
 #[derive(Debug, miette::Diagnostic)]
 pub struct LoggingError(log::SetLoggerError);
 
 impl fmt::Display for LoggingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "logs: {}", self.0)
+        write!(f, "cannot install the logger: {}", self.0)
     }
 }
 
@@ -24,16 +24,17 @@
     }
 }
 
-/// The level that an environment asks for, read through `variable`; `info` where it names none, or no level that exists.
+/// Returns the log level set by the environment, whose variables `variable` looks up. The default is `info`, also for an
+/// unknown level.
 pub fn level(variable: impl Fn(&str) -> Option<String>) -> LevelFilter {
     let text = variable(LEVEL_VARIABLE).or_else(|| variable(FORMER_LEVEL_VARIABLE));
     text.and_then(|text| text.parse().ok()).unwrap_or(LevelFilter::Info)
 }
 
-/// Sets up the log of this process.
+/// Installs the logger of this process.
 ///
 /// # Errors
-/// There is one already.
+/// The process has a logger already.
 pub fn init() -> Result<(), LoggingError> {
     fern::Dispatch::new()
         .format(|out, message, record| out.finish(format_args!("{} {message}", record.level())))
--- a/crates/brassport-gateway/src/main.rs
+++ b/crates/brassport-gateway/src/main.rs
@@ -1,14 +1,15 @@
-//! The program `brassport-gateway`; all of it is in the library.
+//! The entry point of the `brassport-gateway` executable; everything else is in the library.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // Guards against requests stranded by a task that has panicked: a broken invariant ends the process.
-    let report = std::panic::take_hook();
+    // Aborts the process on any panic: otherwise the requests of a panicked task would stay unanswered while the node ran on
+    // with a broken invariant.
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
-        report(panic);
+        default_hook(panic);
         std::process::abort();
     }));
     let arguments: Vec<String> = std::env::args().skip(1).collect();
--- a/crates/brassport-gateway/src/store_thread.rs
+++ b/crates/brassport-gateway/src/store_thread.rs
@@ -1,4 +1,4 @@
-//! The store's thread: the one owner of a voter's store, so that a disk that hangs delays its writes and nothing else.
+//! The thread that owns a voter's store. A hanging disk blocks this thread only, and not the event loop.
 
 use brassport_config_store::consensus::{DurableState, Record};
 use brassport_config_store::store::Store;
@@ -8,59 +8,60 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Between two attempts to open a store that can't be opened: an operator may be at work on the disk.
+/// The interval between attempts to open the store. Attempts continue without limit, as an operator may be repairing the
+/// disk.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the store reports to the node.
+/// An event that the store reports to the node.
 #[derive(Debug)]
 pub enum StoreEvent {
     /// The store is open.
     Opened {
-        /// The number that the store has for good.
+        /// The permanent identifier of the store.
         disk: DiskId,
-        /// What it holds from earlier runs.
+        /// The state from earlier runs of the node.
         state: DurableState,
     },
-    /// A write has ended.
+    /// A write has succeeded or failed.
     Persisted(Persisted),
 }
 
-/// How one write ended.
+/// The result of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Persisted {
-    /// The number that the write was submitted under.
+    /// The number under which the write was submitted.
     pub number: u64,
-    /// Whether the record is synced to the disk; if not, it must not be relied on.
+    /// Whether the record is synced to the disk. If not, it may be lost, and nothing may depend on it.
     pub is_synced: bool,
 }
 
-/// A record on its way to the disk.
+/// A queued write.
 #[derive(Debug)]
 struct Write {
     number: u64,
     record: Record,
 }
 
-/// Where a node's durable records go.
+/// The destination of the records that a node persists.
 #[derive(Debug)]
 pub enum StoreHandle {
-    /// To a file, by a thread of its own.
+    /// A file, written by a separate thread.
     Disk(DiskWriter),
-    /// Nowhere: what is kept lasts as long as the process.
+    /// No file: the state is lost when the process ends.
     Memory(MemoryWriter),
 }
 
-/// The queue of writes to the store's thread.
+/// The sending side of the write queue of the store thread.
 #[derive(Debug)]
 pub struct DiskWriter(std_mpsc::Sender<Write>);
 
-/// Acknowledges each write at once.
+/// Acknowledges each write immediately, without storing it.
 #[derive(Debug)]
 pub struct MemoryWriter(mpsc::UnboundedSender<StoreEvent>);
 
 impl StoreHandle {
-    /// Starts a thread that opens the store in this folder, and tries again until it can. A store that has no number yet
-    /// gets `new_disk`. Events go to `events`, [`StoreEvent::Opened`] first.
+    /// Starts a thread that opens the store in `folder`, with retries until it succeeds. A new store gets the identifier
+    /// `new_disk`. The first event sent to `events` is [`StoreEvent::Opened`].
     pub fn on_disk(
         folder: PathBuf,
         new_disk: DiskId,
@@ -71,21 +72,22 @@
         StoreHandle::Disk(DiskWriter(writes))
     }
 
-    /// An empty store in memory with this number, open at once: a machine without a disk that may still vote.
+    /// Returns an empty store in memory with the identifier `disk`, and reports it as open. It allows a node without a disk
+    /// to vote.
     pub fn in_memory(disk: DiskId, events: mpsc::UnboundedSender<StoreEvent>) -> StoreHandle {
         let _ = events.send(StoreEvent::Opened { disk, state: DurableState::empty() });
         StoreHandle::closed(events)
     }
 
-    /// A store that is never opened: the node has no vote.
+    /// Returns a store that is never reported as open, for a node that does not vote.
     pub fn closed(events: mpsc::UnboundedSender<StoreEvent>) -> StoreHandle {
         StoreHandle::Memory(MemoryWriter(events))
     }
 
-    /// Submits a record; [`StoreEvent::Persisted`] follows with the same number.
+    /// Submits a record for writing. [`StoreEvent::Persisted`] with the same number reports the result.
     pub fn persist(&self, number: u64, record: Record) {
         match self {
-            // A thread that has ended has logged why.
+            // Sending fails only after the store thread has ended, which it does only when the node stops reading events.
             StoreHandle::Disk(DiskWriter(writes)) => drop(writes.send(Write { number, record })),
             StoreHandle::Memory(MemoryWriter(events)) => {
                 let _ = events.send(StoreEvent::Persisted(Persisted { number, is_synced: true }));
@@ -94,7 +96,7 @@
     }
 }
 
-/// What the thread runs.
+/// The state of the store thread.
 struct StoreThread {
     folder: PathBuf,
     new_disk: DiskId,
@@ -102,13 +104,13 @@
 }
 
 impl StoreThread {
-    /// Until nobody submits writes, or nobody reads events.
+    /// Writes records until the queue of writes or the channel of events is closed.
     fn run(self, queue: &std_mpsc::Receiver<Write>) {
-        let mut store = open(&self.folder, self.new_disk, &self.events);
+        let mut store = open_with_retries(&self.folder, self.new_disk, &self.events);
         let mut is_failing = false;
         while let Ok(Write { number, record }) = queue.recv() {
             let result = store.append(&record);
-            // Once at each change: a full disk fails every record.
+            // Logged only when the result changes: on a full disk, every write fails.
             match &result {
                 Err(error) if !is_failing => {
                     log::error!("store write failed error={error:?}", error = error.to_string());
@@ -125,7 +127,7 @@
     }
 }
 
-fn open(folder: &Path, new_disk: DiskId, events: &mpsc::UnboundedSender<StoreEvent>) -> Store {
+fn open_with_retries(folder: &Path, new_disk: DiskId, events: &mpsc::UnboundedSender<StoreEvent>) -> Store {
     loop {
         match Store::open(folder, new_disk) {
             Ok((store, state)) => {
--- a/crates/brassport-gateway/tests/it/common/mod.rs
+++ b/crates/brassport-gateway/tests/it/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the modules share: settings that are complete, HTTP exchanges as bytes, and a runtime.
+//! Shared helpers: a complete settings file, raw HTTP exchanges and an async runtime.
 
 use brassport_gateway::listeners;
 use brassport_golden::Fixtures;
@@ -13,7 +13,7 @@
 pub const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
 pub const LOOPBACK: Ipv4Addr = Ipv4Addr::LOCALHOST;
 
-/// A settings file with every field.
+/// A settings file with all fields, and one unknown field.
 pub const SETTINGS: &str = "node: n1
 ip: 10.0.1.7
 zone: a
@@ -32,37 +32,39 @@
 unknown: passed over
 ";
 
-/// All that comes back upon these bytes until the connection closes; the listener's port as `PORT`.
-pub async fn exchange(at: SocketAddrV4, request: &str) -> String {
-    let mut stream = TcpStream::connect(at).await.expect("it listens");
-    stream.write_all(request.as_bytes()).await.expect("sent");
+/// Sends `request`, and returns all bytes received until the connection is closed, with the port of the listener replaced by
+/// `PORT`.
+pub async fn exchange(address: SocketAddrV4, request: &str) -> String {
+    let mut stream = TcpStream::connect(address).await.expect("the listener accepts connections");
+    stream.write_all(request.as_bytes()).await.expect("the request is sent");
     let mut text = String::new();
     let read = timeout(Duration::from_secs(10), stream.read_to_string(&mut text)).await;
-    read.expect("in time").expect("text");
-    text.replace(&at.port().to_string(), "PORT")
+    read.expect("the connection is closed within 10 s").expect("the response is UTF-8");
+    text.replace(&address.port().to_string(), "PORT")
 }
 
-/// A listener on a free port, and its address.
+/// Opens a listener on a free port of the loopback address, and returns it with its address.
 pub fn listener() -> (TcpListener, SocketAddrV4) {
-    let listener = listeners::bind(SocketAddrV4::new(LOOPBACK, 0)).expect("a port");
-    let port = listener.local_addr().expect("it has one").port();
+    let listener = listeners::bind(SocketAddrV4::new(LOOPBACK, 0)).expect("a free port is bound");
+    let port = listener.local_addr().expect("the listener has an address").port();
     (listener, SocketAddrV4::new(LOOPBACK, port))
 }
 
-/// A complete request.
+/// Returns a valid request with the request line, further headers and a body of the announced length.
 pub fn request(line: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!("{line} HTTP/1.1\r\nHost: door\r\nConnection: close\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
 }
 
-/// A request whose body is not what its headers announce.
+/// Returns a request whose body does not match its headers.
 pub fn malformed(headers: &str, body: &str) -> String {
     let head = "POST /Config.Replace HTTP/1.1\r\nHost: door\r\nConnection: close\r\nX-Built-On: 0\r\n";
     format!("{head}{headers}\r\n{body}")
 }
 
-/// Runs a future with the tasks that it spawns.
-pub fn run<T>(of: impl std::future::Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, of)
+/// Runs a future to completion, with the tasks that it spawns.
+pub fn run<T>(future: impl std::future::Future<Output = T>) -> T {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime is created");
+    LocalSet::new().block_on(&runtime, future)
 }
--- a/crates/brassport-gateway/tests/it/listeners.rs
+++ b/crates/brassport-gateway/tests/it/listeners.rs
@@ -1,5 +1,5 @@
-//! What the control, readiness and metrics listeners respond, byte by byte, against the fixtures `control` and
-//! `ready_and_metrics`.
+//! Tests of the responses of the control, readiness and metrics listeners, which are compared byte by byte with the fixtures
+//! `control` and `ready_and_metrics`.
 
 use crate::common::{exchange, listener, malformed, request, run, GOLDEN};
 use brassport_config_store::consensus::{ChangeScope, ConfigurationRequest};
@@ -10,8 +10,9 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::task::spawn_local;
 
-/// The kind of a reply; one that is new does not compile here until [`replies`] has it too.
-fn name_of(reply: &Reply) -> &'static str {
+/// Returns the name of a kind of reply in the fixture `control`. The match has no default branch, so that a new kind fails to
+/// compile here until it is named; it must then be added to [`replies`] as well.
+fn fixture_name(reply: &Reply) -> &'static str {
     match reply {
         Reply::Done(_) => "done",
         Reply::Redirect(_) => "at",
@@ -31,13 +32,13 @@
     ]
 }
 
-async fn control() -> Vec<(String, String)> {
+async fn control_responses() -> Vec<(String, String)> {
     let mut cases = Vec::new();
     for reply in replies() {
-        let (listener, at) = listener();
+        let (listener, address) = listener();
         let (calls, mut pending) = unbounded_channel::<PendingCall>();
         spawn_local(listeners::control(listener, calls));
-        let name = name_of(&reply).to_owned();
+        let name = fixture_name(&reply).to_owned();
         spawn_local(async move {
             while let Some(PendingCall { call, reply_to }) = pending.recv().await {
                 let body = Arc::new(b"{}".to_vec());
@@ -46,10 +47,10 @@
                 let _ = reply_to.send(reply.clone());
             }
         });
-        let put = request("POST /Config.Replace?x=1", "X-Built-On: 0000001F\r\n", "{}");
-        cases.push((format!("reply {name}"), exchange(at, &put).await));
+        let replace = request("POST /Config.Replace?x=1", "X-Built-On: 0000001F\r\n", "{}");
+        cases.push((format!("reply {name}"), exchange(address, &replace).await));
     }
-    let (listener, at) = listener();
+    let (listener, address) = listener();
     let (calls, pending) = unbounded_channel::<PendingCall>();
     drop(pending);
     spawn_local(listeners::control(listener, calls));
@@ -63,33 +64,33 @@
         ("does not come", malformed("Content-Length: 5\r\n", "ab")),
         ("it ends", request("GET /Config.Read", "", "")),
     ];
-    for (name, text) in requests {
-        cases.push((name.to_owned(), exchange(at, &text).await));
+    for (name, request) in requests {
+        cases.push((name.to_owned(), exchange(address, &request).await));
     }
     cases
 }
 
 #[test]
-fn control_responses_have_pinned_bytes() {
-    GOLDEN.same_lines("control", &run(control()));
+fn control_responses_have_the_expected_bytes() {
+    GOLDEN.same_lines("control", &run(control_responses()));
 }
 
-async fn ready_and_metrics() -> Vec<(String, String)> {
+async fn ready_and_metrics_responses() -> Vec<(String, String)> {
     let mut cases = Vec::new();
     for (name, is_ready) in [("ready", true), ("not ready", false)] {
-        let (listener, at) = listener();
+        let (listener, address) = listener();
         spawn_local(listeners::ready(listener, move || is_ready));
-        cases.push((name.to_owned(), exchange(at, &request("GET /ready", "", "")).await));
-        cases.push((format!("{name}, other path"), exchange(at, &request("GET /", "", "")).await));
+        cases.push((name.to_owned(), exchange(address, &request("GET /ready", "", "")).await));
+        cases.push((format!("{name}, other path"), exchange(address, &request("GET /", "", "")).await));
     }
-    let (listener, at) = listener();
+    let (listener, address) = listener();
     spawn_local(listeners::metrics(listener, || "brassport_x 1\n".to_owned()));
-    cases.push(("metrics".to_owned(), exchange(at, &request("GET /metrics", "", "")).await));
-    cases.push(("metrics, other path".to_owned(), exchange(at, &request("GET /", "", "")).await));
+    cases.push(("metrics".to_owned(), exchange(address, &request("GET /metrics", "", "")).await));
+    cases.push(("metrics, other path".to_owned(), exchange(address, &request("GET /", "", "")).await));
     cases
 }
 
 #[test]
-fn readiness_and_metrics_responses_have_pinned_bytes() {
-    GOLDEN.same_lines("ready_and_metrics", &run(ready_and_metrics()));
+fn readiness_and_metrics_responses_have_the_expected_bytes() {
+    GOLDEN.same_lines("ready_and_metrics", &run(ready_and_metrics_responses()));
 }
--- a/crates/brassport-gateway/tests/it/process.rs
+++ b/crates/brassport-gateway/tests/it/process.rs
@@ -1,4 +1,5 @@
-//! The verb `run` as a process: it starts, logs at the level that the environment names, and ends upon SIGTERM.
+//! Tests of a node as a process, started with the subcommand `run`: it starts, logs at the level that the environment sets,
+//! and exits after SIGTERM.
 
 use std::io::Read;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpStream};
@@ -6,7 +7,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A node that is killed if its test fails.
+/// A node process with its folder. Dropping it kills the process and removes the folder, also after a failed test.
 struct Node {
     child: Child,
     folder: PathBuf,
@@ -20,41 +21,42 @@
     }
 }
 
-/// An address of the loopback network that no other test process has; `last` tells this one's nodes apart.
+/// Returns an address of the loopback network derived from the process ID, so that concurrent test processes use different
+/// addresses. `last` distinguishes the nodes of this test process.
 fn address(last: u8) -> Ipv4Addr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, 100 + high % 100, low.max(1), last)
 }
 
-/// Starts a node and waits until it listens; its grace period is the shortest.
+/// Starts a node with the shortest grace period, and waits until its readiness listener accepts connections.
 fn start(ip: Ipv4Addr, environment: &[(&str, &str)]) -> Node {
     let folder = std::env::temp_dir().join(format!("brassport-gateway-run-{ip}"));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the folder is created");
     let file = folder.join("settings.yaml");
     let settings = format!(
         "node: n1\nip: {ip}\nzone: a\nlistenOn: {{ready: '{ip}:8081'}}\ninternalPorts: [9001]\nbounds: [graceS=0.5]\n"
     );
-    std::fs::write(&file, settings).expect("written");
+    std::fs::write(&file, settings).expect("the settings are written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_brassport-gateway"));
     command.arg("run").env_remove("BRASSPORT_GATEWAY_LOG").env_remove("JUNCTION_LOG");
     command.env("BRASSPORT_CONFIG", &file).envs(environment.iter().copied()).stderr(Stdio::piped());
-    let node = Node { child: command.spawn().expect("it starts"), folder };
+    let node = Node { child: command.spawn().expect("the gateway starts"), folder };
     let (ready, deadline) = (SocketAddrV4::new(ip, 8081), Instant::now() + Duration::from_secs(10));
     while TcpStream::connect(ready).is_err() {
-        assert!(Instant::now() < deadline, "{ready} does not listen");
+        assert!(Instant::now() < deadline, "the readiness listener at {ready} did not open within 10 s");
         std::thread::sleep(Duration::from_millis(20));
     }
     node
 }
 
-/// Sends SIGTERM, and returns what the node logged until it ended by itself.
+/// Sends SIGTERM, waits until the node exits, and returns its log.
 fn terminate(mut node: Node) -> String {
     let id = node.child.id().to_string();
-    let sent = Command::new("kill").args(["-TERM", &id]).status().expect("it runs");
-    assert!(sent.success(), "no signal was sent");
+    let sent = Command::new("kill").args(["-TERM", &id]).status().expect("kill runs");
+    assert!(sent.success(), "kill failed to send SIGTERM");
     let mut log = String::new();
-    node.child.stderr.take().expect("it is piped").read_to_string(&mut log).expect("text");
-    let status = node.child.wait().expect("it ended");
+    node.child.stderr.take().expect("stderr is piped").read_to_string(&mut log).expect("the log is UTF-8");
+    let status = node.child.wait().expect("the exit status is read");
     assert_eq!(status.code(), Some(0), "{log}");
     log
 }
@@ -67,13 +69,13 @@
 }
 
 #[test]
-fn the_former_log_variable_still_sets_the_level_of_a_node() {
+fn a_node_reads_its_log_level_from_the_former_variable() {
     let log = terminate(start(address(2), &[("JUNCTION_LOG", "error")]));
     assert!(!log.contains("INFO") && !log.contains("WARN"), "{log}");
 }
 
 #[test]
-fn the_present_log_variable_goes_before_the_former_one_in_a_node() {
+fn a_node_prefers_the_current_log_level_variable_to_the_former_one() {
     let both = [("JUNCTION_LOG", "error"), ("BRASSPORT_GATEWAY_LOG", "info")];
     assert!(terminate(start(address(3), &both)).contains("INFO node started"));
 }
