--- a/crates/brassport-control-plane/src/membership/leave.rs
+++ b/crates/brassport-control-plane/src/membership/leave.rs
@@ -17,14 +17,14 @@
     }
 
     /// Whether this node, which is to shut down, may: it has no vote, or all that it knows is known to enough others.
-    pub fn is_released(&self) -> bool {
+    pub fn may_shut_down(&self) -> bool {
         let node = &self.options.node;
         self.membership.own.is_leave_granted || node.disk.is_none() || !node.is_core
     }
 
     /// Repeats the request to leave until it is granted.
     pub(crate) fn continue_leaving(&mut self) {
-        if !self.membership.own.is_leaving || self.is_released() {
+        if !self.membership.own.is_leaving || self.may_shut_down() {
             return;
         }
         let now = self.clock.now();
--- a/crates/brassport-control-plane/tests/it/sim/process.rs
+++ b/crates/brassport-control-plane/tests/it/sim/process.rs
@@ -83,7 +83,7 @@
         if !self.lives(one, starts) {
             return;
         }
-        let may = self.machines[one].control.as_ref().is_some_and(ControlPlane::is_released);
+        let may = self.machines[one].control.as_ref().is_some_and(ControlPlane::may_shut_down);
         if (may && self.now >= since + soonest) || self.now >= since + GRACE {
             self.ended.push((one, self.now - since));
             self.kill(one);
--- a/crates/brassport-gateway/src/node/control_host.rs
+++ b/crates/brassport-gateway/src/node/control_host.rs
@@ -110,7 +110,7 @@
 
     /// Whether the cluster can do without this node, which is shutting down.
     pub(super) fn is_released(&self) -> bool {
-        self.control.is_released()
+        self.control.may_shut_down()
     }
 }
 
