--- a/crates/brassport-transport/src/lib.rs
+++ b/crates/brassport-transport/src/lib.rs
@@ -1,10 +1,11 @@
-//! How the processes of a cluster reach one another: frames in CBOR ([`frame`]), links that carry them ([`links`]), and
-//! peer sampling, by which each node has a partial view of the others ([`peer_sampling`]).
+//! Communication between the nodes of a cluster: CBOR frames ([`frame`]), links that carry them ([`links`]), and peer
+//! sampling, which gives each node a partial view of the others ([`peer_sampling`]).
 //!
-//! Delivery is best effort: a frame may be lost, late, duplicated or reordered. Who needs an answer sends the request again.
+//! Delivery is best effort: a frame may be lost, delayed, duplicated or reordered. A caller that needs a response must
+//! retry.
 //!
-//! Not for decisions: what is sent, when and to whom is up to the packages above. Not for untrusted networks either: links
-//! neither authenticate nor encrypt.
+//! The packages above decide what to send, when, and to which node. Links neither authenticate nor encrypt, so they are
+//! not suitable for untrusted networks.
 //!
 //! ```
 //! use brassport_transport::frame;
@@ -19,9 +20,9 @@
 //!     is_core: false,
 //! };
 //!
-//! // A record as it comes over a link, 250 ms after its node made it.
+//! // A record received over a link, 250 ms after its node created it.
 //! let bytes = frame::encode(&AgedRecord { peer: peer.clone(), age_ms: 250 });
-//! let received: AgedRecord = frame::decode(&bytes).expect("these are the bytes of a record");
+//! let received: AgedRecord = frame::decode(&bytes).expect("a valid record");
 //!
 //! let mut view = PartialView::new([10, 0, 0, 1].into(), 7);
 //! assert!(view.merge(1_000, received));
--- a/crates/brassport-transport/src/links/writer.rs
+++ b/crates/brassport-transport/src/links/writer.rs
@@ -1,4 +1,4 @@
-//! The side of a connection that sends: a queue of frames for each peer, and the task that writes them.
+//! The sending side of connections: a queue of frames for each peer, and the task that writes them.
 
 use super::{Addresses, IDLE_TIMEOUT};
 use std::cell::RefCell;
@@ -12,19 +12,19 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// How long a connection may take to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long the peer may take to accept a frame's bytes.
+/// Timeout for writing one frame.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Frames that wait for one peer's connection; more are dropped, to bound the memory for a peer that reads slowly.
+/// Maximum number of frames queued for one peer. Further ones are dropped, to bound the memory for a peer that reads
+/// slowly.
 const QUEUE_FRAMES: usize = 64;
 
-/// The queues of frames for writers that run, by peer.
+/// The queues of the running writers, by peer.
 #[derive(Default)]
 pub(super) struct Queues(RefCell<HashMap<Ipv4Addr, mpsc::Sender<Vec<u8>>>>);
 
 impl Queues {
-    /// The queue of a peer. Without one a new queue is made, and its end is passed to `spawn_writer`.
+    /// The queue of a peer. If there is none, creates it and passes its receiver to `spawn_writer`.
     pub(super) fn get_or_insert(
         &self,
         peer: Ipv4Addr,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Writes the frames for one peer, and owns the connection to it.
+/// Writes the frames for one peer and owns the connection to it.
 pub(super) struct Writer {
     peer: Ipv4Addr,
     addresses: Rc<Addresses>,
@@ -56,20 +56,20 @@
         Writer { peer, addresses, connection: None }
     }
 
-    /// Writes frames until none came for a while.
+    /// Writes frames until the queue is empty for [`IDLE_TIMEOUT`].
     pub(super) async fn run(mut self, mut frames: mpsc::Receiver<Vec<u8>>, queues: Rc<Queues>) {
         while let Ok(Some(frame)) = timeout(IDLE_TIMEOUT, frames.recv()).await {
-            // A frame that fails is dropped: how much of it the peer has read is not known.
+            // A frame that fails is dropped, since it is unknown how much of it the peer has read.
             if self.write(&frame).await.is_err() {
                 self.connection = None;
             }
         }
-        // Nothing is awaited since the queue was found empty, so that no frame can be lost in between: the next one makes
-        // another queue.
+        // There is no await point between the timeout on the empty queue and its removal, so no frame can be queued in
+        // between and lost. The next frame creates a new queue.
         queues.remove(self.peer);
     }
 
-    /// Writes one frame, over a new connection if there is none.
+    /// Writes one frame, and connects first if there is no connection.
     async fn write(&mut self, frame: &[u8]) -> io::Result<()> {
         let connection = match &mut self.connection {
             Some(connection) => connection,
@@ -88,7 +88,7 @@
 
 async fn connect(addresses: &Addresses, peer: Ipv4Addr) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
-    // The connection must leave from the node's own address, where a machine has several.
+    // On a host with several addresses, connections must originate from the node's own one.
     socket.bind(SocketAddrV4::new(addresses.local, 0).into())?;
     let stream = socket.connect(addresses.of(peer).into()).await?;
     stream.set_nodelay(true)?;
--- a/crates/brassport-transport/src/peer_sampling/mod.rs
+++ b/crates/brassport-transport/src/peer_sampling/mod.rs
@@ -1,9 +1,9 @@
 //! Peer sampling (Jelasity et al., "Gossip-based peer sampling", 2007): each node has a partial view of the others, and
-//! shuffles a few of its records with a neighbour now and then, so that views stay fresh and close to random samples of
-//! all. No I/O: the host carries the records.
+//! periodically exchanges a few records with a peer, so that views stay fresh and close to uniform random samples of
+//! all nodes. The module does no I/O: the host sends and receives the records.
 //!
-//! A record is passed on with its age. Of two records of one machine the younger wins; one that is too old is dropped, so
-//! that a node which makes none any more is forgotten by all.
+//! A record is forwarded with its age. Of two records of the same node, the younger one is kept. Records above a
+//! maximum age are dropped, so that all nodes forget a node that no longer creates records.
 
 mod record;
 mod view;
--- a/crates/brassport-transport/src/peer_sampling/record.rs
+++ b/crates/brassport-transport/src/peer_sampling/record.rs
@@ -1,23 +1,24 @@
-//! What a node states of itself, as it is passed on. On the wire each is a row: names of fields would weigh more than what
-//! they hold.
+//! Peer records: the self-description of a node. On the wire, a record is an array without field names, because the
+//! names would be longer than the values.
 
 use brassport_types::{DiskId, Incarnation};
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
-/// What a node states of itself.
+/// The self-description of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "PeerRow", into = "PeerRow")]
 pub struct PeerRecord {
-    /// Its address.
+    /// The address of the node, which identifies it.
     pub ip: Ipv4Addr,
     /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// Its zone.
+    /// The name of its zone.
     pub zone: String,
-    /// Its disk, if it may vote; else [`DiskId::NONE`].
+    /// Its disk if it may vote; otherwise [`DiskId::NONE`].
     pub disk: DiskId,
-    /// Whether it belongs to the core: its loss counts against what the system survives (`counted` in the settings).
+    /// Whether it belongs to the core, the nodes that may vote (`counted` in the settings). Losses of core nodes count
+    /// against the tolerated number of losses.
     pub is_core: bool,
 }
 
@@ -35,13 +36,13 @@
     }
 }
 
-/// A peer record as it is passed on, with its age.
+/// A peer record with its age, as forwarded between nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(PeerRecord, u32)", into = "(PeerRecord, u32)")]
 pub struct AgedRecord {
-    /// The record.
+    /// The record of the peer.
     pub peer: PeerRecord,
-    /// Milliseconds since its node made it. Time on the way is not counted.
+    /// Milliseconds since its node created it, without the time in transit.
     pub age_ms: u32,
 }
 
