--- a/crates/brassport-control-plane/src/backends/calls.rs
+++ b/crates/brassport-control-plane/src/backends/calls.rs
@@ -1,4 +1,4 @@
-//! What backends call: heartbeats and deregistrations.
+//! The calls of backends: heartbeats and deregistrations.
 
 use super::{Backend, BackendState, MergeOutcome, Source};
 use crate::call::Reply;
@@ -8,17 +8,17 @@
 use std::sync::Arc;
 
 impl ControlPlane {
-    /// The port that backends call on every node: from here on a backend is redirected to a node of its own zone.
+    /// Sets the port that backends call on every node, and enables redirects of backends to nodes of their own zone.
     pub fn set_control_port(&mut self, control_port: u16) {
         self.backends.control_port = Some(control_port);
     }
 
-    /// A backend sends a heartbeat. A draining one is answered once a majority of the core knows that it drains.
+    /// Handles a heartbeat. The heartbeat of a draining backend is answered once a majority of the core has its record.
     pub(crate) fn on_heartbeat(&mut self, call: u64, heartbeat: Backend) {
         let now = self.clock.now();
         let (id, is_draining) = (heartbeat.id.clone(), heartbeat.state == BackendState::Draining);
         let outcome = self.backends.table.merge(now, heartbeat, Source::Backend);
-        // An expired heartbeat of an unknown backend has no record, and no answer.
+        // The table does not add a record whose lease has already expired; such a heartbeat gets no reply.
         let Some(record) = self.backends.table.get(now, &id) else { return };
         if outcome == MergeOutcome::Changed {
             self.outbox.push(Action::BackendChanged(record.clone()));
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A backend has ended: answered once a majority of the core knows.
+    /// Handles a deregistration. It is answered once a majority of the core has the record.
     pub(crate) fn on_deregister(&mut self, call: u64, id: &str) {
         let record = self.backends.table.terminate(self.clock.now(), id);
         self.outbox.push(Action::BackendChanged(record.clone()));
@@ -39,16 +39,17 @@
         self.confirm_by_core(call, record);
     }
 
-    /// Acknowledges a heartbeat, and names a node of the backend's own zone for the next ones.
+    /// Acknowledges a heartbeat. A backend of another zone is redirected to a node of its own zone for the next
+    /// heartbeats.
     fn acknowledge_heartbeat(&mut self, call: u64, record: &Backend) {
-        let Some(body) = self.nearer_node(record) else { return self.outbox.respond_done(call) };
-        self.backends.table.release_heartbeat(&record.id);
+        let Some(body) = self.redirect_body(record) else { return self.outbox.respond_done(call) };
+        self.backends.table.stop_monitoring(&record.id);
         self.outbox.respond(call, Reply::Done(Arc::new(body)));
     }
 
-    /// The body that sends a backend of another zone to a node there. Each backend has its own, by its name, so that they
-    /// spread over the nodes.
-    fn nearer_node(&self, record: &Backend) -> Option<Vec<u8>> {
+    /// The reply body that redirects a backend of another zone to a node in that zone, or `None`. The digest of the
+    /// backend's name selects the node, so that backends spread over the nodes of the zone.
+    fn redirect_body(&self, record: &Backend) -> Option<Vec<u8>> {
         let port = self.backends.control_port.filter(|_| record.zone != self.options.node.zone)?;
         let of_zone = self.view.peers().filter(|peer| peer.zone == record.zone);
         let peers: Vec<Ipv4Addr> = of_zone.map(|peer| peer.ip).collect();
--- a/crates/brassport-control-plane/src/backends/dissemination.rs
+++ b/crates/brassport-control-plane/src/backends/dissemination.rs
@@ -1,21 +1,21 @@
-//! How changes of the endpoint table reach all nodes: at once to those known, and by digests where one was missed.
+//! Propagates changes of the endpoint table: broadcasts them at once, and repairs missed ones by comparing digests.
 
-use super::{Backend, MergeOutcome, Source, RANGES};
+use super::{Backend, MergeOutcome, Source, DIGEST_RANGES};
 use crate::control_plane::{ControlPlane, FULL_BROADCAST_PEERS};
 use crate::event::Action;
 use crate::peer_message::PeerMessage;
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
-/// In a large cluster a node sends a change to so many peers of its own zone, and to one of each other zone.
+/// In a large cluster, a node sends its own changes to this many peers in its zone, and to one peer in each other zone.
 const ZONE_FANOUT: usize = 4;
-/// Who hears of a change in a large cluster forwards it to so many peers of its own zone.
+/// In a large cluster, a node forwards a received change to this many peers in its zone.
 const FORWARD_FANOUT: usize = 2;
-/// More records than this at once are a repair, and are not forwarded.
+/// A message with more records than this is a repair, and is not forwarded.
 const MAX_FORWARDED_RECORDS: usize = 4;
 
 impl ControlPlane {
-    /// A peer sends records; with a number it wants them confirmed.
+    /// Handles records from a peer. If `confirmation` has a number, the peer expects a confirmation under that number.
     pub(crate) fn on_records(&mut self, from: Ipv4Addr, records: Vec<Backend>, confirmation: Option<u64>) {
         if confirmation.is_none() && !records.is_empty() {
             self.isolation.record_comparison();
@@ -26,7 +26,7 @@
             self.outbox.send(from, PeerMessage::RecordsConfirmed(number, index));
         }
         if !newer.is_empty() {
-            // Whoever sent the outdated record sent it to others too.
+            // The sender may have sent the outdated records to other nodes as well.
             self.disseminate(&newer);
         }
         if !changed.is_empty() {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Merges records. Those that changed something here, and those of which this node knows better.
+    /// Merges records. Returns the records that changed the table, and this node's records that override received ones.
     fn merge_records(&mut self, records: Vec<Backend>) -> (Vec<Backend>, Vec<Backend>) {
         let (now, table) = (self.clock.now(), &mut self.backends.table);
         let (mut changed, mut newer) = (Vec::new(), Vec::new());
@@ -50,10 +50,11 @@
         (changed, newer)
     }
 
-    /// Forwards what a peer sent.
+    /// Forwards records that a peer sent.
     fn forward_records(&mut self, from: Ipv4Addr, records: &[Backend]) {
         if self.view.len() <= FULL_BROADCAST_PEERS {
-            // The sender sent to all that it reaches; the others are repaired by the next exchange, which comes sooner.
+            // The sender has sent them to every node that it reaches. The next exchange, made due earlier here, repairs
+            // the others.
             self.gossip.bring_forward();
         } else if records.len() <= MAX_FORWARDED_RECORDS {
             let zone = &self.options.node.zone;
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Sends records to all peers; in a large cluster to some of the own zone and to one of each other, who forward them.
+    /// Sends records to all peers. In a large cluster, sends them to some peers in this node's zone and to one peer in
+    /// each other zone, which forward them.
     pub(crate) fn disseminate(&mut self, records: &[Backend]) {
         let to = if self.view.len() <= FULL_BROADCAST_PEERS {
             self.view.sample(FULL_BROADCAST_PEERS, |_| true)
@@ -88,10 +90,10 @@
         }
     }
 
-    /// Marks the backends whose heartbeats have stopped, and drops the records whose lease has expired.
+    /// Marks backends whose heartbeats have stopped as unresponsive, and drops records whose lease has expired.
     pub(crate) fn expire_backends(&mut self) {
         let (now, interval) = (self.clock.now(), self.options.heartbeat_interval_ms);
-        // Two heartbeats were missed, and most of a third interval is over: its sender's clock and the link may lag.
+        // 2.7 intervals: two heartbeats were missed, with tolerance for delays of the sender's clock and the link.
         let unresponsive = self.backends.table.mark_unresponsive(now, 2 * interval + interval * 7 / 10);
         for backend in unresponsive {
             self.outbox.push(Action::BackendChanged(backend.clone()));
@@ -101,7 +103,7 @@
         self.outbox.extend(expired.into_iter().map(Action::BackendExpired));
     }
 
-    /// A peer's table has this digest: begins a repair if it differs and a repair is due.
+    /// Compares this node's table with a peer's digest, and begins a repair if they differ and a repair is due.
     pub(crate) fn compare_tables(&mut self, from: Ipv4Addr, digest: u64) {
         let (now, backends) = (self.clock.now(), &mut self.backends);
         if digest == backends.table.digest() {
@@ -112,8 +114,8 @@
         }
     }
 
-    /// A peer sends the digests of its table: it is answered with the records of the ranges that differ.
-    pub(crate) fn on_table_digests(&mut self, from: Ipv4Addr, digests: &[u32; RANGES]) {
+    /// Handles the range digests of a peer's table: replies with this node's records of the ranges that differ.
+    pub(crate) fn on_table_digests(&mut self, from: Ipv4Addr, digests: &[u32; DIGEST_RANGES]) {
         let records = self.backends.table.differing(self.clock.now(), digests);
         if !records.is_empty() {
             self.outbox.send(from, PeerMessage::BackendRecords(records, None));
--- a/crates/brassport-control-plane/src/backends/record.rs
+++ b/crates/brassport-control-plane/src/backends/record.rs
@@ -1,40 +1,40 @@
-//! The record of one incarnation of a backend, and how two copies of it compare.
+//! The record of one incarnation of a backend, and the order of its copies.
 
-use super::RANGES;
+use super::DIGEST_RANGES;
 use crate::Millis;
 use brassport_types::fnv1a_32;
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Lease of a record that takes requests, in ms. Long, because the node that received its heartbeats says when they stop;
-/// the lease ends only a record whose node was lost too.
+/// Lease of a ready backend. Long, because the node that receives its heartbeats reports when they stop; the lease
+/// matters only if that node was lost too.
 const READY_LEASE_MS: Millis = 900_000;
-/// Lease of a record whose heartbeats are known to have stopped, or that is draining: little is expected of it.
+/// Lease of an unresponsive or draining backend, from which few further calls are expected.
 const DEPARTING_LEASE_MS: Millis = 40_000;
-/// For so many ms the end of an incarnation is remembered, so that no late copy revives it.
+/// How long the termination of an incarnation is remembered, so that a late copy does not revive it.
 const TERMINATED_LEASE_MS: Millis = 30_000;
-/// A heartbeat that only says that all is as before changes the digest once in so many calls. Guards the links against a
-/// repair for each heartbeat.
+/// The digest of a ready backend's record changes only once in this many calls, so that heartbeats without other
+/// changes do not each trigger a repair.
 const DIGEST_CALLS: u64 = 128;
 
-/// The state of a backend; under the same call count a later variant overrides an earlier one.
+/// The state of a backend. With equal call counts, a later variant overrides an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum BackendState {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// Its heartbeats have stopped, as the node says that received the last.
+    /// Its heartbeats have stopped, according to the node that received the last one.
     #[serde(rename = "Silent")]
     Unresponsive,
-    /// It finishes its work; nothing new may be sent.
+    /// It completes its current requests; no new ones may be sent to it.
     #[serde(rename = "Emptying")]
     Draining,
-    /// It has ended.
+    /// It has deregistered.
     #[serde(rename = "Gone")]
     Terminated,
 }
 
 impl BackendState {
-    /// For how many milliseconds a record in this state holds without a call of its backend.
+    /// How long a record in this state is kept without a call of its backend, in milliseconds.
     pub(super) fn lease_ms(self) -> Millis {
         match self {
             BackendState::Ready => READY_LEASE_MS,
@@ -47,35 +47,35 @@
 /// One incarnation of a backend.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backend {
-    /// Its name; every start has another.
+    /// The name of this incarnation. It changes with every start of the backend.
     pub id: String,
-    /// Its service.
+    /// The name of its service.
     pub service: String,
-    /// Where it listens.
+    /// The address on which it accepts requests.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// The zone it runs in; empty if unknown.
     pub zone: String,
-    /// The version of its software.
+    /// The version of its software; empty if unknown.
     pub version: String,
-    /// Requests that it handles at once.
+    /// Number of requests that it handles concurrently, at least 1.
     pub capacity: u32,
-    /// Its state.
+    /// Its state as of `call_count`.
     #[serde(rename = "stage")]
     pub state: BackendState,
-    /// How many calls it had made; it goes up with each.
+    /// Number of calls that the backend has made to the control plane.
     #[serde(rename = "count")]
     pub call_count: u64,
-    /// For how many more milliseconds it is warming up, as of when this copy was made.
+    /// Remaining warm-up in milliseconds when this copy was made.
     #[serde(rename = "warming_ms")]
     pub warmup_left_ms: u32,
-    /// Milliseconds since a call of its own renewed this, as of when this copy was made: copies expire at the same time
-    /// wherever they went.
+    /// Milliseconds between the backend's last call and the making of this copy. With it, all copies expire at the same
+    /// time.
     #[serde(default)]
     pub age_ms: u32,
 }
 
 impl Backend {
-    /// The end of a backend that this node never heard of.
+    /// The record of a terminated backend of which this node has no other record.
     pub(super) fn terminated(id: &str) -> Backend {
         Backend {
             id: id.to_owned(),
@@ -91,14 +91,15 @@
         }
     }
 
-    /// Whether this copy is newer than another of the same backend: the end overrides all, then the call count decides,
-    /// then the state.
+    /// Whether this copy is newer than another copy for the same backend: termination overrides all other states, then
+    /// the call count decides, then the state.
     pub(super) fn is_newer_than(&self, other: &Backend) -> bool {
         let order = |copy: &Backend| (copy.state == BackendState::Terminated, copy.call_count, copy.state);
         order(self) > order(other)
     }
 
-    /// What two nodes compare: FNV-1a (64 bits) over the name, the coarse call count, the state and the port.
+    /// The digest by which nodes compare their tables: 64-bit FNV-1a over the name, the coarse call count, the state
+    /// and the port.
     pub(super) fn digest(&self) -> u64 {
         let coarse_count = if self.state == BackendState::Ready { self.call_count / DIGEST_CALLS } else { 0 };
         let numbers = [coarse_count, self.state as u64, u64::from(self.address.port())];
@@ -108,18 +109,18 @@
         }))
     }
 
-    /// A digest of its name alone.
+    /// The digest of the name alone.
     pub(crate) fn name_digest(&self) -> u64 {
         mix(u64::from(fnv1a_32(&self.id)))
     }
 
-    /// The range of the table that it belongs to.
+    /// The index of the table range that the record belongs to.
     pub(super) fn range(&self) -> usize {
-        self.name_digest() as usize % RANGES
+        self.name_digest() as usize % DIGEST_RANGES
     }
 }
 
-/// The first round of MurmurHash3's 64-bit finalizer: FNV alone leaves the low bits of similar names alike.
+/// The first round of MurmurHash3's 64-bit finalizer. With FNV alone, similar names have similar low bits.
 fn mix(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     hash ^ (hash >> 33)
--- a/crates/brassport-control-plane/src/backends/table.rs
+++ b/crates/brassport-control-plane/src/backends/table.rs
@@ -1,26 +1,26 @@
-//! The table of backends at one node.
+//! The endpoint table of one node.
 
-use super::{Backend, BackendState, RANGES};
+use super::{Backend, BackendState, DIGEST_RANGES};
 use crate::Millis;
 use std::collections::BTreeMap;
 
-/// What merging a record changed.
+/// The result of merging a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MergeOutcome {
-    /// Nothing, or no more than that the backend is still there.
+    /// Nothing that affects routing changed. The lease may have been renewed.
     Unchanged,
-    /// It changes whether or where requests are sent.
+    /// The record is new, or its state, address or service changed.
     Changed,
-    /// It says unresponsive of a backend that was heard here since: the sender is to learn so.
+    /// The record marks a backend as unresponsive that has called since. The sender needs the newer record.
     Stale,
 }
 
-/// Where a record comes from.
+/// The origin of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// The backend itself called this node.
+    /// A call of the backend to this node.
     Backend,
-    /// Another node sent it.
+    /// A message of another node.
     Peer,
 }
 
@@ -29,11 +29,11 @@
     backend: Backend,
     /// When a call of the backend last renewed the lease.
     renewed_at: Millis,
-    /// When its last heartbeat came to this very node; `None`: another node received it.
+    /// When this node received the last heartbeat; `None` if another node received it.
     heartbeat_at: Option<Millis>,
-    /// Until when it is warming up.
+    /// When the warm-up ends.
     warm_at: Millis,
-    /// Whether this node was isolated since it heard of it, and nobody has confirmed it since.
+    /// Whether this node was isolated after it received the record, and no other node has confirmed the record since.
     is_quarantined: bool,
 }
 
@@ -42,7 +42,7 @@
         Entry { backend, renewed_at, heartbeat_at, warm_at, is_quarantined: false }
     }
 
-    fn is_received_here_since(&self, since: Millis) -> bool {
+    fn has_heartbeat_since(&self, since: Millis) -> bool {
         self.heartbeat_at.is_some_and(|at| at >= since)
     }
 
@@ -50,7 +50,7 @@
         now >= self.renewed_at + self.backend.state.lease_ms()
     }
 
-    /// The record with its times as of now, to be sent to others.
+    /// A copy of the record with its age and warm-up as of now, to be sent to other nodes.
     fn snapshot(&self, now: Millis) -> Backend {
         let span = |millis: Millis| u32::try_from(millis).unwrap_or(u32::MAX);
         Backend {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes a newer copy.
+    /// Replaces the record by a newer copy.
     fn update(&mut self, newer: Backend, update: Update) -> MergeOutcome {
         let state = state_after(self.backend.state, newer.state);
         let is_changed = state != self.backend.state
@@ -83,7 +83,7 @@
     }
 }
 
-/// The times that come with a copy.
+/// The times of a received copy, on this node's clock.
 #[derive(Debug, Clone, Copy)]
 struct Update {
     renewed_at: Millis,
@@ -91,7 +91,8 @@
     warm_at: Millis,
 }
 
-/// Guards against a heartbeat that overtook the one before: what was draining stays so.
+/// The state after a newer copy. A draining backend stays draining until it terminates, so that heartbeats that arrive
+/// out of order do not make it ready again.
 fn state_after(known: BackendState, newer: BackendState) -> BackendState {
     match (known, newer) {
         (BackendState::Draining, BackendState::Ready | BackendState::Unresponsive) => BackendState::Draining,
@@ -99,7 +100,7 @@
     }
 }
 
-/// All backends that a node knows, by name.
+/// The records of all backends known to a node, by name.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     entries: BTreeMap<String, Entry>,
@@ -107,19 +108,19 @@
 }
 
 impl Table {
-    /// When a record was new or changed last.
+    /// When the table last changed ([`MergeOutcome::Changed`]); `None` if it never did.
     pub(crate) fn changed_at(&self) -> Option<Millis> {
         self.changed_at
     }
 
-    /// Merges a record. Copies merge in any order to the same.
+    /// Merges a record. The order in which copies are merged does not matter.
     pub(crate) fn merge(&mut self, now: Millis, backend: Backend, source: Source) -> MergeOutcome {
         let update = Update {
             renewed_at: now.saturating_sub(Millis::from(backend.age_ms)),
             heartbeat_at: (source == Source::Backend).then_some(now),
             warm_at: now + Millis::from(backend.warmup_left_ms),
         };
-        // Guards against a record that goes round for ever: who has dropped it would take it again.
+        // A node that has dropped an expired record must not add it again, or the record would circulate for ever.
         if now >= update.renewed_at + backend.state.lease_ms() {
             return MergeOutcome::Unchanged;
         }
@@ -150,14 +151,15 @@
         }
     }
 
-    /// The backend was redirected to another node: this one no longer watches its heartbeats.
-    pub(crate) fn release_heartbeat(&mut self, id: &str) {
+    /// Stops monitoring the heartbeats of a backend that was redirected to another node.
+    pub(crate) fn stop_monitoring(&mut self, id: &str) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.heartbeat_at = None;
         }
     }
 
-    /// Ends a backend, whether or not it was heard of here: others may know it. The record to be disseminated.
+    /// Terminates a backend, even one unknown to this node, since other nodes may have a record of it. Returns the
+    /// record to be broadcast.
     pub(crate) fn terminate(&mut self, now: Millis, id: &str) -> Backend {
         let unknown = || Entry::new(Backend::terminated(id), now, None, now);
         let entry = self.entries.entry(id.to_owned()).or_insert_with(unknown);
@@ -167,7 +169,8 @@
         entry.snapshot(now)
     }
 
-    /// Marks the backends unresponsive whose heartbeats came here and have stopped for `after` ms. Each is returned once.
+    /// Marks the ready backends as unresponsive that sent their last heartbeat to this node at least `after` ms ago.
+    /// Returns the newly marked records.
     pub(crate) fn mark_unresponsive(&mut self, now: Millis, after: Millis) -> Vec<Backend> {
         let mut marked = Vec::new();
         for entry in self.entries.values_mut() {
@@ -180,7 +183,7 @@
         marked
     }
 
-    /// Renews all leases after a stall of this node: heartbeats that it missed say nothing of their senders.
+    /// Renews all leases after a stall of this node, which may have missed heartbeats of live backends.
     pub(crate) fn renew_all(&mut self, now: Millis) {
         for entry in self.entries.values_mut() {
             entry.renewed_at = now;
@@ -188,24 +191,24 @@
         }
     }
 
-    /// Quarantines the live backends but those whose last heartbeat came here since a time: this node was isolated, and
-    /// the others may have ended long ago. A quarantined record goes to nobody until somebody confirms it.
+    /// Quarantines the live backends except those that sent this node a heartbeat since `received_since`. This node was
+    /// isolated, so the other backends may have terminated. A quarantined record is not sent to other nodes until one
+    /// of them confirms it.
     pub(crate) fn quarantine(&mut self, received_since: Millis) {
         for entry in self.entries.values_mut() {
             let is_live = matches!(entry.backend.state, BackendState::Ready | BackendState::Unresponsive);
-            entry.is_quarantined = is_live && !entry.is_received_here_since(received_since);
+            entry.is_quarantined = is_live && !entry.has_heartbeat_since(received_since);
         }
     }
 
-    /// Live backends whose last heartbeat came to this node since a time.
-    pub(crate) fn received_here(&self, now: Millis, since: Millis) -> Vec<Backend> {
-        let is_received = |entry: &&Entry| {
-            entry.backend.state == BackendState::Ready && entry.is_received_here_since(since)
-        };
+    /// The records of the ready backends that sent this node a heartbeat since this time.
+    pub(crate) fn with_heartbeat_since(&self, now: Millis, since: Millis) -> Vec<Backend> {
+        let is_received =
+            |entry: &&Entry| entry.backend.state == BackendState::Ready && entry.has_heartbeat_since(since);
         self.entries.values().filter(is_received).map(|entry| entry.snapshot(now)).collect()
     }
 
-    /// Drops what is still quarantined. Returns the names.
+    /// Drops the quarantined records. Returns their names.
     pub(crate) fn drop_quarantined(&mut self) -> Vec<String> {
         let quarantined = self.entries.iter().filter(|(_, entry)| entry.is_quarantined);
         let names: Vec<String> = quarantined.map(|(id, _)| id.clone()).collect();
@@ -213,7 +216,7 @@
         names
     }
 
-    /// Drops records whose lease has expired. Returns the names of those that had not terminated.
+    /// Drops the records whose lease has expired. Returns the names of those that were not terminated.
     pub(crate) fn expire(&mut self, now: Millis) -> Vec<String> {
         let is_lost =
             |entry: &Entry| entry.is_expired(now) && entry.backend.state != BackendState::Terminated;
@@ -223,38 +226,38 @@
         names
     }
 
-    /// How many backends are in a state.
+    /// The number of backends in a state.
     pub(crate) fn count(&self, state: BackendState) -> usize {
         self.entries.values().filter(|entry| entry.backend.state == state).count()
     }
 
-    /// One record, to be sent to others.
+    /// A copy of one record, to be sent to other nodes.
     pub(crate) fn get(&self, now: Millis, id: &str) -> Option<Backend> {
         self.entries.get(id).map(|entry| entry.snapshot(now))
     }
 
-    fn trusted(&self) -> impl Iterator<Item = &Entry> {
+    fn unquarantined(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values().filter(|entry| !entry.is_quarantined)
     }
 
-    /// The digest of each range.
-    pub(crate) fn digests(&self) -> [u32; RANGES] {
-        let mut digests = [0; RANGES];
-        for entry in self.trusted() {
+    /// The digest of each range, without quarantined records.
+    pub(crate) fn digests(&self) -> [u32; DIGEST_RANGES] {
+        let mut digests = [0; DIGEST_RANGES];
+        for entry in self.unquarantined() {
             digests[entry.backend.range()] ^= entry.backend.digest() as u32;
         }
         digests
     }
 
-    /// The digest of all records.
+    /// The digest of all records that are not quarantined.
     pub(crate) fn digest(&self) -> u64 {
-        self.trusted().fold(0, |all, entry| all ^ entry.backend.digest())
+        self.unquarantined().fold(0, |all, entry| all ^ entry.backend.digest())
     }
 
     /// The records of the ranges whose digests differ from a peer's.
-    pub(crate) fn differing(&self, now: Millis, peer: &[u32; RANGES]) -> Vec<Backend> {
+    pub(crate) fn differing(&self, now: Millis, peer: &[u32; DIGEST_RANGES]) -> Vec<Backend> {
         let own = self.digests();
         let differs = |entry: &&Entry| own[entry.backend.range()] != peer[entry.backend.range()];
-        self.trusted().filter(differs).map(|entry| entry.snapshot(now)).collect()
+        self.unquarantined().filter(differs).map(|entry| entry.snapshot(now)).collect()
     }
 }
--- a/crates/brassport-control-plane/src/confirmations.rs
+++ b/crates/brassport-control-plane/src/confirmations.rs
@@ -1,8 +1,9 @@
-//! That a backend drains or ends is acknowledged once a majority of the core knows: from there every node in contact hears
-//! of it.
+//! A backend's drain or deregistration is acknowledged once a majority of the core has its record. From the majority,
+//! it reaches every node in contact.
 //!
-//! The majority is one of the voters that this node knows of. Who confirms says how far it knows the log; while somebody
-//! knows more of it than this node, this node may not know who votes, and acknowledges nothing.
+//! The majority is taken over the voters known to this node. Each confirmation carries the index up to which its sender
+//! has applied the log. While a higher index than this node's was reported, this node may not know the current voters,
+//! and acknowledges nothing.
 
 use crate::backends::{Backend, BackendState};
 use crate::call::Reply;
@@ -13,14 +14,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// A call waits so long for the core, in ms: its caller gives up after a second.
+/// How long a call waits for confirmations. Its caller times out after one second.
 const TIMEOUT_MS: Millis = 900;
-/// Between two requests to the core, in ms.
+/// Interval between two requests to the core nodes that have not confirmed.
 const RETRY_INTERVAL_MS: Millis = 120;
-/// Ends that are remembered as known to a majority, so that a repeated call is answered at once.
-const MAX_CONFIRMED_ENDS: usize = 10_000;
+/// Maximum number of confirmed departures to remember, so that a repeated call is answered at once.
+const MAX_CONFIRMED_DEPARTURES: usize = 10_000;
 
-/// A call that is answered once a majority of the core knows of its record.
+/// A call that is answered once a majority of the core has its record.
 #[derive(Debug)]
 struct Pending {
     call: u64,
@@ -30,9 +31,9 @@
     requested_at: Option<Millis>,
 }
 
-/// What is to be done about a pending call.
+/// The next step for a pending call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Progress {
+enum NextStep {
     Wait,
     Request,
     Confirm,
@@ -40,45 +41,46 @@
 }
 
 impl Pending {
-    fn progress(&self, now: Millis, core: &[Ipv4Addr], is_log_current: bool) -> Progress {
+    fn next_step(&self, now: Millis, core: &[Ipv4Addr], is_log_current: bool) -> NextStep {
         let confirmed = core.iter().filter(|ip| self.confirmed_by.contains(ip)).count();
         if confirmed > core.len() / 2 && is_log_current {
-            Progress::Confirm
+            NextStep::Confirm
         } else if now >= self.since + TIMEOUT_MS {
-            Progress::TimeOut
+            NextStep::TimeOut
         } else if self.requested_at.is_none_or(|at| now >= at + RETRY_INTERVAL_MS) {
-            Progress::Request
+            NextStep::Request
         } else {
-            Progress::Wait
+            NextStep::Wait
         }
     }
 }
 
-/// A backend, and whether it terminated (else it drains).
-type End = (String, bool);
+/// The ID of a backend, and whether it terminated (`true`) or drains (`false`).
+type Departure = (String, bool);
 
-fn end_of(record: &Backend) -> End {
+fn departure_of(record: &Backend) -> Departure {
     (record.id.clone(), record.state == BackendState::Terminated)
 }
 
-/// Calls that wait for the core.
+/// The calls that wait for confirmation by the core.
 #[derive(Debug)]
 pub(crate) struct Confirmations {
     pending: BTreeMap<u64, Pending>,
     last_number: u64,
-    /// The highest index that one who confirmed knew of.
+    /// The highest log index reported with a confirmation.
     newest_index: LogIndex,
-    confirmed_ends: BTreeSet<End>,
+    confirmed_departures: BTreeSet<Departure>,
 }
 
 impl Confirmations {
-    /// Numbers start anywhere. Guards against a confirmation that an earlier incarnation of this node asked for.
+    /// The first number depends on the seed, so that a confirmation requested by an earlier incarnation of this node
+    /// does not match a pending call.
     pub(crate) fn new(seed: u64) -> Confirmations {
         Confirmations {
             pending: BTreeMap::new(),
             last_number: seed >> 16,
             newest_index: LogIndex(0),
-            confirmed_ends: BTreeSet::new(),
+            confirmed_departures: BTreeSet::new(),
         }
     }
 
@@ -87,7 +89,7 @@
         self.pending.insert(self.last_number, pending);
     }
 
-    /// A peer confirms a record. Whether it is still pending.
+    /// Records a peer's confirmation. Returns whether the call is still pending.
     fn confirm(&mut self, number: u64, from: Ipv4Addr, index: LogIndex) -> bool {
         let Some(pending) = self.pending.get_mut(&number) else { return false };
         pending.confirmed_by.insert(from);
@@ -95,21 +97,21 @@
         true
     }
 
-    fn record_end(&mut self, record: &Backend) {
-        self.confirmed_ends.insert(end_of(record));
-        while self.confirmed_ends.len() > MAX_CONFIRMED_ENDS {
-            self.confirmed_ends.pop_first();
+    fn record_departure(&mut self, record: &Backend) {
+        self.confirmed_departures.insert(departure_of(record));
+        while self.confirmed_departures.len() > MAX_CONFIRMED_DEPARTURES {
+            self.confirmed_departures.pop_first();
         }
     }
 }
 
 impl ControlPlane {
-    /// Answers a call once a majority of the core has this record; with a failure at once, if none of the core is heard.
+    /// Answers a call once a majority of the core has this record. Fails at once if no core node is in contact.
     pub(crate) fn confirm_by_core(&mut self, call: u64, record: Backend) {
-        if self.confirmations.confirmed_ends.contains(&end_of(&record)) {
+        if self.confirmations.confirmed_departures.contains(&departure_of(&record)) {
             return self.outbox.respond_done(call);
         }
-        if self.is_core_unheard() {
+        if self.is_core_unreachable() {
             return self.outbox.respond(call, Reply::Unavailable("none of the core is heard"));
         }
         let own = self.options.node.ip;
@@ -119,7 +121,7 @@
         self.review_confirmations();
     }
 
-    /// A peer has merged the records with this number.
+    /// Handles a peer's confirmation that it merged the records with this number.
     pub(crate) fn on_records_confirmed(&mut self, number: u64, from: Ipv4Addr, index: LogIndex) {
         if !self.confirmations.confirm(number, from, index) {
             return;
@@ -130,19 +132,19 @@
         self.review_confirmations();
     }
 
-    /// Takes each pending call a step further.
+    /// Advances each pending call.
     pub(crate) fn review_confirmations(&mut self) {
         let (now, core) = (self.clock.now(), self.core());
         let is_log_current = self.replica.state().index >= self.confirmations.newest_index;
-        let progress =
-            |(number, pending): (&u64, &Pending)| (*number, pending.progress(now, &core, is_log_current));
-        let steps: Vec<(u64, Progress)> = self.confirmations.pending.iter().map(progress).collect();
+        let next_step =
+            |(number, pending): (&u64, &Pending)| (*number, pending.next_step(now, &core, is_log_current));
+        let steps: Vec<(u64, NextStep)> = self.confirmations.pending.iter().map(next_step).collect();
         for (number, step) in steps {
             match step {
-                Progress::Wait => {}
-                Progress::Request => self.request_confirmation(number, &core),
-                Progress::Confirm => self.conclude_confirmed(number),
-                Progress::TimeOut => self.conclude_timed_out(number),
+                NextStep::Wait => {}
+                NextStep::Request => self.request_confirmation(number, &core),
+                NextStep::Confirm => self.conclude_confirmed(number),
+                NextStep::TimeOut => self.conclude_timed_out(number),
             }
         }
     }
@@ -158,7 +160,7 @@
 
     fn conclude_confirmed(&mut self, number: u64) {
         let Some(pending) = self.confirmations.pending.remove(&number) else { return };
-        self.confirmations.record_end(&pending.record);
+        self.confirmations.record_departure(&pending.record);
         self.outbox.respond_done(pending.call);
     }
 
--- a/crates/brassport-control-plane/src/isolation.rs
+++ b/crates/brassport-control-plane/src/isolation.rs
@@ -1,9 +1,13 @@
-//! A node that was isolated from the core comes back with an endpoint table of long ago: backends whose end was
-//! acknowledged meanwhile are still live in it. Where the core was lost besides, nobody else may remember their end.
+//! Detects isolation from the core, and quarantines outdated backend records afterwards.
 //!
-//! So its live backends are quarantined when it hears the core again, but for those whose heartbeats came to it just now.
-//! It sends them to nobody, and uses them on, until another node confirms them. What nobody confirms is dropped: a
-//! backend that lives calls some node within one heartbeat interval.
+//! A node that was isolated from the core has an outdated endpoint table: it still lists backends as live whose
+//! deregistration was acknowledged in the meantime. If the core was lost as well, no other node may have a record of
+//! that deregistration.
+//!
+//! When a core node is in contact again, the node therefore quarantines its live backends, except those that sent it a
+//! heartbeat very recently. It continues to use quarantined backends, but does not send their records to other nodes. A
+//! record received from another node ends the quarantine of its backend. Backends that remain quarantined are dropped:
+//! a live backend calls some node within one heartbeat interval.
 
 use crate::contacts::CONTACT_MS;
 use crate::control_plane::{ControlPlane, FULL_BROADCAST_PEERS};
@@ -13,21 +17,21 @@
 use brassport_config_store::consensus::mutants::{is_active, Mutant};
 use std::net::Ipv4Addr;
 
-/// So long after the isolation the quarantined is dropped, once the table was compared with a peer's, in ms.
+/// How long after the isolation quarantined backends are dropped, if the table was compared with a peer's.
 const DROP_AFTER_MS: Millis = 500;
-/// The same in a large cluster, where each node sends to few others.
+/// As [`DROP_AFTER_MS`], in a large cluster, where each node sends records to only a few others.
 const DROP_AFTER_IN_LARGE_CLUSTER_MS: Millis = 2_000;
-/// The same without any comparison.
+/// How long after the isolation quarantined backends are dropped even without a comparison.
 const DROP_DEADLINE_MS: Millis = 2_500;
 
-/// Quarantine after an isolation.
+/// The quarantine after an isolation.
 #[derive(Debug)]
 struct Quarantine {
     since: Millis,
     is_compared: bool,
 }
 
-/// Whether this node is isolated from the core, or was of late.
+/// Whether this node is isolated from the core, and the quarantine after an isolation.
 #[derive(Debug, Default)]
 pub(crate) struct Isolation {
     is_isolated: bool,
@@ -35,27 +39,27 @@
 }
 
 impl Isolation {
-    /// Notes whether the core is heard. Whether an isolation begins.
-    fn observe(&mut self, is_core_heard: bool) -> bool {
-        let begins = !self.is_isolated && !is_core_heard;
+    /// Records whether the core is reachable. Returns whether an isolation begins.
+    fn observe(&mut self, is_core_reachable: bool) -> bool {
+        let begins = !self.is_isolated && !is_core_reachable;
         self.is_isolated |= begins;
         begins
     }
 
-    /// The core is heard again.
+    /// Ends the isolation and starts the quarantine.
     fn end(&mut self, now: Millis) {
         self.is_isolated = false;
         self.quarantine = Some(Quarantine { since: now, is_compared: false });
     }
 
-    /// The endpoint table was compared with a peer's.
+    /// Records that the endpoint table was compared with a peer's.
     pub(crate) fn record_comparison(&mut self) {
         if let Some(quarantine) = &mut self.quarantine {
             quarantine.is_compared = true;
         }
     }
 
-    /// Ends the quarantine when that is due. Whether it did.
+    /// Ends the quarantine when it is due. Returns whether it did.
     fn end_quarantine(&mut self, now: Millis, peers: usize) -> bool {
         let is_due = |quarantine: &mut Quarantine| {
             let after = match (quarantine.is_compared, peers <= FULL_BROADCAST_PEERS) {
@@ -70,24 +74,25 @@
 }
 
 impl ControlPlane {
-    /// Whether other nodes of the core are known and none of them was heard of late.
-    pub(crate) fn is_core_unheard(&self) -> bool {
+    /// Whether other core nodes are known and none of them is in contact. False shortly after the start.
+    pub(crate) fn is_core_unreachable(&self) -> bool {
         let (now, others) = (self.clock.now(), self.core_peers());
         !others.is_empty()
             && !self.clock.is_within_start(CONTACT_MS)
             && !others.iter().any(|ip| self.contacts.is_in_contact(*ip, now))
     }
 
-    /// Begins an isolation when none of the core is heard: from then on this node sends only the live backends whose
-    /// heartbeats it receives, so that two that were partitioned together do not confirm each other's.
+    /// Begins an isolation when no core node is in contact. From then on, this node sends only those live backends
+    /// whose heartbeats it receives, so that two nodes in the same partition do not confirm each other's outdated
+    /// records.
     pub(crate) fn detect_isolation(&mut self) {
-        let is_core_heard = !self.is_core_unheard() || is_active(Mutant::IsolationTrusted);
-        if self.isolation.observe(is_core_heard) {
+        let is_core_reachable = !self.is_core_unreachable() || is_active(Mutant::IsolationTrusted);
+        if self.isolation.observe(is_core_reachable) {
             self.quarantine_backends();
         }
     }
 
-    /// A peer is heard: if it is the first of the core for long, the live backends are quarantined.
+    /// Ends the isolation if `from` is a core node, and quarantines the live backends.
     pub(crate) fn end_isolation(&mut self, from: Ipv4Addr) {
         if !self.isolation.is_isolated || !self.core().contains(&from) {
             return;
@@ -95,33 +100,33 @@
         self.quarantine_backends();
         let now = self.clock.now();
         self.isolation.end(now);
-        // Tables are compared at once. Others may have been isolated as well, with live backends in quarantine: each sends
-        // those that it receives heartbeats of.
+        // Compares tables at once. Other nodes may have quarantined live backends after an isolation of their own, so
+        // each node also sends the records of the backends that send it heartbeats.
         self.backends.repair.reset();
         self.gossip_to(from, Exchange::Begin);
-        let received = self.backends.table.received_here(now, self.heartbeats_since());
+        let received = self.backends.table.with_heartbeat_since(now, self.heartbeat_window_start());
         if !received.is_empty() {
             self.disseminate(&received);
         }
     }
 
     fn quarantine_backends(&mut self) {
-        let since = self.heartbeats_since();
+        let since = self.heartbeat_window_start();
         self.backends.table.quarantine(since);
     }
 
-    /// A heartbeat that came here since then shows that its backend lives: it is no older than an interval and a quarter,
-    /// which allows for a late one.
-    fn heartbeats_since(&self) -> Millis {
+    /// A heartbeat received since this time proves that its backend is live. The window is 1.25 heartbeat intervals,
+    /// which allows for a late heartbeat.
+    fn heartbeat_window_start(&self) -> Millis {
         let window = self.options.heartbeat_interval_ms + self.options.heartbeat_interval_ms / 4;
-        // Heartbeats that were missed in a stall were renewed: none of them shows anything.
+        // After a stall all heartbeat times were reset to the time of resumption, so they prove nothing.
         if self.clock.is_within_resumption(window) {
             return Millis::MAX;
         }
         self.clock.now().saturating_sub(window)
     }
 
-    /// Drops what is still quarantined, once that is due.
+    /// Drops the backends that are still quarantined, once the quarantine ends.
     pub(crate) fn drop_quarantined(&mut self) {
         if self.isolation.end_quarantine(self.clock.now(), self.view.len()) {
             let dropped = self.backends.table.drop_quarantined();
--- a/crates/brassport-control-plane/src/peer_message.rs
+++ b/crates/brassport-control-plane/src/peer_message.rs
@@ -1,7 +1,7 @@
-//! Messages between the nodes of the cluster. On the wire, variants have names of one letter and structs are rows: names
-//! would weigh more than what they stand for.
+//! Messages between the nodes of the cluster. To keep them small on the wire, enum variants have one-letter names and
+//! most structs are encoded as arrays without field names.
 
-use crate::backends::{Backend, RANGES};
+use crate::backends::{Backend, DIGEST_RANGES};
 use crate::ring_rank::Rank;
 use crate::snapshots::{SnapshotChunk, SnapshotId};
 use brassport_config_store::consensus::{CommittedEntry, Message};
@@ -12,7 +12,7 @@
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 use std::net::Ipv4Addr;
 
-/// A message with its sender.
+/// A message and its sender.
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct Envelope {
     /// The sender's address.
@@ -29,52 +29,53 @@
     /// One side of a gossip exchange.
     #[serde(rename = "h")]
     Gossip(Gossip),
-    /// A message between voters, with the sender's disk.
+    /// A consensus message between voters, with the sender's disk.
     #[serde(rename = "c")]
     Consensus(DiskId, Message),
-    /// Requests the entries behind this index.
+    /// Requests the committed entries after this index.
     #[serde(rename = "f")]
     FetchEntries(LogIndex),
-    /// Committed entries, one behind the other.
+    /// Consecutive committed entries.
     #[serde(rename = "n")]
     Entries(Vec<CommittedEntry>),
-    /// A chunk of a snapshot, as the entries are no longer kept, or are too long.
+    /// A chunk of a snapshot, sent where entries are no longer retained or exceed the message size.
     #[serde(rename = "s")]
     SnapshotChunk(SnapshotChunk),
     /// Requests the chunk of a snapshot at this byte offset.
     #[serde(rename = "k")]
     FetchSnapshotChunk(SnapshotId, u64),
-    /// The digests of the sender's table of backends, by range: requests the records of those that differ.
+    /// The digests of the ranges of the sender's endpoint table. The receiver answers with the records of the ranges
+    /// whose digests differ.
     #[serde(rename = "r")]
-    TableDigests([u32; RANGES]),
-    /// Records of backends; with a number, a confirmation is wanted.
+    TableDigests([u32; DIGEST_RANGES]),
+    /// Records of backends. If a number is given, the receiver confirms them under that number.
     #[serde(rename = "b")]
     BackendRecords(Vec<Backend>, Option<u64>),
-    /// The records with this number were merged, by a node that knows the log up to this index.
+    /// The records with this number were merged, by a node that has applied the log up to this index.
     #[serde(rename = "a")]
     RecordsConfirmed(u64, LogIndex),
-    /// Begin the log with this number of quota shares. The first seed sends it to one node only.
+    /// Bootstraps the log with this number of quota shares. The first seed sends it to only one node.
     #[serde(rename = "g")]
     Bootstrap(u32),
-    /// A node of the core requests a vote from the leader; its disk, and how far it knows the log.
+    /// A core node asks the leader to become a voter: its disk, and the index up to which it has applied the log.
     #[serde(rename = "j")]
     JoinRequest(DiskId, LogIndex),
-    /// A voter is about to shut down; its disk, and how far it knows the log.
+    /// A voter is about to shut down: its disk, and the index up to which it has applied the log.
     #[serde(rename = "e")]
     LeaveRequest(DiskId, LogIndex),
-    /// The answer to [`LeaveRequest`](PeerMessage::LeaveRequest): the voter may shut down.
+    /// The response to [`LeaveRequest`](PeerMessage::LeaveRequest): the voter may shut down.
     #[serde(rename = "d")]
     LeaveGranted,
-    /// A node's usage counts, to the leader, with the number of the report.
+    /// The number of a usage report and a node's usage counts, sent to the leader.
     #[serde(rename = "u")]
     UsageReport(u32, Vec<UsageReport>),
-    /// The answer to a usage report.
+    /// The response to a usage report.
     #[serde(rename = "l")]
     QuotaGrant(GrantResponse),
-    /// A node of this zone requests its rank there from the leader.
+    /// A node in this zone requests its rank within the zone from the leader.
     #[serde(rename = "p")]
     RankRequest(String),
-    /// The answer to [`RankRequest`](PeerMessage::RankRequest), with the leader's term.
+    /// The response to [`RankRequest`](PeerMessage::RankRequest), with the leader's term.
     #[serde(rename = "q")]
     RankResponse(Term, Rank),
 }
@@ -82,38 +83,38 @@
 /// One side of a gossip exchange.
 #[derive(Debug, Clone, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct Gossip {
-    /// The sender.
+    /// The sender's own record.
     pub sender: PeerRecord,
-    /// How far it knows the log.
+    /// The index up to which the sender has applied the log.
     pub index: LogIndex,
-    /// The digest of its table of backends.
+    /// The digest of the sender's endpoint table.
     pub table_digest: u64,
-    /// The leader that it knows.
+    /// The leader as known to the sender; `None` if it knows none.
     pub leader: Option<LeaderHint>,
-    /// A sample of its partial view.
+    /// A sample of the sender's partial view.
     pub peers: Vec<AgedRecord>,
-    /// Whether the receiver is to answer with its own side of the exchange.
+    /// Whether the receiver must reply with its own side of the exchange.
     pub wants_reply: bool,
 }
 
-/// Who leads, as a node knows it.
+/// The leader as known to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct LeaderHint {
     /// The leader's term.
     pub term: Term,
     /// The leader's address.
     pub ip: Ipv4Addr,
-    /// Milliseconds since the leader was heard.
+    /// Milliseconds since the leader was last known to be alive.
     pub age_ms: u32,
 }
 
-/// What the leader grants upon a usage report.
+/// The leader's response to a usage report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct GrantResponse {
     /// The leader's term.
     pub term: Term,
-    /// The number of the report that is answered.
+    /// The number of the usage report.
     pub report: u32,
-    /// The grants, one for each tenant reported.
+    /// One grant for each reported tenant.
     pub grants: Vec<QuotaGrant>,
 }
--- a/crates/brassport-control-plane/tests/it/golden/messages.rs
+++ b/crates/brassport-control-plane/tests/it/golden/messages.rs
@@ -98,7 +98,7 @@
 }
 
 pub fn table_messages() -> Vec<(&'static str, PeerMessage)> {
-    let mut ranges = [0; RANGES];
+    let mut ranges = [0; DIGEST_RANGES];
     for (place, range) in (0_u32..).zip(&mut ranges) {
         *range = place.wrapping_mul(0x1234_5677);
     }
--- a/crates/brassport-control-plane/tests/it/golden/mod.rs
+++ b/crates/brassport-control-plane/tests/it/golden/mod.rs
@@ -9,7 +9,7 @@
 use brassport_config_store::consensus::{
     AcceptedEntry, ChangeScope, CommittedEntry, ConfigurationRequest, DurableState, Entry, Message, VoterId,
 };
-use brassport_control_plane::backends::{Backend, BackendState, RANGES};
+use brassport_control_plane::backends::{Backend, BackendState, DIGEST_RANGES};
 use brassport_control_plane::call::{Call, Reply};
 use brassport_control_plane::peer_message::{Envelope, Gossip, GrantResponse, LeaderHint, PeerMessage};
 use brassport_control_plane::ring_rank::Rank;
--- a/crates/brassport-control-plane/tests/it/golden/replies.rs
+++ b/crates/brassport-control-plane/tests/it/golden/replies.rs
@@ -192,7 +192,7 @@
     machine.sent.clear();
     let asked = [
         gossip(member(OTHER, 0), 0, true),
-        PeerMessage::TableDigests([0; RANGES]),
+        PeerMessage::TableDigests([0; DIGEST_RANGES]),
         PeerMessage::BackendRecords(
             vec![Backend { id: "i-2".to_owned(), ..backend(BackendState::Ready) }],
             Some(9),
