--- a/crates/brassport-control-plane/src/clock.rs
+++ b/crates/brassport-control-plane/src/clock.rs
@@ -1,21 +1,21 @@
-//! The node's time: the latest that the host gave, and when the process last resumed after a stall.
+//! The node's time: the latest time that the host passed, and when the process last resumed after a stall.
 
 use crate::Millis;
 
-/// A process that gets no event for more milliseconds than this was stalled (frozen, or starved of processor time): the
-/// host sends a tick every 60 ms or so.
+/// A gap between two events of more than this many milliseconds means that the process was stalled (frozen, or starved
+/// of CPU time): the host sends a tick about every 60 ms.
 const STALL_MS: Millis = 700;
 
-/// What an event says of the time since the one before.
+/// The gap between an event and the previous one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Progress {
-    /// Time passed as usual.
-    Steady,
-    /// The process was stalled meanwhile.
-    Resumed,
+pub(crate) enum EventGap {
+    /// The process ran in between.
+    Normal,
+    /// The process was stalled in between.
+    Stall,
 }
 
-/// The time of the control plane. It never runs backwards.
+/// The time of the control plane. It never goes backwards.
 #[derive(Debug)]
 pub(crate) struct Clock {
     now: Millis,
@@ -28,15 +28,15 @@
         Clock { now, started_at: now, resumed_at: None }
     }
 
-    /// Takes the time of an event.
-    pub(crate) fn advance(&mut self, now: Millis) -> Progress {
+    /// Advances to the time of an event.
+    pub(crate) fn advance(&mut self, now: Millis) -> EventGap {
         let is_resumed = now > self.now + STALL_MS;
         self.now = self.now.max(now);
         if is_resumed {
             self.resumed_at = Some(now);
-            return Progress::Resumed;
+            return EventGap::Stall;
         }
-        Progress::Steady
+        EventGap::Normal
     }
 
     /// The time of the current event.
@@ -44,12 +44,12 @@
         self.now
     }
 
-    /// Whether the node started less than this ago.
+    /// Whether the node started less than `span` ms ago.
     pub(crate) fn is_within_start(&self, span: Millis) -> bool {
         self.now < self.started_at + span
     }
 
-    /// Whether the process resumed after a stall less than this ago.
+    /// Whether the process resumed after a stall less than `span` ms ago.
     pub(crate) fn is_within_resumption(&self, span: Millis) -> bool {
         self.resumed_at.is_some_and(|at| self.now < at + span)
     }
--- a/crates/brassport-control-plane/src/control_plane.rs
+++ b/crates/brassport-control-plane/src/control_plane.rs
@@ -1,8 +1,8 @@
-//! The one owner of a node's control state: takes events, one after another, and returns what is to be done.
+//! Owns a node's control state: processes events one at a time and returns the actions for the host.
 
 use crate::backends::Backends;
 use crate::call::{Call, Reply};
-use crate::clock::{Clock, Progress};
+use crate::clock::{Clock, EventGap};
 use crate::confirmations::Confirmations;
 use crate::consensus_host::OwnProposals;
 use crate::contacts::Contacts;
@@ -24,10 +24,11 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// With no more known peers than this a node sends changes to all of them; with more to some, who forward them.
+/// With at most this many known peers, a node sends changes to all of them. With more, it sends them to a sample of the
+/// peers, which forward them.
 pub(crate) const FULL_BROADCAST_PEERS: usize = 16;
 
-/// The control state of one node. Each part owns its own state.
+/// The control state of one node.
 #[derive(Debug)]
 pub struct ControlPlane {
     pub(crate) options: Options,
@@ -50,7 +51,7 @@
 }
 
 impl ControlPlane {
-    /// A node that starts.
+    /// Creates the state of a starting node, without a store until [`Event::StoreOpened`].
     pub fn new(options: Options, now: Millis) -> ControlPlane {
         let (ip, seed) = (options.node.ip, options.seed);
         ControlPlane {
@@ -74,12 +75,12 @@
         }
     }
 
-    /// Takes one event. The host executes the actions in their order.
+    /// Processes one event. The host must execute the returned actions in order.
     ///
-    /// `now` is in milliseconds on the host's monotonic clock; an event with an earlier time than the one before counts as
-    /// of the same time.
+    /// `now` is in milliseconds on the host's monotonic clock. A time earlier than that of the previous event is
+    /// treated as equal to it.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Action> {
-        if self.clock.advance(now) == Progress::Resumed {
+        if self.clock.advance(now) == EventGap::Stall {
             self.backends.table.renew_all(now);
         }
         self.detect_isolation();
@@ -91,25 +92,25 @@
             Event::Persisted(number, is_synced) => self.on_persisted(number, is_synced),
             Event::UsageReported(number, usage) => self.on_own_usage(number, usage),
             Event::SeedsChanged(seeds) => self.options.seeds = seeds,
-            Event::Shutdown => self.begin_leaving(),
+            Event::Shutdown => self.begin_shutdown(),
         }
         self.follow_leadership();
         self.outbox.drain()
     }
 
-    /// The state that the log led to, as far as it is known here.
+    /// The replicated state after the last entry that this node has applied.
     pub fn state(&self) -> &Arc<ReplicatedState> {
         self.replica.state()
     }
 
-    /// The leader and its term, as far as it is known here. The higher term holds.
+    /// The leader and its term, from this node's replica or from gossip, whichever has the higher term.
     pub fn leader(&self) -> Option<(Term, Ipv4Addr)> {
         let now = self.clock.now();
         let known = self.replica.leader(now).into_iter().chain(self.known_leader.current(now));
         known.max_by_key(|(term, _)| *term)
     }
 
-    /// The nodes that decide: the voters, or those of the core that are known while there are none.
+    /// The voters; while no voters are known, all known core nodes, this one included if it belongs to the core.
     pub(crate) fn core(&self) -> Vec<Ipv4Addr> {
         let voters = &self.replica.state().voters;
         if !voters.is_empty() {
@@ -119,14 +120,14 @@
         self.view.peers().filter(|peer| peer.is_core).map(|peer| peer.ip).chain(own).collect()
     }
 
-    /// The same without this node.
+    /// The nodes of [`core`](Self::core) except this one.
     pub(crate) fn core_peers(&self) -> Vec<Ipv4Addr> {
         let mut core = self.core();
         core.retain(|ip| *ip != self.options.node.ip);
         core
     }
 
-    /// What time brings. The order is part of the protocol's timing, which the scenarios measure.
+    /// Runs the periodic work. The order of the steps affects the protocol's timing, which the scenarios measure.
     fn tick(&mut self) {
         let now = self.clock.now();
         let actions = self.replica.tick(now);
@@ -143,7 +144,7 @@
         self.bootstrap_log();
         self.request_vote();
         self.reconcile_voters();
-        self.continue_leaving();
+        self.continue_shutdown();
         self.request_rank();
     }
 
--- a/crates/brassport-control-plane/src/membership/bootstrap.rs
+++ b/crates/brassport-control-plane/src/membership/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The beginning of the log, at the very first start of a cluster.
+//! Bootstraps the log at the first start of a cluster.
 
 use crate::control_plane::ControlPlane;
 use crate::peer_message::PeerMessage;
@@ -6,16 +6,16 @@
 use brassport_types::LogIndex;
 use std::net::Ipv4Addr;
 
-/// The first seed waits so many ms for others of the core before it begins the log.
-const MEETING_MS: Millis = 150;
+/// How long the first seed waits for messages of core nodes before it chooses the node that bootstraps the log.
+const CORE_DISCOVERY_MS: Millis = 150;
 
 impl ControlPlane {
-    /// The first seed of the very first start says who begins the log: itself, or the first of the core that it meets.
-    /// Nobody else ever does, so there is one beginning.
+    /// At the first start of the cluster, the first seed chooses the node that bootstraps the log: itself, or the core
+    /// node with the lowest address among those it knows. No other node does so, so that only one log is created.
     pub(crate) fn bootstrap_log(&mut self) {
         let is_first = self.options.first_start && self.options.seeds.first() == Some(&self.options.node.ip);
         let is_begun = self.replica.state().index > LogIndex(0);
-        if !is_first || is_begun || self.clock.now() < MEETING_MS {
+        if !is_first || is_begun || self.clock.now() < CORE_DISCOVERY_MS {
             return;
         }
         if self.membership.bootstrap_node.is_none() {
@@ -32,14 +32,14 @@
     fn choose_bootstrap_node(&self) -> Option<Ipv4Addr> {
         let node = &self.options.node;
         if node.is_core {
-            // Its own disk may not be open yet: with a disk to come it waits for that.
+            // A core node bootstraps the log itself, and waits for its store to open.
             return node.disk.is_some().then_some(node.ip);
         }
         let of_core = self.view.peers().filter(|peer| peer.is_core && peer.disk.is_some());
         of_core.map(|peer| peer.ip).min()
     }
 
-    /// The first seed chose this node to begin the log.
+    /// Bootstraps the log after the first seed has chosen this node.
     pub(crate) fn on_bootstrap(&mut self, quota_shares: u32) {
         if self.options.first_start && self.options.node.disk.is_some() {
             self.begin_log(quota_shares);
--- a/crates/brassport-control-plane/src/membership/fault_tolerance.rs
+++ b/crates/brassport-control-plane/src/membership/fault_tolerance.rs
@@ -1,29 +1,30 @@
-//! Which losses the voters must tolerate, and whether a set of voters does.
+//! The losses that the voters must tolerate, and the check whether a set of voters does.
 
 use std::collections::BTreeMap;
 
-/// The losses at once over which the voters must keep a majority.
+/// The simultaneous losses after which the remaining voters must still form a majority. Each kind of loss is considered
+/// on its own.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FaultTolerance {
-    /// Nodes of the core.
+    /// Number of lost core nodes.
     pub machines: usize,
-    /// Complete zones.
+    /// Number of lost zones.
     pub zones: usize,
-    /// Complete regions.
+    /// Number of lost regions.
     pub regions: usize,
-    /// The region of each zone.
+    /// The region of each zone, by the zone's name.
     pub region_of: BTreeMap<String, String>,
 }
 
 impl FaultTolerance {
-    /// So many nodes of the core, and no zone.
+    /// Tolerance of the loss of `machines` core nodes, but of no complete zone or region.
     pub fn machines(machines: usize) -> FaultTolerance {
         FaultTolerance { machines, ..FaultTolerance::default() }
     }
 
-    /// Whether voters in these zones keep a majority over each loss. A voter whose zone is unknown counts as one in a zone
-    /// of its own.
-    pub fn is_tolerated_by(&self, zones: &[Option<&str>]) -> bool {
+    /// Whether voters in these zones keep a majority after each kind of loss. A voter of unknown zone (`None`) counts
+    /// as the only voter of a zone of its own.
+    pub fn is_met_by(&self, zones: &[Option<&str>]) -> bool {
         let lost_with_zones = largest_groups(zones.iter().copied(), self.zones);
         let region = |zone: &Option<&str>| zone.and_then(|zone| self.region_of.get(zone)).map(String::as_str);
         let lost_with_regions = largest_groups(zones.iter().map(region), self.regions);
@@ -32,7 +33,7 @@
     }
 }
 
-/// How many voters the `groups` largest groups have together.
+/// The total number of voters in the `groups` largest groups. Each `None` is a group of one.
 fn largest_groups<'a>(names: impl Iterator<Item = Option<&'a str>>, groups: usize) -> usize {
     let (mut sizes, mut unknown) = (BTreeMap::<&str, usize>::new(), 0);
     for name in names {
--- a/crates/brassport-control-plane/src/membership/join.rs
+++ b/crates/brassport-control-plane/src/membership/join.rs
@@ -1,4 +1,4 @@
-//! Requests for a vote.
+//! Requests to become a voter.
 
 use super::REQUEST_INTERVAL_MS;
 use crate::control_plane::ControlPlane;
@@ -9,13 +9,13 @@
 use std::net::Ipv4Addr;
 
 impl ControlPlane {
-    /// A node of the core without a vote requests one from the leader; while it knows no leader, it asks others of the core
-    /// who leads. One that is shutting down never does.
+    /// Sends a join request to the leader if this is a core node without a vote that is not shutting down. While it
+    /// knows no leader, gossips with the other core nodes in turn to learn of one.
     pub(crate) fn request_vote(&mut self) {
         let node = &self.options.node;
         let (disk, now) = (node.disk, self.clock.now());
         let leader = self.leader().map(|(_, ip)| ip);
-        let is_eligible = node.is_core && disk.is_some() && !self.membership.own.is_leaving;
+        let is_eligible = node.is_core && disk.is_some() && !self.membership.own.is_shutting_down;
         let has_vote = self.replica.is_voter() && leader.is_some();
         if !is_eligible || has_vote || now < self.membership.own.sent_at + REQUEST_INTERVAL_MS {
             return;
@@ -33,7 +33,8 @@
         }
     }
 
-    /// A node requests a vote: it gets what it lacks of the log, or learns who leads.
+    /// Handles a join request: the leader records it and sends the entries that the node lacks; another node replies
+    /// with gossip that names the leader.
     pub(crate) fn on_join_request(&mut self, from: Ipv4Addr, disk: DiskId, index: LogIndex) {
         if !self.replica.is_leader() {
             return self.gossip_to(from, Exchange::Notify);
--- a/crates/brassport-control-plane/src/membership/leave.rs
+++ b/crates/brassport-control-plane/src/membership/leave.rs
@@ -10,21 +10,21 @@
 use std::net::Ipv4Addr;
 
 impl ControlPlane {
-    /// This node is to shut down: it transfers leadership, and gives its vote back where the others can do without it.
-    pub(crate) fn begin_leaving(&mut self) {
-        self.membership.own.is_leaving = true;
-        self.continue_leaving();
+    /// Begins the shutdown of this node: transfers leadership, and asks to leave the set of voters.
+    pub(crate) fn begin_shutdown(&mut self) {
+        self.membership.own.is_shutting_down = true;
+        self.continue_shutdown();
     }
 
-    /// Whether this node, which is to shut down, may: it has no vote, or all that it knows is known to enough others.
+    /// Whether this node may shut down: it can't be a voter, or the leader has granted its request to leave.
     pub fn may_shut_down(&self) -> bool {
         let node = &self.options.node;
         self.membership.own.is_leave_granted || node.disk.is_none() || !node.is_core
     }
 
-    /// Repeats the request to leave until it is granted.
-    pub(crate) fn continue_leaving(&mut self) {
-        if !self.membership.own.is_leaving || self.may_shut_down() {
+    /// Repeats the leave request until it is granted.
+    pub(crate) fn continue_shutdown(&mut self) {
+        if !self.membership.own.is_shutting_down || self.may_shut_down() {
             return;
         }
         let now = self.clock.now();
@@ -35,15 +35,15 @@
             return;
         }
         self.membership.own.sent_at = now;
-        // A leader that leaves is not its own judge: it asks the next one.
+        // A leader that shuts down does not grant its own request: it asks its successor.
         if let Some((_, leader)) = self.leader().filter(|(_, ip)| *ip != self.options.node.ip) {
             let (disk, index) = (self.options.node.disk, self.replica.state().index);
             self.outbox.send(leader, PeerMessage::LeaveRequest(disk, index));
         }
     }
 
-    /// A voter is shutting down, and says how far it knows the log. The leader removes it, or lets it go as it is once
-    /// enough of the others know as much.
+    /// Handles the leave request of a voter that has applied the log up to `index`. The leader removes the voter if it
+    /// is dispensable; otherwise it grants the request once a majority of the other voters has applied the log as far.
     pub(crate) fn on_leave_request(&mut self, from: Ipv4Addr, disk: DiskId, index: LogIndex) {
         if !self.replica.is_leader() {
             return;
@@ -54,7 +54,7 @@
             self.outbox.send(from, PeerMessage::LeaveGranted);
         }
         let voters = &self.replica.state().voters;
-        if voters.contains(&leaver) && self.can_do_without(leaver) {
+        if voters.contains(&leaver) && self.is_dispensable(leaver) {
             return self.reconcile_voters();
         }
         let others: BTreeSet<VoterId> = voters.iter().copied().filter(|voter| *voter != leaver).collect();
@@ -63,8 +63,8 @@
         }
     }
 
-    /// The leader grants the request to leave.
+    /// Handles the leader's grant. Ignored unless this node is shutting down.
     pub(crate) fn on_leave_granted(&mut self) {
-        self.membership.own.is_leave_granted = self.membership.own.is_leaving;
+        self.membership.own.is_leave_granted = self.membership.own.is_shutting_down;
     }
 }
--- a/crates/brassport-control-plane/src/membership/mod.rs
+++ b/crates/brassport-control-plane/src/membership/mod.rs
@@ -1,14 +1,14 @@
-//! Who votes: the leader reconciles the set of voters with the nodes that there are, by one committed step at a time.
+//! The set of voters. The leader reconciles it with the live core nodes, by one committed change at a time.
 //!
-//! - A node of the core that has no vote requests one from the leader, again and again, and says how far it knows the log
-//!   (`join`). It is let in once it has caught up.
-//! - A voter that does not answer heartbeats is removed as soon as those who stay and those who wait for a vote tolerate the
-//!   losses that are required (`reconcile`). It goes *before* its successor comes: so a successor that is lost at once
-//!   leaves no second unresponsive voter behind.
-//! - A voter that is shutting down says so, and ends once a majority of those who stay knows all that it knows
-//!   (`leave`).
+//! - A core node that is not a voter sends the leader join requests with its log index until it is added (`join`). It
+//!   is added once it has caught up.
+//! - A voter that does not respond to heartbeats is removed once the remaining voters and the nodes waiting to join
+//!   tolerate the required losses (`reconcile`). It is removed *before* its successor is added, so that a successor
+//!   that is lost at once does not leave a second unresponsive voter in the set.
+//! - A voter that shuts down announces it, and exits once a majority of the remaining voters has applied the log as far
+//!   as it has (`leave`).
 //!
-//! The leader decides, and each decision is an entry of the log like any other.
+//! The leader makes each decision, and commits it as an entry of the log.
 
 mod bootstrap;
 mod fault_tolerance;
@@ -25,20 +25,21 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// A voter that has not answered for so many ms is unresponsive.
+/// A voter that has not responded for this long is unresponsive.
 const UNRESPONSIVE_MS: Millis = 1_200;
-/// For each time that a voter became unresponsive and came back it is tolerated for twice as long, this often at the most.
+/// The timeout of a voter doubles each time it becomes unresponsive and returns, up to this many times.
 const MAX_FLAP_DOUBLINGS: u32 = 3;
-/// After so many ms without becoming unresponsive again a voter counts as steady.
+/// The doublings are reset once a voter has not become unresponsive for this long.
 const FLAP_MEMORY_MS: Millis = 60_000;
-/// Between two requests to join, and between two to leave, in ms.
+/// Interval between two join requests, and between two leave requests.
 const REQUEST_INTERVAL_MS: Millis = 150;
-/// A request to join counts once another has followed it after so many ms. Guards against a request that comes late.
+/// A join request takes effect only if another one follows it at least this much later, so that a single delayed
+/// request has no effect.
 const REPEATED_AFTER_MS: Millis = 90;
-/// A request holds for so many ms: four may be lost.
+/// How long a request is valid: four later ones may be lost.
 const REQUEST_LEASE_MS: Millis = 700;
 
-/// A node that requests a vote.
+/// A request to become a voter.
 #[derive(Debug, Clone, Copy)]
 struct JoinRequest {
     disk: DiskId,
@@ -54,24 +55,24 @@
     at: Millis,
 }
 
-/// How often a voter became unresponsive and came back, and when it last became so.
+/// How often a voter became unresponsive, and when it last did.
 #[derive(Debug, Clone, Copy)]
 struct Flaps {
     count: u32,
     at: Millis,
 }
 
-/// This node's own requests.
+/// This node's own join and leave requests.
 #[derive(Debug, Default)]
 struct OwnRequests {
     sent_at: Millis,
-    /// Counts requests to join, so that each goes to the next of the core while no leader is known.
+    /// Counts join requests. While no leader is known, it selects the core node to ask.
     turn: usize,
-    is_leaving: bool,
+    is_shutting_down: bool,
     is_leave_granted: bool,
 }
 
-/// Requests of other nodes for their votes, and this node's own.
+/// The join and leave requests of other nodes, and those of this node.
 #[derive(Debug, Default)]
 pub(crate) struct Membership {
     joining: BTreeMap<Ipv4Addr, JoinRequest>,
@@ -79,19 +80,19 @@
     flaps: BTreeMap<Ipv4Addr, Flaps>,
     zones: BTreeMap<Ipv4Addr, String>,
     own: OwnRequests,
-    /// The node that begins the log, once this node has chosen it.
+    /// The node that bootstraps the log, once this node has chosen it.
     bootstrap_node: Option<Ipv4Addr>,
 }
 
 impl Membership {
-    /// What a node knows at its start: its own zone.
+    /// The initial state, which contains the node's own zone.
     pub(crate) fn new(node: &PeerRecord) -> Membership {
         let mut membership = Membership::default();
         membership.record_zone(node);
         membership
     }
 
-    /// A node of the core says in which zone it is.
+    /// Records the zone of a node if it belongs to the core.
     pub(crate) fn record_zone(&mut self, node: &PeerRecord) {
         if node.is_core {
             self.zones.insert(node.ip, node.zone.clone());
@@ -121,7 +122,7 @@
         self.flaps.retain(|_, flaps| now < flaps.at + FLAP_MEMORY_MS);
     }
 
-    /// Nodes that have repeated their request to join and do not leave, with how far each knows the log.
+    /// The nodes that have repeated their join request and are not leaving, each with the log index it reported.
     fn joining(&self) -> impl Iterator<Item = (VoterId, LogIndex)> + '_ {
         let is_repeated = |request: &JoinRequest| request.last_at >= request.first_at + REPEATED_AFTER_MS;
         self.joining
@@ -130,12 +131,12 @@
             .map(|(ip, request)| (VoterId { ip: *ip, disk: request.disk }, request.index))
     }
 
-    /// The zone of each voter, as far as it is known.
+    /// The zone of each voter; `None` if it is unknown.
     fn zones_of<'a>(&'a self, voters: impl Iterator<Item = &'a VoterId>) -> Vec<Option<&'a str>> {
         voters.map(|voter| self.zones.get(&voter.ip).map(String::as_str)).collect()
     }
 
-    /// For how many ms a voter may be unresponsive.
+    /// How long a voter may fail to respond before it is unresponsive, in ms.
     fn response_timeout_ms(&self, voter: VoterId) -> Millis {
         UNRESPONSIVE_MS << self.flaps.get(&voter.ip).map_or(0, |flaps| flaps.count.min(MAX_FLAP_DOUBLINGS))
     }
--- a/crates/brassport-control-plane/src/membership/reconcile.rs
+++ b/crates/brassport-control-plane/src/membership/reconcile.rs
@@ -1,4 +1,4 @@
-//! The leader's changes of the set of voters.
+//! The leader's changes to the set of voters.
 
 use crate::control_plane::ControlPlane;
 use crate::Millis;
@@ -6,29 +6,29 @@
 use brassport_config_store::consensus::{Command, VoterId};
 use std::net::Ipv4Addr;
 
-/// A voter that has not answered for so many ms is suspect: nobody is let in until it has answered, or is unresponsive.
+/// A voter that has not responded for this long is suspect. No voter is added until it responds, or is unresponsive.
 const SUSPECT_MS: Millis = 400;
-/// Who requests a vote has caught up if it lacks no more entries than this.
+/// A joining node has caught up if it lacks at most this many entries.
 const CAUGHT_UP_ENTRIES: u64 = 64;
-/// Quota shares are cut anew for more nodes once the leader has led for so many ms: by then those who start together have
-/// met.
+/// How long a leader must have led before it increases the number of quota shares. By then, nodes that started together
+/// know one another.
 const SETTLED_MS: Millis = 1_500;
 
-/// A change of the set of voters by one.
+/// A change of the set of voters by one voter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Change {
-    /// Its disk was lost: it has forgotten its promises, and requests a vote under another disk.
+    /// The voter lost its disk, and thus its promises; the node requests to join with another disk.
     RemoveWiped(VoterId),
-    /// It does not answer.
+    /// The voter does not respond.
     RemoveUnresponsive(VoterId),
-    /// It is shutting down.
+    /// The voter is shutting down.
     RemoveLeaving(VoterId),
-    /// It has caught up.
+    /// The joining node has caught up.
     Add(VoterId),
 }
 
 impl Change {
-    /// The voters after the change.
+    /// The set of voters after the change.
     fn apply(self, voters: &[VoterId]) -> Vec<VoterId> {
         match self {
             Change::RemoveWiped(voter) | Change::RemoveUnresponsive(voter) | Change::RemoveLeaving(voter) => {
@@ -44,13 +44,14 @@
 }
 
 impl ControlPlane {
-    /// Whether the voters tolerate all losses that are required.
+    /// Whether the current voters tolerate the required losses.
     pub(crate) fn is_fault_tolerant(&self) -> bool {
         let zones = self.membership.zones_of(self.replica.state().voters.iter());
-        self.options.fault_tolerance.is_tolerated_by(&zones)
+        self.options.fault_tolerance.is_met_by(&zones)
     }
 
-    /// Changes the set of voters by one, if it is not as it ought to be; cuts quota shares anew with it, or for more nodes.
+    /// Proposes the next change of the set of voters, if one is due, and a higher number of quota shares if there are
+    /// more nodes than shares.
     pub(crate) fn reconcile_voters(&mut self) {
         let now = self.clock.now();
         self.membership.expire(now);
@@ -73,14 +74,14 @@
         self.execute(actions);
     }
 
-    /// How many nodes there are, as far as it is known here. Views are partial, and only nodes with traffic report usage:
-    /// those that asked for ranks are all.
+    /// The number of nodes known to this one. Partial views are bounded, and only nodes with traffic report usage, but
+    /// every node requests its rank from the leader.
     fn known_nodes(&self) -> u32 {
         let reporting = self.quota.reporting_nodes(self.clock.now());
         (self.view.len() + 1).max(reporting).max(self.ring_rank.registered_nodes()) as u32
     }
 
-    /// The change that is due first.
+    /// The change with the highest priority.
     fn next_change(&self) -> Option<Change> {
         if is_active(Mutant::SuccessorFirst) {
             return self.wiped_voter().or_else(|| self.joining_voter()).or_else(|| self.departing_voter());
@@ -95,46 +96,46 @@
         self.replica.state().voters.iter().find(has_other_disk).copied().map(Change::RemoveWiped)
     }
 
-    /// A voter that is unresponsive or leaves, where the others and those who wait for a vote are enough.
+    /// The removal of an unresponsive or leaving voter, if it is dispensable.
     fn departing_voter(&self) -> Option<Change> {
         let voters = &self.replica.state().voters;
-        let unresponsive = self.unresponsive_voter().filter(|voter| self.can_do_without(*voter));
+        let unresponsive = self.unresponsive_voter().filter(|voter| self.is_dispensable(*voter));
         let leaving = || {
             let first = voters.iter().copied().find(|voter| self.membership.is_leaving(*voter));
-            first.filter(|voter| self.can_do_without(*voter))
+            first.filter(|voter| self.is_dispensable(*voter))
         };
         unresponsive.map(Change::RemoveUnresponsive).or_else(|| leaving().map(Change::RemoveLeaving))
     }
 
-    /// The voter that has not answered for the longest time, if that is too long.
+    /// The voter that has not responded for the longest time, among those over their timeout.
     fn unresponsive_voter(&self) -> Option<VoterId> {
         if is_active(Mutant::SilentStays) {
             return None;
         }
         let is_unresponsive =
-            |voter: &&VoterId| self.silence(**voter) >= self.membership.response_timeout_ms(**voter);
+            |voter: &&VoterId| self.unresponsive_ms(**voter) >= self.membership.response_timeout_ms(**voter);
         let voters = self.replica.state().voters.iter().filter(is_unresponsive);
-        voters.max_by_key(|voter| self.silence(**voter)).copied()
+        voters.max_by_key(|voter| self.unresponsive_ms(**voter)).copied()
     }
 
-    /// For how long a voter has not answered.
-    fn silence(&self, voter: VoterId) -> Millis {
+    /// How long a voter has not responded, in ms.
+    fn unresponsive_ms(&self, voter: VoterId) -> Millis {
         self.replica.unresponsive_for(voter, self.clock.now()).unwrap_or_default()
     }
 
-    /// Whether the set without this voter, filled up by those who wait for a vote, tolerates all losses, or is at the least
-    /// as large as it is now.
-    pub(super) fn can_do_without(&self, voter: VoterId) -> bool {
+    /// Whether the other voters, together with the nodes that can join, tolerate the required losses. While even the
+    /// current voters do not, it is enough that the set does not shrink.
+    pub(super) fn is_dispensable(&self, voter: VoterId) -> bool {
         let voters = &self.replica.state().voters;
-        let joining: Vec<VoterId> = self.caught_up().collect();
+        let joining: Vec<VoterId> = self.caught_up_candidates().collect();
         let after: Vec<&VoterId> = voters.iter().filter(|other| **other != voter).chain(&joining).collect();
         let zones = self.membership.zones_of(after.iter().copied());
-        self.options.fault_tolerance.is_tolerated_by(&zones)
+        self.options.fault_tolerance.is_met_by(&zones)
             || (!self.is_fault_tolerant() && after.len() >= voters.len())
     }
 
-    /// Those who wait for a vote and know enough of the log.
-    fn caught_up(&self) -> impl Iterator<Item = VoterId> + '_ {
+    /// The joining nodes that have caught up and whose address has no vote yet.
+    fn caught_up_candidates(&self) -> impl Iterator<Item = VoterId> + '_ {
         let state = self.replica.state();
         let has_vote = |ip: Ipv4Addr| state.voters.iter().any(|voter| voter.ip == ip);
         self.membership
@@ -145,12 +146,12 @@
 
     fn joining_voter(&self) -> Option<Change> {
         let is_suspect = |voter: &VoterId| {
-            (SUSPECT_MS..self.membership.response_timeout_ms(*voter)).contains(&self.silence(*voter))
+            (SUSPECT_MS..self.membership.response_timeout_ms(*voter)).contains(&self.unresponsive_ms(*voter))
         };
         let may_wait = !is_active(Mutant::SuccessorFirst);
         if may_wait && self.replica.state().voters.iter().any(is_suspect) {
             return None;
         }
-        self.caught_up().next().map(Change::Add)
+        self.caught_up_candidates().next().map(Change::Add)
     }
 }
