--- a/crates/brassport-control-plane/src/contacts.rs
+++ b/crates/brassport-control-plane/src/contacts.rs
@@ -1,16 +1,16 @@
-//! When each peer was heard last, and how far it said that it knows the log.
+//! When the last message came from each peer, and the log index that it reported.
 
 use crate::Millis;
 use brassport_types::LogIndex;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// A peer that was heard within so many milliseconds is in contact: three gossip exchanges.
+/// A peer is in contact if a message came from it within this many milliseconds: three gossip exchanges.
 pub(crate) const CONTACT_MS: Millis = 1_200;
-/// A peer that was not heard for so many milliseconds is forgotten here.
+/// A peer is forgotten after this many milliseconds without a message.
 const FORGET_MS: Millis = 10 * CONTACT_MS;
 
-/// The peers that were heard of late, by their own messages.
+/// The peers from which messages came recently.
 #[derive(Debug, Default)]
 pub(crate) struct Contacts {
     heard_at: BTreeMap<Ipv4Addr, Millis>,
@@ -18,45 +18,45 @@
 }
 
 impl Contacts {
-    /// A peer sent a message.
+    /// Records that a message came from a peer.
     pub(crate) fn record(&mut self, peer: Ipv4Addr, now: Millis) {
         self.heard_at.insert(peer, now);
     }
 
-    /// A peer says how far it knows the log.
+    /// Records the index up to which a peer has applied the log.
     pub(crate) fn record_index(&mut self, peer: Ipv4Addr, index: LogIndex) {
         self.indexes.insert(peer, index);
     }
 
-    /// Forgets peers that were not heard for long.
+    /// Forgets peers from which no message came for [`FORGET_MS`].
     pub(crate) fn expire(&mut self, now: Millis) {
         self.heard_at.retain(|_, at| now < *at + FORGET_MS);
         let heard_at = &self.heard_at;
         self.indexes.retain(|ip, _| heard_at.contains_key(ip));
     }
 
-    /// Whether a peer is remembered.
+    /// Whether a message came from a peer within [`FORGET_MS`].
     pub(crate) fn contains(&self, peer: Ipv4Addr) -> bool {
         self.heard_at.contains_key(&peer)
     }
 
-    /// Whether a peer was heard of late.
+    /// Whether a message came from a peer within [`CONTACT_MS`].
     pub(crate) fn is_in_contact(&self, peer: Ipv4Addr, now: Millis) -> bool {
         self.heard_at.get(&peer).is_some_and(|at| now < at + CONTACT_MS)
     }
 
-    /// The index that a peer said last.
+    /// The log index that a peer reported last.
     pub(crate) fn index(&self, peer: Ipv4Addr) -> Option<LogIndex> {
         self.indexes.get(&peer).copied()
     }
 
-    /// Each peer that is remembered, with when it was heard.
+    /// All remembered peers, each with the time of its last message.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (Ipv4Addr, Millis)> + '_ {
         self.heard_at.iter().map(|(ip, at)| (*ip, *at))
     }
 
-    /// The next peer behind `last`, in the order of addresses, that knows the log up to this index at the least.
-    pub(crate) fn next_at(&self, index: LogIndex, last: Ipv4Addr) -> Option<Ipv4Addr> {
+    /// The next peer after `last` in the cyclic order of addresses whose reported log index is at least `index`.
+    pub(crate) fn next_with_index(&self, index: LogIndex, last: Ipv4Addr) -> Option<Ipv4Addr> {
         let mut able = self.indexes.iter().filter(|(_, known)| **known >= index).map(|(ip, _)| *ip);
         let first = able.next()?;
         std::iter::once(first).chain(able).find(|ip| *ip > last).or(Some(first))
--- a/crates/brassport-control-plane/src/log_sync/dissemination.rs
+++ b/crates/brassport-control-plane/src/log_sync/dissemination.rs
@@ -1,4 +1,5 @@
-//! Newly committed entries, from node to node: every node has each soon, and no link carries it often.
+//! Sends newly committed entries from node to node, so that every node has them soon and each link carries them only a
+//! few times.
 
 use super::{size, Retransmission};
 use crate::control_plane::{ControlPlane, FULL_BROADCAST_PEERS};
@@ -8,19 +9,20 @@
 use brassport_config_store::consensus::CommittedEntry;
 use std::net::Ipv4Addr;
 
-/// Entries up to so many bytes are sent at once; of longer ones it is said that they are there, and who lacks them fetches
-/// them.
+/// Entries of up to this many bytes in total are pushed. Longer ones are only announced by gossip, and nodes that lack
+/// them fetch them.
 const MAX_PUSHED_BYTES: usize = 8 * 1024;
-/// In a large cluster the leader sends short entries to so many peers, who forward them.
+/// In a large cluster, the leader pushes short entries to this many peers, which forward them.
 const LEADER_FANOUT: usize = 8;
-/// All others in a large cluster send to so many. Of long entries the leader too: one behind the other they would fill its
-/// link while those who have them are idle.
+/// In a large cluster, the other nodes send entries to this many peers, and so does the leader with long entries:
+/// sending them to more peers would saturate its link while the nodes that already have them are idle.
 const FORWARD_FANOUT: usize = 3;
-/// Entries are sent a second time so many ms later. Guards against a node that misses the first, and then an exchange.
+/// Delay before entries are sent a second time, for nodes that missed the first message and then a gossip exchange.
 const RETRANSMIT_AFTER_MS: Millis = 120;
 
 impl ControlPlane {
-    /// Entries were committed: the leader sends them to those who have no vote, and who hears of them forwards them.
+    /// Sends newly committed entries to peers that do not vote. In a small cluster only the leader does; in a large one
+    /// the receivers forward them.
     pub(crate) fn disseminate_entries(&mut self, entries: Vec<CommittedEntry>) {
         let is_short = !entries.is_empty() && size(&entries) <= MAX_PUSHED_BYTES;
         let Some(fanout) = self.entry_fanout(is_short) else { return };
@@ -30,7 +32,7 @@
         self.push_entries(&to, &entries);
         let to = match (self.replica.is_leader(), self.is_small_cluster()) {
             (true, true) => to,
-            // Others than those who were sent to first: some peers nobody drew.
+            // A new sample, since the first one may have missed peers.
             (true, false) => self.view.sample(fanout, |_| true),
             (false, _) => self.view.sample(1, |_| true),
         };
@@ -38,7 +40,7 @@
         self.log_sync.retransmission = Some(Retransmission { due, to, entries });
     }
 
-    /// To how many peers entries go; `None`: this node sends none on, as the leader reaches all.
+    /// The number of peers to send entries to; `None` if this node sends none because the leader reaches all nodes.
     fn entry_fanout(&self, is_short: bool) -> Option<usize> {
         match (self.replica.is_leader(), self.is_small_cluster()) {
             (true, true) => Some(FULL_BROADCAST_PEERS),
@@ -52,7 +54,7 @@
         self.view.len() <= FULL_BROADCAST_PEERS
     }
 
-    /// Sends entries; without any, gossip says how far the log is known here.
+    /// Sends entries; if there are none, announces this node's log index by gossip.
     fn push_entries(&mut self, to: &[Ipv4Addr], entries: &[CommittedEntry]) {
         for ip in to {
             if entries.is_empty() {
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Sends the latest entries a second time, once that is due.
+    /// Sends the latest entries a second time when the retransmission is due.
     pub(crate) fn retransmit_entries(&mut self) {
         let now = self.clock.now();
         if let Some(again) = self.log_sync.retransmission.take_if(|again| now >= again.due) {
--- a/crates/brassport-control-plane/src/log_sync/fetch.rs
+++ b/crates/brassport-control-plane/src/log_sync/fetch.rs
@@ -1,4 +1,4 @@
-//! Entries that one node fetches from another.
+//! Fetches entries from another node, and serves them.
 
 use super::size;
 use crate::control_plane::ControlPlane;
@@ -9,10 +9,10 @@
 use brassport_types::LogIndex;
 use std::net::Ipv4Addr;
 
-/// Most bytes of entries in one message; a longer entry goes as part of a snapshot.
+/// Maximum total size of the entries in one message. A longer entry is sent as part of a snapshot.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
-/// The first entries that together take no more than [`MAX_MESSAGE_BYTES`]; none, if the first one takes more.
+/// The first entries whose total size is at most [`MAX_MESSAGE_BYTES`]; none if the first entry is longer.
 fn first_message(entries: Vec<CommittedEntry>) -> Vec<CommittedEntry> {
     let mut bytes = 0;
     let fits = |committed: &CommittedEntry| {
@@ -23,16 +23,16 @@
 }
 
 impl ControlPlane {
-    /// Requests from a peer the entries that this node lacks.
+    /// Requests the entries that this node lacks from a peer.
     pub(crate) fn fetch_entries(&mut self, from: Ipv4Addr) {
         let now = self.clock.now();
-        // A snapshot in flight brings more.
+        // A snapshot that is being downloaded covers them.
         if !self.snapshots.is_downloading(now) && self.log_sync.begin_fetch(from, now) {
             self.outbox.send(from, PeerMessage::FetchEntries(self.replica.state().index));
         }
     }
 
-    /// Sends a peer what it lacks behind an index, unless that is in flight.
+    /// Sends a peer the entries after an index, or a snapshot, unless they are already in flight.
     pub(crate) fn send_entries(&mut self, to: Ipv4Addr, index: LogIndex) {
         let now = self.clock.now();
         let is_in_flight = self.log_sync.is_in_flight(to, index, now);
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Whether a peer may have entries. Guards against an isolated node that hands out an old configuration: without a
-    /// leader that was heard of late, only nodes of the core get them, who need them to elect one.
+    /// Whether entries may be sent to a peer. An isolated node must not distribute an outdated configuration: while it
+    /// knows no leader, it sends entries only to core nodes, which need them to elect one.
     fn may_send_log(&self, to: Ipv4Addr) -> bool {
         let is_core = self.core().contains(&to) || self.view.peer(to).is_some_and(|peer| peer.is_core);
         is_core || self.leader().is_some() || is_active(Mutant::CutOffHandsOut)
     }
 
-    /// A peer sends entries: they are appended, and more are fetched where there are.
+    /// Appends entries that a peer sent, and fetches more if the peer has more.
     pub(crate) fn on_entries(&mut self, from: Ipv4Addr, entries: Vec<CommittedEntry>) {
         let before = self.replica.state().index;
         let actions = self.replica.append_committed(self.clock.now(), entries);
--- a/crates/brassport-control-plane/src/log_sync/mod.rs
+++ b/crates/brassport-control-plane/src/log_sync/mod.rs
@@ -1,5 +1,5 @@
-//! How committed entries reach every node: the leader disseminates them, who hears of them forwards them, and who lacks
-//! some fetches them from a peer that knows more.
+//! Distributes committed entries to all nodes: the leader sends them, receivers forward them, and a node that lacks
+//! entries fetches them from a peer with a higher index.
 
 mod dissemination;
 mod fetch;
@@ -11,22 +11,22 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// Between two requests for entries to one peer, in ms: about a round trip with the peer's answer.
+/// Interval between two requests for entries to the same peer: about one round trip including the response.
 const FETCH_INTERVAL_MS: Millis = 120;
-/// What was sent counts as lost after so many ms, and later by as many as its bytes take on a slow link.
+/// Sent entries are considered lost after this time plus the time that their bytes take on a slow link.
 const IN_FLIGHT_MS: Millis = 100;
-/// The slowest link that is planned for (2 Mbit/s), in bytes a millisecond.
+/// Bandwidth of the slowest supported link (2 Mbit/s), in bytes per millisecond.
 const SLOW_LINK_BYTES_PER_MS: Millis = 250;
 
-/// Entries, or a first chunk, that went to a peer which asked for all behind an index.
+/// Entries, or the first chunk of a snapshot, sent to a peer that requested the entries after `index`.
 #[derive(Debug)]
 struct InFlight {
     index: LogIndex,
-    /// From here on they count as lost.
+    /// When they are considered lost.
     deadline: Millis,
 }
 
-/// Entries to be sent a second time.
+/// Entries to be sent to some peers a second time.
 #[derive(Debug)]
 struct Retransmission {
     due: Millis,
@@ -34,7 +34,7 @@
     entries: Vec<CommittedEntry>,
 }
 
-/// What was fetched and sent of the log.
+/// The fetches and transfers of log entries, by peer.
 #[derive(Debug, Default)]
 pub(crate) struct LogSync {
     fetched_at: BTreeMap<Ipv4Addr, Millis>,
@@ -43,17 +43,17 @@
 }
 
 impl LogSync {
-    /// Forgets what was sent to peers that are not heard any more.
+    /// Forgets the transfers to peers that are no longer among the contacts.
     pub(crate) fn expire(&mut self, contacts: &Contacts) {
         self.in_flight.retain(|ip, _| contacts.contains(*ip));
     }
 
-    /// The next fetch from a peer may go out at once.
+    /// Allows the next fetch from a peer at once.
     pub(crate) fn allow_fetch(&mut self, from: Ipv4Addr) {
         self.fetched_at.remove(&from);
     }
 
-    /// Whether a fetch from a peer may go out now; if so it is noted.
+    /// Returns whether a fetch from a peer is allowed now; if so, records it.
     fn begin_fetch(&mut self, from: Ipv4Addr, now: Millis) -> bool {
         if self.fetched_at.get(&from).is_some_and(|at| now < at + FETCH_INTERVAL_MS) {
             return false;
@@ -72,7 +72,7 @@
     }
 }
 
-/// The bytes of entries together.
+/// The total size of entries, in bytes.
 fn size(entries: &[CommittedEntry]) -> usize {
     entries.iter().map(|committed| committed.entry.size()).sum()
 }
--- a/crates/brassport-control-plane/src/snapshots/chunk.rs
+++ b/crates/brassport-control-plane/src/snapshots/chunk.rs
@@ -1,13 +1,13 @@
-//! Chunks of snapshots on the wire.
+//! The wire format of snapshot chunks.
 
 use brassport_types::LogIndex;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// What identifies a snapshot.
+/// The identity of a snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotId {
-    /// The index of its state.
+    /// The log index of its state.
     #[serde(rename = "p")]
     pub index: LogIndex,
     /// The first 128 bits of the SHA-256 of its bytes.
@@ -18,21 +18,21 @@
 /// A chunk of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// The snapshot.
+    /// The snapshot that the chunk belongs to.
     #[serde(rename = "i")]
     pub id: SnapshotId,
-    /// Bytes of the complete snapshot.
+    /// Size of the complete snapshot in bytes.
     #[serde(rename = "t")]
     pub total: u64,
-    /// The byte offset of this chunk.
+    /// Offset of the chunk within the snapshot, in bytes.
     #[serde(rename = "o")]
     pub offset: u64,
-    /// The bytes of the chunk.
+    /// The contents of the chunk.
     #[serde(rename = "b", with = "bytes")]
     pub bytes: Vec<u8>,
 }
 
-/// Chunks as byte strings: the default writes a list of numbers.
+/// Encodes a chunk as a CBOR byte string instead of serde's default, an array of numbers.
 mod bytes {
     use serde::{de, Deserializer, Serializer};
     use std::fmt;
--- a/crates/brassport-control-plane/src/snapshots/download.rs
+++ b/crates/brassport-control-plane/src/snapshots/download.rs
@@ -1,4 +1,4 @@
-//! The snapshot that is fetched.
+//! The download of a snapshot.
 
 use super::chunk::digest;
 use super::{SnapshotChunk, SnapshotId};
@@ -11,19 +11,19 @@
 use std::fmt;
 use std::net::Ipv4Addr;
 
-/// After so many ms without a chunk the next source is tried: five chunks' time on a slow link.
+/// Time after a request without a chunk after which the next source is tried: five chunks' time on a slow link.
 const SOURCE_TIMEOUT_MS: Millis = 600;
-/// After so many ms without a chunk the download is given up, and a newer snapshot may replace it.
+/// Time without a chunk after which the download is stalled: it is dropped, and any other snapshot may replace it.
 const STALL_MS: Millis = 5_000;
 
-/// Why a snapshot is refused.
+/// Why a snapshot was rejected.
 #[derive(Debug)]
 pub(super) enum SnapshotError {
-    /// Its bytes do not have the digest of its id.
+    /// Its bytes do not match the digest in its ID.
     DigestMismatch,
-    /// Its bytes are no state.
+    /// Its bytes can't be decoded as a state.
     Decode(ciborium::de::Error<std::io::Error>),
-    /// Its state is at another index than its id says.
+    /// Its state has this index, which is not the one in its ID.
     IndexMismatch(LogIndex),
 }
 
@@ -31,8 +31,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             SnapshotError::DigestMismatch => f.write_str("digest mismatch"),
-            SnapshotError::Decode(error) => write!(f, "can't be decoded: {error}"),
-            SnapshotError::IndexMismatch(index) => write!(f, "its state is at index {index}"),
+            SnapshotError::Decode(error) => write!(f, "can't decode the state: {error}"),
+            SnapshotError::IndexMismatch(index) => write!(f, "the decoded state has index {index}"),
         }
     }
 }
@@ -46,7 +46,7 @@
     }
 }
 
-/// How much of a snapshot has come, as the status shows it.
+/// The progress of a download, as shown in the status.
 #[derive(Debug, Serialize)]
 pub(crate) struct Progress {
     index: LogIndex,
@@ -55,7 +55,7 @@
     from: Ipv4Addr,
 }
 
-/// A snapshot of which the first bytes are there.
+/// A snapshot that is being downloaded.
 #[derive(Debug)]
 pub(super) struct Download {
     id: SnapshotId,
@@ -76,7 +76,7 @@
         self.id.index
     }
 
-    /// The peer that sends it.
+    /// The peer that the snapshot is downloaded from.
     pub(super) fn source(&self) -> Ipv4Addr {
         self.from
     }
@@ -85,12 +85,13 @@
         Progress { index: self.id.index, bytes: self.bytes.len() as u64, of: self.total, from: self.from }
     }
 
-    /// Whether a chunk of another snapshot may replace this one: a newer one, or any, once this one is stalled.
+    /// Whether the snapshot of this chunk may replace this one: it must have a higher index, unless this download is
+    /// stalled.
     pub(super) fn may_be_replaced_by(&self, chunk: &SnapshotChunk, now: Millis) -> bool {
         self.id != chunk.id && (chunk.id.index > self.id.index || self.is_stalled(now))
     }
 
-    /// Takes the next chunk; another one is ignored. Whether it was the next.
+    /// Appends a chunk if it is the next one of this snapshot. Returns whether it was.
     pub(super) fn append(&mut self, from: Ipv4Addr, chunk: &SnapshotChunk, now: Millis) -> bool {
         if self.id != chunk.id || chunk.offset != self.bytes.len() as u64 {
             return false;
@@ -112,21 +113,21 @@
         now >= self.requested_at + SOURCE_TIMEOUT_MS
     }
 
-    /// The rest comes from this peer.
+    /// Downloads the remaining chunks from this peer.
     pub(super) fn continue_from(&mut self, from: Ipv4Addr) {
         self.from = from;
     }
 
-    /// The request for the next chunk, and whom it goes to.
+    /// The request for the next chunk, and the peer to send it to.
     pub(super) fn next_request(&mut self, now: Millis) -> (Ipv4Addr, PeerMessage) {
         self.requested_at = now;
         (self.from, PeerMessage::FetchSnapshotChunk(self.id, self.bytes.len() as u64))
     }
 
-    /// The state.
+    /// Checks the digest and decodes the state.
     ///
     /// # Errors
-    /// The bytes have another digest than the id, or are no state at its index.
+    /// The bytes do not match the digest, can't be decoded, or contain a state of another index.
     pub(super) fn decode(&self) -> Result<ReplicatedState, SnapshotError> {
         if digest(&self.bytes) != self.id.digest && !is_active(Mutant::SnapshotUnchecked) {
             return Err(SnapshotError::DigestMismatch);
--- a/crates/brassport-control-plane/src/snapshots/mod.rs
+++ b/crates/brassport-control-plane/src/snapshots/mod.rs
@@ -1,8 +1,8 @@
-//! Snapshots: a node that lacks more of the log than its peers keep takes a complete state, in chunks.
+//! Snapshots: a node that lacks entries which its peers no longer retain downloads a complete state in chunks.
 //!
-//! A snapshot is identified by the index of its state and the digest of its bytes. The receiver fetches one chunk after
-//! another, from any peer that has the same snapshot: if one source falls silent another continues at the same offset. The
-//! state is installed only when all bytes are there and have the digest.
+//! A snapshot is identified by the index of its state and the digest of its bytes. The receiver fetches the chunks in
+//! order, from any peer that has the same snapshot. If a source stops responding, the download continues from another
+//! one at the same offset. The state is installed only if the complete bytes match the digest.
 
 mod chunk;
 mod download;
@@ -18,12 +18,12 @@
 use source::Source;
 use std::net::Ipv4Addr;
 
-/// Bytes of a chunk: an eighth of a second on a link of 2 Mbit/s.
+/// Size of a chunk: an eighth of a second on a link of 2 Mbit/s.
 pub(crate) const CHUNK_BYTES: usize = 32 * 1024;
-/// A snapshot of more bytes is refused: 35,000 routes take some 10 MB.
+/// Larger snapshots are ignored. A configuration of 35,000 routes takes about 10 MB.
 const MAX_SNAPSHOT_BYTES: u64 = 48 << 20;
 
-/// The snapshot that is served to peers, and the one that is fetched.
+/// The snapshot that is served to peers, and the one that is being downloaded.
 #[derive(Debug, Default)]
 pub(crate) struct Snapshots {
     source: Option<Source>,
@@ -31,17 +31,17 @@
 }
 
 impl Snapshots {
-    /// Whether a snapshot is being fetched, and some of it came of late.
+    /// Whether a download is in progress and not stalled.
     pub(crate) fn is_downloading(&self, now: Millis) -> bool {
         self.download.as_ref().is_some_and(|download| !download.is_stalled(now))
     }
 
-    /// The snapshot that is being fetched, for operators.
+    /// The progress of the current download, for the status.
     pub(crate) fn progress(&self) -> Option<Progress> {
         self.download.as_ref().map(Download::progress)
     }
 
-    /// Takes a chunk. Whether it continues the download.
+    /// Processes a chunk, which may begin a download. Returns whether it was the next chunk of the download.
     fn accept(&mut self, from: Ipv4Addr, chunk: &SnapshotChunk, now: Millis) -> bool {
         let may_begin = self.download.as_ref().is_none_or(|download| download.may_be_replaced_by(chunk, now));
         if chunk.offset == 0 && may_begin {
@@ -52,7 +52,7 @@
 }
 
 impl ControlPlane {
-    /// Sends the first chunk of a snapshot to a peer that knows the log up to this index.
+    /// Sends the first chunk of a snapshot to a peer that has applied the log up to this index.
     pub(crate) fn offer_snapshot(&mut self, to: Ipv4Addr, index: LogIndex) {
         let first = self.snapshot_source(index).chunk(0);
         if let Some(chunk) = first {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A peer wants more of a snapshot. Of another one than this node has, it is offered what there is.
+    /// Handles a request for a chunk. If this node has no such chunk, it offers its own snapshot instead.
     pub(crate) fn on_fetch_chunk(&mut self, to: Ipv4Addr, id: SnapshotId, offset: u64) {
         let index = id.index.previous();
         let source = self.snapshot_source(index);
@@ -70,8 +70,9 @@
         }
     }
 
-    /// A snapshot that helps a peer at this index: ahead of it, with the log from there on still kept. The checkpoint goes
-    /// before the newest state, as others have the very same.
+    /// A snapshot that is useful to a peer at this index: its index is higher, and the later entries are still
+    /// retained. The checkpoint is preferred to the latest state, because other nodes have the same checkpoint and can
+    /// continue the download.
     fn snapshot_source(&mut self, index: LogIndex) -> &Source {
         let (now, replica) = (self.clock.now(), &self.replica);
         let helps = |from: LogIndex| from > index && replica.entries_after(from).is_some();
@@ -80,10 +81,10 @@
             let checkpoint = replica.checkpoint().filter(|state| helps(state.index));
             Source::encode(&checkpoint.unwrap_or_else(|| replica.state().clone()))
         });
-        self.snapshots.source.insert(source.used(now))
+        self.snapshots.source.insert(source.with_used_at(now))
     }
 
-    /// A peer sends a chunk.
+    /// Handles a chunk from a peer: installs a complete snapshot, or fetches the next chunk.
     pub(crate) fn on_chunk(&mut self, from: Ipv4Addr, chunk: &SnapshotChunk) {
         if chunk.id.index <= self.replica.state().index || chunk.total > MAX_SNAPSHOT_BYTES {
             return;
@@ -103,11 +104,13 @@
             Ok(state) => {
                 let actions = self.replica.install_snapshot(self.clock.now(), state);
                 self.execute(actions);
-                // What was committed since is wanted at once.
+                // Fetches the entries committed since the snapshot at once.
                 self.log_sync.allow_fetch(from);
                 self.fetch_entries(from);
             }
-            Err(error) => log::warn!("snapshot refused index={} from={from} error={error}", download.index()),
+            Err(error) => {
+                log::warn!("snapshot rejected index={} from={from} error={error}", download.index());
+            }
         }
     }
 
@@ -117,14 +120,15 @@
         self.outbox.send(from, message);
     }
 
-    /// Continues a download whose source fell silent, and drops what is of no use any more.
+    /// Continues a download from another peer if its source stopped responding. Drops an idle encoded snapshot, and a
+    /// download that is stalled or no longer needed.
     pub(crate) fn maintain_snapshots(&mut self) {
         let (now, index) = (self.clock.now(), self.replica.state().index);
         self.snapshots.source.take_if(|source| source.is_idle(now));
         self.snapshots.download.take_if(|download| download.index() <= index || download.is_stalled(now));
         let Some(download) = &mut self.snapshots.download else { return };
         if download.is_source_silent(now) {
-            let next = self.contacts.next_at(download.index(), download.source());
+            let next = self.contacts.next_with_index(download.index(), download.source());
             download.continue_from(next.unwrap_or(download.source()));
             self.fetch_chunk();
         }
--- a/crates/brassport-control-plane/src/snapshots/source.rs
+++ b/crates/brassport-control-plane/src/snapshots/source.rs
@@ -1,4 +1,4 @@
-//! The snapshot that is served to peers.
+//! The encoded snapshot that is served to peers.
 
 use super::chunk::digest;
 use super::{SnapshotChunk, SnapshotId, CHUNK_BYTES};
@@ -6,10 +6,10 @@
 use brassport_config_store::consensus::ReplicatedState;
 use brassport_types::LogIndex;
 
-/// An encoded snapshot that nobody requested is kept for so many ms.
+/// How long an encoded snapshot is kept after its last use.
 const IDLE_MS: Millis = 10_000;
 
-/// A state, encoded.
+/// An encoded state.
 #[derive(Debug)]
 pub(super) struct Source {
     id: SnapshotId,
@@ -20,13 +20,13 @@
 impl Source {
     pub(super) fn encode(state: &ReplicatedState) -> Source {
         let mut bytes = Vec::new();
-        // A vector takes all that is written to it.
+        // Writing to a vector can't fail.
         let _ = ciborium::into_writer(state, &mut bytes);
         Source { id: SnapshotId { index: state.index, digest: digest(&bytes) }, bytes, used_at: 0 }
     }
 
-    /// The same, used at this time.
-    pub(super) fn used(self, now: Millis) -> Source {
+    /// Sets the time of the last use.
+    pub(super) fn with_used_at(self, now: Millis) -> Source {
         Source { used_at: now, ..self }
     }
 
@@ -38,7 +38,7 @@
         now >= self.used_at + IDLE_MS
     }
 
-    /// The chunk at a byte offset; `None` behind the end.
+    /// The chunk at a byte offset; `None` if the offset is at or past the end.
     pub(super) fn chunk(&self, offset: u64) -> Option<SnapshotChunk> {
         let from = usize::try_from(offset).ok().filter(|from| *from < self.bytes.len())?;
         let to = (from + CHUNK_BYTES).min(self.bytes.len());
