--- a/crates/brassport-control-plane/src/call.rs
+++ b/crates/brassport-control-plane/src/call.rs
@@ -1,4 +1,4 @@
-//! The calls of backends and operators, and the replies: decoded here, run by the owner of the state.
+//! The calls of backends and operators and their replies. Calls are decoded here and executed by the control plane.
 
 use crate::backends::{Backend, BackendState};
 use brassport_config_store::consensus::{ChangeScope, ConfigurationRequest};
@@ -7,45 +7,45 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// A backend warms up for so many seconds at the most; more is taken for a mistake of its settings.
+/// Upper bound on a backend's warm-up, in seconds. A longer one is treated as a mistake in its settings and clamped.
 const MAX_WARMUP_S: f64 = 600.0;
 
-/// A call of a backend or of the operator, decoded.
+/// A decoded call of a backend or of the operator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Call {
     /// A heartbeat of a backend (`Servers.CheckIn`).
     Heartbeat(Backend),
-    /// The backend with this id has ended (`Servers.SignOff`).
+    /// Deregisters the backend with this ID (`Servers.SignOff`).
     Deregister(String),
-    /// The operator changes the configuration (`Config.Replace`, `Config.Change`).
+    /// Replaces or changes the configuration (`Config.Replace`, `Config.Change`).
     Configure(ConfigurationRequest),
-    /// The newest configuration is wanted (`Config.Read`).
+    /// Reads the latest committed configuration (`Config.Read`).
     ReadConfiguration,
-    /// What this node knows of the system, for the people who run it (`Status`).
+    /// Reads this node's view of the cluster (`Status`).
     Status,
 }
 
-/// The answer to a call.
+/// The reply to a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
-    /// Done; with a body of JSON.
+    /// The call succeeded. The body is JSON.
     Done(Arc<Vec<u8>>),
-    /// The node at this address does it.
+    /// The caller must repeat the call at the node with this address.
     Redirect(std::net::Ipv4Addr),
-    /// The call is invalid; why.
+    /// The call is invalid, with the reason.
     Invalid(String),
-    /// The configuration builds on a version that is not the current one.
+    /// The base version of the request is not the current version of the configuration.
     VersionConflict,
-    /// This node can't do it now; why. The caller is to try again, or to call another node.
+    /// This node can't serve the call now, with the reason. The caller should retry, or call another node.
     Unavailable(&'static str),
 }
 
 /// Why a call could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DecodeError {
-    /// There is no such call.
+    /// No call has this method and path.
     UnknownCall,
-    /// It can't be decoded; why, for the caller.
+    /// A header or the body is malformed, with the reason for the caller.
     Malformed(String),
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// The body of a heartbeat. The names of these structs are part of error texts.
+/// The body of a heartbeat. serde's error messages contain the names of these structs.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct CheckIn {
@@ -79,7 +79,7 @@
     capacity: u32,
 }
 
-/// A backend that does not say its capacity handles one request at once.
+/// A backend that does not state its capacity handles one request at a time.
 fn default_capacity() -> u32 {
     1
 }
@@ -96,10 +96,10 @@
 impl std::error::Error for DecodeError {}
 
 impl Call {
-    /// Decodes a call.
+    /// Decodes a call. `base_version` is the value of the `X-Built-On` header.
     ///
     /// # Errors
-    /// There is no such call, or it can't be decoded.
+    /// No call has this method and path, or a header or the body is malformed.
     pub fn decode(
         method: &str,
         path: &str,
--- a/crates/brassport-control-plane/src/consensus_host.rs
+++ b/crates/brassport-control-plane/src/consensus_host.rs
@@ -1,4 +1,4 @@
-//! The host of consensus: commands are submitted, and the actions of the replica are executed.
+//! Connects the control plane to its consensus replica: submits commands and executes the replica's actions.
 
 use crate::call::Reply;
 use crate::control_plane::ControlPlane;
@@ -9,12 +9,13 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// For so many ms after its start a leader takes no command while too few vote: the core still meets.
-const MEETING_MS: Millis = 4_000;
-/// Where the numbers of this node's own commands start: far above those of calls, which the host counts from 1.
+/// For this long after its start, a leader rejects commands while the voters are too few to be fault tolerant: the core
+/// is still forming.
+const CORE_FORMATION_MS: Millis = 4_000;
+/// The first number of this node's own commands: far above the numbers of calls, which the host counts from 1.
 const FIRST_OWN_NUMBER: u64 = 1 << 62;
 
-/// Commands that this node submits for itself, whose outcomes answer no call.
+/// The pending commands that this node submitted on its own behalf. Their outcomes answer no call.
 #[derive(Debug)]
 pub(crate) struct OwnProposals {
     pending: BTreeSet<u64>,
@@ -28,7 +29,7 @@
 }
 
 impl OwnProposals {
-    /// The number for another command.
+    /// Registers a new command and returns its number.
     pub(crate) fn begin(&mut self) -> u64 {
         self.last += 1;
         self.pending.insert(self.last);
@@ -39,13 +40,13 @@
         !self.pending.is_empty()
     }
 
-    /// A command has its outcome. Whether it was one of these.
+    /// Removes a command that has its outcome. Returns whether it was pending here.
     fn conclude(&mut self, number: u64) -> bool {
         self.pending.remove(&number)
     }
 }
 
-/// The answer to the call behind a command.
+/// The reply to the call that submitted a command.
 fn reply_of(outcome: Outcome) -> Reply {
     match outcome {
         Outcome::Committed => Reply::Done(Arc::new(b"{}".to_vec())),
@@ -57,11 +58,11 @@
 }
 
 impl ControlPlane {
-    /// Submits an operator's command, if this node leads; else the call is redirected to the leader.
+    /// Submits an operator's command if this node leads; otherwise redirects the call to the leader.
     pub(crate) fn submit(&mut self, call: u64, command: Command) {
         if self.replica.is_leader() {
-            // Guards a configuration against being kept by fewer than it takes to tolerate a loss.
-            if !self.is_fault_tolerant() && self.clock.is_within_start(MEETING_MS) {
+            // A configuration committed now would be on too few disks to survive a loss.
+            if !self.is_fault_tolerant() && self.clock.is_within_start(CORE_FORMATION_MS) {
                 return self.outbox.respond(call, Reply::Unavailable("the core still meets"));
             }
             let actions = self.replica.submit(self.clock.now(), call, command);
@@ -74,7 +75,7 @@
         self.outbox.respond(call, reply);
     }
 
-    /// Executes the actions of the replica.
+    /// Executes the replica's actions.
     pub(crate) fn execute(&mut self, actions: Vec<consensus::Action>) {
         let mut applied = Vec::new();
         for action in actions {
@@ -100,7 +101,7 @@
         }
         let state = self.replica.state().clone();
         self.quota.configure(state.document.configuration());
-        // Before any answer to the operator: this node applies the configuration that it acknowledges.
+        // Placed before any reply, so that this node applies a configuration before it acknowledges it.
         self.outbox.push_front(Action::StateAdvanced(state));
         self.disseminate_entries(applied.into_iter().flatten().collect());
     }
--- a/crates/brassport-control-plane/src/event.rs
+++ b/crates/brassport-control-plane/src/event.rs
@@ -1,4 +1,4 @@
-//! The interface to the host: the settings of a node, the events it is given, and the actions it returns.
+//! The interface to the host: the options of a node, the events that it processes, and the actions that it returns.
 
 use crate::backends::Backend;
 use crate::call::{Call, Reply};
@@ -12,59 +12,61 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// The settings of a node.
+/// The options of a node.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// How the node describes itself to its peers. Its disk is filled in once the store is open.
+    /// The node's own peer record. Its disk is set when the store opens.
     pub node: PeerRecord,
-    /// Addresses of the nodes to contact first.
+    /// Addresses of the nodes to contact at the start, and from time to time afterwards.
     pub seeds: Vec<Ipv4Addr>,
-    /// Whether the complete cluster starts for the first time.
+    /// Whether the whole cluster starts for the first time, so that the log must be bootstrapped.
     pub first_start: bool,
-    /// The losses that the voters must tolerate.
+    /// The simultaneous losses that the set of voters must tolerate.
     pub fault_tolerance: FaultTolerance,
-    /// Milliseconds between two heartbeats of a backend.
+    /// Interval between heartbeats of a backend, in milliseconds.
     pub heartbeat_interval_ms: Millis,
-    /// Seed of the node's random choices.
+    /// Seed of the node's random number generators.
     pub seed: u64,
 }
 
-/// Something that happens to a node.
+/// An input to the control plane.
 #[derive(Debug)]
 pub enum Event {
-    /// Time passed. To be sent every 60 ms or so.
+    /// Time has passed. The host sends a tick about every 60 ms.
     Tick,
-    /// A message came from another node.
+    /// A message from another node.
     PeerMessage(Envelope),
-    /// A backend or the operator calls. [`Action::Respond`] repeats the number.
+    /// A call of a backend or of the operator. [`Action::Respond`] carries the same number.
     Call(u64, Call),
-    /// The store is open: the disk, and what was found on it.
+    /// The store is open: its disk ID and the state read from it.
     StoreOpened(DiskId, DurableState),
-    /// The record with this number is on disk (`true`), or could not be written.
+    /// The record with this number is durable (`true`), or could not be written (`false`).
     Persisted(u64, bool),
-    /// The data plane's usage counts, under the number of the report.
+    /// The data plane's usage counts, with the number of the report.
     UsageReported(u32, Vec<UsageReport>),
-    /// The settings name other seeds.
+    /// The seeds in the settings have changed to these.
     SeedsChanged(Vec<Ipv4Addr>),
-    /// The process is to shut down.
+    /// The process was asked to shut down. It may exit once
+    /// [`ControlPlane::may_shut_down`](crate::ControlPlane::may_shut_down) is true.
     Shutdown,
 }
 
-/// What the host is to do.
+/// An output of the control plane, to be executed by the host.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send a message to a node.
+    /// Send a message to the node at this address.
     Send(Ipv4Addr, PeerMessage),
-    /// Write a record to disk; then report [`Event::Persisted`] with the number.
+    /// Write a record to the store and sync it, then report [`Event::Persisted`] with this number.
     Persist(u64, Record),
-    /// Answer the call with this number.
+    /// Reply to the call with this number.
     Respond(u64, Reply),
-    /// The replicated state has advanced.
+    /// The replicated state has advanced to this one.
     StateAdvanced(Arc<ReplicatedState>),
-    /// A backend is new, or has changed.
+    /// A backend is new, or its record has changed.
     BackendChanged(Backend),
-    /// The lease of the backend with this id has expired.
+    /// The backend with this ID was removed from the endpoint table: its lease expired, or no node confirmed it after
+    /// this node had been isolated.
     BackendExpired(String),
-    /// The leader's answer to a usage report.
+    /// The leader's response to a usage report.
     QuotaGranted(GrantResponse),
 }
--- a/crates/brassport-control-plane/src/gossip.rs
+++ b/crates/brassport-control-plane/src/gossip.rs
@@ -1,5 +1,5 @@
-//! Gossip: exchanges between nodes that keep the partial views fresh, and say how far each knows the log, who leads, and
-//! whether the endpoint tables differ.
+//! Gossip: pairwise exchanges that refresh the partial views and carry the log index, the known leader and the digest
+//! of the endpoint table.
 
 use crate::contacts::CONTACT_MS;
 use crate::control_plane::ControlPlane;
@@ -9,32 +9,35 @@
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
-/// Between two exchanges that a node begins: a third of [`CONTACT_MS`], so that two may be lost.
+/// Interval between the exchanges that a node begins: a third of [`CONTACT_MS`], so that two in a row may be lost.
 const INTERVAL_MS: Millis = CONTACT_MS / 3;
-/// While fewer than two peers are known: each tick, as nothing else goes on.
+/// Interval while fewer than [`MIN_KNOWN_PEERS`] peers are known: one exchange per tick, since there is no other
+/// traffic.
 const BOOTSTRAP_INTERVAL_MS: Millis = 60;
-/// Without a leader: the node was partitioned, or an election is under way.
+/// Interval while no leader is known: the node was partitioned, or an election is in progress.
 const LEADERLESS_INTERVAL_MS: Millis = 150;
-/// A change of a backend brings the next exchange forward by so much.
+/// A change of a backend makes the next exchange due this much earlier.
 const BRING_FORWARD_MS: Millis = 250;
-/// With fewer peers than this a node knows too little to find the others by its view.
-const FEW_PEERS: usize = 2;
-/// Of so many turns [`FAR_TURNS`] go to all nodes, near or not. The others stay near: bytes between zones cost.
-const TURN_CYCLE: usize = 6;
-const FAR_TURNS: usize = 2;
-/// The seeds are contacted at each so many turns, whoever is known. Guards against a partition that knows only itself.
-const SEED_TURNS: usize = 16;
+/// With fewer known peers than this, the partial view is too small to discover the others through it.
+const MIN_KNOWN_PEERS: usize = 2;
+/// In each cycle of this many turns, [`ANY_ZONE_TURNS`] contact nodes of any zone. The other turns stay within the
+/// node's own zone, because traffic between zones is costly.
+const TURNS_PER_CYCLE: usize = 6;
+const ANY_ZONE_TURNS: usize = 2;
+/// The seeds are contacted every this many turns, even if many peers are known. Guards against a partition whose nodes
+/// know only each other.
+const SEED_INTERVAL_TURNS: usize = 16;
 
-/// Whether the receiver of gossip is to answer with its own side.
+/// Whether the receiver of gossip must reply with its own side of the exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Exchange {
-    /// It is to answer: this begins an exchange.
+    /// The receiver replies.
     Begin,
-    /// It is not: this ends one, or is a notice of its own.
+    /// The receiver does not reply: the message ends an exchange, or is a one-way notification.
     Notify,
 }
 
-/// When the node begins exchanges, and whose turn it is.
+/// Schedules the exchanges that this node begins; the turn number selects the peer.
 #[derive(Debug)]
 pub(crate) struct GossipSchedule {
     last: Millis,
@@ -43,12 +46,12 @@
 }
 
 impl GossipSchedule {
-    /// Turns start anywhere, so that nodes that start together do not all contact the same peer.
+    /// The first turn depends on the seed, so that nodes that start together do not all contact the same peer.
     pub(crate) fn new(seed: u64) -> GossipSchedule {
         GossipSchedule { last: 0, has_begun: false, turn: seed as usize % 7 }
     }
 
-    /// Takes the next turn, if one is due.
+    /// Returns the number of the next turn, if an exchange is due.
     fn take_turn(&mut self, now: Millis, interval: Millis) -> Option<usize> {
         if self.has_begun && now < self.last + interval {
             return None;
@@ -58,15 +61,15 @@
         Some(self.turn)
     }
 
-    /// The next exchange comes sooner: there is something to compare.
+    /// Makes the next exchange due earlier, after the endpoint table has changed.
     pub(crate) fn bring_forward(&mut self) {
         self.last = self.last.saturating_sub(BRING_FORWARD_MS);
     }
 }
 
 impl ControlPlane {
-    /// Begins the next exchanges when they are due: with one of the core or one of the known peers; besides, when the core
-    /// is not heard, with one that is; and, while few are known, with the seeds.
+    /// Begins the exchanges that are due: with a core node or a known peer; also with a peer outside the core while no
+    /// core node is in contact; and with the seeds while few peers are known, and every [`SEED_INTERVAL_TURNS`] turns.
     pub(crate) fn gossip_when_due(&mut self) {
         let interval = self.gossip_interval();
         let Some(turn) = self.gossip.take_turn(self.clock.now(), interval) else { return };
@@ -74,11 +77,11 @@
         let is_isolated = !core.iter().any(|ip| self.contacts.is_in_contact(*ip, self.clock.now()));
         let mut to: BTreeSet<Ipv4Addr> =
             self.exchange_partner(turn, &core, is_isolated).into_iter().collect();
-        // Who hears none of the core follows through others that it hears, wherever they are.
+        // A node that no core node reaches gets committed entries from other peers, in whichever zone they are.
         if is_isolated {
-            to.extend(self.partner_beside_core(&core));
+            to.extend(self.fallback_partner(&core));
         }
-        if self.view.len() < FEW_PEERS || turn.is_multiple_of(SEED_TURNS) {
+        if self.view.len() < MIN_KNOWN_PEERS || turn.is_multiple_of(SEED_INTERVAL_TURNS) {
             let own = self.options.node.ip;
             to.extend(self.options.seeds.iter().copied().filter(|ip| *ip != own));
         }
@@ -86,7 +89,7 @@
     }
 
     fn gossip_interval(&self) -> Millis {
-        if self.view.len() < FEW_PEERS {
+        if self.view.len() < MIN_KNOWN_PEERS {
             BOOTSTRAP_INTERVAL_MS
         } else if self.leader().is_none() {
             LEADERLESS_INTERVAL_MS
@@ -95,19 +98,19 @@
         }
     }
 
-    /// Whose turn it is. Turns alternate between the core and all peers; each cycle reaches those far away too.
+    /// The peer for a turn. Turns alternate between the core and all peers; some turns of each cycle reach other zones.
     fn exchange_partner(&mut self, turn: usize, core: &[Ipv4Addr], is_isolated: bool) -> Option<Ipv4Addr> {
-        let is_far = turn % TURN_CYCLE < FAR_TURNS;
+        let is_any_zone_turn = turn % TURNS_PER_CYCLE < ANY_ZONE_TURNS;
         if is_isolated && !core.is_empty() {
-            // At each turn: what is known here of backends is quarantined from when the core is heard again.
+            // Every turn tries a core node: the quarantine of outdated backend records is timed from the next contact.
             return Some(core[turn % core.len()]);
         }
         if turn.is_multiple_of(2) && !core.is_empty() {
             let near: Vec<Ipv4Addr> = core.iter().copied().filter(|ip| self.is_near(*ip)).collect();
-            let of = if near.is_empty() || is_far { core } else { &near };
+            let of = if near.is_empty() || is_any_zone_turn { core } else { &near };
             return Some(of[(turn / 2) % of.len()]);
         }
-        if is_far {
+        if is_any_zone_turn {
             return self.view.sample(1, |_| true).pop();
         }
         let (now, contacts, zone) = (self.clock.now(), &self.contacts, &self.options.node.zone);
@@ -116,21 +119,21 @@
         near.or_else(|| self.view.sample(1, |_| true).pop())
     }
 
-    /// Whether a peer is of the own zone and in contact. One that is not may be partitioned: then those farther away are
-    /// contacted.
+    /// Whether a peer is in this node's zone and in contact. A peer that is not in contact may be partitioned; without
+    /// near peers, peers in other zones are contacted.
     fn is_near(&self, ip: Ipv4Addr) -> bool {
         let is_of_zone = |ip| self.view.peer(ip).is_some_and(|peer| peer.zone == self.options.node.zone);
         self.contacts.is_in_contact(ip, self.clock.now()) && is_of_zone(ip)
     }
 
-    /// A peer in contact, else one that is not of the core.
-    fn partner_beside_core(&mut self, core: &[Ipv4Addr]) -> Option<Ipv4Addr> {
+    /// A random peer in contact; if there is none, a random peer outside the core.
+    fn fallback_partner(&mut self, core: &[Ipv4Addr]) -> Option<Ipv4Addr> {
         let (now, contacts) = (self.clock.now(), &self.contacts);
         let in_contact = self.view.sample(1, |peer| contacts.is_in_contact(peer.ip, now)).pop();
         in_contact.or_else(|| self.view.sample(1, |peer| !core.contains(&peer.ip)).pop())
     }
 
-    /// Sends this node's side of an exchange.
+    /// Sends this node's side of an exchange to a peer.
     pub(crate) fn gossip_to(&mut self, to: Ipv4Addr, exchange: Exchange) {
         let now = self.clock.now();
         let gossip = Gossip {
@@ -153,7 +156,7 @@
         Some(LeaderHint { term, ip, age_ms })
     }
 
-    /// A peer sends its side of an exchange.
+    /// Handles a peer's side of an exchange.
     pub(crate) fn on_gossip(&mut self, gossip: Gossip) {
         let now = self.clock.now();
         let Gossip { sender, index, table_digest, leader, peers, wants_reply } = gossip;
--- a/crates/brassport-control-plane/src/known_leader.rs
+++ b/crates/brassport-control-plane/src/known_leader.rs
@@ -1,11 +1,11 @@
-//! The leader as gossip names it, for a node that does not vote.
+//! The leader according to gossip, for nodes that do not vote.
 
 use crate::peer_message::LeaderHint;
 use crate::Millis;
 use brassport_types::Term;
 use std::net::Ipv4Addr;
 
-/// A hint holds for so many milliseconds after the leader was heard: some four gossip exchanges.
+/// How long a hint is valid after the leader was last known to be alive, in ms: about four gossip exchanges.
 const HINT_LEASE_MS: Millis = 1_800;
 
 #[derive(Debug, Clone, Copy)]
@@ -15,14 +15,14 @@
     heard_at: Millis,
 }
 
-/// The newest hint about the leader.
+/// The latest hint about the leader.
 #[derive(Debug, Default)]
 pub(crate) struct KnownLeader {
     hint: Option<Hint>,
 }
 
 impl KnownLeader {
-    /// Takes a hint, if it is of a higher term or of a later time than the one known.
+    /// Accepts a hint if it has a higher term than the known one, or the same term and a later time.
     pub(crate) fn merge(&mut self, hint: LeaderHint, now: Millis) {
         let LeaderHint { term, ip, age_ms } = hint;
         let heard_at = now.saturating_sub(Millis::from(age_ms));
@@ -34,12 +34,12 @@
         }
     }
 
-    /// The leader, while the hint holds.
+    /// The term and address of the leader, while the hint is valid.
     pub(crate) fn current(&self, now: Millis) -> Option<(Term, Ipv4Addr)> {
         self.hint.filter(|hint| now < hint.heard_at + HINT_LEASE_MS).map(|hint| (hint.term, hint.ip))
     }
 
-    /// When this leader was heard, if the hint is of it.
+    /// When this leader was last known to be alive; `None` if the hint names another node.
     pub(crate) fn heard_at(&self, leader: Ipv4Addr) -> Option<Millis> {
         self.hint.filter(|hint| hint.ip == leader).map(|hint| hint.heard_at)
     }
--- a/crates/brassport-control-plane/src/lib.rs
+++ b/crates/brassport-control-plane/src/lib.rs
@@ -1,12 +1,18 @@
-//! The control plane of a gateway's node, as a state machine without I/O.
+//! The control plane of a gateway node, as a state machine without I/O.
 //!
-//! A host hands [`ControlPlane::handle`] events with the time and executes the [`Action`]s that come back. The control
-//! plane holds this node's replica of the log of configurations and hosts its consensus, the table of backends (soft
-//! state under leases, disseminated at once and repaired by digests), the peers that it knows, who votes, and what is
-//! granted of tenants' rate limits.
+//! The host passes events and the current time to [`ControlPlane::handle`] and executes the returned [`Action`]s. The
+//! control plane holds:
 //!
-//! It is not for requests: it decides nothing about one, and the data plane reads copies of what it knows. It opens no
-//! socket, no file and no clock of its own, and draws only from the seed that it is given.
+//! - this node's replica of the configuration log, and the consensus protocol that extends it;
+//! - the endpoint table: soft state under leases, broadcast on change and repaired by comparing digests;
+//! - a partial view of the peers, and the set of voters;
+//! - the grants of tenants' rate limits.
+//!
+//! The *core* are the nodes that may vote in consensus. A node outside the core learns committed entries from its
+//! peers.
+//!
+//! The control plane takes no part in handling requests: the data plane works on copies of its state. It opens no
+//! socket or file, reads no clock, and draws random numbers only from the seed in [`Options`].
 //!
 //! ```
 //! use brassport_control_plane::{ControlPlane, Event, FaultTolerance, Options};
@@ -32,7 +38,7 @@
 //! };
 //! let mut control = ControlPlane::new(options, 0);
 //! let actions = control.handle(60, Event::Tick);
-//! assert_eq!(actions.len(), 1, "it contacts its seed");
+//! assert_eq!(actions.len(), 1, "gossip to the seed");
 //! assert_eq!(control.leader(), None);
 //! ```
 #![forbid(unsafe_code)]
--- a/crates/brassport-control-plane/src/outbox.rs
+++ b/crates/brassport-control-plane/src/outbox.rs
@@ -1,4 +1,4 @@
-//! The actions that an event leads to, in order.
+//! Collects the actions that result from an event, in order.
 
 use crate::call::Reply;
 use crate::event::Action;
@@ -6,7 +6,7 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// Actions to be handed to the host.
+/// The actions to be returned to the host.
 #[derive(Debug)]
 pub(crate) struct Outbox {
     own_ip: Ipv4Addr,
@@ -18,19 +18,18 @@
         Outbox { own_ip, actions: Vec::new() }
     }
 
-    /// Sends a message; one to this node itself is dropped.
+    /// Sends a message. Messages to this node itself are dropped.
     pub(crate) fn send(&mut self, to: Ipv4Addr, message: PeerMessage) {
         if to != self.own_ip {
             self.actions.push(Action::Send(to, message));
         }
     }
 
-    /// Answers a call.
     pub(crate) fn respond(&mut self, call: u64, reply: Reply) {
         self.actions.push(Action::Respond(call, reply));
     }
 
-    /// Answers a call that has no more to say than that it is done.
+    /// Replies to a call with success and an empty JSON object.
     pub(crate) fn respond_done(&mut self, call: u64) {
         self.respond(call, Reply::Done(Arc::new(b"{}".to_vec())));
     }
@@ -43,12 +42,12 @@
         self.actions.extend(actions);
     }
 
-    /// Puts an action before all that the event has led to.
+    /// Inserts an action before all others of this event.
     pub(crate) fn push_front(&mut self, action: Action) {
         self.actions.insert(0, action);
     }
 
-    /// All actions, in order; the outbox is empty then.
+    /// Removes and returns all actions, in order.
     pub(crate) fn drain(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
--- a/crates/brassport-control-plane/src/quota.rs
+++ b/crates/brassport-control-plane/src/quota.rs
@@ -1,4 +1,4 @@
-//! The leader grants shares of tenants' rate limits; nobody else does.
+//! Grants of tenants' rate limits. Only the leader grants them.
 
 use crate::control_plane::{ControlPlane, FULL_BROADCAST_PEERS};
 use crate::event::Action;
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// The lender, and the limits that it lends from.
+/// The lender and the tenants' rate limits.
 #[derive(Debug, Default)]
 pub(crate) struct Quota {
     lender: Lender,
@@ -19,7 +19,7 @@
 }
 
 impl Quota {
-    /// Takes the limits of a configuration.
+    /// Applies the rate limits of a configuration.
     pub(crate) fn configure(&mut self, configuration: &Configuration) {
         let limit = |rate_per_s, burst| RateLimit { rate_per_s, burst };
         self.limits = configuration
@@ -29,21 +29,21 @@
             .collect();
     }
 
-    /// How many nodes have reported usage of late.
+    /// The number of nodes that reported usage recently.
     pub(crate) fn reporting_nodes(&self, now: crate::Millis) -> usize {
         self.lender.live_nodes(now)
     }
 }
 
 impl ControlPlane {
-    /// Begins to lend when this node becomes leader, and ends with its leadership.
+    /// Starts the lender when this node becomes leader, and stops it when its leadership ends.
     pub(crate) fn follow_leadership(&mut self) {
         let is_leader = self.replica.is_leader();
         let was_lending = std::mem::replace(&mut self.quota.is_lending, is_leader);
         if is_leader && !was_lending {
             self.quota.lender.begin(self.clock.now());
             self.ring_rank.reset_registry();
-            // All whom it knows hear at once who leads.
+            // Announces the new leader to the known peers at once.
             for ip in self.view.sample(FULL_BROADCAST_PEERS, |_| true) {
                 self.gossip_to(ip, Exchange::Notify);
             }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// This node's data plane reports its usage.
+    /// Handles a usage report of this node's data plane.
     pub(crate) fn on_own_usage(&mut self, report: u32, usage: Vec<UsageReport>) {
         let Some((term, leader)) = self.leader() else { return };
         if leader != self.options.node.ip {
@@ -62,7 +62,7 @@
         self.outbox.push(Action::QuotaGranted(GrantResponse { term, report, grants }));
     }
 
-    /// A peer reports its usage to the leader.
+    /// Handles a usage report of a peer. Ignored unless this node leads.
     pub(crate) fn on_peer_usage(
         &mut self,
         from: Ipv4Addr,
@@ -78,7 +78,7 @@
 
     fn lend(&mut self, node: Ipv4Addr, incarnation: Incarnation, usage: &[UsageReport]) -> Vec<QuotaGrant> {
         let now = self.clock.now();
-        // Guards against a leader that was stalled and leads no more: it lends only while a majority answers.
+        // A leader that was stalled may have been replaced, so it grants only while a majority responds.
         if !self.replica.has_quorum(now) {
             return Vec::new();
         }
--- a/crates/brassport-control-plane/src/ring_rank.rs
+++ b/crates/brassport-control-plane/src/ring_rank.rs
@@ -1,10 +1,10 @@
-//! Each node's position on the ring of backends: nodes are spread evenly, so that those of each zone send to all backends
-//! alike, and so do all nodes together.
+//! Each node's position on the ring of backends. The positions of the nodes of each zone are spaced evenly, so that the
+//! nodes of a zone, and all nodes together, spread their requests evenly over the backends.
 //!
-//! A node knows only some of the others, so it can't count its rank itself. It tells the leader its zone now and then, and
-//! is assigned its rank among the nodes of that zone which the leader has heard. Ranks are soft state: the next leader
-//! learns them anew, and meanwhile each node keeps the one it has. Before it has one it estimates its position from its
-//! partial view.
+//! A node's view is partial, so it can't compute its rank itself. It sends its zone to the leader periodically, and the
+//! leader assigns its rank among the nodes of that zone from which requests came. Ranks are soft state: a new leader
+//! rebuilds its registry from the requests, and meanwhile each node keeps its rank. A node without a rank estimates its
+//! position from its partial view.
 
 use crate::control_plane::ControlPlane;
 use crate::peer_message::PeerMessage;
@@ -14,26 +14,28 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// Between two requests for the rank, in ms: before the first answer, and after it.
+/// Interval between two rank requests before a rank is assigned.
 const FIRST_REQUEST_INTERVAL_MS: Millis = 500;
+/// Interval between two rank requests once a rank is assigned.
 const REQUEST_INTERVAL_MS: Millis = 2_000;
-/// A leader answers once it has led for so many ms: by then all nodes have requested their ranks from it.
+/// How long a leader waits before it assigns ranks. By then all nodes have sent it a request.
 const SETTLED_MS: Millis = REQUEST_INTERVAL_MS + 500;
-/// A node that was not heard for so many ms has no rank any more: one that restarts finds its rank as it was.
+/// How long a node keeps its place in the registry after its last request. A node that restarts within this time gets
+/// the same rank.
 const REGISTRATION_LEASE_MS: Millis = 30_000;
 
 /// A node's rank among the nodes of its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rank {
-    /// Nodes of the zone that come before it, in the order of their addresses.
+    /// Number of nodes of the zone with a lower address.
     pub before: u16,
-    /// All nodes of the zone.
+    /// Number of nodes of the zone, this one included.
     #[serde(rename = "doors")]
     pub nodes: u16,
 }
 
 impl Rank {
-    /// The middle of the node's part, when the ring is cut evenly among the nodes of the zone.
+    /// The middle of the node's arc, when the ring is divided evenly among the nodes of the zone.
     fn position(self) -> f64 {
         (f64::from(self.before) + 0.5) / f64::from(self.nodes.max(1))
     }
@@ -45,14 +47,14 @@
     requested_at: Millis,
 }
 
-/// The rank that the leader of a term assigned.
+/// A rank assigned by the leader of a term.
 #[derive(Debug, Clone, Copy)]
 struct Assignment {
     term: Term,
     rank: Rank,
 }
 
-/// This node's rank; while it leads, the nodes that requested theirs.
+/// This node's rank and, while it leads, the registry of the nodes that requested theirs.
 #[derive(Debug, Default)]
 pub(crate) struct RingRank {
     registry: BTreeMap<Ipv4Addr, Registration>,
@@ -61,12 +63,12 @@
 }
 
 impl RingRank {
-    /// A new leader learns the nodes anew.
+    /// Clears the registry when this node becomes leader.
     pub(crate) fn reset_registry(&mut self) {
         self.registry.clear();
     }
 
-    /// How many nodes have requested their ranks of late.
+    /// The number of nodes that requested their rank within [`REGISTRATION_LEASE_MS`].
     pub(crate) fn registered_nodes(&self) -> usize {
         self.registry.len()
     }
@@ -86,7 +88,7 @@
         })
     }
 
-    /// Takes the rank that a leader assigned. One of an earlier term knows less.
+    /// Sets this node's rank. A rank of an earlier term than the known one is ignored.
     pub(crate) fn assign(&mut self, term: Term, rank: Rank) {
         if self.assigned.is_none_or(|known| known.term <= term) {
             self.assigned = Some(Assignment { term, rank });
@@ -103,12 +105,12 @@
 }
 
 impl ControlPlane {
-    /// The position on the ring of backends, from 0 up to 1.
+    /// This node's position on the ring of backends, in the range 0 to 1.
     pub fn ring_position(&self) -> f64 {
         self.ring_rank.assigned.map_or_else(|| self.estimated_rank(), |known| known.rank).position()
     }
 
-    /// The rank in the partial view, which is a sample of all nodes.
+    /// The rank within the partial view, which is a random sample of all nodes.
     fn estimated_rank(&self) -> Rank {
         let node = &self.options.node;
         let of_zone = || self.view.peers().filter(|peer| peer.zone == node.zone);
@@ -116,7 +118,7 @@
         Rank { before: before as u16, nodes: of_zone().count() as u16 + 1 }
     }
 
-    /// Requests the rank from the leader when that is due.
+    /// Requests this node's rank from the leader when a request is due.
     pub(crate) fn request_rank(&mut self) {
         let now = self.clock.now();
         if !self.ring_rank.is_request_due(now) {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// A node requests its rank; the leader answers.
+    /// Handles a rank request: the leader registers the node and, once settled, assigns its rank.
     pub(crate) fn on_rank_request(&mut self, node: Ipv4Addr, zone: String) {
         let now = self.clock.now();
         let leader = self.replica.leader(now).filter(|_| self.replica.is_leader());
--- a/crates/brassport-control-plane/src/status.rs
+++ b/crates/brassport-control-plane/src/status.rs
@@ -1,12 +1,13 @@
-//! What a node knows of the cluster, for its operators: who votes, who leads, which version is in force, which node lags.
-//! Nothing here names a key.
+//! A node's view of the cluster, for operators: the voters, the leader, the applied version, and the nodes that lag
+//! behind. It contains no API keys.
 
 use crate::backends::BackendState;
 use crate::control_plane::ControlPlane;
 use serde_json::{json, Value};
 
 impl ControlPlane {
-    /// The status as JSON. Indexes and ages are as they were heard last; a node that was not heard for 12 s is left out.
+    /// The status as JSON. The indexes of other nodes are those that they reported last; a node from which no message
+    /// came for 12 s is omitted.
     pub fn status(&self) -> Value {
         let (state, node) = (self.replica.state(), &self.options.node);
         let count = |state| self.backends.table.count(state);
