--- a/crates/brassport-transport/tests/it/harness.rs
+++ b/crates/brassport-transport/tests/it/harness.rs
@@ -1,4 +1,4 @@
-//! Records of peers, and links with a peer's sockets at the same port.
+//! Test helpers: peer records, and the links of one node together with the sockets of a peer.
 
 use brassport_transport::links::Links;
 use brassport_transport::peer_sampling::PeerRecord;
@@ -12,13 +12,13 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::time::timeout;
 
-/// The address under which the peer is known, and at which it is not reached.
+/// The peer's address. It is reached at [`PEER_REACHED_AT`] instead.
 pub const PEER: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 2);
 const LOCAL: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 1);
 const PEER_REACHED_AT: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A record of the machine 10.0.0.`number`.
+/// The record of the node 10.0.0.`number`.
 pub fn peer_record(number: u8) -> PeerRecord {
     PeerRecord {
         ip: [10, 0, 0, number].into(),
@@ -29,23 +29,24 @@
     }
 }
 
-/// A frame of so many bytes, which count up from zero.
-pub fn counting(length: usize) -> Vec<u8> {
+/// A frame of `length` bytes with the values 0, 1, 2, … modulo 256.
+pub fn sequential_bytes(length: usize) -> Vec<u8> {
     (0..length).map(|position| position as u8).collect()
 }
 
-/// Runs a test on one thread, as hosts run links.
+/// Runs a test on a single-threaded runtime with a `LocalSet`, which links require.
 pub fn block_on<T>(test: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime is built");
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
-/// The result of what must not take long.
+/// Awaits a future, and panics after [`TIMEOUT`].
 pub async fn in_time<T>(future: impl Future<Output = T>) -> T {
-    timeout(TIMEOUT, future).await.expect("it takes too long")
+    timeout(TIMEOUT, future).await.expect("timed out")
 }
 
-/// A node's links, and the sockets of a peer.
+/// The links of a node, and the sockets of a peer at the same port.
 pub struct Setup {
     pub links: Rc<Links>,
     pub inbound: UnboundedReceiver<Vec<u8>>,
@@ -56,8 +57,8 @@
 impl Setup {
     pub async fn open() -> Setup {
         for _ in 0..20 {
-            let peer_datagrams = UdpSocket::bind((PEER_REACHED_AT, 0)).await.expect("a port");
-            let port = peer_datagrams.local_addr().expect("it has one").port();
+            let peer_datagrams = UdpSocket::bind((PEER_REACHED_AT, 0)).await.expect("a free UDP port");
+            let port = peer_datagrams.local_addr().expect("a bound address").port();
             let Ok(peer_listener) = TcpListener::bind((PEER_REACHED_AT, port)).await else { continue };
             let (sender, inbound) = unbounded_channel();
             let reached_at = BTreeMap::from([(PEER, PEER_REACHED_AT)]);
@@ -68,28 +69,28 @@
         panic!("no port is free at both addresses");
     }
 
-    /// Where the links listen.
+    /// The address that the links are bound to.
     pub fn local(&self) -> SocketAddrV4 {
-        SocketAddrV4::new(LOCAL, self.peer_datagrams.local_addr().expect("it has one").port())
+        SocketAddrV4::new(LOCAL, self.peer_datagrams.local_addr().expect("a bound address").port())
     }
 
-    /// A connection from the peer to the links.
+    /// Connects to the links, as the peer does.
     pub async fn connect(&self) -> TcpStream {
         in_time(TcpStream::connect(self.local())).await.expect("the links listen")
     }
 
-    /// The connection that the links open to the peer.
+    /// Accepts the connection that the links open to the peer.
     pub async fn accept(&self) -> TcpStream {
         in_time(self.peer_listener.accept()).await.expect("a connection").0
     }
 
-    /// The next frame that comes in at the links.
+    /// The next frame that the links receive.
     pub async fn next_frame(&mut self) -> Option<Vec<u8>> {
         in_time(self.inbound.recv()).await
     }
 
-    /// Sends a datagram until the peer has it: one that the system does not take at once is dropped, as one right behind
-    /// the start may be.
+    /// Sends a datagram until the peer receives it: the links drop a datagram that the socket does not accept at once,
+    /// which may happen right after the socket was opened.
     pub async fn exchange_datagram(&self, frame: &[u8]) -> Vec<u8> {
         let mut buffer = vec![0; 4096];
         let mut length = 0;
@@ -97,7 +98,7 @@
             self.links.send(PEER, frame.to_vec());
             let received = self.peer_datagrams.recv_from(&mut buffer);
             if let Ok(received) = timeout(Duration::from_millis(50), received).await {
-                (length, _) = received.expect("the peer's socket is sound");
+                (length, _) = received.expect("the peer's socket can receive");
             }
             if buffer[..length] == *frame {
                 break;
--- a/crates/brassport-transport/tests/it/main.rs
+++ b/crates/brassport-transport/tests/it/main.rs
@@ -1,6 +1,4 @@
-//! Frames, links and peer sampling: their behaviour and their bytes.
-
-// Golden tests of other packages include these two as well.
+//! Tests of frames, links and peer sampling, and of their wire formats.
 
 mod golden;
 mod harness;
