--- a/crates/brassport-control-plane/tests/it/golden/frames.rs
+++ b/crates/brassport-control-plane/tests/it/golden/frames.rs
@@ -1,58 +1,58 @@
-//! Each message and its parts have their frames.
+//! The encoding of each peer message and of its parts.
 
 use super::messages::*;
 use super::*;
 
 #[test]
-fn each_peer_message_has_its_frame() {
+fn peer_messages_match_the_golden_frames() {
     let messages = peer_messages();
     let covered: BTreeSet<&str> = messages.iter().map(|(_, message)| name_of(message)).collect();
     assert_eq!(covered.len(), VARIANTS, "a variant has no case");
     let consensus = consensus_messages();
     let covered: BTreeSet<&str> = consensus.iter().map(|(_, message)| consensus_name(message)).collect();
-    assert_eq!(covered.len(), CONSENSUS_VARIANTS, "a variant of consensus has no case");
+    assert_eq!(covered.len(), CONSENSUS_VARIANTS, "a variant of the consensus messages has no case");
     let cases: Vec<(String, String)> = messages
         .into_iter()
         .map(|(of, message)| {
             let name = format!("{} {of}", name_of(&message)).trim().to_owned();
-            framed(&name, &Envelope { from: MACHINE, incarnation: INCARNATION, message })
+            encoded_case(&name, &Envelope { from: MACHINE, incarnation: INCARNATION, message })
         })
         .collect();
     GOLDEN.same_lines("peer_messages", &cases);
 }
 
 #[test]
-fn each_part_of_a_message_has_its_bytes() {
+fn parts_of_messages_match_the_golden_bytes() {
     let id = SnapshotId { index: LogIndex(1), digest: 2 };
     let mut cases = vec![
-        framed("member with a disk", &member(MACHINE, 77)),
-        framed("member without a disk", &member(OTHER, 0)),
-        framed("snapshot id", &id),
-        framed("chunk", &SnapshotChunk { id, total: 3, offset: 0, bytes: b"abc".to_vec() }),
-        framed("rank", &Rank { before: 0, nodes: 1 }),
-        framed("use", &usage(7, 6, 5, 4)),
-        framed("loan", &grant(7, 6, 5)),
+        encoded_case("member with a disk", &member(MACHINE, 77)),
+        encoded_case("member without a disk", &member(OTHER, 0)),
+        encoded_case("snapshot id", &id),
+        encoded_case("chunk", &SnapshotChunk { id, total: 3, offset: 0, bytes: b"abc".to_vec() }),
+        encoded_case("rank", &Rank { before: 0, nodes: 1 }),
+        encoded_case("use", &usage(7, 6, 5, 4)),
+        encoded_case("loan", &grant(7, 6, 5)),
     ];
-    for stage in
+    for state in
         [BackendState::Ready, BackendState::Unresponsive, BackendState::Draining, BackendState::Terminated]
     {
-        let name = match stage {
+        let name = match state {
             BackendState::Ready => "ready",
             BackendState::Unresponsive => "silent",
             BackendState::Draining => "emptying",
             BackendState::Terminated => "gone",
         };
-        cases.push(framed(&format!("backend {name}"), &backend(stage)));
+        cases.push(encoded_case(&format!("backend {name}"), &backend(state)));
     }
     GOLDEN.same_lines("message_parts", &cases);
 }
 
-/// A record of an older process has no age.
+/// Records from processes of an older version have no age.
 #[test]
-fn a_backend_without_an_age_is_read() {
+fn a_backend_without_an_age_is_decoded() {
     let bytes = frame::encode(&backend(BackendState::Ready));
     let mut fields: BTreeMap<String, ciborium::Value> = frame::decode(&bytes).expect("a map");
     assert!(fields.remove("age_ms").is_some());
-    let read: Backend = frame::decode(&frame::encode(&fields)).expect("a backend");
-    assert_eq!(read, Backend { age_ms: 0, ..backend(BackendState::Ready) });
+    let decoded: Backend = frame::decode(&frame::encode(&fields)).expect("a backend");
+    assert_eq!(decoded, Backend { age_ms: 0, ..backend(BackendState::Ready) });
 }
--- a/crates/brassport-control-plane/tests/it/golden/machine.rs
+++ b/crates/brassport-control-plane/tests/it/golden/machine.rs
@@ -1,8 +1,8 @@
-//! One node that is driven by hand.
+//! A single node that a test drives event by event.
 
 use super::*;
 
-/// A machine with what it asked of its host; its disk keeps all at once.
+/// A node with the messages and replies that it sent. Its records are synced at once.
 pub struct Machine {
     pub control: ControlPlane,
     now: Millis,
@@ -16,12 +16,12 @@
         Machine { control, now: 0, sent: Vec::new(), replies: BTreeMap::new() }
     }
 
-    /// One that leads alone.
+    /// A node that leads a cluster of its own.
     pub fn leading() -> Machine {
         let mut machine = Machine::new(MACHINE, vec![MACHINE], true);
         machine.take(Event::StoreOpened(DiskId(77), DurableState::empty()));
         machine.run(8_000);
-        assert!(machine.control.leader().is_some(), "it leads");
+        assert!(machine.control.leader().is_some(), "the node leads");
         machine
     }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// A reply as one line.
+/// A reply as one line, as in the fixtures.
 pub fn text(reply: &Reply) -> String {
     match reply {
         Reply::Done(body) => format!("done {}", String::from_utf8_lossy(body)),
--- a/crates/brassport-control-plane/tests/it/golden/messages.rs
+++ b/crates/brassport-control-plane/tests/it/golden/messages.rs
@@ -1,8 +1,8 @@
-//! A message of each kind.
+//! Sample messages of each kind.
 
 use super::*;
 
-/// Each kind of entry.
+/// A log entry of each kind.
 pub fn entries() -> Vec<Entry> {
     vec![
         Entry::Noop,
@@ -12,7 +12,8 @@
     ]
 }
 
-/// The variant's name; one that is new does not compile here until it has a case in [`peer_messages`] too.
+/// The name of a message's variant in the fixtures. The exhaustive match requires a new variant to be added here; add a
+/// case to [`peer_messages`] as well.
 pub fn name_of(message: &PeerMessage) -> &'static str {
     match message {
         PeerMessage::Gossip(..) => "gossip",
@@ -34,7 +35,7 @@
         PeerMessage::RankResponse(..) => "rank",
     }
 }
-/// Arms of [`name_of`].
+/// Number of arms in [`name_of`].
 pub const VARIANTS: usize = 17;
 
 pub fn consensus_name(message: &Message) -> &'static str {
@@ -49,7 +50,7 @@
         Message::HeartbeatResponse { .. } => "follow",
     }
 }
-/// Arms of [`consensus_name`].
+/// Number of arms in [`consensus_name`].
 pub const CONSENSUS_VARIANTS: usize = 8;
 
 pub fn peer_messages() -> Vec<(&'static str, PeerMessage)> {
@@ -87,11 +88,11 @@
     let id = SnapshotId { index: LogIndex(300), digest: 0x0011_2233_4455_6677_8899_aabb_ccdd_eeff };
     let chunk = SnapshotChunk { id, total: 70_000, offset: 32_768, bytes: vec![0, 1, 0x7f, 0x80, 0xff] };
     let indexed = |(index, entry)| CommittedEntry { index: LogIndex(index), entry };
-    let chosen: Vec<CommittedEntry> = (7..).zip(entries()).map(indexed).collect();
+    let committed: Vec<CommittedEntry> = (7..).zip(entries()).map(indexed).collect();
     vec![
         ("", PeerMessage::FetchEntries(LogIndex(299))),
         ("none", PeerMessage::Entries(Vec::new())),
-        ("each kind", PeerMessage::Entries(chosen)),
+        ("each kind", PeerMessage::Entries(committed)),
         ("", PeerMessage::SnapshotChunk(chunk)),
         ("", PeerMessage::FetchSnapshotChunk(id, 65_536)),
     ]
--- a/crates/brassport-control-plane/tests/it/golden/mod.rs
+++ b/crates/brassport-control-plane/tests/it/golden/mod.rs
@@ -1,5 +1,6 @@
-//! Golden bytes: what processes say to one another as frames, quota grants, and what callers read and send, compared with
-//! fixtures in `tests/golden`. A change of names in the sources must not change one of them.
+//! Golden tests: the encoding of peer messages and the texts of calls and replies, compared with the fixtures in
+//! `tests/golden`. Renaming items in the sources must not change any of them. The names of the cases match those in the
+//! fixtures.
 
 mod frames;
 mod machine;
@@ -32,12 +33,15 @@
 const MACHINE: Ipv4Addr = Ipv4Addr::new(10, 0, 1, 7);
 const OTHER: Ipv4Addr = Ipv4Addr::new(10, 0, 2, 9);
 
-/// The frame of a value; what is read from it is equal and has the same frame.
-fn framed<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) -> (String, String) {
+/// Encodes a value, checks that it survives a round trip, and returns the case's name and the bytes in hexadecimal.
+fn encoded_case<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    name: &str,
+    value: &T,
+) -> (String, String) {
     let bytes = frame::encode(value);
-    let read: T = frame::decode(&bytes).expect("the frame can be read");
-    assert_eq!(&read, value, "{name}");
-    assert_eq!(frame::encode(&read), bytes, "{name}");
+    let decoded: T = frame::decode(&bytes).expect("the frame can be decoded");
+    assert_eq!(&decoded, value, "{name}");
+    assert_eq!(frame::encode(&decoded), bytes, "{name}");
     (name.to_owned(), hex(&bytes))
 }
 
@@ -73,7 +77,7 @@
 
 const TERM: Term = Term::new(4, DiskId(77));
 
-/// Gossip of a node that knows no other and no backend.
+/// Gossip of a node that knows neither peers nor backends.
 fn gossip(sender: PeerRecord, index: u64, wants_reply: bool) -> PeerMessage {
     let (index, peers) = (LogIndex(index), Vec::new());
     PeerMessage::Gossip(Gossip { sender, index, table_digest: 0, leader: None, peers, wants_reply })
@@ -87,8 +91,8 @@
     QuotaGrant { tenant: TenantId(tenant), requests, sent_by_all }
 }
 
-/// A message from another node.
-fn from(from: Ipv4Addr, message: PeerMessage) -> Event {
+/// The event of a message from another node.
+fn message_from(from: Ipv4Addr, message: PeerMessage) -> Event {
     Event::PeerMessage(Envelope { from, incarnation: Incarnation(1), message })
 }
 
--- a/crates/brassport-control-plane/tests/it/golden/replies.rs
+++ b/crates/brassport-control-plane/tests/it/golden/replies.rs
@@ -1,4 +1,4 @@
-//! What callers send and read, and what a leader sends.
+//! The calls that are decoded, the replies, and the messages that a leader sends.
 
 use super::machine::Machine;
 use super::messages::name_of;
@@ -8,24 +8,27 @@
     Call::decode(method, path, base_version, body.as_bytes().to_vec()).map_err(|fault| fault.to_string())
 }
 
-const BEAT: &str = r#"{"address":"10.0.3.4:8080","details":{"service":"search","version":"1.4.2","zone":"zone-b","capacity":24},"status":{"state":"ready","callCount":7,"warmupLeftS":1.5}}"#;
+const HEARTBEAT: &str = r#"{"address":"10.0.3.4:8080","details":{"service":"search","version":"1.4.2","zone":"zone-b","capacity":24},"status":{"state":"ready","callCount":7,"warmupLeftS":1.5}}"#;
 
 #[test]
-fn calls_are_decoded_from_the_same_text() {
-    let check_in = Backend { call_count: 7, age_ms: 0, ..backend(BackendState::Ready) };
-    assert_eq!(decoded("POST", "/Servers.CheckIn/i-7f3a", None, BEAT), Ok(Call::Heartbeat(check_in.clone())));
-    let emptying = BEAT.replace("\"ready\"", "\"emptying\"");
-    let expected = Call::Heartbeat(Backend { state: BackendState::Draining, ..check_in });
-    assert_eq!(decoded("POST", "/Servers.CheckIn/i-7f3a", None, &emptying), Ok(expected));
-    let least =
+fn calls_are_decoded() {
+    let heartbeat = Backend { call_count: 7, age_ms: 0, ..backend(BackendState::Ready) };
+    assert_eq!(
+        decoded("POST", "/Servers.CheckIn/i-7f3a", None, HEARTBEAT),
+        Ok(Call::Heartbeat(heartbeat.clone()))
+    );
+    let draining = HEARTBEAT.replace("\"ready\"", "\"emptying\"");
+    let expected = Call::Heartbeat(Backend { state: BackendState::Draining, ..heartbeat });
+    assert_eq!(decoded("POST", "/Servers.CheckIn/i-7f3a", None, &draining), Ok(expected));
+    let minimal =
         r#"{"address":"10.0.3.4:8080","details":{"service":"s"},"status":{"state":"ready","callCount":0}}"#;
-    let Ok(Call::Heartbeat(least)) = decoded("POST", "/Servers.CheckIn/x", None, least) else {
-        panic!("a beat that says the least is one");
+    let Ok(Call::Heartbeat(minimal)) = decoded("POST", "/Servers.CheckIn/x", None, minimal) else {
+        panic!("a heartbeat without optional fields is valid");
     };
-    assert_eq!((least.zone.as_str(), least.version.as_str()), ("", ""));
-    assert_eq!((least.capacity, least.warmup_left_ms), (1, 0));
-    let sign_off = decoded("POST", "/Servers.SignOff/i-7f3a", None, "");
-    assert_eq!(sign_off, Ok(Call::Deregister("i-7f3a".to_owned())));
+    assert_eq!((minimal.zone.as_str(), minimal.version.as_str()), ("", ""));
+    assert_eq!((minimal.capacity, minimal.warmup_left_ms), (1, 0));
+    let deregistration = decoded("POST", "/Servers.SignOff/i-7f3a", None, "");
+    assert_eq!(deregistration, Ok(Call::Deregister("i-7f3a".to_owned())));
     for (name, scope) in [("Config.Replace", ChangeScope::Full), ("Config.Change", ChangeScope::Partial)] {
         let body = Arc::new(b"{}".to_vec());
         let put = decoded("POST", &format!("/{name}"), Some("0000001f"), "{}");
@@ -36,30 +39,30 @@
 }
 
 #[test]
-fn malformed_calls_are_rejected_with_the_same_text() {
-    let beat = |from: &str, to: &str| BEAT.replace(from, to);
+fn malformed_calls_are_rejected_with_the_golden_text() {
+    let altered = |from: &str, to: &str| HEARTBEAT.replace(from, to);
     let cases = [
         ("unknown call", "GET", "/Servers.CheckIn/x", None, String::new()),
-        ("without a name", "POST", "/Servers.CheckIn", None, BEAT.to_owned()),
+        ("without a name", "POST", "/Servers.CheckIn", None, HEARTBEAT.to_owned()),
         ("without X-Built-On", "POST", "/Config.Replace", None, String::new()),
         ("bad X-Built-On", "POST", "/Config.Change", Some("xyz"), String::new()),
-        ("state", "POST", "/Servers.CheckIn/x", None, beat("\"ready\"", "\"well\"")),
+        ("state", "POST", "/Servers.CheckIn/x", None, altered("\"ready\"", "\"well\"")),
         ("no JSON", "POST", "/Servers.CheckIn/x", None, "{".to_owned()),
-        ("no address", "POST", "/Servers.CheckIn/x", None, beat("address", "at")),
-        ("bad address", "POST", "/Servers.CheckIn/x", None, beat("10.0.3.4:8080", "here")),
-        ("no details", "POST", "/Servers.CheckIn/x", None, beat("details", "detail")),
-        ("no service", "POST", "/Servers.CheckIn/x", None, beat("service", "services")),
-        ("no status", "POST", "/Servers.CheckIn/x", None, beat("status", "stat")),
-        ("no state", "POST", "/Servers.CheckIn/x", None, beat("\"state\"", "\"stage\"")),
-        ("no callCount", "POST", "/Servers.CheckIn/x", None, beat("callCount", "count")),
-        ("bad callCount", "POST", "/Servers.CheckIn/x", None, beat(":7,", ":-7,")),
-        ("bad capacity", "POST", "/Servers.CheckIn/x", None, beat(":24", ":\"24\"")),
+        ("no address", "POST", "/Servers.CheckIn/x", None, altered("address", "at")),
+        ("bad address", "POST", "/Servers.CheckIn/x", None, altered("10.0.3.4:8080", "here")),
+        ("no details", "POST", "/Servers.CheckIn/x", None, altered("details", "detail")),
+        ("no service", "POST", "/Servers.CheckIn/x", None, altered("service", "services")),
+        ("no status", "POST", "/Servers.CheckIn/x", None, altered("status", "stat")),
+        ("no state", "POST", "/Servers.CheckIn/x", None, altered("\"state\"", "\"stage\"")),
+        ("no callCount", "POST", "/Servers.CheckIn/x", None, altered("callCount", "count")),
+        ("bad callCount", "POST", "/Servers.CheckIn/x", None, altered(":7,", ":-7,")),
+        ("bad capacity", "POST", "/Servers.CheckIn/x", None, altered(":24", ":\"24\"")),
     ];
-    let refused = |(name, method, path, base_version, body): (&str, &str, &str, Option<&str>, String)| {
-        let fault = decoded(method, path, base_version, &body).expect_err(name);
-        (name.to_owned(), fault)
+    let rejected = |(name, method, path, base_version, body): (&str, &str, &str, Option<&str>, String)| {
+        let error = decoded(method, path, base_version, &body).expect_err(name);
+        (name.to_owned(), error)
     };
-    GOLDEN.same_lines("call_faults", &cases.map(refused));
+    GOLDEN.same_lines("call_faults", &cases.map(rejected));
 }
 
 fn put(scope: ChangeScope, base_version: u32, body: &str) -> Call {
@@ -70,7 +73,7 @@
 const FIRST: &str = r#"{"version":"00000001","services":[{"name":"search","healthPath":"/ok"}],"hosts":[{"host":"A.example","paths":[{"name":"all","pathStart":"/","giveUpS":2.5,"service":"search","extra":[1]}]}],"customers":[{"name":"c","keys":["k"],"ratePerS":10,"burst":20}],"note":"kept"}"#;
 
 #[test]
-fn a_leader_replies_with_the_same_text() {
+fn the_replies_of_a_leader_match_the_golden_text() {
     let mut machine = Machine::leading();
     machine.call(1, put(ChangeScope::Full, 0, FIRST));
     machine.call(2, put(ChangeScope::Full, 0, FIRST));
@@ -115,13 +118,13 @@
     let mut machine = Machine::leading();
     machine.control.set_control_port(8_381);
     let near = PeerRecord { zone: "zone-b".to_owned(), ..member(OTHER, 0) };
-    machine.take(from(OTHER, gossip(near, 0, false)));
+    machine.take(message_from(OTHER, gossip(near, 0, false)));
     machine.call(1, Call::Heartbeat(backend(BackendState::Ready)));
     GOLDEN.same_lines("beat_elsewhere", &[("beat".to_owned(), machine.reply(1))]);
 }
 
 #[test]
-fn a_follower_replies_with_the_same_text() {
+fn the_replies_of_a_follower_match_the_golden_text() {
     let mut alone = Machine::new(MACHINE, vec![OTHER], false);
     alone.call(1, put(ChangeScope::Full, 0, FIRST));
     alone.call(2, Call::ReadConfiguration);
@@ -134,7 +137,7 @@
         peers: Vec::new(),
         wants_reply: false,
     };
-    follower.take(from(OTHER, PeerMessage::Gossip(gossip)));
+    follower.take(message_from(OTHER, PeerMessage::Gossip(gossip)));
     follower.call(1, put(ChangeScope::Full, 0, FIRST));
     follower.call(2, Call::Deregister("i-7f3a".to_owned()));
     follower.run(1_000);
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn a_core_that_still_meets_rejects_a_configuration() {
+fn a_leader_rejects_a_configuration_while_the_core_forms() {
     let mut machine = Machine::new(MACHINE, vec![MACHINE], true);
     machine.control = ControlPlane::new(options(MACHINE, vec![MACHINE], true, 1), 0);
     machine.take(Event::StoreOpened(DiskId(77), DurableState::empty()));
@@ -165,14 +168,14 @@
     let mut machine = Machine::leading();
     machine.call(1, put(ChangeScope::Full, 0, FIRST));
     machine.call(2, Call::Heartbeat(backend(BackendState::Ready)));
-    machine.take(from(OTHER, gossip(member(OTHER, 0), 1, false)));
+    machine.take(message_from(OTHER, gossip(member(OTHER, 0), 1, false)));
     machine.call(3, Call::Status);
     let mut fresh = Machine::new(OTHER, vec![MACHINE], false);
     fresh.call(1, Call::Status);
-    // A first chunk of a snapshot that is longer.
+    // The first of several chunks of a snapshot.
     let id = SnapshotId { index: LogIndex(300), digest: 5 };
     let chunk = SnapshotChunk { id, total: 70_000, offset: 0, bytes: vec![7; 32_768] };
-    fresh.take(from(MACHINE, PeerMessage::SnapshotChunk(chunk)));
+    fresh.take(message_from(MACHINE, PeerMessage::SnapshotChunk(chunk)));
     fresh.call(2, Call::Status);
     let cases = [
         ("a leader with a backend and a door", machine.reply(3)),
@@ -182,15 +185,16 @@
     GOLDEN.same_lines("status", &cases.map(|(name, reply)| (name.to_owned(), reply)));
 }
 
-/// What a machine makes of its own: gossip, ranges, entries, snapshots with their digests, ranks, loans.
+/// The messages that a leader builds from its own state: gossip, records of differing ranges, entries, a snapshot with
+/// its digest, a rank, and a quota grant.
 #[test]
-fn a_leader_sends_the_same_frames() {
+fn the_messages_of_a_leader_match_the_golden_frames() {
     let mut machine = Machine::leading();
     machine.call(1, put(ChangeScope::Full, 0, FIRST));
     machine.call(2, Call::Heartbeat(backend(BackendState::Ready)));
     machine.run(1_000);
     machine.sent.clear();
-    let asked = [
+    let requests = [
         gossip(member(OTHER, 0), 0, true),
         PeerMessage::TableDigests([0; DIGEST_RANGES]),
         PeerMessage::BackendRecords(
@@ -202,13 +206,13 @@
         PeerMessage::RankRequest("zone-a".to_owned()),
         PeerMessage::FetchEntries(LogIndex(0)),
     ];
-    for message in asked {
-        machine.take(from(OTHER, message));
+    for message in requests {
+        machine.take(message_from(OTHER, message));
     }
-    // What stands at index 1 was never here as an entry: the last answer is a snapshot.
+    // This node never had index 1 as an entry, so it answers the last request with a snapshot.
     let mut cases = Vec::new();
     for (number, (to, message)) in machine.sent.iter().enumerate() {
-        cases.push(framed(&format!("{number} {} to {to}", name_of(message)), message));
+        cases.push(encoded_case(&format!("{number} {} to {to}", name_of(message)), message));
     }
     GOLDEN.same_lines("leader_sends", &cases);
 }
