--- a/crates/brassport-control-plane/tests/it/main.rs
+++ b/crates/brassport-control-plane/tests/it/main.rs
@@ -1,5 +1,5 @@
-//! The control plane on simulated time: scenarios, random schedules, latency bounds and golden bytes.
-#![allow(clippy::needless_pass_by_value, reason = "texts of violations are made in place and passed on")]
+//! Tests of the control plane: scenarios and random schedules on simulated time, latency bounds, and golden tests.
+#![allow(clippy::needless_pass_by_value, reason = "messages of violations are built by the caller")]
 
 mod sim;
 
--- a/crates/brassport-control-plane/tests/it/mutants.rs
+++ b/crates/brassport-control-plane/tests/it/mutants.rs
@@ -1,4 +1,4 @@
-//! Each deliberate fault of the control plane is detected by a scenario.
+//! Mutation tests: each deliberate fault in the control plane is detected by a scenario.
 
 use crate::sim::{self, script};
 use brassport_config_store::consensus::mutants::{activate, Mutant};
@@ -7,10 +7,11 @@
 
 fn scenario(name: &str) -> String {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/scenarios/{name}.txt"));
-    std::fs::read_to_string(file).expect("the scenario")
+    std::fs::read_to_string(file).expect("the scenario can be read")
 }
 
-/// The leader is lost at some moment while another machine, whose successor is there, is told to end.
+/// The leader is killed, at a time that depends on the seed, right after another machine was asked to shut down whose
+/// successor is already running.
 fn leader_lost_while_another_leaves(seed: u64) -> String {
     format!(
         "machines 4 disks, 2 plain, zones a b c\nsurvive 1\nseed {seed}\nup 0 1 2 4 5\nat 3 operator put v5 on 0 as first\n\
@@ -20,35 +21,35 @@
     )
 }
 
-fn broken(text: &str) -> Vec<String> {
-    sim::play(script::parse(text).expect("it makes sense"))
+fn violations(text: &str) -> Vec<String> {
+    sim::run_script(script::parse(text).expect("a valid scenario"))
 }
 
 #[test_case(Mutant::SilentStays, "machines_of_three_are_replaced_one_after_another")]
-#[test_case(Mutant::CutOffHandsOut, "a_machine_partitioned_sends_no_old_configuration")]
+#[test_case(Mutant::CutOffHandsOut, "a_partitioned_node_sends_no_outdated_configuration")]
 #[test_case(Mutant::IsolationTrusted, "a_deregistration_that_only_a_killed_core_knew")]
 #[test_case(Mutant::SuccessorFirst, "a_successor_is_lost_within_a_second")]
 fn a_scenario_detects_the_mutant(mutant: Mutant, name: &str) {
     let text = scenario(name);
-    assert_eq!(broken(&text), Vec::<String>::new(), "without the fault");
+    assert_eq!(violations(&text), Vec::<String>::new(), "without the fault");
     activate(Some(mutant));
-    let found = broken(&text);
+    let found = violations(&text);
     activate(None);
     println!("{mutant:?}: {found:?}");
     assert!(!found.is_empty(), "{mutant:?} was not found");
 }
 
 #[test_case(Mutant::ReleasedUnasked, leader_lost_while_another_leaves)]
-fn some_moment_detects_the_mutant(mutant: Mutant, text: impl Fn(u64) -> String) {
-    let sound: Vec<u64> = (0..120).filter(|seed| !broken(&text(*seed)).is_empty()).collect();
+fn a_seed_detects_the_mutant(mutant: Mutant, text: impl Fn(u64) -> String) {
+    let failed: Vec<u64> = (0..120).filter(|seed| !violations(&text(*seed)).is_empty()).collect();
     assert_eq!(
-        sound,
+        failed,
         Vec::<u64>::new(),
         "without the fault: {:?}",
-        broken(&text(sound.first().copied().unwrap_or_default()))
+        violations(&text(failed.first().copied().unwrap_or_default()))
     );
     activate(Some(mutant));
-    let found: Vec<u64> = (0..120).filter(|seed| !broken(&text(*seed)).is_empty()).collect();
+    let found: Vec<u64> = (0..120).filter(|seed| !violations(&text(*seed)).is_empty()).collect();
     activate(None);
     println!("{mutant:?}: seeds {found:?}");
     assert!(!found.is_empty(), "{mutant:?} was not found");
--- a/crates/brassport-control-plane/tests/it/random_schedules.rs
+++ b/crates/brassport-control-plane/tests/it/random_schedules.rs
@@ -1,26 +1,30 @@
-//! Schedules drawn from a seed, over 3, 4 and 8 machines with disks, some replaced, with what must always hold. `CONTROL_PLANE_SEEDS` sets how many. A
-//! schedule that fails is printed as a scenario: saved as a file of `scenarios/` it plays the same.
+//! Random schedules of calls and faults over 3, 4 and 8 machines with disks, some of which are replaced, checked
+//! against the invariants. `CONTROL_PLANE_SEEDS` sets the number of schedules, and `CONTROL_PLANE_FIRST` the first
+//! seed. A schedule that fails is printed as a scenario; saved as a file in `scenarios/`, it reproduces the run.
 
 use crate::sim::{self, script};
 use oorandom::Rand64;
 use std::fmt::Write;
 
-/// Machines that may take the place of others.
+/// Number of machines that may replace others.
 const SPARES: u64 = 4;
 
-/// A schedule while it is drawn: the order of draws is what a seed stands for.
+/// A schedule that is being drawn. The order of the draws determines the schedule of a seed.
 struct Schedule {
     rng: Rand64,
     text: String,
-    /// Machines with a disk, all machines, and those without a disk.
+    /// Number of machines with a disk.
     disks: u64,
+    /// Number of all machines.
     all: u64,
-    plain: u64,
-    /// The machines of the core, and the next one that may take the place of another.
+    /// Number of machines without a disk.
+    diskless: u64,
+    /// The machines of the core.
     members: Vec<u64>,
+    /// The next machine that may replace another.
     spare: u64,
     calls: u64,
-    /// The time that the next round begins at, in ms.
+    /// Start of the next round, in ms.
     at: u64,
 }
 
@@ -37,7 +41,7 @@
         let rng = Rand64::new(u128::from(seed) << 1 | 1);
         let (text, members) = (String::new(), Vec::new());
         let mut schedule =
-            Schedule { rng, text, disks: 0, all: 0, plain: 0, members, spare: 0, calls: 0, at: 4_000 };
+            Schedule { rng, text, disks: 0, all: 0, diskless: 0, members, spare: 0, calls: 0, at: 4_000 };
         let members = [3, 4, 8][schedule.draw(3) as usize];
         let disks = members + SPARES;
         let plain = schedule.draw(4);
@@ -49,7 +53,7 @@
             (members - 1) / 2,
             up.join(" ")
         );
-        (schedule.disks, schedule.all, schedule.plain) = (disks, all, plain);
+        (schedule.disks, schedule.all, schedule.diskless) = (disks, all, plain);
         (schedule.members, schedule.spare) = ((0..members).collect(), members);
         for what in ["operator next as first", "backend b1 of svc beats", "backend b2 of svc beats"] {
             schedule.line(4_000, what);
@@ -58,7 +62,8 @@
         schedule
     }
 
-    /// Calls come all the while, faults among them; then all is well again, and one machine may be replaced.
+    /// Draws a round: calls of operators with faults among them, then recovery from all faults, and possibly the
+    /// replacement of one machine.
     fn round(&mut self, round: u64) {
         let end = self.at + 2_000 + self.draw(2_000);
         self.operators(end);
@@ -73,13 +78,13 @@
         for _ in 0..1 + self.draw(4) {
             self.fault();
         }
-        if self.plain > 0 && self.draw(4) == 0 {
+        if self.diskless > 0 && self.draw(4) == 0 {
             let at = self.at + self.draw(300);
-            let one = self.disks + self.draw(self.plain);
-            self.line(at, &format!("cut {one} off"));
+            let machine = self.disks + self.draw(self.diskless);
+            self.line(at, &format!("cut {machine} off"));
         }
         self.at = end + 1_500;
-        // All have room, and run, and hear one another.
+        // Ends all partitions, losses and disk faults, and starts the whole core.
         for what in ["join", "loss 0%", "disk of core well", "start core"] {
             self.line(self.at, what);
         }
@@ -89,7 +94,7 @@
         }
     }
 
-    /// Configurations are sent to any machine; two at once are a race.
+    /// Sends configurations to random machines, some of them concurrently.
     fn operators(&mut self, end: u64) {
         let mut next = self.at;
         while next < end {
@@ -102,20 +107,20 @@
 
     fn fault(&mut self) {
         let index = self.draw(self.members.len() as u64) as usize;
-        let one = self.members[index];
+        let machine = self.members[index];
         let when = self.at + self.draw(1_500);
         let long = 100 + self.draw(2_500);
         match self.draw(11) {
             0 | 1 => {
-                self.line(when, &format!("kill {one}"));
-                self.line(when + long, &format!("start {one}"));
+                self.line(when, &format!("kill {machine}"));
+                self.line(when + long, &format!("start {machine}"));
             }
-            2 | 3 => self.line(when, &format!("freeze {one} for {long}ms")),
-            4 => self.line(when, &format!("cut {one} off")),
-            5 => self.two_partitions(when, one),
+            2 | 3 => self.line(when, &format!("freeze {machine} for {long}ms")),
+            4 => self.line(when, &format!("cut {machine} off")),
+            5 => self.two_partitions(when, machine),
             6 => {
                 let how = ["deaf", "mute"][self.draw(2) as usize];
-                self.line(when, &format!("cut {one} {how}"));
+                self.line(when, &format!("cut {machine} {how}"));
             }
             7 => {
                 let percent = 1 + self.draw(25);
@@ -129,15 +134,16 @@
                 self.line(at, "start core");
             }
             9 => {
-                self.line(when, &format!("disk of {one} full"));
-                self.line(when + long, &format!("disk of {one} well"));
+                self.line(when, &format!("disk of {machine} full"));
+                self.line(when + long, &format!("disk of {machine} well"));
             }
-            _ => self.line(when, &format!("disk of {one} hangs for {long}ms")),
+            _ => self.line(when, &format!("disk of {machine} hangs for {long}ms")),
         }
     }
 
-    fn two_partitions(&mut self, when: u64, one: u64) {
-        let is_same = |other: &u64| other % 2 == one % 2;
+    /// Partitions the machines with even numbers from those with odd numbers.
+    fn two_partitions(&mut self, when: u64, machine: u64) {
+        let is_same = |other: &u64| other % 2 == machine % 2;
         let others: Vec<String> =
             (0..self.all).filter(|other| !is_same(other)).map(|other| other.to_string()).collect();
         for same in (0..self.all).filter(is_same) {
@@ -145,11 +151,11 @@
         }
     }
 
-    /// A disk is lost, or a machine goes for good, while all others are there; the new one is let in before the next
-    /// fault: `catchUpS` (4 s) behind its start.
+    /// Loses a disk, or replaces a machine, while all others run. The new voter is added before the next fault, which
+    /// comes at least `catchUpS` (4 s) after its start.
     fn replacement(&mut self) {
         self.at += 4_000;
-        // The newest list of the operator's.
+        // The most recent members, as in an up-to-date seed list.
         let seeds: Vec<String> = self.members.iter().rev().take(3).map(u64::to_string).collect();
         let has_spare = self.spare < self.disks;
         let (at, spare) = (self.at, self.spare);
@@ -157,14 +163,14 @@
             self.line(at, &format!("seeds of {spare} are {}", seeds.join(" ")));
         }
         let index = self.draw(self.members.len() as u64) as usize;
-        let one = self.members[index];
+        let machine = self.members[index];
         match self.draw(3) {
             0 => {
-                self.line(at, &format!("lose disk of {one}"));
-                self.line(at + 500, &format!("start {one}"));
+                self.line(at, &format!("lose disk of {machine}"));
+                self.line(at + 500, &format!("start {machine}"));
             }
             1 if has_spare => {
-                self.line(at, &format!("retire {one}"));
+                self.line(at, &format!("retire {machine}"));
                 let start = at + self.draw(1_500);
                 self.line(start, &format!("start {spare}"));
                 (self.members[index], self.spare) = (spare, spare + 1);
@@ -172,9 +178,9 @@
             _ if has_spare => {
                 self.line(at, &format!("start {spare}"));
                 let after = self.draw(3);
-                self.line(at + 1_000, &format!("stop {one} after {after}s"));
-                // Gone by then: `graceS`.
-                self.line(at + 7_100, &format!("retire {one}"));
+                self.line(at + 1_000, &format!("stop {machine} after {after}s"));
+                // The machine has exited by then (`graceS`).
+                self.line(at + 7_100, &format!("retire {machine}"));
                 (self.members[index], self.spare) = (spare, spare + 1);
                 self.at += 1_600;
             }
@@ -184,7 +190,7 @@
     }
 }
 
-/// The schedule of a seed, as a scenario.
+/// The scenario for a seed.
 fn schedule(seed: u64) -> String {
     let mut schedule = Schedule::begin(seed);
     for round in 0..6 {
@@ -200,29 +206,29 @@
     let first: u64 =
         std::env::var("CONTROL_PLANE_FIRST").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
     let threads = std::thread::available_parallelism().map_or(2, std::num::NonZero::get).min(4) as u64;
-    let lane = |lane: u64| {
-        let mut broken = Vec::new();
-        for seed in (first + lane..first + seeds).step_by(threads as usize) {
+    let run_seeds = |thread: u64| {
+        let mut failed = Vec::new();
+        for seed in (first + thread..first + seeds).step_by(threads as usize) {
             let text = schedule(seed);
-            let script = script::parse(&text).unwrap_or_else(|fault| panic!("seed {seed}: {fault}\n{text}"));
-            let faults = sim::play(script);
-            if !faults.is_empty() {
-                broken.push((seed, faults, text));
+            let script = script::parse(&text).unwrap_or_else(|error| panic!("seed {seed}: {error}\n{text}"));
+            let violations = sim::run_script(script);
+            if !violations.is_empty() {
+                failed.push((seed, violations, text));
             }
         }
-        broken
+        failed
     };
-    let mut broken: Vec<_> = std::thread::scope(|scope| {
-        let lanes: Vec<_> = (0..threads).map(|number| scope.spawn(move || lane(number))).collect();
-        lanes.into_iter().flat_map(|lane| lane.join().expect("a schedule ended")).collect()
+    let mut failed: Vec<_> = std::thread::scope(|scope| {
+        let handles: Vec<_> = (0..threads).map(|thread| scope.spawn(move || run_seeds(thread))).collect();
+        handles.into_iter().flat_map(|handle| handle.join().expect("the thread ends")).collect()
     });
-    broken.sort_by_key(|(seed, ..)| *seed);
-    for (seed, faults, _) in &broken {
-        println!("seed {seed}:\n  {}", faults.join("\n  "));
+    failed.sort_by_key(|(seed, ..)| *seed);
+    for (seed, violations, _) in &failed {
+        println!("seed {seed}:\n  {}", violations.join("\n  "));
     }
-    for (seed, _, text) in broken.iter().take(3) {
+    for (seed, _, text) in failed.iter().take(3) {
         println!("seed {seed} as a scenario:\n{text}");
     }
-    let seeds: Vec<u64> = broken.iter().map(|(seed, ..)| *seed).collect();
-    assert!(seeds.is_empty(), "these seeds broke something: {seeds:?}");
+    let seeds: Vec<u64> = failed.iter().map(|(seed, ..)| *seed).collect();
+    assert!(seeds.is_empty(), "failed seeds: {seeds:?}");
 }
--- a/crates/brassport-control-plane/tests/it/sim/corruption.rs
+++ b/crates/brassport-control-plane/tests/it/sim/corruption.rs
@@ -1,6 +1,6 @@
-//! A snapshot of which a byte was changed in flight.
+//! A snapshot that is corrupted in flight.
 
-use super::{ip, HEARTBEAT_INTERVAL};
+use super::{ip, HEARTBEAT_INTERVAL_MS};
 use brassport_config_store::consensus::ReplicatedState;
 use brassport_control_plane::peer_message::{Envelope, PeerMessage};
 use brassport_control_plane::{ControlPlane, Event, FaultTolerance, Options, SnapshotChunk, SnapshotId};
@@ -8,7 +8,7 @@
 use brassport_types::{DiskId, Incarnation, LogIndex};
 use sha2::{Digest, Sha256};
 
-/// Whether a machine takes in a snapshot of which a byte was changed on its way, so that it still can be read.
+/// Whether a node installs a snapshot that was corrupted in flight and can still be decoded.
 pub fn is_corrupt_snapshot_installed() -> bool {
     let node = PeerRecord {
         ip: ip(0),
@@ -22,14 +22,14 @@
         seeds: vec![ip(1)],
         first_start: false,
         fault_tolerance: FaultTolerance::machines(1),
-        heartbeat_interval_ms: HEARTBEAT_INTERVAL,
+        heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
         seed: 1,
     };
     let mut control = ControlPlane::new(options, 0);
     let bytes = |quota_shares: u32| {
         let state = ReplicatedState { index: LogIndex(9), quota_shares, ..ReplicatedState::empty() };
         let mut bytes = Vec::new();
-        ciborium::into_writer(&state, &mut bytes).expect("a state can be written");
+        ciborium::into_writer(&state, &mut bytes).expect("the state can be encoded");
         bytes
     };
     let (sound, corrupt) = (bytes(4), bytes(5));
--- a/crates/brassport-control-plane/tests/it/sim/host.rs
+++ b/crates/brassport-control-plane/tests/it/sim/host.rs
@@ -1,4 +1,4 @@
-//! One machine: its process, its disk, and what it hears of the others.
+//! One simulated machine: its process, its disk, and its network connections.
 
 use super::script::{Millis, Setup};
 use super::store::Store;
@@ -7,30 +7,31 @@
 
 pub struct Host {
     pub control: Option<ControlPlane>,
-    /// How often it was started.
+    /// How often its process was started.
     pub starts: u64,
     pub started_at: Millis,
     pub frozen_until: Millis,
     pub is_core: bool,
-    /// Gone for good.
+    /// Removed permanently.
     pub retired: bool,
-    /// When its process ended last.
+    /// When its process last ended.
     pub ended: Millis,
     pub zone: String,
     pub store: Store,
-    /// The try behind each open call.
+    /// The caller's attempt for each pending call, by the number of the call.
     pub calls: BTreeMap<u64, u64>,
     pub last_call: u64,
     pub seeds: Vec<usize>,
-    /// Whom it does not hear.
-    pub deaf_to: BTreeSet<usize>,
-    /// What it sends until then comes so much later.
-    pub lag: (Millis, Millis),
-    pub sends_free: Millis,
+    /// Machines whose messages do not reach this one.
+    pub blocked_senders: BTreeSet<usize>,
+    /// Until this time, messages sent by the machine are delayed by the second value.
+    pub send_delay: (Millis, Millis),
+    /// When the machine's link has sent all messages so far.
+    pub link_free_at: Millis,
 }
 
 impl Host {
-    /// A machine that has not started.
+    /// Creates a machine whose process has not started.
     pub fn new(number: usize, setup: &Setup) -> Host {
         Host {
             control: None,
@@ -45,9 +46,9 @@
             calls: BTreeMap::new(),
             last_call: 0,
             seeds: setup.seeds.clone(),
-            deaf_to: BTreeSet::new(),
-            lag: (0, 0),
-            sends_free: 0,
+            blocked_senders: BTreeSet::new(),
+            send_delay: (0, 0),
+            link_free_at: 0,
         }
     }
 }
--- a/crates/brassport-control-plane/tests/it/sim/mod.rs
+++ b/crates/brassport-control-plane/tests/it/sim/mod.rs
@@ -1,15 +1,16 @@
-//! A whole control plane on simulated time: machines with a `ControlPlane` each, their disks, the network between them, and
-//! whoever calls. All is drawn from one seed, so each run repeats exactly. Nothing here sleeps or opens a socket.
+//! A deterministic simulation of a cluster: machines that each run a `ControlPlane`, their disks, the network between
+//! them, backends and operators that call them, and checks of invariants. Time is simulated and all random choices come
+//! from one seed, so a run can be repeated exactly. The simulation neither sleeps nor opens sockets.
 
 pub mod callers;
 #[cfg(feature = "mutants")]
 mod corruption;
 pub mod host;
-pub mod judge;
+pub mod invariants;
 mod network;
-pub mod play;
 mod process;
 pub mod script;
+mod statements;
 pub mod store;
 
 #[cfg(feature = "mutants")]
@@ -21,40 +22,45 @@
 use brassport_types::Incarnation;
 use callers::Callers;
 use host::Host;
-use judge::Judge;
+use invariants::InvariantChecker;
 use oorandom::Rand64;
 use script::{Line, Millis, Script, Setup};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// Between two ticks of a process; between two checks of the judge; between two heartbeats of a backend.
-const TICK: Millis = 60;
-const CHECK_INTERVAL: Millis = 50;
-pub const HEARTBEAT_INTERVAL: Millis = 1_000;
-/// A machine that shuts down has ended by then, in ms (`graceS`).
-const GRACE: Millis = 6_000;
-/// One way between a caller and a machine.
-const CALLER: Millis = 3;
+const TICK_MS: Millis = 60;
+const CHECK_INTERVAL_MS: Millis = 50;
+pub const HEARTBEAT_INTERVAL_MS: Millis = 1_000;
+/// A process that is shut down is killed after this time at the latest (`graceS`).
+const SHUTDOWN_GRACE_MS: Millis = 6_000;
+/// One-way latency between a caller and a machine.
+const CALLER_LATENCY_MS: Millis = 3;
 
+/// A scheduled event. Events of a process carry the machine and its start count, so that they have no effect on a later
+/// process of the same machine.
 #[derive(Debug, Clone)]
-pub enum Step {
+pub enum SimEvent {
     Tick(usize, u64),
-    Open(usize, u64),
-    Synced(usize, u64),
-    Arrive(usize, Envelope),
-    /// A call reaches a machine: the number of the try.
-    Call(usize, u64, Call),
-    /// An answer reaches the caller; `None`: the connection failed.
-    Answer(u64, Option<Reply>),
-    Timeout(u64),
-    /// A caller's next try.
-    Again(usize),
-    Heartbeat(String),
-    Line(usize),
-    Thawed(usize),
-    /// A machine that shuts down checks whether it may end: its start, since when, and how long it stays at the least.
-    Ends(usize, u64, Millis, Millis),
-    Check,
+    OpenStore(usize, u64),
+    RecordSynced(usize, u64),
+    MessageArrives(usize, Envelope),
+    /// A call reaches a machine: the machine, the number of the attempt, and the call.
+    CallArrives(usize, u64, Call),
+    /// A reply to an attempt reaches the caller; `None` if the connection failed.
+    ReplyArrives(u64, Option<Reply>),
+    /// The caller's timeout for an attempt expires.
+    CallTimesOut(u64),
+    /// A caller makes the next attempt of a session.
+    RetryCall(usize),
+    /// The backend with this ID sends its next heartbeat.
+    SendHeartbeat(String),
+    /// A line of the scenario is executed.
+    RunLine(usize),
+    Unfrozen(usize),
+    /// Checks whether a process that is shutting down may exit: the machine, its start count, the time of the shutdown
+    /// request, and the minimum time until the exit.
+    CheckExit(usize, u64, Millis, Millis),
+    CheckInvariants,
 }
 
 pub struct Sim {
@@ -63,19 +69,19 @@
     fired: BTreeSet<usize>,
     pub now: Millis,
     rng: Rand64,
-    queue: BTreeMap<(Millis, u64), Step>,
-    last_step: u64,
+    queue: BTreeMap<(Millis, u64), SimEvent>,
+    last_event: u64,
     pub machines: Vec<Host>,
     loss: u64,
-    repeats: (u64, Millis),
-    pub answers_lost: u64,
+    duplication: (u64, Millis),
+    pub reply_loss: u64,
     pub names: BTreeMap<String, usize>,
     pub callers: Callers,
-    pub judge: Judge,
-    /// Machines that were shut down, and how many ms they took.
+    pub invariants: InvariantChecker,
+    /// The machines that were shut down, and how long each took in ms.
     pub ended: Vec<(usize, Millis)>,
-    /// What was expected and is not so.
-    pub failed: Vec<String>,
+    /// Failed statements and expectations of the scenario.
+    pub unmet_expectations: Vec<String>,
 }
 
 pub fn ip(machine: usize) -> Ipv4Addr {
@@ -86,56 +92,56 @@
     usize::from(ip.octets()[3]).wrapping_sub(1)
 }
 
-/// One run of a machine's process: another with each start, and another at each machine.
+/// The incarnation of a machine's process, unique for each start and machine.
 fn incarnation(machine: usize, starts: u64) -> Incarnation {
     Incarnation(starts << 8 | machine as u64)
 }
 
-/// Plays a scenario. What broke, a line each.
-pub fn play(script: Script) -> Vec<String> {
+/// Runs a scenario. Returns the violated invariants and the unmet expectations.
+pub fn run_script(script: Script) -> Vec<String> {
     let mut sim = Sim::new(script);
     sim.run();
-    let broken = sim.judge.broken.iter().cloned();
-    broken.chain(sim.failed.iter().cloned()).collect()
+    let broken = sim.invariants.violations.iter().cloned();
+    broken.chain(sim.unmet_expectations.iter().cloned()).collect()
 }
 
 impl Sim {
     pub fn new(script: Script) -> Sim {
         let Script { mut setup, lines } = script;
-        let all = setup.disks + setup.plain;
+        let all = setup.disks + setup.diskless;
         if setup.seeds.is_empty() {
             setup.seeds = (0..all.min(3)).collect();
         }
         let machines = (0..all).map(|number| Host::new(number, &setup)).collect();
         let mut sim = Sim {
             rng: Rand64::new(u128::from(setup.seed)),
-            judge: Judge::new(all),
+            invariants: InvariantChecker::new(all),
             setup,
             lines,
             fired: BTreeSet::new(),
             now: 0,
             queue: BTreeMap::new(),
-            last_step: 0,
+            last_event: 0,
             machines,
             loss: 0,
-            repeats: (0, 0),
-            answers_lost: 0,
+            duplication: (0, 0),
+            reply_loss: 0,
             names: BTreeMap::new(),
             callers: Callers::default(),
             ended: Vec::new(),
-            failed: Vec::new(),
+            unmet_expectations: Vec::new(),
         };
-        for number in sim.setup.up.clone().unwrap_or_else(|| (0..all).collect()) {
+        for number in sim.setup.initially_running.clone().unwrap_or_else(|| (0..all).collect()) {
             sim.start(number, true);
         }
-        sim.at(CHECK_INTERVAL, Step::Check);
+        sim.schedule(CHECK_INTERVAL_MS, SimEvent::CheckInvariants);
         sim.schedule_lines();
         sim
     }
 
-    pub fn at(&mut self, delay: Millis, step: Step) {
-        self.last_step += 1;
-        self.queue.insert((self.now + delay, self.last_step), step);
+    pub fn schedule(&mut self, delay: Millis, event: SimEvent) {
+        self.last_event += 1;
+        self.queue.insert((self.now + delay, self.last_event), event);
     }
 
     pub fn draw(&mut self, below: u64) -> u64 {
@@ -149,144 +155,150 @@
     }
 
     pub fn run_until(&mut self, end: Millis) {
-        // A few faults say as much as a thousand.
-        while !self.is_given_up() {
-            let Some(((at, number), step)) = self.queue.pop_first() else { break };
+        // Stops early: later violations usually follow from the first ones.
+        while !self.has_enough_violations() {
+            let Some(((at, number), event)) = self.queue.pop_first() else { break };
             if at > end {
-                self.queue.insert((at, number), step);
+                self.queue.insert((at, number), event);
                 break;
             }
             self.now = self.now.max(at);
-            self.step(step);
+            self.process(event);
         }
         self.now = self.now.max(end);
     }
 
-    /// What a machine tells those who run it.
-    pub fn status(&self, one: usize) -> serde_json::Value {
-        let control = self.machines[one].control.as_ref();
+    /// The status that a machine reports; null if its process does not run.
+    pub fn status(&self, node: usize) -> serde_json::Value {
+        let control = self.machines[node].control.as_ref();
         control.map_or(serde_json::Value::Null, ControlPlane::status)
     }
 
-    /// Whether enough is broken.
-    pub fn is_given_up(&self) -> bool {
-        self.judge.broken.len() >= 8
+    /// Whether the run stops early because of its violations.
+    pub fn has_enough_violations(&self) -> bool {
+        self.invariants.violations.len() >= 8
     }
 
-    fn step(&mut self, step: Step) {
-        let of = match &step {
-            Step::Tick(one, _) | Step::Open(one, _) | Step::Synced(one, _) => Some(*one),
-            Step::Arrive(one, _) | Step::Call(one, _, _) => Some(*one),
+    fn process(&mut self, event: SimEvent) {
+        let of = match &event {
+            SimEvent::Tick(node, _) | SimEvent::OpenStore(node, _) | SimEvent::RecordSynced(node, _) => {
+                Some(*node)
+            }
+            SimEvent::MessageArrives(node, _) | SimEvent::CallArrives(node, _, _) => Some(*node),
             _ => None,
         };
-        // What comes for a machine that stands still waits, in its order.
-        if let Some(until) = of.map(|one| self.machines[one].frozen_until).filter(|until| self.now < *until) {
-            return self.at(until - self.now, step);
+        // Events for a frozen machine are deferred until it resumes, in their order.
+        if let Some(until) = of.map(|node| self.machines[node].frozen_until).filter(|until| self.now < *until)
+        {
+            return self.schedule(until - self.now, event);
         }
-        match step {
-            Step::Tick(one, starts) => {
-                if self.lives(one, starts) {
-                    self.handle(one, Event::Tick);
-                    let wait = TICK + self.draw(6);
-                    self.at(wait, Step::Tick(one, starts));
+        match event {
+            SimEvent::Tick(node, starts) => {
+                if self.is_same_process(node, starts) {
+                    self.handle(node, Event::Tick);
+                    let wait = TICK_MS + self.draw(6);
+                    self.schedule(wait, SimEvent::Tick(node, starts));
                 }
             }
-            Step::Open(one, starts) => self.open(one, starts),
-            Step::Synced(one, starts) => self.synced(one, starts),
-            // Dropped by `handle` if the machine does not run.
-            Step::Arrive(one, envelope) => self.handle(one, Event::PeerMessage(envelope)),
-            Step::Call(one, try_number, call) => {
-                self.call(one, try_number, call);
+            SimEvent::OpenStore(node, starts) => self.open(node, starts),
+            SimEvent::RecordSynced(node, starts) => self.synced(node, starts),
+            // `handle` drops the message if the process does not run.
+            SimEvent::MessageArrives(node, envelope) => self.handle(node, Event::PeerMessage(envelope)),
+            SimEvent::CallArrives(node, attempt, call) => {
+                self.call(node, attempt, call);
+            }
+            SimEvent::ReplyArrives(attempt, reply) => self.on_reply(attempt, reply),
+            SimEvent::CallTimesOut(attempt) => self.on_reply(attempt, None),
+            SimEvent::RetryCall(session) => self.retry(session),
+            SimEvent::SendHeartbeat(id) => self.heartbeat(&id),
+            SimEvent::RunLine(index) => self.line(index),
+            SimEvent::CheckExit(node, starts, since, min_ms) => self.check_exit(node, starts, since, min_ms),
+            SimEvent::Unfrozen(node) => {
+                self.invariants.fault_until(node, self.machines[node].is_core, self.now);
             }
-            Step::Answer(try_number, reply) => self.on_answer(try_number, reply),
-            Step::Timeout(try_number) => self.on_answer(try_number, None),
-            Step::Again(session) => self.retry(session),
-            Step::Heartbeat(id) => self.heartbeat(&id),
-            Step::Line(index) => self.line(index),
-            Step::Ends(one, starts, since, soonest) => self.end_if_released(one, starts, since, soonest),
-            Step::Thawed(one) => self.judge.fault_until(one, self.machines[one].is_core, self.now),
-            Step::Check => {
+            SimEvent::CheckInvariants => {
                 self.check();
-                self.at(CHECK_INTERVAL, Step::Check);
+                self.schedule(CHECK_INTERVAL_MS, SimEvent::CheckInvariants);
             }
         }
     }
 
-    /// A call reaches a machine.
-    fn call(&mut self, one: usize, try_number: u64, call: Call) {
-        if self.machines[one].control.is_none() {
-            return self.at(CALLER, Step::Answer(try_number, None));
+    /// Passes a call to a machine. The connection fails if its process does not run.
+    fn call(&mut self, node: usize, attempt: u64, call: Call) {
+        if self.machines[node].control.is_none() {
+            return self.schedule(CALLER_LATENCY_MS, SimEvent::ReplyArrives(attempt, None));
         }
-        let machine = &mut self.machines[one];
+        let machine = &mut self.machines[node];
         machine.last_call += 1;
         let number = machine.last_call;
-        machine.calls.insert(number, try_number);
-        self.handle(one, Event::Call(number, call));
+        machine.calls.insert(number, attempt);
+        self.handle(node, Event::Call(number, call));
     }
 
-    fn lives(&self, one: usize, starts: u64) -> bool {
-        self.machines[one].starts == starts && self.machines[one].control.is_some()
+    fn is_same_process(&self, node: usize, starts: u64) -> bool {
+        self.machines[node].starts == starts && self.machines[node].control.is_some()
     }
 
-    pub fn handle(&mut self, one: usize, event: Event) {
-        let now = self.now - self.machines[one].started_at;
-        let Some(control) = &mut self.machines[one].control else { return };
+    pub fn handle(&mut self, node: usize, event: Event) {
+        let now = self.now - self.machines[node].started_at;
+        let Some(control) = &mut self.machines[node].control else { return };
         for action in control.handle(now, event) {
             match action {
-                Action::Send(to, message) => self.send(one, machine(to), message),
+                Action::Send(to, message) => self.send(node, machine(to), message),
                 Action::Persist(number, record) => {
-                    let wait = self.setup.sync + self.draw(3);
-                    let store = &mut self.machines[one].store;
+                    let wait = self.setup.sync_latency + self.draw(3);
+                    let store = &mut self.machines[node].store;
                     store.busy = store.busy.max(self.now) + wait;
                     store.pending.push_back((number, record));
-                    let (delay, starts) = (store.busy - self.now, self.machines[one].starts);
-                    self.at(delay, Step::Synced(one, starts));
+                    let (delay, starts) = (store.busy - self.now, self.machines[node].starts);
+                    self.schedule(delay, SimEvent::RecordSynced(node, starts));
                 }
                 Action::Respond(number, reply) => {
-                    if let Some(try_number) = self.machines[one].calls.remove(&number) {
-                        self.at(CALLER, Step::Answer(try_number, Some(reply)));
+                    if let Some(attempt) = self.machines[node].calls.remove(&number) {
+                        self.schedule(CALLER_LATENCY_MS, SimEvent::ReplyArrives(attempt, Some(reply)));
                     }
                 }
-                Action::StateAdvanced(state) => self.judge.applied(one, &state, self.now),
-                Action::BackendChanged(backend) => self.judge.backend(one, backend),
-                Action::BackendExpired(id) => self.judge.dropped(one, &id),
+                Action::StateAdvanced(state) => self.invariants.on_state_applied(node, &state, self.now),
+                Action::BackendChanged(backend) => self.invariants.on_backend_changed(node, backend),
+                Action::BackendExpired(id) => self.invariants.on_backend_expired(node, &id),
                 Action::QuotaGranted(_) => {}
             }
         }
     }
 
-    pub fn runs(&self, one: usize) -> bool {
-        self.machines[one].control.is_some() && self.now >= self.machines[one].frozen_until
+    pub fn is_responsive(&self, node: usize) -> bool {
+        self.machines[node].control.is_some() && self.now >= self.machines[node].frozen_until
     }
 
-    /// The machines of the core: those that were started and are not gone for good.
+    /// The machines of the core that were started and are not retired.
     pub fn core(&self) -> Vec<usize> {
-        let is_member = |one: &usize| self.machines[*one].starts > 0 && !self.machines[*one].retired;
+        let is_member = |node: &usize| self.machines[*node].starts > 0 && !self.machines[*node].retired;
         (0..self.setup.disks).filter(is_member).collect()
     }
 
-    /// Running machines of the core that reach more than half of it.
-    pub fn good_core(&self) -> Vec<usize> {
+    /// The responsive core machines that are connected to a majority of the core.
+    pub fn connected_core(&self) -> Vec<usize> {
         let members = self.core();
-        let core: Vec<usize> = members.iter().copied().filter(|one| self.runs(*one)).collect();
-        let reaches = |one: usize| core.iter().filter(|other| self.both_ways(one, **other)).count();
-        core.iter().copied().filter(|one| reaches(*one) > members.len() / 2).collect()
+        let core: Vec<usize> = members.iter().copied().filter(|node| self.is_responsive(*node)).collect();
+        let reaches = |node: usize| core.iter().filter(|other| self.is_connected(node, **other)).count();
+        core.iter().copied().filter(|node| reaches(*node) > members.len() / 2).collect()
     }
 
     fn check(&mut self) {
         if self.loss > 0 {
-            self.judge.core_fault(self.now);
+            self.invariants.core_fault(self.now);
         }
-        let good = self.good_core();
+        let good = self.connected_core();
         if good.len() <= self.core().len() / 2 {
-            self.judge.core_fault(self.now);
+            self.invariants.core_fault(self.now);
         }
-        for one in 0..self.machines.len() {
-            let connected = self.runs(one) && good.iter().all(|other| self.both_ways(one, *other));
-            if !connected || self.machines[one].store.full {
-                self.judge.fault_until(one, false, self.now);
+        for node in 0..self.machines.len() {
+            let connected =
+                self.is_responsive(node) && good.iter().all(|other| self.is_connected(node, *other));
+            if !connected || self.machines[node].store.full {
+                self.invariants.fault_until(node, false, self.now);
             }
         }
-        self.judge.check(self.now);
+        self.invariants.check(self.now);
     }
 }
--- a/crates/brassport-control-plane/tests/it/sim/network.rs
+++ b/crates/brassport-control-plane/tests/it/sim/network.rs
@@ -1,42 +1,42 @@
-//! The network between machines: delays, losses, repeats and partitions.
+//! The network between machines: latency, loss, duplication and partitions.
 
 use super::script::Millis;
-use super::{incarnation, ip, Sim, Step};
+use super::{incarnation, ip, Sim, SimEvent};
 use brassport_config_store::consensus::{Entry, Message};
 use brassport_control_plane::peer_message::{Envelope, PeerMessage};
 
 impl Sim {
-    /// Whether what one sends reaches the other.
-    pub fn hears(&self, from: usize, to: usize) -> bool {
-        !self.machines[to].deaf_to.contains(&from)
+    /// Whether `to` receives messages from `from`.
+    pub fn can_receive(&self, from: usize, to: usize) -> bool {
+        !self.machines[to].blocked_senders.contains(&from)
     }
 
     pub fn send(&mut self, from: usize, to: usize, message: PeerMessage) {
         if let PeerMessage::Entries(entries) = &message {
-            self.judge.committed(from, entries, self.now);
+            self.invariants.on_entries_sent(from, entries, self.now);
         }
-        if to >= self.machines.len() || !self.hears(from, to) {
+        if to >= self.machines.len() || !self.can_receive(from, to) {
             return;
         }
         let same = self.machines[from].zone == self.machines[to].zone;
-        let mut delay = if same { 1 } else { self.setup.apart } + self.draw(2);
-        if let Some(mbit) = self.setup.mbit {
+        let mut delay = if same { 1 } else { self.setup.zone_latency } + self.draw(2);
+        if let Some(mbit) = self.setup.link_mbit {
             let bytes = size(&message);
-            let free = &mut self.machines[from].sends_free;
+            let free = &mut self.machines[from].link_free_at;
             *free = (*free).max(self.now) + bytes * 8 / (mbit * 1_000);
             delay += *free - self.now;
         }
-        if self.now < self.machines[from].lag.0 {
-            delay += self.machines[from].lag.1;
+        if self.now < self.machines[from].send_delay.0 {
+            delay += self.machines[from].send_delay.1;
         }
         let incarnation = incarnation(from, self.machines[from].starts);
         let envelope = Envelope { from: ip(from), incarnation, message };
-        if self.draw(100) < self.repeats.0 {
-            let late = 1 + self.draw(self.repeats.1);
-            self.at(delay + late, Step::Arrive(to, envelope.clone()));
+        if self.draw(100) < self.duplication.0 {
+            let late = 1 + self.draw(self.duplication.1);
+            self.schedule(delay + late, SimEvent::MessageArrives(to, envelope.clone()));
         }
         if self.draw(100) >= self.loss {
-            self.at(delay, Step::Arrive(to, envelope));
+            self.schedule(delay, SimEvent::MessageArrives(to, envelope));
         }
     }
 
@@ -44,34 +44,34 @@
         self.loss = percent;
     }
 
-    pub fn set_repeats(&mut self, percent: u64, within: Millis) {
-        self.repeats = (percent, within);
+    pub fn set_duplication(&mut self, percent: u64, within: Millis) {
+        self.duplication = (percent, within);
     }
 
-    pub fn set_lag(&mut self, one: usize, by: Millis, long: Millis) {
-        self.machines[one].lag = (self.now + long, by);
-        self.judge.fault_until(one, self.machines[one].is_core, self.now + long + by);
+    pub fn set_send_delay(&mut self, node: usize, by: Millis, long: Millis) {
+        self.machines[node].send_delay = (self.now + long, by);
+        self.invariants.fault_until(node, self.machines[node].is_core, self.now + long + by);
     }
 
-    pub fn set_cut(&mut self, from: usize, to: usize, cut: bool) {
+    pub fn set_blocked(&mut self, from: usize, to: usize, is_blocked: bool) {
         if from == to {
             return;
         }
-        let changed = match cut {
-            true => self.machines[to].deaf_to.insert(from),
-            false => self.machines[to].deaf_to.remove(&from),
+        let changed = match is_blocked {
+            true => self.machines[to].blocked_senders.insert(from),
+            false => self.machines[to].blocked_senders.remove(&from),
         };
         if changed && self.machines[from].is_core && self.machines[to].is_core {
-            self.judge.core_fault(self.now);
+            self.invariants.core_fault(self.now);
         }
     }
 
-    pub fn both_ways(&self, one: usize, other: usize) -> bool {
-        self.hears(one, other) && self.hears(other, one)
+    pub fn is_connected(&self, node: usize, other: usize) -> bool {
+        self.can_receive(node, other) && self.can_receive(other, node)
     }
 }
 
-/// About how many bytes a message has on the wire.
+/// The approximate size of a message on the wire, in bytes.
 fn size(message: &PeerMessage) -> u64 {
     let of = |entry: &Entry| match entry {
         Entry::Replace { body, .. } | Entry::Change { body, .. } => body.len(),
--- a/crates/brassport-control-plane/tests/it/sim/process.rs
+++ b/crates/brassport-control-plane/tests/it/sim/process.rs
@@ -1,54 +1,56 @@
-//! Processes and disks: start, end, freeze, and writes that are synced.
+//! Processes and disks: start, shutdown, kill, freeze, and syncing of writes.
 
 use super::script::Millis;
 use super::store::{keep, Store};
-use super::{incarnation, ip, Sim, Step, CALLER, GRACE, HEARTBEAT_INTERVAL, TICK};
+use super::{
+    incarnation, ip, Sim, SimEvent, CALLER_LATENCY_MS, HEARTBEAT_INTERVAL_MS, SHUTDOWN_GRACE_MS, TICK_MS,
+};
 use brassport_control_plane::{ControlPlane, Event, FaultTolerance, Options};
 use brassport_transport::peer_sampling::PeerRecord;
 use brassport_types::DiskId;
 
 impl Sim {
-    pub fn start(&mut self, one: usize, first_start: bool) {
-        if self.machines[one].control.is_some() {
+    pub fn start(&mut self, node: usize, first_start: bool) {
+        if self.machines[node].control.is_some() {
             return;
         }
         let seed = self.draw(u64::MAX);
-        let machine = &mut self.machines[one];
+        let machine = &mut self.machines[node];
         machine.starts += 1;
         machine.started_at = self.now;
         machine.store.busy = self.now;
         machine.frozen_until = 0;
         let starts = machine.starts;
-        let node = PeerRecord {
-            ip: ip(one),
-            incarnation: incarnation(one, starts),
+        let peer_record = PeerRecord {
+            ip: ip(node),
+            incarnation: incarnation(node, starts),
             zone: machine.zone.clone(),
             disk: DiskId::NONE,
             is_core: machine.is_core,
         };
         let options = Options {
-            node,
+            node: peer_record,
             seeds: machine.seeds.iter().map(|seed| ip(*seed)).collect(),
             first_start,
             fault_tolerance: FaultTolerance::machines(
-                self.setup.survive.unwrap_or((self.setup.disks - 1) / 2),
+                self.setup.tolerated_losses.unwrap_or((self.setup.disks - 1) / 2),
             ),
-            heartbeat_interval_ms: HEARTBEAT_INTERVAL,
+            heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
             seed,
         };
         machine.control = Some(ControlPlane::new(options, 0));
         let is_core = machine.is_core;
-        self.judge.begins(one, is_core, self.now);
-        let wait = 1 + self.draw(TICK);
-        self.at(wait, Step::Tick(one, starts));
+        self.invariants.on_process_started(node, is_core, self.now);
+        let wait = 1 + self.draw(TICK_MS);
+        self.schedule(wait, SimEvent::Tick(node, starts));
         if is_core {
-            let wait = self.setup.sync + self.draw(4);
-            self.at(wait, Step::Open(one, starts));
+            let wait = self.setup.sync_latency + self.draw(4);
+            self.schedule(wait, SimEvent::OpenStore(node, starts));
         }
     }
 
-    pub fn kill(&mut self, one: usize) {
-        let machine = &mut self.machines[one];
+    pub fn kill(&mut self, node: usize) {
+        let machine = &mut self.machines[node];
         if machine.control.take().is_none() {
             return;
         }
@@ -56,100 +58,100 @@
         machine.ended = self.now;
         let calls = std::mem::take(&mut machine.calls);
         let pending = std::mem::take(&mut machine.store.pending);
-        // What was on its way to the disk is there up to some record.
+        // A random prefix of the pending records is durable.
         let hangs = self.now < machine.store.hangs_until;
         for (_, record) in pending {
-            if hangs || self.draw(2) == 0 || !keep(&mut self.machines[one].store, record) {
+            if hangs || self.draw(2) == 0 || !keep(&mut self.machines[node].store, record) {
                 break;
             }
         }
-        self.machines[one].store.torn = false;
-        for try_number in calls.into_values() {
-            self.at(CALLER, Step::Answer(try_number, None));
+        self.machines[node].store.torn = false;
+        for attempt in calls.into_values() {
+            self.schedule(CALLER_LATENCY_MS, SimEvent::ReplyArrives(attempt, None));
         }
-        self.judge.ends(one, self.machines[one].is_core, self.now);
+        self.invariants.on_process_ended(node, self.machines[node].is_core, self.now);
     }
 
-    /// Tells a machine to end.
-    pub fn stop(&mut self, one: usize, soonest: Millis) {
-        if self.machines[one].control.is_some() {
-            self.judge.fault_until(one, self.machines[one].is_core, self.now);
-            self.handle(one, Event::Shutdown);
-            self.at(TICK, Step::Ends(one, self.machines[one].starts, self.now, soonest));
+    /// Asks a machine to shut down; its process stays for at least `min_ms` ms.
+    pub fn stop(&mut self, node: usize, min_ms: Millis) {
+        if self.machines[node].control.is_some() {
+            self.invariants.fault_until(node, self.machines[node].is_core, self.now);
+            self.handle(node, Event::Shutdown);
+            self.schedule(TICK_MS, SimEvent::CheckExit(node, self.machines[node].starts, self.now, min_ms));
         }
     }
 
-    pub fn end_if_released(&mut self, one: usize, starts: u64, since: Millis, soonest: Millis) {
-        if !self.lives(one, starts) {
+    pub fn check_exit(&mut self, node: usize, starts: u64, since: Millis, min_ms: Millis) {
+        if !self.is_same_process(node, starts) {
             return;
         }
-        let may = self.machines[one].control.as_ref().is_some_and(ControlPlane::may_shut_down);
-        if (may && self.now >= since + soonest) || self.now >= since + GRACE {
-            self.ended.push((one, self.now - since));
-            self.kill(one);
+        let may = self.machines[node].control.as_ref().is_some_and(ControlPlane::may_shut_down);
+        if (may && self.now >= since + min_ms) || self.now >= since + SHUTDOWN_GRACE_MS {
+            self.ended.push((node, self.now - since));
+            self.kill(node);
         } else {
-            self.at(TICK, Step::Ends(one, starts, since, soonest));
+            self.schedule(TICK_MS, SimEvent::CheckExit(node, starts, since, min_ms));
         }
     }
 
-    pub fn lose_disk(&mut self, one: usize) {
-        self.kill(one);
-        self.machines[one].store = Store::empty();
+    pub fn lose_disk(&mut self, node: usize) {
+        self.kill(node);
+        self.machines[node].store = Store::empty();
     }
 
-    pub fn freeze(&mut self, one: usize, long: Millis) {
+    pub fn freeze(&mut self, node: usize, long: Millis) {
         let until = self.now + long;
-        self.machines[one].frozen_until = self.machines[one].frozen_until.max(until);
-        self.judge.fault_until(one, self.machines[one].is_core, self.now);
-        self.at(long, Step::Thawed(one));
+        self.machines[node].frozen_until = self.machines[node].frozen_until.max(until);
+        self.invariants.fault_until(node, self.machines[node].is_core, self.now);
+        self.schedule(long, SimEvent::Unfrozen(node));
     }
 
-    pub fn open(&mut self, one: usize, starts: u64) {
-        if !self.lives(one, starts) {
+    pub fn open(&mut self, node: usize, starts: u64) {
+        if !self.is_same_process(node, starts) {
             return;
         }
-        let hangs_until = self.machines[one].store.hangs_until;
+        let hangs_until = self.machines[node].store.hangs_until;
         if self.now < hangs_until {
-            return self.at(hangs_until - self.now, Step::Open(one, starts));
+            return self.schedule(hangs_until - self.now, SimEvent::OpenStore(node, starts));
         }
-        if self.machines[one].store.number.is_none() {
-            if self.machines[one].store.full {
-                return self.at(500, Step::Open(one, starts));
+        if self.machines[node].store.number.is_none() {
+            if self.machines[node].store.full {
+                return self.schedule(500, SimEvent::OpenStore(node, starts));
             }
-            self.machines[one].store.number = Some(self.draw(u64::MAX) | 1);
+            self.machines[node].store.number = Some(self.draw(u64::MAX) | 1);
         }
-        let store = &self.machines[one].store;
+        let store = &self.machines[node].store;
         let event = Event::StoreOpened(DiskId(store.number.unwrap_or(1)), store.kept.clone());
-        self.handle(one, event);
+        self.handle(node, event);
     }
 
-    pub fn synced(&mut self, one: usize, starts: u64) {
-        if !self.lives(one, starts) {
+    pub fn synced(&mut self, node: usize, starts: u64) {
+        if !self.is_same_process(node, starts) {
             return;
         }
-        let hangs_until = self.machines[one].store.hangs_until;
+        let hangs_until = self.machines[node].store.hangs_until;
         if self.now < hangs_until {
-            return self.at(hangs_until - self.now, Step::Synced(one, starts));
+            return self.schedule(hangs_until - self.now, SimEvent::RecordSynced(node, starts));
         }
-        let store = &mut self.machines[one].store;
+        let store = &mut self.machines[node].store;
         let Some((number, record)) = store.pending.pop_front() else { return };
         let kept = keep(store, record);
-        self.handle(one, Event::Persisted(number, kept));
-        self.triggers();
+        self.handle(node, Event::Persisted(number, kept));
+        self.fire_conditions();
     }
 
-    pub fn set_seeds(&mut self, one: usize, seeds: Vec<usize>) {
-        self.machines[one].seeds = seeds.clone();
-        if self.machines[one].control.is_some() {
-            self.handle(one, Event::SeedsChanged(seeds.into_iter().map(ip).collect()));
+    pub fn set_seeds(&mut self, node: usize, seeds: Vec<usize>) {
+        self.machines[node].seeds = seeds.clone();
+        if self.machines[node].control.is_some() {
+            self.handle(node, Event::SeedsChanged(seeds.into_iter().map(ip).collect()));
         }
     }
 
-    pub fn set_disk(&mut self, one: usize, full: Option<bool>, hangs: Millis) {
-        let store = &mut self.machines[one].store;
+    pub fn set_disk(&mut self, node: usize, full: Option<bool>, hangs: Millis) {
+        let store = &mut self.machines[node].store;
         store.full = full.unwrap_or(store.full);
         store.hangs_until = store.hangs_until.max(self.now + hangs);
-        // A disk in fault_until is the machine's own; the core stays settled.
-        self.judge.fault_until(one, false, self.now + hangs);
+        // A disk fault affects only its own machine, not the rest of the core.
+        self.invariants.fault_until(node, false, self.now + hangs);
     }
 }
--- a/crates/brassport-control-plane/tests/it/sim/script/mod.rs
+++ b/crates/brassport-control-plane/tests/it/sim/script/mod.rs
@@ -1,22 +1,22 @@
-//! The scenarios' language: one statement a line, `#` begins a comment. A line that makes no sense fails with file, line
-//! and what was expected.
+//! The scenario language: one statement per line; `#` begins a comment. For an invalid line, the parser reports the
+//! line number, what was expected and what was found.
 //!
 //! ```text
-//! machines 3 disks, 2 plain, zones a b c      all machines; the disks come first, zones go round
-//! seeds 0 1 2 | survive 1 | seed 7 | up 0 2   the settings; `up`: who starts at the beginning (default: all)
-//! apart 15ms | sync 5ms | link 2mbit          between zones, of a disk, out of a machine
-//! lasts 20s                                   the end (default: 6 s after the last line)
-//! at 1.5 STATEMENT                            at a time
-//! when first is kept by 2 STATEMENT           once so many disks have that configuration
-//! when first is 200 STATEMENT                 once its caller has that answer
-//! expect ...                                  without a time: at the end
+//! machines 3 disks, 2 plain, zones a b c      machines with disks (the core) come first; zones are assigned in turn
+//! seeds 0 1 2 | survive 1 | seed 7 | up 0 2   seed nodes, tolerated losses, random seed, initially running (default: all)
+//! apart 15ms | sync 5ms | link 2mbit          latency between zones, of disk syncs, and outgoing bandwidth of a machine
+//! lasts 20s                                   duration of the run (default: 6 s after the last timed line)
+//! at 1.5 STATEMENT                            executed at this time, in seconds
+//! when first is kept by 2 STATEMENT           executed once this many disks have the configuration sent as `first`
+//! when first is 200 STATEMENT                 executed once the call `first` has this status
+//! expect ...                                  without a time: checked at the end
 //! ```
 //!
-//! WHO is a number, `leader`, `follower` (the first other of the core that runs), `last` (the last of them), `core`,
-//! `every`, or a name given with `name WHO as NAME`.
+//! A machine is given as a number, `leader`, `follower` (the first running core machine that does not lead), `last`
+//! (the last such machine), `core`, `every`, or a name assigned by `name MACHINE as NAME`.
 
 mod parse;
-mod words;
+mod tokens;
 
 pub use parse::parse;
 
@@ -25,15 +25,15 @@
 
 pub type Millis = u64;
 
-/// A line that makes no sense.
+/// Why a scenario is invalid.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ParseError {
     pub line: usize,
     pub expected: String,
     pub found: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "line {}: expected {}, found {:?}", self.line, self.expected, self.found)
     }
@@ -42,59 +42,62 @@
 #[derive(Debug, Clone)]
 pub struct Setup {
     pub disks: usize,
-    pub plain: usize,
+    pub diskless: usize,
     pub zones: Vec<String>,
     pub seeds: Vec<usize>,
-    pub survive: Option<usize>,
+    pub tolerated_losses: Option<usize>,
     pub seed: u64,
-    pub up: Option<Vec<usize>>,
-    pub apart: Millis,
-    pub sync: Millis,
-    pub mbit: Option<u64>,
-    pub lasts: Option<Millis>,
+    pub initially_running: Option<Vec<usize>>,
+    pub zone_latency: Millis,
+    pub sync_latency: Millis,
+    pub link_mbit: Option<u64>,
+    pub duration: Option<Millis>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Cut {
+pub enum Partition {
+    /// No messages in either direction between the machine and these.
     From(Vec<String>),
-    Off,
-    /// It sends and does not hear.
-    Deaf,
-    /// It hears and is not heard.
-    Mute,
+    /// No messages in either direction between the machine and all others (`off`).
+    All,
+    /// The machine sends messages, but receives none (`deaf`).
+    Inbound,
+    /// The machine receives messages, but those that it sends are lost (`mute`).
+    Outbound,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
-    CutOff,
-    KeyTwice,
-    PrefixTwice,
+    Truncated,
+    DuplicateKey,
+    DuplicatePrefix,
     UnknownService,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ask {
-    Put {
+pub enum CallSpec {
+    Configure {
         scope: ChangeScope,
         version: u32,
         base_version: u32,
         flaw: Option<Flaw>,
         routes: usize,
     },
-    /// The next version, on top of the one that some node goes by.
+    /// The next version, based on the version that a random listed node has applied.
     Next,
-    /// The next version, on top of the newest that was acknowledged.
+    /// The next version, based on the latest acknowledged one.
     Append,
+    /// Sends the body of the named call again.
     Repeat(String),
     Read,
-    Empty(String),
-    SignOff(String),
+    Drain(String),
+    Deregister(String),
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Disk {
+pub enum DiskFault {
     Full,
-    Well,
+    Healthy,
     Hangs(Millis),
 }
 
@@ -104,57 +107,58 @@
     Freeze(String, Millis),
     Kill(Vec<String>),
     Start(Vec<String>),
-    /// Gone for good: they belong to the core no more.
+    /// Kills machines permanently: they no longer belong to the core.
     Retire(Vec<String>),
-    /// Told to end: it ends once it may, but no sooner than this, and after `graceS` at the latest.
-    Stop(String, Millis),
-    /// So many answers to operators are lost on their way.
-    AnswersLost(u64),
+    /// Asks a machine to shut down. It exits once it may, but not before the given time, and after `graceS` at the
+    /// latest.
+    ShutDown(String, Millis),
+    /// Percentage of the replies to configuration requests that are lost.
+    ReplyLoss(u64),
     LoseDisk(String),
-    Cut(String, Cut),
-    Join,
-    Loss(u64),
-    Repeats(u64, Millis),
-    Lag(String, Millis, Millis),
-    Disk(String, Disk),
+    Partition(String, Partition),
+    Heal,
+    MessageLoss(u64),
+    Duplication(u64, Millis),
+    SendDelay(String, Millis, Millis),
+    DiskFault(String, DiskFault),
     Seeds(String, Vec<usize>),
-    Ask {
-        ask: Ask,
+    Call {
+        spec: CallSpec,
         via: Option<String>,
-        once: bool,
+        is_single_attempt: bool,
         name: String,
     },
-    Heartbeats {
+    StartBackend {
         id: String,
         service: String,
         via: Option<String>,
     },
-    Dies(String),
+    KillBackend(String),
     LateHeartbeat(String, String),
     Expect(Expect),
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Expect {
-    Answer(String, Vec<u16>),
-    OneOf(Vec<String>, u16),
-    InForce(String, u32),
-    /// So many disks have what was put under a name.
-    Kept(String, usize),
-    Knows(String, String, Vec<String>),
+    Status(String, Vec<u16>),
+    ExactlyOne(Vec<String>, u16),
+    AppliedVersion(String, u32),
+    /// Exactly this many disks have the configuration sent under a name.
+    OnDisks(String, usize),
+    BackendState(String, String, Vec<String>),
     Voters(Vec<usize>),
     Leader {
         who: Option<String>,
         is: bool,
     },
-    Read(u32),
+    ReadBack(u32),
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum When {
     At(Millis),
-    Kept(String, usize),
-    Answered(String, u16),
+    OnDisks(String, usize),
+    Status(String, u16),
     End,
 }
 
--- a/crates/brassport-control-plane/tests/it/sim/script/parse.rs
+++ b/crates/brassport-control-plane/tests/it/sim/script/parse.rs
@@ -1,341 +1,341 @@
-//! Reads the lines of a scenario.
+//! Parses scenarios.
 
-use super::words::{Read, Words};
-use super::{Ask, Cut, Disk, Expect, Fault, Flaw, Line, Script, Setup, Statement, When};
+use super::tokens::{ParseResult, Tokens};
+use super::{CallSpec, DiskFault, Expect, Flaw, Line, ParseError, Partition, Script, Setup, Statement, When};
 use brassport_config_store::consensus::ChangeScope;
 
-/// Reads a scenario.
-pub fn parse(text: &str) -> Read<Script> {
+/// Parses a scenario.
+pub fn parse(text: &str) -> ParseResult<Script> {
     let setup = Setup {
         disks: 0,
-        plain: 0,
+        diskless: 0,
         zones: vec!["a".to_owned()],
         seeds: Vec::new(),
-        survive: None,
+        tolerated_losses: None,
         seed: 1,
-        up: None,
-        apart: 1,
-        sync: 2,
-        mbit: None,
-        lasts: None,
+        initially_running: None,
+        zone_latency: 1,
+        sync_latency: 2,
+        link_mbit: None,
+        duration: None,
     };
     let mut script = Script { setup, lines: Vec::new() };
     for (index, line) in text.lines().enumerate() {
         let line = line.split('#').next().unwrap_or_default().replace(',', " ");
-        let mut words = Words { line: index + 1, words: line.split_whitespace().collect(), at: 0 };
-        if words.peek().is_none() {
+        let mut tokens = Tokens { line: index + 1, tokens: line.split_whitespace().collect(), at: 0 };
+        if tokens.peek().is_none() {
             continue;
         }
-        read_line(&mut words, &mut script)?;
-        if words.peek().is_some() {
-            return words.fail("the end of the line");
+        read_line(&mut tokens, &mut script)?;
+        if tokens.peek().is_some() {
+            return tokens.fail("the end of the line");
         }
     }
     if script.setup.disks == 0 {
         let found = "none".to_owned();
-        return Err(Fault { line: 1, expected: "a line `machines N disks`".to_owned(), found });
+        return Err(ParseError { line: 1, expected: "a line `machines N disks`".to_owned(), found });
     }
     Ok(script)
 }
 
-fn read_line(words: &mut Words, script: &mut Script) -> Read<()> {
+fn read_line(tokens: &mut Tokens, script: &mut Script) -> ParseResult<()> {
     let setup = &mut script.setup;
-    match words.next("a statement")? {
-        "machines" => machines(words, setup)?,
-        "seeds" => setup.seeds = words.machines()?,
-        "survive" => setup.survive = Some(words.number()? as usize),
-        "seed" => setup.seed = words.number()?,
-        "up" => setup.up = Some(words.machines()?),
-        "apart" => setup.apart = words.span()?,
-        "sync" => setup.sync = words.span()?,
+    match tokens.next("a statement")? {
+        "machines" => machines(tokens, setup)?,
+        "seeds" => setup.seeds = tokens.machines()?,
+        "survive" => setup.tolerated_losses = Some(tokens.number()? as usize),
+        "seed" => setup.seed = tokens.number()?,
+        "up" => setup.initially_running = Some(tokens.machines()?),
+        "apart" => setup.zone_latency = tokens.span()?,
+        "sync" => setup.sync_latency = tokens.span()?,
         "link" => {
             let parse = |word: &str| word.strip_suffix("mbit")?.parse().ok();
-            setup.mbit = Some(words.parsed("a rate such as 2mbit", parse)?);
+            setup.link_mbit = Some(tokens.parsed("a rate such as 2mbit", parse)?);
         }
-        "lasts" => setup.lasts = Some(words.span()?),
+        "lasts" => setup.duration = Some(tokens.span()?),
         "at" => {
-            let when = When::At(words.seconds()?);
-            push(words, script, when)?;
+            let when = When::At(tokens.seconds()?);
+            push(tokens, script, when)?;
         }
         "when" => {
-            let when = condition(words)?;
-            push(words, script, when)?;
+            let when = condition(tokens)?;
+            push(tokens, script, when)?;
         }
         "expect" => {
-            words.at -= 1;
-            push(words, script, When::End)?;
+            tokens.at -= 1;
+            push(tokens, script, When::End)?;
         }
         _ => {
-            words.at -= 1;
-            return words.fail("`machines`, a setting, `at`, `when` or `expect`");
+            tokens.at -= 1;
+            return tokens.fail("`machines`, a setting, `at`, `when` or `expect`");
         }
     }
     Ok(())
 }
 
-fn machines(words: &mut Words, setup: &mut Setup) -> Read<()> {
-    setup.disks = words.number()? as usize;
-    words.want("disks")?;
-    if words.peek() != Some("zones") && words.peek().is_some() {
-        setup.plain = words.number()? as usize;
-        words.want("plain")?;
+fn machines(tokens: &mut Tokens, setup: &mut Setup) -> ParseResult<()> {
+    setup.disks = tokens.number()? as usize;
+    tokens.expect("disks")?;
+    if tokens.peek() != Some("zones") && tokens.peek().is_some() {
+        setup.diskless = tokens.number()? as usize;
+        tokens.expect("plain")?;
     }
-    if words.take("zones") {
-        setup.zones = words.rest("a zone")?;
+    if tokens.accept("zones") {
+        setup.zones = tokens.remaining("a zone")?;
     }
     Ok(())
 }
 
-fn condition(words: &mut Words) -> Read<When> {
-    let name = words.next("the name of a call")?.to_owned();
-    words.want("is")?;
-    if words.take("kept") {
-        words.want("by")?;
-        return Ok(When::Kept(name, words.number()? as usize));
+fn condition(tokens: &mut Tokens) -> ParseResult<When> {
+    let name = tokens.next("the name of a call")?.to_owned();
+    tokens.expect("is")?;
+    if tokens.accept("kept") {
+        tokens.expect("by")?;
+        return Ok(When::OnDisks(name, tokens.number()? as usize));
     }
-    Ok(When::Answered(name, words.code()?))
+    Ok(When::Status(name, tokens.code()?))
 }
 
-fn push(words: &mut Words, script: &mut Script, when: When) -> Read<()> {
-    let statement = statement(words)?;
-    script.lines.push(Line { number: words.line, when, statement });
+fn push(tokens: &mut Tokens, script: &mut Script, when: When) -> ParseResult<()> {
+    let statement = statement(tokens)?;
+    script.lines.push(Line { number: tokens.line, when, statement });
     Ok(())
 }
 
 const WHO: &str = "a machine";
 
-fn statement(words: &mut Words) -> Read<Statement> {
-    Ok(match words.next("a statement")? {
+fn statement(tokens: &mut Tokens) -> ParseResult<Statement> {
+    Ok(match tokens.next("a statement")? {
         "name" => {
-            let machine = words.next(WHO)?.to_owned();
-            words.want("as")?;
-            Statement::Name(machine, words.next("a name")?.to_owned())
+            let machine = tokens.next(WHO)?.to_owned();
+            tokens.expect("as")?;
+            Statement::Name(machine, tokens.next("a name")?.to_owned())
         }
         "freeze" => {
-            let machine = words.next(WHO)?.to_owned();
-            words.want("for")?;
-            Statement::Freeze(machine, words.span()?)
+            let machine = tokens.next(WHO)?.to_owned();
+            tokens.expect("for")?;
+            Statement::Freeze(machine, tokens.span()?)
         }
-        "kill" => Statement::Kill(words.rest(WHO)?),
-        "start" => Statement::Start(words.rest(WHO)?),
-        "retire" => Statement::Retire(words.rest(WHO)?),
+        "kill" => Statement::Kill(tokens.remaining(WHO)?),
+        "start" => Statement::Start(tokens.remaining(WHO)?),
+        "retire" => Statement::Retire(tokens.remaining(WHO)?),
         "stop" => {
-            let machine = words.next(WHO)?.to_owned();
-            let soonest = if words.take("after") { words.span()? } else { 0 };
-            Statement::Stop(machine, soonest)
+            let machine = tokens.next(WHO)?.to_owned();
+            let min_ms = if tokens.accept("after") { tokens.span()? } else { 0 };
+            Statement::ShutDown(machine, min_ms)
         }
         "operator" => {
-            let ask = operator(words)?;
-            asked(words, ask)?
+            let spec = operator(tokens)?;
+            call(tokens, spec)?
         }
-        "backend" => backend(words)?,
-        "late" => late_heartbeat(words)?,
-        "expect" => Statement::Expect(expect(words)?),
-        "seeds" => seeds(words)?,
-        fault => return fault_statement(fault, words),
+        "backend" => backend(tokens)?,
+        "late" => late_heartbeat(tokens)?,
+        "expect" => Statement::Expect(expect(tokens)?),
+        "seeds" => seeds(tokens)?,
+        fault => return fault_statement(fault, tokens),
     })
 }
 
-/// Statements of what goes wrong on the network and on disks.
-fn fault_statement(word: &str, words: &mut Words) -> Read<Statement> {
+/// Parses a statement about the network or disks.
+fn fault_statement(word: &str, tokens: &mut Tokens) -> ParseResult<Statement> {
     Ok(match word {
         "answers" => {
-            words.want("lost")?;
-            Statement::AnswersLost(words.percent()?)
+            tokens.expect("lost")?;
+            Statement::ReplyLoss(tokens.percent()?)
         }
         "lose" => {
-            words.want("disk")?;
-            words.want("of")?;
-            Statement::LoseDisk(words.next(WHO)?.to_owned())
+            tokens.expect("disk")?;
+            tokens.expect("of")?;
+            Statement::LoseDisk(tokens.next(WHO)?.to_owned())
         }
-        "cut" => cut(words)?,
-        "join" => Statement::Join,
-        "loss" => Statement::Loss(words.percent()?),
+        "cut" => cut(tokens)?,
+        "join" => Statement::Heal,
+        "loss" => Statement::MessageLoss(tokens.percent()?),
         "repeats" => {
-            let share = words.percent()?;
-            words.want("within")?;
-            Statement::Repeats(share, words.span()?)
+            let share = tokens.percent()?;
+            tokens.expect("within")?;
+            Statement::Duplication(share, tokens.span()?)
         }
         "lag" => {
-            let machine = words.next(WHO)?.to_owned();
-            let by = words.span()?;
-            words.want("for")?;
-            Statement::Lag(machine, by, words.span()?)
+            let machine = tokens.next(WHO)?.to_owned();
+            let by = tokens.span()?;
+            tokens.expect("for")?;
+            Statement::SendDelay(machine, by, tokens.span()?)
         }
-        "disk" => disk(words)?,
+        "disk" => disk(tokens)?,
         _ => {
-            words.at -= 1;
-            return words.fail("a statement such as `kill`, `cut`, `operator`, `backend` or `expect`");
+            tokens.at -= 1;
+            return tokens.fail("a statement such as `kill`, `cut`, `operator`, `backend` or `expect`");
         }
     })
 }
 
-fn cut(words: &mut Words) -> Read<Statement> {
-    let machine = words.next(WHO)?.to_owned();
+fn cut(tokens: &mut Tokens) -> ParseResult<Statement> {
+    let machine = tokens.next(WHO)?.to_owned();
     let kinds = "`off`, `deaf`, `mute` or `from`";
-    let cut = match words.next(kinds)? {
-        "off" => Cut::Off,
-        "deaf" => Cut::Deaf,
-        "mute" => Cut::Mute,
-        "from" => Cut::From(words.rest(WHO)?),
+    let cut = match tokens.next(kinds)? {
+        "off" => Partition::All,
+        "deaf" => Partition::Inbound,
+        "mute" => Partition::Outbound,
+        "from" => Partition::From(tokens.remaining(WHO)?),
         _ => {
-            words.at -= 1;
-            return words.fail(kinds);
+            tokens.at -= 1;
+            return tokens.fail(kinds);
         }
     };
-    Ok(Statement::Cut(machine, cut))
+    Ok(Statement::Partition(machine, cut))
 }
 
-fn disk(words: &mut Words) -> Read<Statement> {
-    words.want("of")?;
-    let machine = words.next(WHO)?.to_owned();
+fn disk(tokens: &mut Tokens) -> ParseResult<Statement> {
+    tokens.expect("of")?;
+    let machine = tokens.next(WHO)?.to_owned();
     let states = "`full`, `well` or `hangs`";
-    let disk = match words.next(states)? {
-        "full" => Disk::Full,
-        "well" => Disk::Well,
+    let disk = match tokens.next(states)? {
+        "full" => DiskFault::Full,
+        "well" => DiskFault::Healthy,
         "hangs" => {
-            words.want("for")?;
-            Disk::Hangs(words.span()?)
+            tokens.expect("for")?;
+            DiskFault::Hangs(tokens.span()?)
         }
         _ => {
-            words.at -= 1;
-            return words.fail(states);
+            tokens.at -= 1;
+            return tokens.fail(states);
         }
     };
-    Ok(Statement::Disk(machine, disk))
+    Ok(Statement::DiskFault(machine, disk))
 }
 
-fn seeds(words: &mut Words) -> Read<Statement> {
-    words.want("of")?;
-    let machine = words.next(WHO)?.to_owned();
-    words.want("are")?;
-    Ok(Statement::Seeds(machine, words.machines()?))
+fn seeds(tokens: &mut Tokens) -> ParseResult<Statement> {
+    tokens.expect("of")?;
+    let machine = tokens.next(WHO)?.to_owned();
+    tokens.expect("are")?;
+    Ok(Statement::Seeds(machine, tokens.machines()?))
 }
 
-fn late_heartbeat(words: &mut Words) -> Read<Statement> {
-    words.want("beat")?;
-    words.want("of")?;
-    let id = words.next("a backend")?.to_owned();
-    words.want("reaches")?;
-    Ok(Statement::LateHeartbeat(id, words.next(WHO)?.to_owned()))
+fn late_heartbeat(tokens: &mut Tokens) -> ParseResult<Statement> {
+    tokens.expect("beat")?;
+    tokens.expect("of")?;
+    let id = tokens.next("a backend")?.to_owned();
+    tokens.expect("reaches")?;
+    Ok(Statement::LateHeartbeat(id, tokens.next(WHO)?.to_owned()))
 }
 
-fn operator(words: &mut Words) -> Read<Ask> {
+fn operator(tokens: &mut Tokens) -> ParseResult<CallSpec> {
     let what = "`put`, `change`, `next`, `appends`, `repeats` or `reads`";
-    Ok(match words.next(what)? {
+    Ok(match tokens.next(what)? {
         verb @ ("put" | "change") => {
-            let version = words.version()?;
-            words.want("on")?;
-            let base_version = words.number()? as u32;
+            let version = tokens.version()?;
+            tokens.expect("on")?;
+            let base_version = tokens.number()? as u32;
             let (mut flaw, mut routes) = (None, 2);
-            if words.take("but") {
+            if tokens.accept("but") {
                 let flaws = "`cut-off`, `key-twice`, `prefix-twice` or `unknown-service`";
-                flaw = Some(words.parsed(flaws, |word| match word {
-                    "cut-off" => Some(Flaw::CutOff),
-                    "key-twice" => Some(Flaw::KeyTwice),
-                    "prefix-twice" => Some(Flaw::PrefixTwice),
+                flaw = Some(tokens.parsed(flaws, |word| match word {
+                    "cut-off" => Some(Flaw::Truncated),
+                    "key-twice" => Some(Flaw::DuplicateKey),
+                    "prefix-twice" => Some(Flaw::DuplicatePrefix),
                     "unknown-service" => Some(Flaw::UnknownService),
                     _ => None,
                 })?);
-            } else if words.take("with") {
-                routes = words.number()? as usize;
-                words.want("routes")?;
+            } else if tokens.accept("with") {
+                routes = tokens.number()? as usize;
+                tokens.expect("routes")?;
             }
             let scope = if verb == "put" { ChangeScope::Full } else { ChangeScope::Partial };
-            Ask::Put { scope, version, base_version, flaw, routes }
+            CallSpec::Configure { scope, version, base_version, flaw, routes }
         }
-        "repeats" => Ask::Repeat(words.next("the name of a call")?.to_owned()),
-        "next" => Ask::Next,
-        "appends" => Ask::Append,
-        "reads" => Ask::Read,
+        "repeats" => CallSpec::Repeat(tokens.next("the name of a call")?.to_owned()),
+        "next" => CallSpec::Next,
+        "appends" => CallSpec::Append,
+        "reads" => CallSpec::Read,
         _ => {
-            words.at -= 1;
-            return words.fail(what);
+            tokens.at -= 1;
+            return tokens.fail(what);
         }
     })
 }
 
-fn asked(words: &mut Words, ask: Ask) -> Read<Statement> {
-    let via = match words.take("via") {
-        true => Some(words.next("a machine")?.to_owned()),
+fn call(tokens: &mut Tokens, spec: CallSpec) -> ParseResult<Statement> {
+    let via = match tokens.accept("via") {
+        true => Some(tokens.next("a machine")?.to_owned()),
         false => None,
     };
-    let once = words.take("once");
-    words.want("as")?;
-    let name = words.next("a name for the call")?.to_owned();
-    Ok(Statement::Ask { ask, via, once, name })
+    let is_single_attempt = tokens.accept("once");
+    tokens.expect("as")?;
+    let name = tokens.next("a name for the call")?.to_owned();
+    Ok(Statement::Call { spec, via, is_single_attempt, name })
 }
 
-fn backend(words: &mut Words) -> Read<Statement> {
-    let id = words.next("a backend")?.to_owned();
-    if words.take("of") {
-        let service = words.next("a service")?.to_owned();
-        words.want("beats")?;
-        let via = match words.take("via") {
-            true => Some(words.next("a machine")?.to_owned()),
+fn backend(tokens: &mut Tokens) -> ParseResult<Statement> {
+    let id = tokens.next("a backend")?.to_owned();
+    if tokens.accept("of") {
+        let service = tokens.next("a service")?.to_owned();
+        tokens.expect("beats")?;
+        let via = match tokens.accept("via") {
+            true => Some(tokens.next("a machine")?.to_owned()),
             false => None,
         };
-        return Ok(Statement::Heartbeats { id, service, via });
+        return Ok(Statement::StartBackend { id, service, via });
     }
-    if words.take("dies") {
-        return Ok(Statement::Dies(id));
+    if tokens.accept("dies") {
+        return Ok(Statement::KillBackend(id));
     }
-    if words.take("empties") {
-        return asked(words, Ask::Empty(id));
+    if tokens.accept("empties") {
+        return call(tokens, CallSpec::Drain(id));
     }
-    if words.take("signs") {
-        words.want("off")?;
-        return asked(words, Ask::SignOff(id));
+    if tokens.accept("signs") {
+        tokens.expect("off")?;
+        return call(tokens, CallSpec::Deregister(id));
     }
-    words.fail("`of SERVICE beats`, `empties`, `signs off` or `dies`")
+    tokens.fail("`of SERVICE beats`, `empties`, `signs off` or `dies`")
 }
 
-fn expect(words: &mut Words) -> Read<Expect> {
-    Ok(match words.next("what is expected")? {
-        "read" => Expect::Read(words.version()?),
-        "voters" => Expect::Voters(words.machines()?),
+fn expect(tokens: &mut Tokens) -> ParseResult<Expect> {
+    Ok(match tokens.next("what is expected")? {
+        "read" => Expect::ReadBack(tokens.version()?),
+        "voters" => Expect::Voters(tokens.machines()?),
         "leader" => {
-            let is = !words.take("not");
-            let who = words.next("a machine, or `any`")?;
+            let is = !tokens.accept("not");
+            let who = tokens.next("a machine, or `any`")?;
             Expect::Leader { who: (who != "any").then(|| who.to_owned()), is }
         }
         "one" => {
-            words.want("of")?;
+            tokens.expect("of")?;
             let (mut names, code) = (Vec::new(), 200);
-            while !words.take("200") {
-                names.push(words.next("the name of a call, or `200`")?.to_owned());
+            while !tokens.accept("200") {
+                names.push(tokens.next("the name of a call, or `200`")?.to_owned());
             }
-            Expect::OneOf(names, code)
+            Expect::ExactlyOne(names, code)
         }
-        first => expect_of(first, words)?,
+        first => expect_of(first, tokens)?,
     })
 }
 
-/// What is expected of a machine or a call.
-fn expect_of(first: &str, words: &mut Words) -> Read<Expect> {
-    if words.take("in") {
-        words.want("force")?;
-        return Ok(Expect::InForce(first.to_owned(), words.version()?));
+/// Parses an expectation about a machine or a call.
+fn expect_of(first: &str, tokens: &mut Tokens) -> ParseResult<Expect> {
+    if tokens.accept("in") {
+        tokens.expect("force")?;
+        return Ok(Expect::AppliedVersion(first.to_owned(), tokens.version()?));
     }
-    if words.take("kept") {
-        words.want("by")?;
-        return Ok(Expect::Kept(first.to_owned(), words.number()? as usize));
+    if tokens.accept("kept") {
+        tokens.expect("by")?;
+        return Ok(Expect::OnDisks(first.to_owned(), tokens.number()? as usize));
     }
-    if words.take("knows") {
-        let id = words.next("a backend")?.to_owned();
+    if tokens.accept("knows") {
+        let id = tokens.next("a backend")?.to_owned();
         let mut stages = Vec::new();
         loop {
             let what = "`ready`, `silent`, `emptying`, `gone` or `nothing`";
             let known = ["ready", "silent", "emptying", "gone", "nothing"];
-            stages.push(words.parsed(what, |word| known.contains(&word).then(|| word.to_owned()))?);
-            if !words.take("or") {
-                return Ok(Expect::Knows(first.to_owned(), id, stages));
+            stages.push(tokens.parsed(what, |word| known.contains(&word).then(|| word.to_owned()))?);
+            if !tokens.accept("or") {
+                return Ok(Expect::BackendState(first.to_owned(), id, stages));
             }
         }
     }
-    let mut codes = vec![words.code()?];
-    while words.take("or") {
-        codes.push(words.code()?);
+    let mut codes = vec![tokens.code()?];
+    while tokens.accept("or") {
+        codes.push(tokens.code()?);
     }
-    Ok(Expect::Answer(first.to_owned(), codes))
+    Ok(Expect::Status(first.to_owned(), codes))
 }
--- a/crates/brassport-control-plane/tests/it/sim/store.rs
+++ b/crates/brassport-control-plane/tests/it/sim/store.rs
@@ -1,4 +1,4 @@
-//! A disk: what was written to it, and what of that is kept.
+//! A simulated disk: pending writes and the durable state.
 
 use super::script::Millis;
 use brassport_config_store::consensus::{AcceptedEntry, CommittedEntry, DurableState, Record};
@@ -6,12 +6,14 @@
 use std::collections::VecDeque;
 
 pub struct Store {
-    /// Drawn when it is opened empty.
+    /// The disk ID, drawn when an empty disk is first opened.
     pub number: Option<u64>,
+    /// The durable state.
     pub kept: DurableState,
-    /// Whether it stands on a gap until all is written anew.
+    /// Whether a record is missing. Later records are then rejected until a snapshot replaces the whole state.
     pub torn: bool,
     pub pending: VecDeque<(u64, Record)>,
+    /// When the last pending write is synced.
     pub busy: Millis,
     pub full: bool,
     pub hangs_until: Millis,
@@ -31,7 +33,7 @@
     }
 }
 
-/// What a store does with a record. Whether it is kept.
+/// Applies a record to the durable state. Returns whether it was kept.
 pub fn keep(store: &mut Store, record: Record) -> bool {
     let gap = store.torn && !matches!(record, Record::Snapshot(_));
     store.torn = store.full || gap;
@@ -39,7 +41,7 @@
         return false;
     }
     let kept = &mut store.kept;
-    // What stands before another was chosen when that was accepted.
+    // A replica accepts an entry only after all entries before it were chosen.
     let catch_up = |kept: &mut DurableState, index: LogIndex| {
         while kept.state.index + 1 < index {
             let Some(before) = kept.accepted.take() else { break };
