--- a/crates/brassport/src/door.rs
+++ b/crates/brassport/src/door.rs
@@ -129,10 +129,12 @@
             let (id, node) = self.note(told);
             let entry = self.entry(id, &node);
             match node.address {
-                Some(at) if entry.lifecycle != Lifecycle::Gone => {
+                Some(at) if entry.lifecycle != Lifecycle::Removed => {
                     self.backends.upsert(id, &node.id, at, entry.lifecycle == Lifecycle::Ready);
                 }
-                None if entry.lifecycle != Lifecycle::Gone => self.backends.upsert_unreachable(id, &node.id),
+                None if entry.lifecycle != Lifecycle::Removed => {
+                    self.backends.upsert_unreachable(id, &node.id)
+                }
                 _ => self.backends.retain(|other| other != id),
             }
             entries.push(entry);
@@ -143,7 +145,7 @@
             self.inner.borrow_mut().listed.retain(|id, _| named.contains(id));
         }
         // Guards the memory: the gone would pile up, as each new backend has a new name.
-        for entry in entries.iter().filter(|entry| entry.lifecycle == Lifecycle::Gone) {
+        for entry in entries.iter().filter(|entry| entry.lifecycle == Lifecycle::Removed) {
             self.inner.borrow_mut().listed.remove(&entry.id);
         }
         self.dispatcher.handle(Event::Servers { kind, entries });
@@ -236,7 +238,7 @@
                 descriptors: 0,
             }
         };
-        self.dispatcher.handle(Event::HandOver);
+        self.dispatcher.handle(Event::Retire);
         offer
     }
 
@@ -247,14 +249,14 @@
             inner.bans = offer.bans;
             inner.out_elsewhere.clone_from(&offer.out);
         }
-        self.dispatcher.handle(Event::Inherit { learned: offer.learned, out: offer.out });
+        self.dispatcher.handle(Event::ApplyHandover { state: offer.learned, in_flight: offer.out });
         let listed: Vec<Entry> = offer.listed.into_iter().map(Into::into).collect();
         self.servers(ListKind::Cached, &listed);
     }
 
     /// The process that took this one's place has ended.
     pub fn take_back(self: &Rc<Self>) {
-        self.dispatcher.handle(Event::TakeBack);
+        self.dispatcher.handle(Event::Resume);
     }
 
     /// An attempt of this customer has ended in the process whose place this one took.
@@ -265,7 +267,7 @@
             out.swap_remove(place);
         }
         self.links.tell_successor(|| Told::Released(customer));
-        self.dispatcher.handle(Event::Released(customer));
+        self.dispatcher.handle(Event::PredecessorAttemptEnded(customer));
     }
 
     /// That process has ended, and all its attempts with it.
@@ -291,13 +293,13 @@
             id,
             zone: zone.map_or(u16::MAX, |zone| zone as u16),
             cell: node.group as u16,
-            share: node.size,
+            capacity: node.size,
             lifecycle: match node.state {
                 State::Ready if node.address.is_some() => Lifecycle::Ready,
                 State::Ready | State::Draining => Lifecycle::Draining,
-                State::Gone => Lifecycle::Gone,
+                State::Gone => Lifecycle::Removed,
             },
-            launched: (node.boot_ms > 0.0 && !mutant!(ColdIgnored))
+            launched_at: (node.boot_ms > 0.0 && !mutant!(ColdIgnored))
                 .then(|| self.dispatcher.clock().at_unix(node.boot_ms)),
         }
     }
--- a/crates/brassport/src/run/terms.rs
+++ b/crates/brassport/src/run/terms.rs
@@ -109,11 +109,17 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use brassport_policy::{Class, Effect, Plan};
+    use brassport_policy::{Class, Plan, RetrySafety};
     use proptest::prelude::*;
 
     fn file(classes: &[(&str, f64)], plans: &[&str]) -> (Names, Settings) {
-        let class = |worth| Class { worth, aim: 1.0, deadline: 2.0, late_share: 0.0, effect: Effect::Free };
+        let class = |worth| Class {
+            value: worth,
+            latency_target: 1.0,
+            deadline: 2.0,
+            late_value_fraction: 0.0,
+            retry_safety: RetrySafety::Idempotent,
+        };
         let names = Names {
             classes: classes.iter().map(|(name, _)| name.to_string()).collect(),
             plans: plans.iter().map(|name| name.to_string()).collect(),
@@ -134,12 +140,12 @@
         let (names, settings) = file(&[("c", 3.0), ("b", 5.0)], &["p"]);
         let next = terms.changed(&names, &settings).expect("room");
         assert_eq!((next.class("a"), next.class("b"), next.class("c")), (None, Some(1), Some(2)));
-        let worths: Vec<f64> = next.settings().classes.iter().map(|class| class.worth).collect();
+        let worths: Vec<f64> = next.settings().classes.iter().map(|class| class.value).collect();
         assert_eq!(worths, [1.0, 5.0, 3.0]);
         let back =
             next.changed(&file(&[("a", 4.0)], &["p"]).0, &file(&[("a", 4.0)], &["p"]).1).expect("room");
         assert_eq!(
-            (back.class("a"), back.class("b"), back.settings().classes[0].worth),
+            (back.class("a"), back.class("b"), back.settings().classes[0].value),
             (Some(0), None, 4.0)
         );
         assert_eq!(back.class_names().collect::<Vec<_>>(), ["a"]);
@@ -179,7 +185,7 @@
                     prop_assert_eq!(index.is_some(), file_names.contains(&name));
                     if let Some(index) = index {
                         prop_assert_eq!(*indices.entry(name).or_insert(index), index);
-                        prop_assert_eq!(next.settings().classes[index].worth, round as f64);
+                        prop_assert_eq!(next.settings().classes[index].value, round as f64);
                     }
                 }
                 terms = Some(next);
--- a/crates/brassport/src/upstream.rs
+++ b/crates/brassport/src/upstream.rs
@@ -29,9 +29,11 @@
         let turned_away =
             header("x-not-run").is_some_and(|text| text.trim() == "1") || mutant!(TrustPlain503);
         let outcome = match answer.status {
-            StatusCode::INTERNAL_SERVER_ERROR if mutant!(ErrorNeverRan) => Outcome::Full,
+            StatusCode::INTERNAL_SERVER_ERROR if mutant!(ErrorNeverRan) => Outcome::Overloaded,
             StatusCode::OK => Outcome::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => {
+                Outcome::Overloaded
+            }
             // Anything else may have run.
             _ => Outcome::Error,
         };
--- a/crates/brassport/tests/golden.rs
+++ b/crates/brassport/tests/golden.rs
@@ -16,7 +16,7 @@
 use brassport::run::terms::Terms;
 use brassport_golden::{hex, unhex, Fixtures};
 use brassport_membership::book::{Entry, Report, State};
-use brassport_policy::{Class, Effect, Plan, Scope, Settings};
+use brassport_policy::{Class, Plan, RetrySafety, Scope, Settings};
 use brassport_proxy::protocol::{AttemptEvent, AttemptObserver};
 use hyper::StatusCode;
 use serde_json::{json, Value};
@@ -74,15 +74,21 @@
 }
 
 fn settings() -> Settings {
-    let class = |effect| Class { worth: 1.5, aim: 800.0, deadline: 4000.0, late_share: 0.25, effect };
-    let plan = Plan { rate: 20.0, burst: 40.0, price: 1.0, ..Plan::default() };
+    let class = |effect| Class {
+        value: 1.5,
+        latency_target: 800.0,
+        deadline: 4000.0,
+        late_value_fraction: 0.25,
+        retry_safety: effect,
+    };
+    let plan = Plan { rate: 20.0, burst: 40.0, value_factor: 1.0, ..Plan::default() };
     Settings {
         classes: vec![
-            class(Effect::Free),
-            class(Effect::Once),
-            class(Effect::Keyed { scope: Scope::Zone, window: 1500.0 }),
+            class(RetrySafety::Idempotent),
+            class(RetrySafety::NonIdempotent),
+            class(RetrySafety::Keyed { scope: Scope::Zone, window: 1500.0 }),
         ],
-        plans: vec![plan, Plan { open: 2, ceiling_rate: 10.0, ceiling_burst: 12.5, ..plan }],
+        plans: vec![plan, Plan { max_in_flight: 2, hard_limit_rate: 10.0, hard_limit_burst: 12.5, ..plan }],
         meter_period: 500.0,
         ..Settings::default()
     }
--- a/crates/brassport/tests/hooks.rs
+++ b/crates/brassport/tests/hooks.rs
@@ -6,7 +6,7 @@
 use brassport::network::Tcp;
 use brassport::{front_door_with, Surroundings};
 use brassport_membership::book::{Entry, Report, Source};
-use brassport_policy::{Class, Effect, Plan, RequestId, Settings};
+use brassport_policy::{Class, Plan, RequestId, RetrySafety, Settings};
 use brassport_process_harness::port::reserve;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -41,8 +41,14 @@
 }
 
 fn config(listen: SocketAddr, node: SocketAddr) -> Config {
-    let effect = Effect::Once;
-    let class = Class { worth: 1.0, aim: 5000.0, deadline: 10_000.0, late_share: 0.5, effect };
+    let effect = RetrySafety::NonIdempotent;
+    let class = Class {
+        value: 1.0,
+        latency_target: 5000.0,
+        deadline: 10_000.0,
+        late_value_fraction: 0.5,
+        retry_safety: effect,
+    };
     let node = Report::whole(vec![Entry::ready("a", node)]);
     let (classes, plans) = (vec![class], vec![Plan::default()]);
     Config {
