--- a/crates/brassport-data-plane/src/metrics.rs
+++ b/crates/brassport-data-plane/src/metrics.rs
@@ -3,7 +3,7 @@
 //! The labels and names are public: `brassport_requests_total{service, verdict}`,
 //! `brassport_attempts_total{service, outcome}`, and a line `brassport_NAME{service}` for each other figure.
 
-use brassport_policy::{Figures, Outcome};
+use brassport_policy::{GatewayMetrics, Outcome};
 use brassport_proxy::hooks::RequestEnd;
 use std::cell::Cell;
 use std::fmt::Write;
@@ -94,7 +94,7 @@
     }
 
     /// Appends the counters, and the policy's figures, as lines of the Prometheus text format.
-    pub fn write(&self, service: &str, figures: &Figures, text: &mut String) {
+    pub fn write(&self, service: &str, figures: &GatewayMetrics, text: &mut String) {
         let verdicts = [
             ("served", &self.served),
             ("refused", &self.rejected),
@@ -112,20 +112,22 @@
         for (name, total) in self.totals(figures) {
             let _ = writeln!(text, "brassport_{name}{{service=\"{service}\"}} {total}");
         }
-        let _ = writeln!(text, "brassport_room_limit{{service=\"{service}\"}} {:.2}", figures.room_limit);
-        let _ = writeln!(text, "brassport_room_part{{service=\"{service}\"}} {:.3}", figures.room_part);
+        let _ =
+            writeln!(text, "brassport_room_limit{{service=\"{service}\"}} {:.2}", figures.concurrency_limit);
+        let _ =
+            writeln!(text, "brassport_room_part{{service=\"{service}\"}} {:.3}", figures.admitted_fraction);
     }
 
     /// The figures without labels of their own, by name.
-    fn totals(&self, figures: &Figures) -> [(&'static str, u64); 10] {
+    fn totals(&self, figures: &GatewayMetrics) -> [(&'static str, u64); 10] {
         [
             ("attempts_called_off_after_client_left_total", self.cancelled_after_client_left.get()),
             ("attempts_run_on_after_client_left_total", self.completed_after_client_left.get()),
             ("attempts_abandoned_total", self.abandoned.get()),
             ("refused_no_share_total", self.quota_exhausted.get()),
-            ("refused_no_room_total", figures.no_room),
-            ("refused_no_backend_total", figures.no_server),
-            ("backends_known", figures.known as u64),
+            ("refused_no_room_total", figures.rejected_no_capacity),
+            ("refused_no_backend_total", figures.rejected_no_server),
+            ("backends_known", figures.servers as u64),
             ("backends_ready", figures.ready as u64),
             ("backends_ejected", figures.ejected as u64),
             ("attempts_in_flight", figures.in_flight as u64),
--- a/crates/brassport-data-plane/src/service.rs
+++ b/crates/brassport-data-plane/src/service.rs
@@ -123,7 +123,7 @@
     /// Appends the counters as lines of the Prometheus text format.
     pub(crate) fn write_metrics(&self, name: &str, text: &mut String) {
         let now = self.policy.clock().now();
-        let figures = self.policy.inspect(|policy| policy.figures(now));
+        let figures = self.policy.inspect(|policy| policy.metrics(now));
         self.counters.write(name, &figures, text);
     }
 
--- a/crates/brassport-data-plane/tests/it/metrics.rs
+++ b/crates/brassport-data-plane/tests/it/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::GOLDEN;
 use brassport_data_plane::metrics::{RequestCounters, ABANDONED_AFTER_MS};
-use brassport_policy::{Figures, Outcome};
+use brassport_policy::{GatewayMetrics, Outcome};
 use brassport_proxy::hooks::RequestEnd;
 
 /// The name of an outcome; one that is new does not compile here until it is in [`OUTCOMES`] too.
@@ -30,29 +30,29 @@
     Outcome::NotSent,
 ];
 
-const NO_FIGURES: Figures = Figures {
-    known: 0,
+const NO_FIGURES: GatewayMetrics = GatewayMetrics {
+    servers: 0,
     ready: 0,
     ejected: 0,
     in_flight: 0,
-    room_limit: 0.0,
-    room_part: 0.0,
-    no_room: 0,
-    no_server: 0,
+    concurrency_limit: 0.0,
+    admitted_fraction: 0.0,
+    rejected_no_capacity: 0,
+    rejected_no_server: 0,
 };
 
-const FIGURES: Figures = Figures {
-    known: 9,
+const FIGURES: GatewayMetrics = GatewayMetrics {
+    servers: 9,
     ready: 8,
     ejected: 7,
     in_flight: 6,
-    room_limit: 12.345,
-    room_part: 0.98765,
-    no_room: 5,
-    no_server: 4,
+    concurrency_limit: 12.345,
+    admitted_fraction: 0.98765,
+    rejected_no_capacity: 5,
+    rejected_no_server: 4,
 };
 
-fn page(counters: &RequestCounters, figures: &Figures) -> String {
+fn page(counters: &RequestCounters, figures: &GatewayMetrics) -> String {
     let mut text = String::new();
     counters.write("search", figures, &mut text);
     text
--- a/crates/brassport-policy/src/bin/brassport-policy-sim-adapter.rs
+++ b/crates/brassport-policy/src/bin/brassport-policy-sim-adapter.rs
@@ -45,11 +45,11 @@
     reply: &mut Reply,
 ) -> Result<(), WireError> {
     match event {
-        WireEvent::Born { seed, settings } => {
+        WireEvent::Start { seed, settings } => {
             let gateway = Gateway::new(*settings, seed, clock);
             gateways.insert(instance, gateway.map_err(|error| WireError::Malformed(error.to_string()))?);
         }
-        WireEvent::Detach => drop(gateways.remove(&instance)),
+        WireEvent::Kill => drop(gateways.remove(&instance)),
         WireEvent::Unused => {}
         WireEvent::Event(event) => {
             let Some(gateway) = gateways.get_mut(&instance) else {
@@ -64,7 +64,7 @@
                 Err(cause) => {
                     // Its state may be inconsistent: the instance counts as crashed.
                     gateways.remove(&instance);
-                    reply.die(instance, panic_message(&*cause));
+                    reply.push_panic(instance, panic_message(&*cause));
                 }
             }
         }
--- a/crates/brassport-policy/src/handover.rs
+++ b/crates/brassport-policy/src/handover.rs
@@ -129,7 +129,7 @@
     /// The hand-over state: customers' accounts and rate limits, and what was learned of servers, classes and
     /// the meter. Moments in it are of this gateway's clock, which the successor must continue. Empty if it
     /// would take more than `max_bytes`: the successor then starts without it.
-    pub fn heritage(&self, max_bytes: usize) -> String {
+    pub fn handover_state(&self, max_bytes: usize) -> String {
         let state = HandoverState {
             form: FORM,
             counts: counts(&self.settings),
--- a/crates/brassport-policy/src/lib.rs
+++ b/crates/brassport-policy/src/lib.rs
@@ -30,7 +30,7 @@
 //! * **Retries** (`request_lifecycle.rs`): only where a second run is safe and a retry budget allows it.
 //!
 //! `policy.rs` puts these together. Everything else in the crate is data: [`interface`], the hand-over state
-//! ([`Gateway::heritage`]), figures for operators, and the simulator's [`wire`].
+//! ([`Gateway::handover_state`]), figures for operators, and the simulator's [`wire`].
 //!
 //! # Example
 //!
@@ -78,10 +78,10 @@
 
 mod admission;
 mod concurrency_limit;
-mod figures;
 mod handover;
 pub mod interface;
 mod load_balancer;
+mod metrics;
 mod policy;
 mod rate_limit;
 mod request_lifecycle;
@@ -89,6 +89,6 @@
 mod slow_start;
 pub mod wire;
 
-pub use figures::Figures;
 pub use interface::*;
+pub use metrics::GatewayMetrics;
 pub use policy::Gateway;
--- a/crates/brassport-policy/src/policy.rs
+++ b/crates/brassport-policy/src/policy.rs
@@ -200,7 +200,7 @@
         let class = self.settings.classes[request.class];
         let by_quota = self.quota_probability(request);
         let response = self.classes.response_ms(request.class);
-        let capacity = self.capacity(request.class, class.latency_target);
+        let capacity = self.capacity_fraction(request.class, class.latency_target);
         // The floor shrinks with the capacity: a fixed part of thousands of retries a second would sustain an
         // overload.
         let by_class = |capacity: f64| {
@@ -222,7 +222,7 @@
     }
 
     /// The fraction of what the quotas admit that there is capacity for. Idle servers always have some.
-    fn capacity(&mut self, class: usize, latency_target: Millis) -> f64 {
+    fn capacity_fraction(&mut self, class: usize, latency_target: Millis) -> f64 {
         let in_flight = self.balancer.in_flight_within_target(class, self.now);
         let all = self.balancer.in_flight();
         let idle = self.concurrency.idle_allowance(self.now, latency_target, all);
--- a/crates/brassport-policy/src/wire/event.rs
+++ b/crates/brassport-policy/src/wire/event.rs
@@ -1,7 +1,7 @@
 //! Event records.
 
 use super::frame::Record;
-use super::settings::settings;
+use super::settings::parse_settings;
 use super::{malformed, WireError};
 use crate::interface::*;
 
@@ -12,14 +12,14 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum WireEvent {
     /// An instance starts.
-    Born {
+    Start {
         /// Its seed.
         seed: u64,
         /// Its settings.
         settings: Box<Settings>,
     },
     /// An instance was killed.
-    Detach,
+    Kill,
     /// An event of the module's interface.
     Event(Event),
     /// An event of probes, peers or the counter, which the module does not use.
@@ -45,10 +45,10 @@
             let Ok(text) = std::str::from_utf8(text) else {
                 return malformed("BORN params are not UTF-8");
             };
-            WireEvent::Born { seed: record.u64(3), settings: Box::new(settings(text)?) }
+            WireEvent::Start { seed: record.u64(3), settings: Box::new(parse_settings(text)?) }
         }
         20 => WireEvent::Event(servers(&record, tail)?),
-        23 => WireEvent::Detach,
+        23 => WireEvent::Kill,
         24 => WireEvent::Event(Event::ResponseStarted(record.u64(3))),
         26 => WireEvent::Event(Event::ClientDisconnected(record.u64(3))),
         21 => {
--- a/crates/brassport-policy/src/wire/frame.rs
+++ b/crates/brassport-policy/src/wire/frame.rs
@@ -1,7 +1,7 @@
 //! Frames of event records.
 
 use super::event::{decode, WireEvent};
-use super::{malformed, WireError, EVENT};
+use super::{malformed, WireError, EVENT_RECORD_BYTES};
 use std::io::Read;
 
 /// Size of the clock and the length before a frame's records, in bytes.
@@ -37,7 +37,7 @@
             return malformed(format!("frame cut short after {} of {length} bytes", body.len()));
         }
         let count = Record(&body).u32(0) as usize;
-        if count > (body.len() - 4) / EVENT {
+        if count > (body.len() - 4) / EVENT_RECORD_BYTES {
             return malformed(format!("{count} records do not fit a frame of {length} bytes"));
         }
         Ok(Some(Batch { clock, count, body }))
@@ -51,9 +51,9 @@
     /// # Panics
     /// If `index` is not below `count`.
     pub fn event(&self, index: usize) -> Result<(u16, WireEvent), WireError> {
-        let start = 4 + index * EVENT;
-        let tail = &self.body[4 + self.count * EVENT..];
-        decode(&self.body[start..start + EVENT], tail)
+        let start = 4 + index * EVENT_RECORD_BYTES;
+        let tail = &self.body[4 + self.count * EVENT_RECORD_BYTES..];
+        decode(&self.body[start..start + EVENT_RECORD_BYTES], tail)
     }
 }
 
--- a/crates/brassport-policy/src/wire/mod.rs
+++ b/crates/brassport-policy/src/wire/mod.rs
@@ -1,8 +1,8 @@
 //! The codec of the simulator's wire: frames, records and settings to and from the types of
 //! [`crate::interface`]. It decides nothing.
 //!
-//! All numbers are big-endian. A frame to the adapter holds the clock and event records of [`EVENT`] bytes, a
-//! frame from it action records of [`ACTION`] bytes; both end with a tail of texts and lists to which records
+//! All numbers are big-endian. A frame to the adapter holds the clock and event records of [`EVENT_RECORD_BYTES`] bytes, a
+//! frame from it action records of [`ACTION_RECORD_BYTES`] bytes; both end with a tail of texts and lists to which records
 //! refer by offset.
 
 mod event;
@@ -13,15 +13,15 @@
 pub use event::WireEvent;
 pub use frame::Batch;
 pub use reply::Reply;
-pub use settings::settings;
+pub use settings::parse_settings;
 
 use std::fmt;
 use std::io;
 
 /// Size of an event record, in bytes.
-pub const EVENT: usize = 48;
+pub const EVENT_RECORD_BYTES: usize = 48;
 /// Size of an action record, in bytes.
-pub const ACTION: usize = 24;
+pub const ACTION_RECORD_BYTES: usize = 24;
 
 /// An error of the input.
 #[derive(Debug)]
--- a/crates/brassport-policy/src/wire/reply.rs
+++ b/crates/brassport-policy/src/wire/reply.rs
@@ -1,6 +1,6 @@
 //! Frames of action records.
 
-use super::ACTION;
+use super::ACTION_RECORD_BYTES;
 use crate::interface::Action;
 
 /// Builds a frame of action records.
@@ -39,7 +39,7 @@
     }
 
     /// Adds a record that the decision code of an instance panicked.
-    pub fn die(&mut self, instance: u16, text: &str) {
+    pub fn push_panic(&mut self, instance: u16, text: &str) {
         self.text(92, instance, text);
     }
 
@@ -57,7 +57,7 @@
         self.records.push(code);
         self.records.extend(instance.to_be_bytes());
         fields(&mut self.records);
-        self.records.resize(self.count as usize * ACTION, 0);
+        self.records.resize(self.count as usize * ACTION_RECORD_BYTES, 0);
     }
 
     /// The complete frame.
--- a/crates/brassport-policy/src/wire/settings.rs
+++ b/crates/brassport-policy/src/wire/settings.rs
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// Names a required key that is missing, unreadable or out of range.
-pub fn settings(text: &str) -> Result<Settings, WireError> {
+pub fn parse_settings(text: &str) -> Result<Settings, WireError> {
     let params = Params(text.lines().filter_map(|line| line.split_once('=')).collect());
     let classes = params.list("classes", |at| class(&params, at))?;
     let plans = params.list("plans", |at| plan(&params, at))?;
--- a/crates/brassport-policy/tests/it/golden/handover.rs
+++ b/crates/brassport-policy/tests/it/golden/handover.rs
@@ -51,7 +51,7 @@
 
 #[test]
 fn the_handover_state_is_unchanged() {
-    let text = history(false).heritage(MAX_BYTES);
+    let text = history(false).handover_state(MAX_BYTES);
     for word in ["\"Gone\"", "\"Draining\"", "\"Ready\"", "\"held\":[1", "\"open\":1", "\"cold\":{"] {
         assert!(text.contains(word), "the history reaches {word}");
     }
@@ -61,33 +61,33 @@
 #[test]
 fn the_state_of_a_successor_is_unchanged() {
     // Attempts that wait are dropped, those that are out are counted anew, and cold servers are noted once more.
-    let (gateway, actions) = successor(&history(false).heritage(MAX_BYTES));
+    let (gateway, actions) = successor(&history(false).handover_state(MAX_BYTES));
     assert_eq!(actions, []);
-    GOLDEN.same_text("heritage-inherited.json", &(gateway.heritage(MAX_BYTES) + "\n"));
+    GOLDEN.same_text("heritage-inherited.json", &(gateway.handover_state(MAX_BYTES) + "\n"));
 }
 
 #[test]
 fn an_idle_gateways_state_round_trips() {
-    let fixture = GOLDEN.same_text("heritage-calm.json", &(history(true).heritage(MAX_BYTES) + "\n"));
+    let fixture = GOLDEN.same_text("heritage-calm.json", &(history(true).handover_state(MAX_BYTES) + "\n"));
     let mut gateway = Gateway::new(sample_settings(), 12, 0.0).expect("sound settings");
     let mut actions = Vec::new();
     let learned = fixture.trim_end().to_string();
     gateway.handle(0.0, Event::ApplyHandover { state: learned, in_flight: Vec::new() }, &mut actions);
     assert_eq!(actions, []);
-    assert_eq!(gateway.heritage(MAX_BYTES) + "\n", fixture);
-    assert_eq!(gateway.heritage(fixture.len() - 1) + "\n", fixture, "it just fits");
-    assert_eq!(gateway.heritage(fixture.len() - 2), "", "nothing of it rather than a part");
+    assert_eq!(gateway.handover_state(MAX_BYTES) + "\n", fixture);
+    assert_eq!(gateway.handover_state(fixture.len() - 1) + "\n", fixture, "it just fits");
+    assert_eq!(gateway.handover_state(fixture.len() - 2), "", "nothing of it rather than a part");
 }
 
 #[test]
 fn the_state_of_a_new_gateway_is_unchanged() {
     let gateway = Gateway::new(sample_settings(), 11, 0.0).expect("sound settings");
-    GOLDEN.same_text("heritage-new.json", &(gateway.heritage(MAX_BYTES) + "\n"));
+    GOLDEN.same_text("heritage-new.json", &(gateway.handover_state(MAX_BYTES) + "\n"));
 }
 
 #[test]
 fn the_errors_of_unusable_states_are_unchanged() {
-    let text = history(true).heritage(MAX_BYTES);
+    let text = history(true).handover_state(MAX_BYTES);
     let cases = [
         ("nothing", String::new()),
         ("no JSON", "?".into()),
--- a/crates/brassport-policy/tests/it/golden/mod.rs
+++ b/crates/brassport-policy/tests/it/golden/mod.rs
@@ -8,7 +8,7 @@
 mod wire;
 
 use brassport_golden::{hex, unhex, Fixtures};
-use brassport_policy::wire::EVENT;
+use brassport_policy::wire::EVENT_RECORD_BYTES;
 use brassport_policy::*;
 
 const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
@@ -151,11 +151,11 @@
 
 /// An event record under construction: code, instance, then fields at their positions.
 #[derive(Clone)]
-struct Record([u8; EVENT]);
+struct Record([u8; EVENT_RECORD_BYTES]);
 
 impl Record {
     fn new(code: u8) -> Record {
-        Record([0; EVENT]).put(0, &[code]).put(1, &3u16.to_be_bytes())
+        Record([0; EVENT_RECORD_BYTES]).put(0, &[code]).put(1, &3u16.to_be_bytes())
     }
     fn put(mut self, at: usize, bytes: &[u8]) -> Record {
         self.0[at..at + bytes.len()].copy_from_slice(bytes);
--- a/crates/brassport-policy/tests/it/golden/settings.rs
+++ b/crates/brassport-policy/tests/it/golden/settings.rs
@@ -1,12 +1,12 @@
 //! Settings of the wire, and the errors of settings that are missing, unreadable or out of range.
 
 use super::*;
-use brassport_policy::wire::settings;
+use brassport_policy::wire::parse_settings;
 
 #[test]
 fn valid_settings_decode_as_before() {
-    let read = settings(&settings_text()).expect("sound");
-    let plain = settings(
+    let read = parse_settings(&settings_text()).expect("sound");
+    let plain = parse_settings(
         &settings_text()
             .replace("registryMode=on_request", "registryMode=pushed")
             .replace("retryAfter=true\nbounds.maxRetryAfter=700.0", "retryAfter=false"),
@@ -36,7 +36,7 @@
         let without: Vec<_> = text.lines().filter(|other| *other != line).collect();
         let broken = text.replace(line, &format!("{key}=?"));
         for (how, text) in [("missing", without.join("\n")), ("unreadable", broken)] {
-            let error = settings(&text).expect_err(key);
+            let error = parse_settings(&text).expect_err(key);
             reported.push((format!("{key} {how}"), error.to_string()));
         }
     }
--- a/crates/brassport-policy/tests/it/golden/wire.rs
+++ b/crates/brassport-policy/tests/it/golden/wire.rs
@@ -21,7 +21,7 @@
         ("started".to_string(), with_id(24), WireEvent::Event(Event::ResponseStarted(id))),
         ("client gone".to_string(), with_id(26), WireEvent::Event(Event::ClientDisconnected(id))),
         ("timer without token".to_string(), frame(1.5, &one, &[]), WireEvent::Event(Event::Timer(0))),
-        ("detach".to_string(), frame_of(Record::new(23)), WireEvent::Detach),
+        ("detach".to_string(), frame_of(Record::new(23)), WireEvent::Kill),
     ];
     for code in [21, 22, 25] {
         cases.push((format!("unused {code}"), frame_of(Record::new(code)), WireEvent::Unused));
@@ -111,7 +111,7 @@
         tuning: Tuning::default(),
         ..sample_settings()
     });
-    ("born".into(), frame(1.5, &[born], text.as_bytes()), WireEvent::Born { seed: 5, settings })
+    ("born".into(), frame(1.5, &[born], text.as_bytes()), WireEvent::Start { seed: 5, settings })
 }
 
 #[test]
@@ -164,9 +164,9 @@
         together.push(3, action);
     }
     let mut dying = Reply::default();
-    dying.die(4, "cde");
+    dying.push_panic(4, "cde");
     cases.push(("died".into(), hex(&dying.into_bytes())));
-    together.die(4, "the last");
+    together.push_panic(4, "the last");
     together.push(5, &Action::Log("and one more".into()));
     cases.push(("all in one".into(), hex(&together.into_bytes())));
     GOLDEN.same_text("wire-actions.hex", &lines(&cases));
--- a/crates/brassport-policy/tests/it/handover.rs
+++ b/crates/brassport-policy/tests/it/handover.rs
@@ -77,7 +77,7 @@
 }
 
 fn successor_of(old: &mut Gateway, now: Millis, out: Vec<CustomerId>) -> Gateway {
-    let learned = old.heritage(MAX_BYTES);
+    let learned = old.handover_state(MAX_BYTES);
     handle(old, now, Event::Retire);
     let mut new = gateway();
     assert_eq!(handle(&mut new, now, Event::ApplyHandover { state: learned, in_flight: out }), []);
@@ -182,20 +182,20 @@
             handle(&mut old, now, Event::AttemptEnd(failed));
         }
     }
-    assert!(old.avoids(0, 1010.0));
+    assert!(old.is_ejected(0, 1010.0));
     let new = successor_of(&mut old, 1010.0, Vec::new());
-    assert!(new.avoids(0, 1010.0));
+    assert!(new.is_ejected(0, 1010.0));
 }
 
 #[test]
 fn an_unusable_state_is_not_applied_and_the_gateway_starts_without() {
     let mut old = gateway();
     handle(&mut old, 0.0, servers(1, 3));
-    let sound = old.heritage(MAX_BYTES);
+    let sound = old.handover_state(MAX_BYTES);
     let other_form = sound.replacen("\"form\":", "\"form\":9", 1);
     assert!(sound != other_form);
-    assert_eq!(old.heritage(sound.len() - 1), "", "half of it is of no use");
-    assert_eq!(old.heritage(sound.len()), sound);
+    assert_eq!(old.handover_state(sound.len() - 1), "", "half of it is of no use");
+    assert_eq!(old.handover_state(sound.len()), sound);
     for learned in ["", "{}", &sound[..sound.len() / 2], &other_form] {
         let mut new = gateway();
         let said = handle(&mut new, 10.0, Event::ApplyHandover { state: learned.into(), in_flight: vec![7] });
@@ -246,10 +246,10 @@
         for done in open {
             handle(&mut old, now, end(done));
         }
-        let learned = old.heritage(MAX_BYTES);
+        let learned = old.handover_state(MAX_BYTES);
         let mut new = gateway();
         let said = handle(&mut new, now, Event::ApplyHandover { state: learned.clone(), in_flight: Vec::new() });
         prop_assert_eq!(said, []);
-        prop_assert!(comparable(&new.heritage(MAX_BYTES)) == comparable(&learned));
+        prop_assert!(comparable(&new.handover_state(MAX_BYTES)) == comparable(&learned));
     }
 }
--- a/crates/brassport-policy/tests/it/overload.rs
+++ b/crates/brassport-policy/tests/it/overload.rs
@@ -125,7 +125,7 @@
             hand.insert((now + elapsed, id), elapsed);
         }
     }
-    host.gateway.room().1
+    host.gateway.capacity().1
 }
 
 /// One in three is what is borne. A late one was counted when it was overdue and once more at its end: one answer in
@@ -163,7 +163,7 @@
             hand.insert((step + elapsed as u64 / 10, id), (id, elapsed));
         }
     }
-    host.gateway.room().1
+    host.gateway.capacity().1
 }
 
 #[test]
--- a/crates/brassport-policy/tests/it/uploads.rs
+++ b/crates/brassport-policy/tests/it/uploads.rs
@@ -126,11 +126,11 @@
 #[test]
 fn slow_uploads_do_not_lower_the_limit() {
     let mut gateway = gateway(0);
-    let before = gateway.room();
+    let before = gateway.capacity();
     for id in 1..200 {
         handle(&mut gateway, 100.0 + id as f64, Event::Upload(request(id)));
     }
-    assert_eq!(gateway.room(), before);
+    assert_eq!(gateway.capacity(), before);
     let (sent, _) = handle(&mut gateway, 9000.0, Event::Request(request(500)));
     assert!(matches!(sent[..], [Action::Send { request: 500, .. }]), "no server is busy yet: {sent:?}");
 }
--- a/crates/brassport-policy/tests/it/wire.rs
+++ b/crates/brassport-policy/tests/it/wire.rs
@@ -1,16 +1,18 @@
 //! The codec: each record, and input that breaks the layout.
 
-use brassport_policy::wire::{settings, Batch, Reply, WireError, WireEvent, ACTION, EVENT};
+use brassport_policy::wire::{
+    parse_settings, Batch, Reply, WireError, WireEvent, ACTION_RECORD_BYTES, EVENT_RECORD_BYTES,
+};
 use brassport_policy::*;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
 /// An event record under construction: code, instance, then fields at their positions.
-struct Rec([u8; EVENT]);
+struct Rec([u8; EVENT_RECORD_BYTES]);
 
 impl Rec {
     fn new(code: u8, instance: u16) -> Rec {
-        Rec([0; EVENT]).put(0, &[code]).put(1, &instance.to_be_bytes())
+        Rec([0; EVENT_RECORD_BYTES]).put(0, &[code]).put(1, &instance.to_be_bytes())
     }
     fn put(mut self, at: usize, bytes: &[u8]) -> Rec {
         self.0[at..at + bytes.len()].copy_from_slice(bytes);
@@ -58,7 +60,7 @@
 
 #[test]
 fn settings_are_decoded_and_unknown_keys_skipped() {
-    let read = settings(&params()).expect("readable");
+    let read = parse_settings(&params()).expect("readable");
     assert_eq!((read.gateways, read.ordinal, read.max_attempts, read.allow_hedging), (2, 1, 3, true));
     assert_eq!(read.classes[1].retry_safety, RetrySafety::Keyed { scope: Scope::Cell, window: 900.0 });
     assert_eq!(
@@ -73,16 +75,16 @@
     for line in params().lines().filter(|line| !line.starts_with("some.")) {
         let key = line.split('=').next().expect("a key");
         let without: Vec<_> = params().lines().filter(|other| *other != line).map(String::from).collect();
-        let error = settings(&without.join("\n")).expect_err(key).to_string();
+        let error = parse_settings(&without.join("\n")).expect_err(key).to_string();
         assert!(error.contains(key), "{key}: {error}");
         let broken = params().replace(line, &format!("{key}=?"));
-        let error = settings(&broken).expect_err(key).to_string();
+        let error = parse_settings(&broken).expect_err(key).to_string();
         assert!(error.contains(key), "{key}: {error}");
     }
     for (good, bad) in
         [("unitsPerS=2.5", "unitsPerS=-1"), ("balancers=2", "balancers=0"), ("slo=700.0", "slo=NaN")]
     {
-        assert!(settings(&params().replace(good, bad)).is_err(), "{bad}");
+        assert!(parse_settings(&params().replace(good, bad)).is_err(), "{bad}");
     }
 }
 
@@ -172,13 +174,13 @@
     assert_eq!(event(Rec::new(17, 3).put(3, &id)), Event::Timer(5));
     assert_eq!(event(Rec::new(24, 3).put(3, &id)), Event::ResponseStarted(5));
     assert_eq!(event(Rec::new(26, 3).put(3, &id)), Event::ClientDisconnected(5));
-    assert_eq!(decode(Rec::new(23, 3), &[]).expect("readable"), (3, WireEvent::Detach));
+    assert_eq!(decode(Rec::new(23, 3), &[]).expect("readable"), (3, WireEvent::Kill));
     for code in [21, 22, 25] {
         assert_eq!(decode(Rec::new(code, 3), &[]).expect("readable"), (3, WireEvent::Unused));
     }
     let text = params();
     let born = Rec::new(19, 3).put(3, &id).put(15, &(text.len() as u32).to_be_bytes());
-    let expected = WireEvent::Born { seed: 5, settings: Box::new(settings(&text).expect("readable")) };
+    let expected = WireEvent::Start { seed: 5, settings: Box::new(parse_settings(&text).expect("readable")) };
     assert_eq!(decode(born, text.as_bytes()).expect("readable"), (3, expected));
 }
 
@@ -210,11 +212,12 @@
     reply.push(3, &Action::Cancel { request: 9, attempt: 1 });
     reply.push(3, &Action::WatchServers);
     reply.push(3, &Action::Log("ab".into()));
-    reply.die(4, "cde");
+    reply.push_panic(4, "cde");
     let bytes = reply.into_bytes();
-    assert_eq!(bytes.len(), 8 + 8 * ACTION + 5);
-    assert_eq!(bytes[..8], [0, 0, 0, 8, 0, 0, 0, (8 * ACTION + 5) as u8]);
-    let record = |index: usize| &bytes[8 + index * ACTION..8 + (index + 1) * ACTION];
+    assert_eq!(bytes.len(), 8 + 8 * ACTION_RECORD_BYTES + 5);
+    assert_eq!(bytes[..8], [0, 0, 0, 8, 0, 0, 0, (8 * ACTION_RECORD_BYTES + 5) as u8]);
+    let record =
+        |index: usize| &bytes[8 + index * ACTION_RECORD_BYTES..8 + (index + 1) * ACTION_RECORD_BYTES];
     let codes: Vec<_> = (0..8).map(|index| record(index)[0]).collect();
     assert_eq!(codes, [91, 82, 83, 88, 86, 81, 84, 92]);
     assert_eq!(record(0)[1..3], [0, 3]);
@@ -227,7 +230,7 @@
     assert_eq!(record(4)[11], 1);
     assert_eq!(record(5)[3], 1);
     assert_eq!(record(7)[3..11], [0, 0, 0, 2, 0, 0, 0, 3]);
-    assert_eq!(&bytes[8 + 8 * ACTION..], b"abcde");
+    assert_eq!(&bytes[8 + 8 * ACTION_RECORD_BYTES..], b"abcde");
 }
 
 /// Runs the adapter on some input; returns whether it succeeded, its output and its error text.
@@ -255,7 +258,7 @@
     assert!(success && error.is_empty(), "{error}");
     assert_eq!(output[..16], [0; 16], "two batches without actions");
     // No server is listed: a timer, then a refusal.
-    assert_eq!((output[16 + 3], output[16 + 8], output[16 + 8 + ACTION]), (2, 82, 83));
+    assert_eq!((output[16 + 3], output[16 + 8], output[16 + 8 + ACTION_RECORD_BYTES]), (2, 82, 83));
 }
 
 #[test]
--- a/crates/brassport-proxy/src/dispatch/dispatcher.rs
+++ b/crates/brassport-proxy/src/dispatch/dispatcher.rs
@@ -212,7 +212,7 @@
 
     /// The policy's limit on attempts in flight, and the part of what the quotas admit that it has room for, from 0 to 1.
     pub fn capacity(&self) -> (f64, f64) {
-        self.inspect(Gateway::room)
+        self.inspect(Gateway::capacity)
     }
 
     /// Reads from the policy. `read` must not call the dispatcher.
--- a/crates/brassport/src/door.rs
+++ b/crates/brassport/src/door.rs
@@ -225,7 +225,7 @@
                 start_unix_ms: clock.start_unix(),
                 bans: inner.bans.clone(),
                 listed: inner.listed.values().map(Into::into).collect(),
-                learned: self.dispatcher.inspect(|gateway| gateway.heritage(most)),
+                learned: self.dispatcher.inspect(|gateway| gateway.handover_state(most)),
                 out: self
                     .dispatcher
                     .attempts_in_flight()
@@ -279,7 +279,7 @@
     fn list_figures(&self) -> ListFigures {
         let inner = self.inner.borrow();
         let now = self.dispatcher.clock().now();
-        let avoids = |id| self.dispatcher.inspect(|gateway| gateway.avoids(id, now));
+        let avoids = |id| self.dispatcher.inspect(|gateway| gateway.is_ejected(id, now));
         let avoided = |(id, told): &(&ServerId, &Entry)| {
             let holds = inner.bans.laid_over(told);
             holds.state != State::Ready || holds.address.is_none() || avoids(**id)
