--- a/crates/brassport-gateway/src/node/control_host.rs
+++ b/crates/brassport-gateway/src/node/control_host.rs
@@ -111,7 +111,7 @@
 
     /// Whether the cluster has released this node, which is shutting down: it no longer depends on it.
     pub(super) fn is_released(&self) -> bool {
-        self.control.is_released()
+        self.control.may_shut_down()
     }
 }
 
