--- a/crates/brassport-gateway/src/command/error.rs
+++ b/crates/brassport-gateway/src/command/error.rs
@@ -4,8 +4,8 @@
 use std::io;
 use std::path::PathBuf;
 
-/// An error of a subcommand. Errors in settings, configurations and stores have types of their own and are reported as they
-/// are.
+/// An error of a subcommand. Errors in settings, configurations and stores have types of their own and are reported as
+/// they are.
 #[derive(Debug, miette::Diagnostic)]
 pub enum CommandError {
     /// The required file argument is missing.
--- a/crates/brassport-gateway/src/command/mod.rs
+++ b/crates/brassport-gateway/src/command/mod.rs
@@ -28,17 +28,17 @@
     #[options(help = "run a gateway node with the settings file named by BRASSPORT_CONFIG")]
     Run(RunOptions),
     #[options(help = "validate a settings file (default: the one named by BRASSPORT_CONFIG)")]
-    Check(File),
+    Check(FileOptions),
     #[options(help = "validate a configuration before it is sent to a node")]
-    CheckConfiguration(File),
+    CheckConfiguration(FileOptions),
     #[options(help = "print the differences between two configurations")]
-    Difference(TwoFiles),
+    Difference(DifferenceOptions),
     #[options(help = "print the state of running nodes, given the addresses of their control listeners")]
-    Status(Addresses),
+    Status(StatusOptions),
     #[options(help = "print the contents of a voter's store; the node that owns it must be stopped")]
-    Store(File),
+    Store(FileOptions),
     #[options(help = "run a small complete site on the loopback network; see brassport-gateway try --help")]
-    Try(TestbedArguments),
+    Try(TestbedOptions),
 }
 
 #[derive(Debug, Options)]
@@ -52,13 +52,13 @@
 }
 
 #[derive(Debug, Options)]
-struct File {
+struct FileOptions {
     #[options(free, help = "the file")]
     file: Option<PathBuf>,
 }
 
 #[derive(Debug, Options)]
-struct Addresses {
+struct StatusOptions {
     #[options(free, help = "addresses of control listeners, such as 10.0.0.1:8381")]
     addresses: Vec<String>,
     #[options(no_short, help = "print the JSON answers, one on a line")]
@@ -66,13 +66,13 @@
 }
 
 #[derive(Debug, Options)]
-struct TwoFiles {
+struct DifferenceOptions {
     #[options(free, help = "the older and the newer file")]
     files: Vec<PathBuf>,
 }
 
 #[derive(Debug, Options)]
-struct TestbedArguments {
+struct TestbedOptions {
     #[options(free, help = "arguments of brassport-testbed, including its options")]
     arguments: Vec<String>,
 }
@@ -125,14 +125,14 @@
 fn execute(subcommand: Subcommand) -> miette::Result<()> {
     match subcommand {
         Subcommand::Run(RunOptions { metrics_port }) => subcommands::run(metrics_port),
-        Subcommand::Check(File { file }) => subcommands::check(file),
-        Subcommand::CheckConfiguration(File { file }) => subcommands::check_configuration(file),
-        Subcommand::Difference(TwoFiles { files }) => subcommands::print_difference(&files),
-        Subcommand::Status(Addresses { addresses, json }) => {
+        Subcommand::Check(FileOptions { file }) => subcommands::check(file),
+        Subcommand::CheckConfiguration(FileOptions { file }) => subcommands::check_configuration(file),
+        Subcommand::Difference(DifferenceOptions { files }) => subcommands::print_difference(&files),
+        Subcommand::Status(StatusOptions { addresses, json }) => {
             let format = if json { subcommands::StatusFormat::Json } else { subcommands::StatusFormat::Text };
             Ok(subcommands::print_status(&addresses, format)?)
         }
-        Subcommand::Store(File { file }) => subcommands::print_store(file),
-        Subcommand::Try(TestbedArguments { arguments }) => Ok(subcommands::run_testbed(&arguments)?),
+        Subcommand::Store(FileOptions { file }) => subcommands::print_store(file),
+        Subcommand::Try(TestbedOptions { arguments }) => Ok(subcommands::run_testbed(&arguments)?),
     }
 }
--- a/crates/brassport-gateway/src/command/subcommands.rs
+++ b/crates/brassport-gateway/src/command/subcommands.rs
@@ -1,5 +1,5 @@
-//! The subcommands, one function for each. Each prints its result to standard output and returns its error, which the caller
-//! prints.
+//! The subcommands, one function for each. Each prints its result to standard output and returns its error, which the
+//! caller prints.
 
 use super::CommandError;
 use crate::settings::{file_from_environment, Settings};
@@ -69,7 +69,7 @@
     for address in addresses {
         match (status::fetch(address), format) {
             (Ok(body), StatusFormat::Json) => println!("{body}"),
-            (Ok(body), StatusFormat::Text) => println!("{}", status::describe(address, &body)),
+            (Ok(body), StatusFormat::Text) => println!("{}", status::format_status(address, &body)),
             (Err(error), _) => {
                 failed += 1;
                 eprintln!("{address}: {error}");
--- a/crates/brassport-gateway/src/listeners/control.rs
+++ b/crates/brassport-gateway/src/listeners/control.rs
@@ -1,7 +1,7 @@
 //! The control listener: decodes the calls of backends and operators, and passes them to the owner of the control plane
 //! through a channel.
 
-use super::{serve, text, Handler};
+use super::{serve, text_response, Handler};
 use brassport_control_plane::call::{Call, DecodeError, Reply};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Bytes, Incoming};
@@ -16,8 +16,8 @@
 
 /// The size limit of a request body. A configuration with 35,000 routes has about 10 MB.
 const MAX_BODY_BYTES: usize = 24 << 20;
-/// The time limit for receiving a body, and again for its reply. A proposal that a majority has not confirmed by then is not
-/// expected to be confirmed.
+/// The time limit for receiving the body of a call, and separately for its reply. A proposal that a majority has not
+/// confirmed by then is not expected to be confirmed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 /// The request header with the version that a new configuration is based on.
 const BASE_VERSION_HEADER: &str = "x-built-on";
@@ -34,19 +34,19 @@
 }
 
 /// Serves the calls of backends and operators, and sends each decoded call to `calls`.
-pub async fn control(listener: TcpListener, calls: mpsc::UnboundedSender<PendingCall>) {
+pub async fn serve_control(listener: TcpListener, calls: mpsc::UnboundedSender<PendingCall>) {
     let port = listener.local_addr().map_or(0, |address| address.port());
-    serve(listener, Control { calls, port }).await;
+    serve(listener, ControlHandler { calls, port }).await;
 }
 
 #[derive(Clone)]
-struct Control {
+struct ControlHandler {
     calls: mpsc::UnboundedSender<PendingCall>,
     /// The port of this listener. All nodes use the same one, so it is also the port of a redirect to another node.
     port: u16,
 }
 
-impl Handler for Control {
+impl Handler for ControlHandler {
     async fn handle(self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
         match self.execute_call(&head, body).await {
@@ -56,7 +56,7 @@
     }
 }
 
-impl Control {
+impl ControlHandler {
     async fn execute_call(&self, head: &Parts, body: Incoming) -> Result<Reply, Rejection> {
         let body = read_body(body).await?;
         let base_version = head.headers.get(BASE_VERSION_HEADER).and_then(|value| value.to_str().ok());
@@ -78,15 +78,17 @@
                 response
             }
             Reply::Redirect(ip) => {
-                let mut response = text(StatusCode::TEMPORARY_REDIRECT, "another machine does this");
+                let mut response = text_response(StatusCode::TEMPORARY_REDIRECT, "another machine does this");
                 let location = format!("http://{ip}:{}{}", self.port, head.uri.path());
                 if let Ok(location) = HeaderValue::from_str(&location) {
                     response.headers_mut().insert(LOCATION, location);
                 }
                 response
             }
-            Reply::Invalid(reason) => text(StatusCode::BAD_REQUEST, &reason),
-            Reply::VersionConflict => text(StatusCode::PRECONDITION_FAILED, "another version is in place"),
+            Reply::Invalid(reason) => text_response(StatusCode::BAD_REQUEST, &reason),
+            Reply::VersionConflict => {
+                text_response(StatusCode::PRECONDITION_FAILED, "another version is in place")
+            }
             Reply::Unavailable(reason) => unavailable(reason),
         }
     }
@@ -120,13 +122,15 @@
 impl Rejection {
     fn into_response(self) -> Response<Full<Bytes>> {
         match self {
-            Rejection::BodyTooLarge => text(StatusCode::PAYLOAD_TOO_LARGE, "more than 24 MiB"),
-            Rejection::BodyIncomplete => text(StatusCode::BAD_REQUEST, "the body did not come whole"),
-            Rejection::BodyTimeout => text(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
+            Rejection::BodyTooLarge => text_response(StatusCode::PAYLOAD_TOO_LARGE, "more than 24 MiB"),
+            Rejection::BodyIncomplete => {
+                text_response(StatusCode::BAD_REQUEST, "the body did not come whole")
+            }
+            Rejection::BodyTimeout => text_response(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
             Rejection::Decode(error @ DecodeError::UnknownCall) => {
-                text(StatusCode::NOT_FOUND, &error.to_string())
+                text_response(StatusCode::NOT_FOUND, &error.to_string())
             }
-            Rejection::Decode(error) => text(StatusCode::BAD_REQUEST, &error.to_string()),
+            Rejection::Decode(error) => text_response(StatusCode::BAD_REQUEST, &error.to_string()),
             Rejection::Stopped => unavailable("it ends"),
             Rejection::ReplyTimeout => unavailable("no answer in time"),
         }
@@ -134,7 +138,7 @@
 }
 
 fn unavailable(reason: &str) -> Response<Full<Bytes>> {
-    let mut response = text(StatusCode::SERVICE_UNAVAILABLE, reason);
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, reason);
     response.headers_mut().insert(RETRY_AFTER, RETRY_AFTER_S);
     response
 }
--- a/crates/brassport-gateway/src/listeners/mod.rs
+++ b/crates/brassport-gateway/src/listeners/mod.rs
@@ -1,13 +1,13 @@
-//! The HTTP/1 listeners outside the request path: control calls of backends and operators ([`control`]), the readiness
-//! check of the deployment platform ([`ready`]), and metrics ([`metrics`]).
+//! The HTTP/1 listeners outside the request path: control calls of backends and operators ([`serve_control`]), the
+//! readiness check of the deployment platform ([`serve_ready`]), and metrics ([`serve_metrics`]).
 
 mod control;
 mod metrics;
 mod ready;
 
-pub use control::{control, PendingCall};
-pub use metrics::metrics;
-pub use ready::ready;
+pub use control::{serve_control, PendingCall};
+pub use metrics::serve_metrics;
+pub use ready::serve_ready;
 
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
@@ -21,8 +21,8 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::spawn_local;
 
-/// The number of connections that the kernel queues until they are accepted: more than arrive during one slow iteration of
-/// the event loop.
+/// The number of connections that the kernel queues until they are accepted: enough for all clients that connect during
+/// one slow iteration of the event loop.
 const BACKLOG: u32 = 1024;
 /// The size limit of the read buffer of a connection, and with it of a request head.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
@@ -73,7 +73,7 @@
 }
 
 /// Returns a plain-text response with one line.
-fn text(status: StatusCode, line: &str) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, line: &str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(format!("{line}\n"))));
     *response.status_mut() = status;
     response
--- a/crates/brassport-gateway/src/node/build.rs
+++ b/crates/brassport-gateway/src/node/build.rs
@@ -29,6 +29,13 @@
 /// The minimum number of file descriptors for the request path, even if the process limit is lower.
 const MIN_DESCRIPTORS: usize = 64;
 
+/// Defaults of the tuning parameters `graceS`, `drainS`, `retryRatio` and `retryExtra`; see [`GracefulShutdown::new`],
+/// [`data_plane::Options`] and [`RetryBudget`].
+const DEFAULT_GRACE_S: f64 = 6.0;
+const DEFAULT_DRAIN_S: f64 = 2.0;
+const DEFAULT_RETRY_RATIO: f64 = 0.1;
+const DEFAULT_RETRY_BURST: f64 = 10.0;
+
 impl Node {
     /// Builds a node. Its listeners are opened last, so that a node that fails to start accepts no connections.
     pub(super) async fn build(options: Options) -> Result<Node, StartError> {
@@ -57,7 +64,7 @@
         log::info!("node started node={} ip={}", settings.node, settings.ip);
         Ok(Node {
             inputs: Inputs::new(signals, Queues { store: store_queue, frames, calls }),
-            shutdown: GracefulShutdown::new(settings.parameter("graceS", 6.0)),
+            shutdown: GracefulShutdown::new(settings.parameter("graceS", DEFAULT_GRACE_S)),
             settings,
             settings_file,
             control,
@@ -81,12 +88,12 @@
     }
 }
 
-/// Returns a nonzero number that differs between runs of the process even if the wall clock is set back: it is a hash of the
-/// time and the process ID with a random key.
+/// Returns a nonzero number that differs between runs of the process even if the wall clock is set back: it is a hash
+/// of the time and the process ID with a random key.
 fn unique_nonzero() -> u64 {
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    hasher.write_u128(unix.as_nanos());
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    hasher.write_u128(since_epoch.as_nanos());
     hasher.write_u32(std::process::id());
     hasher.finish() | 1
 }
@@ -98,7 +105,7 @@
     match (settings.is_core, settings.data_folder.clone()) {
         (true, Some(folder)) => StoreHandle::on_disk(folder, new_disk, events),
         (true, None) => StoreHandle::in_memory(new_disk, events),
-        (false, _) => StoreHandle::closed(events),
+        (false, _) => StoreHandle::disabled(events),
     }
 }
 
@@ -107,10 +114,10 @@
         zone: settings.zone.clone(),
         zones: settings.zones.clone(),
         descriptors: settings.open_files.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DESCRIPTORS),
-        drain_ms: settings.parameter("drainS", 2.0) * 1000.0,
+        drain_ms: settings.parameter("drainS", DEFAULT_DRAIN_S) * 1000.0,
         retry_budget: RetryBudget {
-            ratio: settings.parameter("retryRatio", 0.1),
-            burst: settings.parameter("retryExtra", 10.0),
+            ratio: settings.parameter("retryRatio", DEFAULT_RETRY_RATIO),
+            burst: settings.parameter("retryExtra", DEFAULT_RETRY_BURST),
         },
         seed,
     }
@@ -152,7 +159,7 @@
         calls: UnboundedSender<PendingCall>,
     ) -> Result<(), StartError> {
         if let Some(listener) = bind(addresses.control, StartStep::ControlListener)? {
-            spawn_local(listeners::control(listener, calls));
+            spawn_local(listeners::serve_control(listener, calls));
         }
         Ok(())
     }
@@ -161,7 +168,7 @@
         if let Some(listener) = bind(addresses.ready, StartStep::ReadyListener)? {
             let (data_plane, phase) = (self.data_plane.clone(), self.phase.clone());
             let is_ready = move || phase.phase() == Phase::Serving && data_plane.is_ready();
-            spawn_local(listeners::ready(listener, is_ready));
+            spawn_local(listeners::serve_ready(listener, is_ready));
         }
         Ok(())
     }
@@ -169,7 +176,7 @@
     fn open_metrics(&self, address: Option<SocketAddrV4>) -> Result<(), StartError> {
         if let Some(listener) = bind(address, StartStep::MetricsListener)? {
             let data_plane = self.data_plane.clone();
-            spawn_local(listeners::metrics(listener, move || data_plane.metrics()));
+            spawn_local(listeners::serve_metrics(listener, move || data_plane.metrics()));
         }
         Ok(())
     }
--- a/crates/brassport-gateway/src/node/control_host.rs
+++ b/crates/brassport-gateway/src/node/control_host.rs
@@ -21,7 +21,7 @@
 /// The control plane, and the targets of its actions.
 pub(super) struct ControlHost {
     control: ControlPlane,
-    /// The time 0 of the control plane, which counts milliseconds from here.
+    /// The origin of the control plane's time, which is counted in milliseconds.
     start: Instant,
     /// The sender of the messages of this node, sent in the envelope of each.
     sender: Sender,
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Handles a frame from another node. A frame that cannot be decoded is dropped: it comes from an incompatible release, or
-    /// not from a node.
+    /// Handles a frame from another node. A frame that cannot be decoded is dropped: it comes from an incompatible
+    /// release, or not from a node.
     pub(super) fn on_frame(&mut self, bytes: &[u8]) {
         if let Some(envelope) = frame::decode::<Envelope>(bytes) {
             self.handle(Event::PeerMessage(envelope));
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Whether the cluster has released this node, which is shutting down: it no longer depends on it.
+    /// Whether the cluster no longer depends on this node, which is shutting down.
     pub(super) fn is_released(&self) -> bool {
         self.control.may_shut_down()
     }
--- a/crates/brassport-gateway/src/node/inputs.rs
+++ b/crates/brassport-gateway/src/node/inputs.rs
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Waits for the next input. If several are ready, the first in the order below is returned, so that timers never delay
-    /// signals, store events, frames or calls.
+    /// Waits for the next input. If several are ready, the first in the order below is returned, so that timers never
+    /// delay signals, store events, frames or calls.
     pub(super) async fn next(&mut self, terminate: TerminateSignal) -> Input {
         tokio::select! {
             biased;
--- a/crates/brassport-gateway/src/settings/error.rs
+++ b/crates/brassport-gateway/src/settings/error.rs
@@ -8,7 +8,7 @@
 /// One problem of a settings file.
 #[derive(Debug)]
 pub enum Problem {
-    /// The file can't be read.
+    /// The file cannot be read.
     Io(io::Error),
     /// The text is not valid YAML, or a field has the wrong type.
     Malformed(Box<schematic::ConfigError>),
--- a/crates/brassport-gateway/src/status.rs
+++ b/crates/brassport-gateway/src/status.rs
@@ -63,8 +63,8 @@
     }
 }
 
-/// The status of one node. All fields are optional, as nodes of other releases may leave some out; a missing one is printed
-/// as `null`.
+/// The status of one node. All fields are optional, as nodes of other releases may leave some out; a missing one is
+/// printed as `null`.
 #[derive(Debug, Deserialize)]
 pub struct NodeStatus {
     zone: Option<String>,
@@ -149,9 +149,9 @@
     }
 }
 
-/// Formats a status as text: a line for the node, and one for each peer that lags behind it. A body that cannot be parsed is
-/// returned unchanged after the address.
-pub fn describe(address: &str, body: &str) -> String {
+/// Formats a status as text: a line for the node, and one for each peer that lags behind it. A body that cannot be
+/// parsed is returned unchanged after the address.
+pub fn format_status(address: &str, body: &str) -> String {
     match serde_json::from_str::<NodeStatus>(body) {
         Ok(status) => format!("{address}: {status}"),
         Err(_) => format!("{address}: {body}"),
--- a/crates/brassport-gateway/src/store_thread.rs
+++ b/crates/brassport-gateway/src/store_thread.rs
@@ -72,22 +72,23 @@
         StoreHandle::Disk(DiskWriter(writes))
     }
 
-    /// Returns an empty store in memory with the identifier `disk`, and reports it as open. It allows a node without a disk
-    /// to vote.
+    /// Returns an empty store in memory with the identifier `disk`, and reports it as open. It allows a node without a
+    /// disk to vote.
     pub fn in_memory(disk: DiskId, events: mpsc::UnboundedSender<StoreEvent>) -> StoreHandle {
         let _ = events.send(StoreEvent::Opened { disk, state: DurableState::empty() });
-        StoreHandle::closed(events)
+        StoreHandle::Memory(MemoryWriter(events))
     }
 
     /// Returns a store that is never reported as open, for a node that does not vote.
-    pub fn closed(events: mpsc::UnboundedSender<StoreEvent>) -> StoreHandle {
+    pub fn disabled(events: mpsc::UnboundedSender<StoreEvent>) -> StoreHandle {
         StoreHandle::Memory(MemoryWriter(events))
     }
 
     /// Submits a record for writing. [`StoreEvent::Persisted`] with the same number reports the result.
     pub fn persist(&self, number: u64, record: Record) {
         match self {
-            // Sending fails only after the store thread has ended, which it does only when the node stops reading events.
+            // Sending fails only after the store thread has ended, and the thread ends only once its events are no
+            // longer read.
             StoreHandle::Disk(DiskWriter(writes)) => drop(writes.send(Write { number, record })),
             StoreHandle::Memory(MemoryWriter(events)) => {
                 let _ = events.send(StoreEvent::Persisted(Persisted { number, is_synced: true }));
--- a/crates/brassport-gateway/tests/it/common/mod.rs
+++ b/crates/brassport-gateway/tests/it/common/mod.rs
@@ -32,8 +32,8 @@
 unknown: passed over
 ";
 
-/// Sends `request`, and returns all bytes received until the connection is closed, with the port of the listener replaced by
-/// `PORT`.
+/// Sends `request`, and returns all bytes received until the connection is closed, with the port of the listener
+/// replaced by `PORT`.
 pub async fn exchange(address: SocketAddrV4, request: &str) -> String {
     let mut stream = TcpStream::connect(address).await.expect("the listener accepts connections");
     stream.write_all(request.as_bytes()).await.expect("the request is sent");
--- a/crates/brassport-gateway/tests/it/listeners.rs
+++ b/crates/brassport-gateway/tests/it/listeners.rs
@@ -1,5 +1,5 @@
-//! Tests of the responses of the control, readiness and metrics listeners, which are compared byte by byte with the fixtures
-//! `control` and `ready_and_metrics`.
+//! Tests of the responses of the control, readiness and metrics listeners, which are compared byte by byte with the
+//! fixtures `control` and `ready_and_metrics`.
 
 use crate::common::{exchange, listener, malformed, request, run, GOLDEN};
 use brassport_config_store::consensus::{ChangeScope, ConfigurationRequest};
@@ -10,8 +10,8 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::task::spawn_local;
 
-/// Returns the name of a kind of reply in the fixture `control`. The match has no default branch, so that a new kind fails to
-/// compile here until it is named; it must then be added to [`replies`] as well.
+/// Returns the name of a kind of reply in the fixture `control`. The match has no default branch, so that a new kind
+/// fails to compile here until it is named; it must then be added to [`replies`] as well.
 fn fixture_name(reply: &Reply) -> &'static str {
     match reply {
         Reply::Done(_) => "done",
@@ -37,7 +37,7 @@
     for reply in replies() {
         let (listener, address) = listener();
         let (calls, mut pending) = unbounded_channel::<PendingCall>();
-        spawn_local(listeners::control(listener, calls));
+        spawn_local(listeners::serve_control(listener, calls));
         let name = fixture_name(&reply).to_owned();
         spawn_local(async move {
             while let Some(PendingCall { call, reply_to }) = pending.recv().await {
@@ -53,7 +53,7 @@
     let (listener, address) = listener();
     let (calls, pending) = unbounded_channel::<PendingCall>();
     drop(pending);
-    spawn_local(listeners::control(listener, calls));
+    spawn_local(listeners::serve_control(listener, calls));
     let requests = [
         ("unknown call", request("GET /Config.Replace", "", "")),
         ("unknown path", request("POST /", "", "")),
@@ -79,12 +79,12 @@
     let mut cases = Vec::new();
     for (name, is_ready) in [("ready", true), ("not ready", false)] {
         let (listener, address) = listener();
-        spawn_local(listeners::ready(listener, move || is_ready));
+        spawn_local(listeners::serve_ready(listener, move || is_ready));
         cases.push((name.to_owned(), exchange(address, &request("GET /ready", "", "")).await));
         cases.push((format!("{name}, other path"), exchange(address, &request("GET /", "", "")).await));
     }
     let (listener, address) = listener();
-    spawn_local(listeners::metrics(listener, || "brassport_x 1\n".to_owned()));
+    spawn_local(listeners::serve_metrics(listener, || "brassport_x 1\n".to_owned()));
     cases.push(("metrics".to_owned(), exchange(address, &request("GET /metrics", "", "")).await));
     cases.push(("metrics, other path".to_owned(), exchange(address, &request("GET /", "", "")).await));
     cases
--- a/crates/brassport-gateway/tests/it/main.rs
+++ b/crates/brassport-gateway/tests/it/main.rs
@@ -1,5 +1,5 @@
-//! The integration tests of the gateway, in one binary: settings, listeners, subcommands, log level, graceful shutdown, and
-//! a node as a process.
+//! The integration tests of the gateway, in one binary: settings, listeners, subcommands, log level, graceful shutdown,
+//! and a node as a process.
 #![forbid(unsafe_code)]
 
 mod common;
--- a/crates/brassport-gateway/tests/it/process.rs
+++ b/crates/brassport-gateway/tests/it/process.rs
@@ -1,5 +1,5 @@
-//! Tests of a node as a process, started with the subcommand `run`: it starts, logs at the level that the environment sets,
-//! and exits after SIGTERM.
+//! Tests of a node as a process, started with the subcommand `run`: it starts, logs at the level that the environment
+//! sets, and exits after SIGTERM.
 
 use std::io::Read;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpStream};
--- a/crates/brassport-gateway/tests/it/settings.rs
+++ b/crates/brassport-gateway/tests/it/settings.rs
@@ -1,5 +1,5 @@
-//! Tests of the settings file: the value read from each field, and the error messages for invalid files, which are compared
-//! with the fixture `settings_faults`.
+//! Tests of the settings file: the value read from each field, and the error messages for invalid files, which are
+//! compared with the fixture `settings_faults`.
 
 use crate::common::{GOLDEN, SETTINGS};
 use brassport_gateway::settings::{ListenAddresses, Problem, Settings, SettingsError};
--- a/crates/brassport-gateway/tests/it/status.rs
+++ b/crates/brassport-gateway/tests/it/status.rs
@@ -1,4 +1,5 @@
-//! Tests of the subcommand `status`: its request, and what it prints for each answer, are compared with the fixture `status`.
+//! Tests of the subcommand `status`: its request, and what it prints for each answer, are compared with the fixture
+//! `status`.
 
 use crate::common::{GOLDEN, LOOPBACK};
 use std::io::{Read, Write};
@@ -6,8 +7,8 @@
 
 const STATUS: &str = r#"{"ip":"10.0.1.7","zone":"zone-a","version":"00000001","index":2,"votes":true,"leader":{"ip":"10.0.1.7","term":1},"voters":[{"ip":"10.0.1.7","disk":"000000000000004d"},{"ip":"10.0.2.9","disk":"000000000000004e"}],"parts":1,"snapshot":null,"doors":[{"ip":"10.0.2.9","zone":"zone-a","index":1,"behind":1,"heardMsAgo":7},{"ip":"10.0.2.8","zone":"zone-a","index":2,"behind":0,"heardMsAgo":9}],"backends":{"ready":1,"silent":2,"emptying":3}}"#;
 
-/// Runs `status` with `options` against a server that sends `answer`. Returns the request, the exit code, standard output and
-/// standard error, with the port of the server replaced by `PORT`.
+/// Runs `status` with `options` against a server that sends `answer`. Returns the request, the exit code, standard
+/// output and standard error, with the port of the server replaced by `PORT`.
 fn status(answer: &str, options: &[&str]) -> String {
     let listener = std::net::TcpListener::bind((LOOPBACK, 0)).expect("a free port is bound");
     let address = listener.local_addr().expect("the listener has an address");
--- a/crates/brassport-gateway/tests/it/subcommands.rs
+++ b/crates/brassport-gateway/tests/it/subcommands.rs
@@ -6,8 +6,8 @@
 use std::path::Path;
 use std::process::Command;
 
-/// Runs a subcommand on files in `folder`, and returns the exit code, standard output and standard error, with the path of the
-/// folder replaced by `FOLDER`.
+/// Runs a subcommand on files in `folder`, and returns the exit code, standard output and standard error, with the path
+/// of the folder replaced by `FOLDER`.
 fn run_on(folder: &Path, subcommand: &str, files: &[&str]) -> String {
     let files = files.iter().map(|file| folder.join(file));
     let mut command = Command::new(env!("CARGO_BIN_EXE_brassport-gateway"));
