--- a/crates/brassport-config-store/src/configuration/difference.rs
+++ b/crates/brassport-config-store/src/configuration/difference.rs
@@ -151,7 +151,7 @@
 struct FieldChanges(Vec<String>);
 
 impl FieldChanges {
-    fn note<T: PartialEq + fmt::Debug>(mut self, field: &str, from: &T, to: &T) -> FieldChanges {
+    fn compare<T: PartialEq + fmt::Debug>(mut self, field: &str, from: &T, to: &T) -> FieldChanges {
         if from != to {
             self.0.push(format!("{field} {from:?} -> {to:?}"));
         }
@@ -216,12 +216,12 @@
         found.push(Difference::RouteRetargeted { name: name.clone(), from, to });
     }
     let fields = FieldChanges::default()
-        .note("kind", &from.idempotency, &to.idempotency)
-        .note("giveUpS", &from.timeout_s, &to.timeout_s)
-        .note("goalS", &from.latency_target_s, &to.latency_target_s)
-        .note("rank", &from.rank, &to.rank)
-        .note("tries", &from.max_attempts, &to.max_attempts)
-        .note("public", &from.public, &to.public);
+        .compare("kind", &from.idempotency, &to.idempotency)
+        .compare("giveUpS", &from.timeout_s, &to.timeout_s)
+        .compare("goalS", &from.latency_target_s, &to.latency_target_s)
+        .compare("rank", &from.rank, &to.rank)
+        .compare("tries", &from.max_attempts, &to.max_attempts)
+        .compare("public", &from.public, &to.public);
     found.extend(fields.joined().map(|changes| Difference::RouteChanged { name, changes }));
 }
 
@@ -236,10 +236,10 @@
         match pair {
             Pair::Both { from, to } => {
                 let fields = FieldChanges::default()
-                    .note("healthPath", &from.health_path, &to.health_path)
-                    .note("maxConnections", &from.max_connections, &to.max_connections)
-                    .note("protocol", &from.protocol, &to.protocol)
-                    .note("tls", &from.tls, &to.tls);
+                    .compare("healthPath", &from.health_path, &to.health_path)
+                    .compare("maxConnections", &from.max_connections, &to.max_connections)
+                    .compare("protocol", &from.protocol, &to.protocol)
+                    .compare("tls", &from.tls, &to.tls);
                 found.extend(fields.joined().map(|changes| Difference::ServiceChanged { name, changes }));
             }
             Pair::Added(_) => found.push(Difference::ServiceAdded { name }),
@@ -266,17 +266,17 @@
         found.push(Difference::KeysChanged { name: to.name.clone(), added, removed });
     }
     let fields = FieldChanges::default()
-        .note("rank", &from.rank, &to.rank)
-        .note("ratePerS", &from.rate_per_s, &to.rate_per_s)
-        .note("burst", &from.burst, &to.burst);
+        .compare("rank", &from.rank, &to.rank)
+        .compare("ratePerS", &from.rate_per_s, &to.rate_per_s)
+        .compare("burst", &from.burst, &to.burst);
     found.extend(fields.joined().map(|changes| Difference::TenantChanged { name: to.name.clone(), changes }));
 }
 
 fn limits(from: &Limits, to: &Limits, found: &mut Vec<Difference>) {
     let fields = FieldChanges::default()
-        .note("maxHeaderBytes", &from.max_header_bytes, &to.max_header_bytes)
-        .note("maxBodyBytes", &from.max_body_bytes, &to.max_body_bytes)
-        .note("headerWaitS", &from.header_timeout_s, &to.header_timeout_s)
-        .note("idleWaitS", &from.idle_timeout_s, &to.idle_timeout_s);
+        .compare("maxHeaderBytes", &from.max_header_bytes, &to.max_header_bytes)
+        .compare("maxBodyBytes", &from.max_body_bytes, &to.max_body_bytes)
+        .compare("headerWaitS", &from.header_timeout_s, &to.header_timeout_s)
+        .compare("idleWaitS", &from.idle_timeout_s, &to.idle_timeout_s);
     found.extend(fields.joined().map(|changes| Difference::LimitsChanged { changes }));
 }
--- a/crates/brassport-config-store/src/consensus/campaign.rs
+++ b/crates/brassport-config-store/src/consensus/campaign.rs
@@ -57,7 +57,7 @@
     /// Starts a campaign under a term above every term known to this replica.
     pub(super) fn campaign(&mut self) {
         let number = self.promised.number.max(self.role.term().map_or(0, |term| term.number)) + 1;
-        let term = Term::new(number, self.me.disk);
+        let term = Term::new(number, self.id.disk);
         let now = self.now;
         self.election.reset_timer(now);
         self.role = Role::Candidate(Candidate {
@@ -67,18 +67,18 @@
             promises: BTreeMap::new(),
         });
         self.send_to_others(&Message::Prepare { term });
-        self.vote_for_itself();
+        self.vote_for_self();
     }
 
     /// Promises this candidate's term to itself as soon as that completes a majority, and not earlier: a candidate that
     /// the others reject must still be able to follow the live leader, whose term is lower.
-    fn vote_for_itself(&mut self) {
+    fn vote_for_self(&mut self) {
         let Role::Candidate(candidate) = &self.role else { return };
         let term = candidate.term;
-        let others = candidate.promises.keys().filter(|voter| **voter != self.me).count();
-        let has_promised = candidate.promises.contains_key(&self.me);
+        let others = candidate.promises.keys().filter(|voter| **voter != self.id).count();
+        let has_promised = candidate.promises.contains_key(&self.id);
         if others + 1 >= self.state.majority() && !has_promised {
-            self.send(self.me.ip, Message::Prepare { term });
+            self.send(self.id.ip, Message::Prepare { term });
         }
     }
 
@@ -107,15 +107,15 @@
         if index > self.state.index {
             self.actions.push(Action::FetchLog(from.ip));
         }
-        if from != self.me {
-            self.vote_for_itself();
+        if from != self.id {
+            self.vote_for_self();
         }
-        self.review_campaign();
+        self.try_become_leader();
     }
 
     /// Becomes the leader if a majority has promised. To be checked again when the state has changed, as the voters may
     /// be others by then.
-    pub(super) fn review_campaign(&mut self) {
+    pub(super) fn try_become_leader(&mut self) {
         let Role::Candidate(candidate) = &self.role else { return };
         if !self.is_voter() {
             // The state received meanwhile shows that this replica has no vote any more.
@@ -124,16 +124,16 @@
         let promises: Vec<&VoterPromise> =
             self.state.voters.iter().filter_map(|voter| candidate.promises.get(voter)).collect();
         // The candidate's own promise has to be on disk, or the same term could be used again after a crash.
-        let is_own_synced =
-            candidate.promises.contains_key(&self.me) || is_active(Mutant::LeadsBeforeOwnPromise);
+        let is_own_promise_synced =
+            candidate.promises.contains_key(&self.id) || is_active(Mutant::LeadsBeforeOwnPromise);
         // A candidate behind one of the voters that promised has to fetch the entries that it lacks before it leads.
         let is_behind = promises.iter().any(|promise| promise.index > self.state.index);
-        if !is_own_synced || is_behind || promises.len() < self.state.majority() {
+        if !is_own_promise_synced || is_behind || promises.len() < self.state.majority() {
             return;
         }
-        let at_next = promises.into_iter().filter(|promise| promise.index == self.state.index);
+        let at_same_index = promises.into_iter().filter(|promise| promise.index == self.state.index);
         let accepted =
-            at_next.filter_map(|promise| promise.accepted.clone()).max_by_key(|accepted| accepted.term);
+            at_same_index.filter_map(|promise| promise.accepted.clone()).max_by_key(|accepted| accepted.term);
         let term = candidate.term;
         self.become_leader(term);
         self.adopt(accepted.map(|accepted| accepted.entry));
@@ -159,7 +159,7 @@
             candidate.prepare_sent_at = now;
             let term = candidate.term;
             self.send_to_others(&Message::Prepare { term });
-            self.vote_for_itself();
+            self.vote_for_self();
         }
     }
 }
--- a/crates/brassport-config-store/src/consensus/durability.rs
+++ b/crates/brassport-config-store/src/consensus/durability.rs
@@ -58,7 +58,7 @@
         self.last_number
     }
 
-    fn note_synced(&mut self, message: &Message) {
+    fn mark_synced(&mut self, message: &Message) {
         match message {
             Message::Promise { term, .. } => self.synced.promised = self.synced.promised.max(*term),
             Message::Accepted { term, index } => {
@@ -76,7 +76,7 @@
         let deferred = self.writes.deferred.remove(&number).unwrap_or_default();
         if synced {
             for DeferredMessage { to, message } in deferred {
-                self.writes.note_synced(&message);
+                self.writes.mark_synced(&message);
                 self.send(to, message);
             }
         } else {
--- a/crates/brassport-config-store/src/consensus/election.rs
+++ b/crates/brassport-config-store/src/consensus/election.rs
@@ -60,7 +60,7 @@
     }
 
     /// Records contact with the cluster: the longer time-out applies from here on.
-    pub fn note_contact(&mut self) {
+    pub fn mark_contact(&mut self) {
         self.has_had_contact = true;
     }
 
--- a/crates/brassport-config-store/src/consensus/follower.rs
+++ b/crates/brassport-config-store/src/consensus/follower.rs
@@ -17,7 +17,7 @@
 impl Replica {
     /// Handles a candidate's request for a promise.
     pub(super) fn on_prepare(&mut self, from: VoterId, term: Term) {
-        if self.me.disk.is_none() {
+        if self.id.disk.is_none() {
             return;
         }
         let is_below = term < self.promised && !is_active(Mutant::PromiseBroken);
@@ -29,7 +29,7 @@
             |message: &Message| matches!(message, Message::Promise { term: under, .. } if *under == term);
         if term > self.promised {
             self.promised = term;
-            if from.ip != self.me.ip {
+            if from.ip != self.id.ip {
                 self.step_down();
                 self.election.reset_timer(self.now);
             }
@@ -45,20 +45,20 @@
     /// Whether a leader other than `candidate`, which may be this replica, counts as alive.
     fn has_live_leader_other_than(&self, candidate: Ipv4Addr) -> bool {
         match &self.role {
-            Role::Leader(leader) => leader.has_quorum(self.now, &self.state) && candidate != self.me.ip,
+            Role::Leader(leader) => leader.has_quorum(self.now, &self.state) && candidate != self.id.ip,
             _ => self.election.has_other_live_leader(self.now, candidate),
         }
     }
 
     /// Handles the leader's request to accept an entry.
     pub(super) fn on_accept(&mut self, from: VoterId, term: Term, index: LogIndex, entry: Entry) {
-        if self.me.disk.is_none() {
+        if self.id.disk.is_none() {
             return;
         }
         if term < self.promised && !is_active(Mutant::PromiseBroken) {
             return self.send(from.ip, Message::Reject { term: self.promised });
         }
-        self.note_leader(term, from.ip, NO_HEARTBEAT);
+        self.observe_leader(term, from.ip, NO_HEARTBEAT);
         if index > self.state.index + 1 {
             return self.actions.push(Action::FetchLog(from.ip));
         }
@@ -85,7 +85,7 @@
         if term < self.promised && !is_active(Mutant::PromiseBroken) {
             return self.send(from.ip, Message::Reject { term: self.promised });
         }
-        self.note_leader(term, from.ip, heartbeat);
+        self.observe_leader(term, from.ip, heartbeat);
         if index == self.state.index + 1 {
             // The entry accepted under the leader's own term is the committed one; it is on disk or its write is
             // pending.
@@ -100,9 +100,9 @@
     }
 
     /// Records a message from the leader of a term.
-    fn note_leader(&mut self, term: Term, ip: Ipv4Addr, heartbeat: u64) {
-        self.election.note_contact();
-        if ip == self.me.ip {
+    fn observe_leader(&mut self, term: Term, ip: Ipv4Addr, heartbeat: u64) {
+        self.election.mark_contact();
+        if ip == self.id.ip {
             return;
         }
         if self.role.term().is_some_and(|mine| mine < term) {
@@ -115,7 +115,7 @@
     pub(super) fn commit(&mut self, entry: Entry) {
         let index = self.state.index + 1;
         let is_on_disk = self.accepted.take().is_some_and(|last| last.entry == entry);
-        if self.me.disk.is_some() && !is_on_disk {
+        if self.id.disk.is_some() && !is_on_disk {
             self.write(Record::Committed(CommittedEntry { index, entry: entry.clone() }), Vec::new());
         }
         self.apply(entry);
@@ -128,7 +128,7 @@
         self.actions.push(Action::Applied(Some(committed)));
         if self.state.index.0.is_multiple_of(SNAPSHOT_INTERVAL_ENTRIES) {
             self.checkpoint = Some(self.state.clone());
-            if self.me.disk.is_some() {
+            if self.id.disk.is_some() {
                 self.write_snapshot();
             }
         }
--- a/crates/brassport-config-store/src/consensus/leader.rs
+++ b/crates/brassport-config-store/src/consensus/leader.rs
@@ -74,7 +74,7 @@
     /// 0 for this replica itself. `None` if this replica does not lead.
     pub fn unresponsive_for(&self, voter: VoterId, now: Millis) -> Option<Millis> {
         let Role::Leader(leader) = &self.role else { return None };
-        if voter == self.me {
+        if voter == self.id {
             return Some(0);
         }
         let responded_at =
@@ -86,7 +86,7 @@
     /// committed; `false` if this replica does not lead.
     pub fn is_known_to_majority_of(&self, voters: &BTreeSet<VoterId>, index: LogIndex) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
-        let knows = |voter: &&VoterId| match **voter == self.me {
+        let knows = |voter: &&VoterId| match **voter == self.id {
             true => self.state.index >= index,
             false => leader.progress.get(voter).is_some_and(|progress| progress.index >= index),
         };
@@ -183,7 +183,7 @@
     /// The responsive voter with the highest known committed index; among equals, the one that responded last.
     fn successor(&self) -> Option<VoterId> {
         let Role::Leader(leader) = &self.role else { return None };
-        let others = self.state.voters.iter().filter(|voter| **voter != self.me);
+        let others = self.state.voters.iter().filter(|voter| **voter != self.id);
         let tracked = others.filter_map(|voter| Some((leader.progress.get(voter)?, *voter)));
         let live = tracked.filter(|(progress, _)| is_responsive(progress, self.now));
         live.max_by_key(|(progress, _)| (progress.index, progress.responded_at)).map(|(_, voter)| voter)
@@ -196,7 +196,7 @@
             return;
         }
         self.election.forget_leader(self.now);
-        if to == self.me && self.is_voter() && matches!(self.role, Role::Follower) {
+        if to == self.id && self.is_voter() && matches!(self.role, Role::Follower) {
             self.campaign();
         }
     }
--- a/crates/brassport-config-store/src/consensus/replica.rs
+++ b/crates/brassport-config-store/src/consensus/replica.rs
@@ -19,7 +19,7 @@
 /// and returns the actions that the host has to execute, in order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Replica {
-    pub(super) me: VoterId,
+    pub(super) id: VoterId,
     pub(super) state: Arc<ReplicatedState>,
     pub(super) promised: Term,
     /// The entry accepted at the next index.
@@ -42,7 +42,7 @@
     pub fn new(ip: Ipv4Addr, disk: DiskId, found: Option<DurableState>, now: Millis) -> Replica {
         let found = found.unwrap_or_else(DurableState::empty);
         Replica {
-            me: VoterId { ip, disk },
+            id: VoterId { ip, disk },
             state: Arc::new(found.state),
             promised: found.promised,
             accepted: found.accepted,
@@ -60,7 +60,7 @@
     /// Attaches a store that was opened after the start; `disk` is its number and `found` the state recovered from it.
     pub fn attach_store(&mut self, now: Millis, disk: DiskId, found: DurableState) -> Vec<Action> {
         self.now = now;
-        self.me.disk = disk;
+        self.id.disk = disk;
         self.promised = self.promised.max(found.promised);
         self.writes.synced.promised = found.promised;
         if found.state.index >= self.state.index && found.state.index > LogIndex(0) {
@@ -78,8 +78,8 @@
     /// effect if there is a log already, or no disk.
     pub fn bootstrap(&mut self, now: Millis, quota_shares: u32) -> Vec<Action> {
         self.now = now;
-        if self.state.index == LogIndex(0) && self.me.disk.is_some() {
-            self.state = Arc::new(ReplicatedState::genesis(vec![self.me], quota_shares));
+        if self.state.index == LogIndex(0) && self.id.disk.is_some() {
+            self.state = Arc::new(ReplicatedState::initial(vec![self.id], quota_shares));
             self.write_snapshot();
             self.actions.push(Action::Applied(None));
             self.election.expire_timer(now);
@@ -94,13 +94,13 @@
 
     /// The identity under which this machine votes, or would vote.
     pub fn id(&self) -> VoterId {
-        self.me
+        self.id
     }
 
     /// The term and the address of the live leader, if one is known.
     pub fn leader(&self, now: Millis) -> Option<(Term, Ipv4Addr)> {
         match &self.role {
-            Role::Leader(leader) => Some((leader.term, self.me.ip)),
+            Role::Leader(leader) => Some((leader.term, self.id.ip)),
             _ => self.election.live_leader(now).map(|leader| (leader.term, leader.ip)),
         }
     }
@@ -113,7 +113,7 @@
 
     /// Whether this machine is a voter according to the state known to this replica.
     pub fn is_voter(&self) -> bool {
-        self.me.disk.is_some() && self.state.voters.contains(&self.me)
+        self.id.disk.is_some() && self.state.voters.contains(&self.id)
     }
 
     /// The committed entries after an index; `None` if some are no longer retained, or this replica is behind the
@@ -138,7 +138,7 @@
                 self.commit(entry);
             }
         }
-        self.review_campaign();
+        self.try_become_leader();
         self.take_actions()
     }
 
@@ -150,12 +150,12 @@
             self.state = Arc::new(state);
             self.accepted = None;
             self.retained.clear();
-            if self.me.disk.is_some() {
+            if self.id.disk.is_some() {
                 self.write_snapshot();
             }
             self.actions.push(Action::Applied(None));
         }
-        self.review_campaign();
+        self.try_become_leader();
         self.take_actions()
     }
 
@@ -192,9 +192,9 @@
             return;
         }
         let voters = &self.state.voters;
-        let position = voters.iter().position(|voter| *voter == self.me).unwrap_or_default();
+        let position = voters.iter().position(|voter| *voter == self.id).unwrap_or_default();
         if self.election.is_timed_out(self.now, position, voters.len()) {
-            self.election.note_contact();
+            self.election.mark_contact();
             self.campaign();
         }
     }
@@ -220,8 +220,8 @@
 
     /// Sends a message. A message to this replica itself is handled at once.
     pub(super) fn send(&mut self, to: Ipv4Addr, message: Message) {
-        if to == self.me.ip {
-            self.handle(self.me, message);
+        if to == self.id.ip {
+            self.handle(self.id, message);
         } else {
             self.actions.push(Action::Send(to, message));
         }
@@ -230,7 +230,7 @@
     /// Sends a message to all other voters.
     pub(super) fn send_to_others(&mut self, message: &Message) {
         let others: Vec<Ipv4Addr> =
-            self.state.voters.iter().map(|voter| voter.ip).filter(|ip| *ip != self.me.ip).collect();
+            self.state.voters.iter().map(|voter| voter.ip).filter(|ip| *ip != self.id.ip).collect();
         others.into_iter().for_each(|ip| self.send(ip, message.clone()));
     }
 
@@ -239,7 +239,7 @@
         self.send_to_others(message);
         // This replica comes last, as its own response may change its state.
         if self.is_voter() {
-            self.send(self.me.ip, message.clone());
+            self.send(self.id.ip, message.clone());
         }
     }
 }
--- a/crates/brassport-config-store/src/consensus/state.rs
+++ b/crates/brassport-config-store/src/consensus/state.rs
@@ -99,7 +99,7 @@
     }
 
     /// The initial state of a log, at index 1: the given voters and an empty configuration.
-    pub fn genesis(voters: Vec<VoterId>, quota_shares: u32) -> ReplicatedState {
+    pub fn initial(voters: Vec<VoterId>, quota_shares: u32) -> ReplicatedState {
         ReplicatedState { index: LogIndex(1), voters, quota_shares, ..ReplicatedState::empty() }
     }
 
--- a/crates/brassport-config-store/tests/it/configuration_requests.rs
+++ b/crates/brassport-config-store/tests/it/configuration_requests.rs
@@ -63,7 +63,7 @@
     let entry = Entry::Replace { base_version: 0, body: request.clone() };
     let found = DurableState {
         promised: Term::new(1, DiskId(1)),
-        state: ReplicatedState::genesis(vec![VOTER], 4),
+        state: ReplicatedState::initial(vec![VOTER], 4),
         accepted: Some(AcceptedEntry { term: Term::new(1, DiskId(1)), entry }),
     };
     let mut next = SingleVoter::recovered(found);
@@ -77,7 +77,7 @@
     let other = VoterId { ip: Ipv4Addr::new(10, 0, 0, 2), disk: DiskId(8) };
     let found = DurableState {
         promised: Term::new(0, DiskId(0)),
-        state: ReplicatedState::genesis(vec![VOTER, other], 4),
+        state: ReplicatedState::initial(vec![VOTER, other], 4),
         accepted: None,
     };
     let mut leader = Replica::new(VOTER.ip, VOTER.disk, Some(found), 0);
--- a/crates/brassport-config-store/tests/it/golden/mod.rs
+++ b/crates/brassport-config-store/tests/it/golden/mod.rs
@@ -136,7 +136,7 @@
 
 /// The state after all of [`entries`]: two versions, and a change of voters and quota shares.
 fn state() -> ReplicatedState {
-    let mut state = ReplicatedState::genesis(voters(), 4);
+    let mut state = ReplicatedState::initial(voters(), 4);
     entries().iter().for_each(|entry| state.apply(entry));
     assert_eq!((state.index, state.version(), state.quota_shares), (LogIndex(5), 6, 5));
     state
@@ -144,7 +144,7 @@
 
 /// A state that has forgotten the oldest of its requests.
 fn state_with_forgotten_requests() -> ReplicatedState {
-    let mut state = ReplicatedState::genesis(vec![voter(1)], 1);
+    let mut state = ReplicatedState::initial(vec![voter(1)], 1);
     for version in 1..=REMEMBERED_REQUESTS as u32 + 3 {
         state.apply(&replace(version - 1, &minimal_document(version)));
     }
@@ -202,7 +202,7 @@
     assert_eq!(format!("{digest:?}"), hex(&encode(&digest))[2..], "the digest is encoded as its bytes");
     let cases = [
         encoded("nothing", &ReplicatedState::empty()),
-        encoded("genesis", &ReplicatedState::genesis(voters(), 4)),
+        encoded("genesis", &ReplicatedState::initial(voters(), 4)),
         encoded("two versions", &state()),
         encoded("orders forgotten", &state_with_forgotten_requests()),
         encoded("digest of a whole one", &digest),
--- a/crates/brassport-config-store/tests/it/harness/model/cluster.rs
+++ b/crates/brassport-config-store/tests/it/harness/model/cluster.rs
@@ -47,7 +47,7 @@
 
     pub(super) fn without_messages(sizes: Sizes) -> Cluster {
         let id = |node: usize| VoterId { ip: ip(node), disk: DiskId(10 + node as u64) };
-        let state = ReplicatedState::genesis((0..sizes.voters).map(id).collect(), 4);
+        let state = ReplicatedState::initial((0..sizes.voters).map(id).collect(), 4);
         let machines = (0..sizes.voters + sizes.spares).map(|node| {
             let state = if node < sizes.voters { state.clone() } else { ReplicatedState::empty() };
             let durable = DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None };
--- a/crates/brassport-config-store/tests/it/harness/model/steps.rs
+++ b/crates/brassport-config-store/tests/it/harness/model/steps.rs
@@ -47,7 +47,7 @@
         // A voter that keeps its number has to know the voters, as if it had received the state from another voter.
         let state = match mutant {
             Some(Mutant::LostDiskKeepsVote) => {
-                ReplicatedState::genesis((0..self.machines.len()).map(|node| self.id(node)).collect(), 4)
+                ReplicatedState::initial((0..self.machines.len()).map(|node| self.id(node)).collect(), 4)
             }
             _ => ReplicatedState::empty(),
         };
--- a/crates/brassport-config-store/tests/it/harness/scenarios.rs
+++ b/crates/brassport-config-store/tests/it/harness/scenarios.rs
@@ -32,7 +32,7 @@
 /// Makes one voter of three campaign, lead and read.
 pub fn one_voter_step_by_step() -> FirstTerm {
     let id = |node: usize| VoterId { ip: ip(node), disk: DiskId(node as u64 + 1) };
-    let state = ReplicatedState::genesis((0..3).map(id).collect(), 4);
+    let state = ReplicatedState::initial((0..3).map(id).collect(), 4);
     let found = DurableState { promised: Term::new(0, DiskId(0)), state, accepted: None };
     let mut replica = Replica::new(ip(0), DiskId(1), Some(found), 0);
     let term = campaign_term(&mut replica).expect("the first voter in the agreed order campaigns");
@@ -71,7 +71,7 @@
 /// outcomes.
 pub fn two_changes_at_once() -> [Option<Outcome>; 2] {
     let id = |node: usize| VoterId { ip: ip(node), disk: DiskId(node as u64 + 1) };
-    let state = ReplicatedState::genesis(vec![id(0)], 4);
+    let state = ReplicatedState::initial(vec![id(0)], 4);
     let mut replica = Replica::new(
         ip(0),
         DiskId(1),
@@ -114,7 +114,7 @@
 
 fn replica_of_three(node: usize) -> Replica {
     let id = |node: usize| VoterId { ip: ip(node), disk: DiskId(node as u64 + 1) };
-    let state = ReplicatedState::genesis((0..3).map(id).collect(), 4);
+    let state = ReplicatedState::initial((0..3).map(id).collect(), 4);
     Replica::new(
         ip(node),
         DiskId(node as u64 + 1),
--- a/crates/brassport-config-store/tests/it/harness/simulation/mod.rs
+++ b/crates/brassport-config-store/tests/it/harness/simulation/mod.rs
@@ -142,7 +142,7 @@
             .map(|node| VoterId { ip: ip(node), disk: DiskId(1_000 + node as u64) })
             .collect();
         for number in 0..sizes.machines {
-            simulation.machines[number].durable.state = ReplicatedState::genesis(voters.clone(), 4);
+            simulation.machines[number].durable.state = ReplicatedState::initial(voters.clone(), 4);
             simulation.start(number);
         }
         simulation.schedule(50, Step::Fault);
--- a/crates/brassport-config-store/tests/it/harness/single_voter.rs
+++ b/crates/brassport-config-store/tests/it/harness/single_voter.rs
@@ -18,7 +18,7 @@
 
 impl SingleVoter {
     pub fn new() -> SingleVoter {
-        SingleVoter::from(ReplicatedState::genesis(vec![VOTER], 4))
+        SingleVoter::from(ReplicatedState::initial(vec![VOTER], 4))
     }
 
     pub fn from(state: ReplicatedState) -> SingleVoter {
--- a/crates/brassport-config-store/tests/it/store.rs
+++ b/crates/brassport-config-store/tests/it/store.rs
@@ -37,7 +37,7 @@
 }
 
 fn snapshot() -> Record {
-    let state = ReplicatedState::genesis(voters(), 4);
+    let state = ReplicatedState::initial(voters(), 4);
     Record::Snapshot(DurableState { promised: Term::new(1, DiskId(1)), state, accepted: None })
 }
 
@@ -108,7 +108,7 @@
     for record in [snapshot(), accepted(2, 2, replace_entry(5, 0))] {
         store.append(&record).expect("the record is stored");
     }
-    let mut state = ReplicatedState::genesis(voters(), 4);
+    let mut state = ReplicatedState::initial(voters(), 4);
     state.apply(&replace_entry(5, 0));
     let accepted_entry = Some(AcceptedEntry { term: Term::new(3, DiskId(2)), entry: replace_entry(6, 5) });
     let record = Record::Snapshot(DurableState {
--- a/crates/brassport-data-plane/tests/it/downstream.rs
+++ b/crates/brassport-data-plane/tests/it/downstream.rs
@@ -69,7 +69,7 @@
 }
 
 fn configured_state() -> ReplicatedState {
-    let mut state = ReplicatedState::genesis(vec![VoterId { ip: Ipv4Addr::LOCALHOST, disk: DiskId(1) }], 1);
+    let mut state = ReplicatedState::initial(vec![VoterId { ip: Ipv4Addr::LOCALHOST, disk: DiskId(1) }], 1);
     let body = Arc::new(CONFIGURATION.as_bytes().to_vec());
     state.apply(&Entry::Replace { base_version: 0, body });
     assert_eq!(state.version(), 1, "the configuration is sound");
