--- a/crates/brassport-config-store/src/configuration/difference.rs
+++ b/crates/brassport-config-store/src/configuration/difference.rs
@@ -10,21 +10,21 @@
 pub enum Difference {
     /// A route was added.
     RouteAdded {
-        /// The name.
+        /// The name of the route.
         name: String,
         /// The host, followed by the prefix.
         location: String,
     },
     /// A route was removed.
     RouteRemoved {
-        /// The name.
+        /// The name of the route.
         name: String,
         /// The host, followed by the prefix.
         location: String,
     },
     /// A route has another host or prefix.
     RouteMoved {
-        /// The name.
+        /// The name of the route.
         name: String,
         /// The old host and prefix.
         from: String,
@@ -33,7 +33,7 @@
     },
     /// A route has other target services, or other weights.
     RouteRetargeted {
-        /// The name.
+        /// The name of the route.
         name: String,
         /// The old services and weights.
         from: String,
@@ -42,38 +42,38 @@
     },
     /// Other fields of a route have changed.
     RouteChanged {
-        /// The name.
+        /// The name of the route.
         name: String,
         /// The changed fields, each with its old and new value.
         changes: String,
     },
     /// A service was added.
     ServiceAdded {
-        /// The name.
+        /// The name of the service.
         name: String,
     },
     /// A service was removed.
     ServiceRemoved {
-        /// The name.
+        /// The name of the service.
         name: String,
     },
     /// Fields of a service have changed.
     ServiceChanged {
-        /// The name.
+        /// The name of the service.
         name: String,
         /// The changed fields, each with its old and new value.
         changes: String,
     },
     /// A tenant was added.
     TenantAdded {
-        /// The name.
+        /// The name of the tenant.
         name: String,
         /// The number of the tenant's keys.
         keys: usize,
     },
     /// A tenant was removed.
     TenantRemoved {
-        /// The name.
+        /// The name of the tenant.
         name: String,
         /// The number of the tenant's keys.
         keys: usize,
@@ -89,7 +89,7 @@
     },
     /// The rate limit, burst or rank of a tenant has changed.
     TenantChanged {
-        /// The name.
+        /// The name of the tenant.
         name: String,
         /// The changed fields, each with its old and new value.
         changes: String,
