--- a/crates/brassport-policy/src/wire/reply.rs
+++ b/crates/brassport-policy/src/wire/reply.rs
@@ -1,6 +1,6 @@
 //! Frames of action records.
 
-use super::ACTION;
+use super::ACTION_RECORD_BYTES;
 use crate::interface::Action;
 
 /// Builds a frame of action records.
@@ -20,7 +20,7 @@
                 out.extend(server.to_be_bytes());
                 out.extend(expire_at.unwrap_or(0.0).to_be_bytes());
             }),
-            Action::Refuse { request, retry_after } => self.record(83, instance, |out| {
+            Action::Reject { request, retry_after } => self.record(83, instance, |out| {
                 out.extend(request.to_be_bytes());
                 out.extend(retry_after.to_be_bytes());
             }),
@@ -29,17 +29,17 @@
                 out.extend(request.to_be_bytes());
                 out.push(*attempt);
             }),
-            Action::Timer { at, token } => self.record(82, instance, |out| {
+            Action::SetTimer { at, token } => self.record(82, instance, |out| {
                 out.extend(at.to_be_bytes());
                 out.extend(token.to_be_bytes());
             }),
-            Action::FollowServers => self.record(81, instance, |out| out.push(1)),
+            Action::WatchServers => self.record(81, instance, |out| out.push(1)),
             Action::Log(text) => self.text(84, instance, text),
         }
     }
 
     /// Adds a record that the decision code of an instance panicked.
-    pub fn die(&mut self, instance: u16, text: &str) {
+    pub fn push_panic(&mut self, instance: u16, text: &str) {
         self.text(92, instance, text);
     }
 
@@ -57,7 +57,7 @@
         self.records.push(code);
         self.records.extend(instance.to_be_bytes());
         fields(&mut self.records);
-        self.records.resize(self.count as usize * ACTION, 0);
+        self.records.resize(self.count as usize * ACTION_RECORD_BYTES, 0);
     }
 
     /// The complete frame.
