--- a/crates/brassport-control-plane/tests/it/golden/messages.rs
+++ b/crates/brassport-control-plane/tests/it/golden/messages.rs
@@ -103,11 +103,11 @@
     for (place, range) in (0_u32..).zip(&mut ranges) {
         *range = place.wrapping_mul(0x1234_5677);
     }
-    let stages =
+    let states =
         [BackendState::Ready, BackendState::Unresponsive, BackendState::Draining, BackendState::Terminated];
     vec![
         ("", PeerMessage::TableDigests(ranges)),
-        ("each stage", PeerMessage::BackendRecords(stages.map(backend).to_vec(), None)),
+        ("each stage", PeerMessage::BackendRecords(states.map(backend).to_vec(), None)),
         (
             "to be confirmed",
             PeerMessage::BackendRecords(vec![backend(BackendState::Terminated)], Some(1 << 40)),
--- a/crates/brassport-control-plane/tests/it/random_schedules.rs
+++ b/crates/brassport-control-plane/tests/it/random_schedules.rs
@@ -46,10 +46,10 @@
         let disks = members + SPARES;
         let plain = schedule.draw(4);
         let all = disks + plain;
-        let apart = 1 + schedule.draw(15);
+        let zone_latency = 1 + schedule.draw(15);
         let up: Vec<String> = (0..members).chain(disks..all).map(|machine| machine.to_string()).collect();
         schedule.text = format!(
-            "machines {disks} disks, {plain} plain, zones a b c\nseed {seed}\napart {apart}ms\nsurvive {}\nup {}\n",
+            "machines {disks} disks, {plain} plain, zones a b c\nseed {seed}\napart {zone_latency}ms\nsurvive {}\nup {}\n",
             (members - 1) / 2,
             up.join(" ")
         );
@@ -109,13 +109,13 @@
         let index = self.draw(self.members.len() as u64) as usize;
         let machine = self.members[index];
         let when = self.at + self.draw(1_500);
-        let long = 100 + self.draw(2_500);
+        let duration = 100 + self.draw(2_500);
         match self.draw(11) {
             0 | 1 => {
                 self.line(when, &format!("kill {machine}"));
-                self.line(when + long, &format!("start {machine}"));
+                self.line(when + duration, &format!("start {machine}"));
             }
-            2 | 3 => self.line(when, &format!("freeze {machine} for {long}ms")),
+            2 | 3 => self.line(when, &format!("freeze {machine} for {duration}ms")),
             4 => self.line(when, &format!("cut {machine} off")),
             5 => self.two_partitions(when, machine),
             6 => {
@@ -126,7 +126,7 @@
                 let percent = 1 + self.draw(25);
                 self.line(when, &format!("loss {percent}%"));
                 self.line(when, "repeats 10% within 2s");
-                self.line(when + long, "loss 0%");
+                self.line(when + duration, "loss 0%");
             }
             8 => {
                 self.line(when, "kill core");
@@ -135,9 +135,9 @@
             }
             9 => {
                 self.line(when, &format!("disk of {machine} full"));
-                self.line(when + long, &format!("disk of {machine} well"));
+                self.line(when + duration, &format!("disk of {machine} well"));
             }
-            _ => self.line(when, &format!("disk of {machine} hangs for {long}ms")),
+            _ => self.line(when, &format!("disk of {machine} hangs for {duration}ms")),
         }
     }
 
--- a/crates/brassport-control-plane/tests/it/sim/callers.rs
+++ b/crates/brassport-control-plane/tests/it/sim/callers.rs
@@ -16,6 +16,7 @@
 /// How long a backend retries to drain or to deregister.
 const DEPARTURE_DEADLINE_MS: Millis = 5_000;
 
+/// A request to replace or change the configuration.
 #[derive(Clone)]
 pub struct ConfigChange {
     pub scope: ChangeScope,
@@ -30,6 +31,7 @@
     }
 }
 
+/// What a caller calls. The strings are IDs of backends.
 #[derive(Clone)]
 pub enum Operation {
     Configure(ConfigChange),
@@ -43,10 +45,13 @@
 pub struct Session {
     pub name: String,
     operation: Operation,
+    /// Whether the caller neither retries nor follows redirects.
     is_single_attempt: bool,
+    /// The node for the first attempt; `None`: a random one.
     via: Option<usize>,
     started_at: Millis,
     attempts: u32,
+    /// Redirects that the current attempt has followed.
     redirects: u32,
     /// The attempt that awaits a reply, and the node that it was sent to.
     pending: Option<(u64, usize)>,
@@ -57,17 +62,19 @@
     pub body: Arc<Vec<u8>>,
 }
 
+/// A simulated backend, which calls the node that it called last.
 pub struct SimBackend {
     service: String,
     node: usize,
-    count: u64,
+    call_count: u64,
     state: &'static str,
-    alive: bool,
+    is_alive: bool,
 }
 
 #[derive(Default)]
 pub struct Callers {
     pub sessions: Vec<Session>,
+    /// The session of each attempt, by the number of the attempt.
     attempts: BTreeMap<u64, usize>,
     last_attempt: u64,
     backends: BTreeMap<String, SimBackend>,
@@ -120,7 +127,7 @@
                     backend.state = "emptying";
                     Operation::Drain(id.clone())
                 } else {
-                    backend.alive = false;
+                    backend.is_alive = false;
                     Operation::Deregister(id.clone())
                 }
             }
@@ -180,21 +187,21 @@
     pub fn start_backend(&mut self, id: &str, service: &str, via: Option<usize>) {
         let node = via.unwrap_or_else(|| self.draw_listed_node(None));
         let service = service.to_owned();
-        let backend = SimBackend { service, node, count: 0, state: "ready", alive: true };
+        let backend = SimBackend { service, node, call_count: 0, state: "ready", is_alive: true };
         self.callers.backends.insert(id.to_owned(), backend);
         self.heartbeat(id);
     }
 
     pub fn kill_backend(&mut self, id: &str) {
         if let Some(backend) = self.callers.backends.get_mut(id) {
-            backend.alive = false;
+            backend.is_alive = false;
         }
     }
 
     /// Delivers an earlier heartbeat of a backend after its last one.
     pub fn late_heartbeat(&mut self, id: &str, to: usize) -> Result<(), String> {
         let backend = self.callers.backends.get(id).ok_or_else(|| format!("there is no backend {id}"))?;
-        let call = heartbeat(id, backend, backend.count.saturating_sub(1), "ready");
+        let call = heartbeat(id, backend, backend.call_count.saturating_sub(1), "ready");
         self.callers.last_attempt += 1;
         let number = self.callers.last_attempt;
         self.schedule(0, SimEvent::CallArrives(to, number, call));
@@ -203,7 +210,7 @@
 
     pub fn heartbeat(&mut self, id: &str) {
         let Some(backend) = self.callers.backends.get(id) else { return };
-        if backend.alive {
+        if backend.is_alive {
             let (name, operation) = (format!("beat of {id}"), Operation::Heartbeat(id.to_owned()));
             let node = backend.node;
             self.begin_session(operation, Some(node), false, &name);
@@ -231,12 +238,12 @@
     /// Makes the next attempt of a session: the first at its given node, if any, the others at a random one.
     pub fn retry(&mut self, index: usize) {
         let last_node = self.callers.sessions[index].last_node;
-        let any = self.draw_listed_node(last_node);
+        let random_node = self.draw_listed_node(last_node);
         let session = &mut self.callers.sessions[index];
         if session.status.is_some() {
             return;
         }
-        let node = session.via.take().unwrap_or(any);
+        let node = session.via.take().unwrap_or(random_node);
         session.attempts += 1;
         session.redirects = 0;
         self.attempt_at(index, node);
@@ -266,9 +273,9 @@
             }
             Operation::Heartbeat(id) | Operation::Drain(id) => {
                 let Some(backend) = self.callers.backends.get_mut(id) else { return };
-                backend.count += 1;
+                backend.call_count += 1;
                 backend.node = node;
-                Ok(heartbeat(id, backend, backend.count, backend.state))
+                Ok(heartbeat(id, backend, backend.call_count, backend.state))
             }
         };
         match call {
@@ -276,7 +283,7 @@
                 self.schedule(CALLER_LATENCY_MS, SimEvent::CallArrives(node, number, call));
                 self.schedule(timeout, SimEvent::CallTimesOut(number));
             }
-            Err(fault) => self.unmet_expectations.push(format!("a call could not be decoded: {fault}")),
+            Err(error) => self.unmet_expectations.push(format!("a call could not be decoded: {error}")),
         }
     }
 
@@ -291,7 +298,7 @@
         self.callers.attempts.remove(&number);
         let now = self.now;
         let session = &mut self.callers.sessions[index];
-        let Some((_, _)) = session.pending.take_if(|(open, _)| *open == number) else { return };
+        let Some((_, _)) = session.pending.take_if(|(attempt, _)| *attempt == number) else { return };
         let status = match reply {
             Some(Reply::Done(body)) => {
                 session.body = body;
@@ -307,14 +314,14 @@
             Some(Reply::Redirect(_)) => 307,
             None => 0,
         };
-        let timeout = match &session.operation {
+        let deadline = match &session.operation {
             Operation::Heartbeat(_) => HEARTBEAT_INTERVAL_MS,
             Operation::Drain(_) | Operation::Deregister(_) => DEPARTURE_DEADLINE_MS,
             Operation::Configure(_) | Operation::Read => OPERATOR_DEADLINE_MS,
         };
         if matches!(status, 200 | 400 | 412)
             || session.is_single_attempt
-            || now >= session.started_at + timeout
+            || now >= session.started_at + deadline
         {
             session.status = Some(status);
             return self.on_concluded(index, status);
@@ -348,11 +355,11 @@
     }
 }
 
-fn heartbeat(id: &str, backend: &SimBackend, count: u64, state: &str) -> Call {
+fn heartbeat(id: &str, backend: &SimBackend, call_count: u64, state: &str) -> Call {
     let body = json!({
         "address": "10.128.0.9:8080",
         "details": {"service": backend.service, "version": "v1", "zone": "a", "capacity": 4},
-        "status": {"state": state, "callCount": count, "warmupLeftS": 0}
+        "status": {"state": state, "callCount": call_count, "warmupLeftS": 0}
     });
     let path = format!("/Servers.CheckIn/{id}");
     Call::decode("POST", &path, None, body.to_string().into_bytes()).expect("a heartbeat can be decoded")
--- a/crates/brassport-control-plane/tests/it/sim/mod.rs
+++ b/crates/brassport-control-plane/tests/it/sim/mod.rs
@@ -84,10 +84,12 @@
     pub unmet_expectations: Vec<String>,
 }
 
+/// The address of a machine.
 pub fn ip(machine: usize) -> Ipv4Addr {
     Ipv4Addr::new(10, 0, 0, machine as u8 + 1)
 }
 
+/// The machine with an address.
 pub fn machine(ip: Ipv4Addr) -> usize {
     usize::from(ip.octets()[3]).wrapping_sub(1)
 }
@@ -139,11 +141,13 @@
         sim
     }
 
+    /// Schedules an event `delay` ms from now. Events at the same time are processed in the order of scheduling.
     pub fn schedule(&mut self, delay: Millis, event: SimEvent) {
         self.last_event += 1;
         self.queue.insert((self.now + delay, self.last_event), event);
     }
 
+    /// Draws a random number below `below`; 0 if `below` is 0.
     pub fn draw(&mut self, below: u64) -> u64 {
         self.rng.rand_range(0..below.max(1))
     }
@@ -200,8 +204,8 @@
                     self.schedule(wait, SimEvent::Tick(node, starts));
                 }
             }
-            SimEvent::OpenStore(node, starts) => self.open(node, starts),
-            SimEvent::RecordSynced(node, starts) => self.synced(node, starts),
+            SimEvent::OpenStore(node, starts) => self.open_store(node, starts),
+            SimEvent::RecordSynced(node, starts) => self.sync_next_record(node, starts),
             // `handle` drops the message if the process does not run.
             SimEvent::MessageArrives(node, envelope) => self.handle(node, Event::PeerMessage(envelope)),
             SimEvent::CallArrives(node, attempt, call) => {
@@ -211,7 +215,7 @@
             SimEvent::CallTimesOut(attempt) => self.on_reply(attempt, None),
             SimEvent::RetryCall(session) => self.retry(session),
             SimEvent::SendHeartbeat(id) => self.heartbeat(&id),
-            SimEvent::RunLine(index) => self.line(index),
+            SimEvent::RunLine(index) => self.run_line(index),
             SimEvent::CheckExit(node, starts, since, min_ms) => self.check_exit(node, starts, since, min_ms),
             SimEvent::Unfrozen(node) => {
                 self.invariants.fault_until(node, self.machines[node].is_core, self.now);
@@ -239,6 +243,7 @@
         self.machines[node].starts == starts && self.machines[node].control.is_some()
     }
 
+    /// Passes an event to the control plane of a machine, if its process runs, and executes the actions.
     pub fn handle(&mut self, node: usize, event: Event) {
         let now = self.now - self.machines[node].started_at;
         let Some(control) = &mut self.machines[node].control else { return };
@@ -266,6 +271,7 @@
         }
     }
 
+    /// Whether the process of a machine runs and is not frozen.
     pub fn is_responsive(&self, node: usize) -> bool {
         self.machines[node].control.is_some() && self.now >= self.machines[node].frozen_until
     }
--- a/crates/brassport-control-plane/tests/it/sim/network.rs
+++ b/crates/brassport-control-plane/tests/it/sim/network.rs
@@ -48,9 +48,9 @@
         self.duplication = (percent, within);
     }
 
-    pub fn set_send_delay(&mut self, node: usize, by: Millis, long: Millis) {
-        self.machines[node].send_delay = (self.now + long, by);
-        self.invariants.fault_until(node, self.machines[node].is_core, self.now + long + by);
+    pub fn set_send_delay(&mut self, node: usize, delay: Millis, duration: Millis) {
+        self.machines[node].send_delay = (self.now + duration, delay);
+        self.invariants.fault_until(node, self.machines[node].is_core, self.now + duration + delay);
     }
 
     pub fn set_blocked(&mut self, from: usize, to: usize, is_blocked: bool) {
--- a/crates/brassport-control-plane/tests/it/sim/process.rs
+++ b/crates/brassport-control-plane/tests/it/sim/process.rs
@@ -1,7 +1,7 @@
 //! Processes and disks: start, shutdown, kill, freeze, and syncing of writes.
 
 use super::script::Millis;
-use super::store::{keep, Store};
+use super::store::{persist, Store};
 use super::{
     incarnation, ip, Sim, SimEvent, CALLER_LATENCY_MS, HEARTBEAT_INTERVAL_MS, SHUTDOWN_GRACE_MS, TICK_MS,
 };
@@ -61,7 +61,7 @@
         // A random prefix of the pending records is durable.
         let hangs = self.now < machine.store.hangs_until;
         for (_, record) in pending {
-            if hangs || self.draw(2) == 0 || !keep(&mut self.machines[node].store, record) {
+            if hangs || self.draw(2) == 0 || !persist(&mut self.machines[node].store, record) {
                 break;
             }
         }
@@ -99,14 +99,14 @@
         self.machines[node].store = Store::empty();
     }
 
-    pub fn freeze(&mut self, node: usize, long: Millis) {
-        let until = self.now + long;
+    pub fn freeze(&mut self, node: usize, duration: Millis) {
+        let until = self.now + duration;
         self.machines[node].frozen_until = self.machines[node].frozen_until.max(until);
         self.invariants.fault_until(node, self.machines[node].is_core, self.now);
-        self.schedule(long, SimEvent::Unfrozen(node));
+        self.schedule(duration, SimEvent::Unfrozen(node));
     }
 
-    pub fn open(&mut self, node: usize, starts: u64) {
+    pub fn open_store(&mut self, node: usize, starts: u64) {
         if !self.is_same_process(node, starts) {
             return;
         }
@@ -114,18 +114,18 @@
         if self.now < hangs_until {
             return self.schedule(hangs_until - self.now, SimEvent::OpenStore(node, starts));
         }
-        if self.machines[node].store.number.is_none() {
+        if self.machines[node].store.disk_id.is_none() {
             if self.machines[node].store.full {
                 return self.schedule(500, SimEvent::OpenStore(node, starts));
             }
-            self.machines[node].store.number = Some(self.draw(u64::MAX) | 1);
+            self.machines[node].store.disk_id = Some(self.draw(u64::MAX) | 1);
         }
         let store = &self.machines[node].store;
-        let event = Event::StoreOpened(DiskId(store.number.unwrap_or(1)), store.kept.clone());
+        let event = Event::StoreOpened(DiskId(store.disk_id.unwrap_or(1)), store.durable.clone());
         self.handle(node, event);
     }
 
-    pub fn synced(&mut self, node: usize, starts: u64) {
+    pub fn sync_next_record(&mut self, node: usize, starts: u64) {
         if !self.is_same_process(node, starts) {
             return;
         }
@@ -135,8 +135,8 @@
         }
         let store = &mut self.machines[node].store;
         let Some((number, record)) = store.pending.pop_front() else { return };
-        let kept = keep(store, record);
-        self.handle(node, Event::Persisted(number, kept));
+        let is_durable = persist(store, record);
+        self.handle(node, Event::Persisted(number, is_durable));
         self.fire_conditions();
     }
 
--- a/crates/brassport-control-plane/tests/it/sim/script/mod.rs
+++ b/crates/brassport-control-plane/tests/it/sim/script/mod.rs
@@ -39,17 +39,22 @@
     }
 }
 
+/// The settings of a run.
 #[derive(Debug, Clone)]
 pub struct Setup {
+    /// Number of machines with a disk, which form the core.
     pub disks: usize,
+    /// Number of machines without a disk.
     pub diskless: usize,
     pub zones: Vec<String>,
     pub seeds: Vec<usize>,
     pub tolerated_losses: Option<usize>,
     pub seed: u64,
     pub initially_running: Option<Vec<usize>>,
+    /// One-way latency between zones.
     pub zone_latency: Millis,
     pub sync_latency: Millis,
+    /// Outgoing bandwidth of each machine in Mbit/s; `None`: unlimited.
     pub link_mbit: Option<u64>,
     pub duration: Option<Millis>,
 }
@@ -66,6 +71,7 @@
     Outbound,
 }
 
+/// What is wrong with a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flaw {
     Truncated,
@@ -74,6 +80,7 @@
     UnknownService,
 }
 
+/// A call of the operator or a backend, as written in the scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallSpec {
     Configure {
@@ -101,9 +108,12 @@
     Hangs(Millis),
 }
 
+/// A statement. Machines are given by selectors, and backends by their IDs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Statement {
+    /// Assigns a name to a machine.
     Name(String, String),
+    /// Freezes machines for a time.
     Freeze(String, Millis),
     Kill(Vec<String>),
     Start(Vec<String>),
@@ -118,7 +128,9 @@
     Partition(String, Partition),
     Heal,
     MessageLoss(u64),
+    /// Percentage of the messages that are delivered a second time, and the maximum delay of the second delivery.
     Duplication(u64, Millis),
+    /// Delays the messages that a machine sends: the machine, the delay, and how long this lasts.
     SendDelay(String, Millis, Millis),
     DiskFault(String, DiskFault),
     Seeds(String, Vec<usize>),
@@ -134,26 +146,35 @@
         via: Option<String>,
     },
     KillBackend(String),
+    /// An earlier heartbeat of the backend arrives at the machine.
     LateHeartbeat(String, String),
     Expect(Expect),
 }
 
+/// An expectation.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Expect {
+    /// The call has one of these statuses; 0 stands for no reply.
     Status(String, Vec<u16>),
+    /// Exactly one of these calls has this status.
     ExactlyOne(Vec<String>, u16),
+    /// Those of the machines that run and are not frozen have applied this version.
     AppliedVersion(String, u32),
     /// Exactly this many disks have the configuration sent under a name.
     OnDisks(String, usize),
+    /// Those of the machines that run and are not frozen have this backend in one of these states.
     BackendState(String, String, Vec<String>),
     Voters(Vec<usize>),
+    /// The machine (`None`: any machine) leads, or, if `is` is false, does not lead.
     Leader {
         who: Option<String>,
         is: bool,
     },
+    /// The final read returns this version.
     ReadBack(u32),
 }
 
+/// When a statement is executed.
 #[derive(Debug, Clone, PartialEq)]
 pub enum When {
     At(Millis),
--- a/crates/brassport-control-plane/tests/it/sim/script/parse.rs
+++ b/crates/brassport-control-plane/tests/it/sim/script/parse.rs
@@ -49,7 +49,7 @@
         "apart" => setup.zone_latency = tokens.span()?,
         "sync" => setup.sync_latency = tokens.span()?,
         "link" => {
-            let parse = |word: &str| word.strip_suffix("mbit")?.parse().ok();
+            let parse = |token: &str| token.strip_suffix("mbit")?.parse().ok();
             setup.link_mbit = Some(tokens.parsed("a rate such as 2mbit", parse)?);
         }
         "lasts" => setup.duration = Some(tokens.span()?),
@@ -137,8 +137,8 @@
 }
 
 /// Parses a statement about the network or disks.
-fn fault_statement(word: &str, tokens: &mut Tokens) -> ParseResult<Statement> {
-    Ok(match word {
+fn fault_statement(token: &str, tokens: &mut Tokens) -> ParseResult<Statement> {
+    Ok(match token {
         "answers" => {
             tokens.expect("lost")?;
             Statement::ReplyLoss(tokens.percent()?)
@@ -230,7 +230,7 @@
             let (mut flaw, mut routes) = (None, 2);
             if tokens.accept("but") {
                 let flaws = "`cut-off`, `key-twice`, `prefix-twice` or `unknown-service`";
-                flaw = Some(tokens.parsed(flaws, |word| match word {
+                flaw = Some(tokens.parsed(flaws, |token| match token {
                     "cut-off" => Some(Flaw::Truncated),
                     "key-twice" => Some(Flaw::DuplicateKey),
                     "prefix-twice" => Some(Flaw::DuplicatePrefix),
@@ -323,13 +323,13 @@
     }
     if tokens.accept("knows") {
         let id = tokens.next("a backend")?.to_owned();
-        let mut stages = Vec::new();
+        let mut states = Vec::new();
         loop {
             let what = "`ready`, `silent`, `emptying`, `gone` or `nothing`";
             let known = ["ready", "silent", "emptying", "gone", "nothing"];
-            stages.push(tokens.parsed(what, |word| known.contains(&word).then(|| word.to_owned()))?);
+            states.push(tokens.parsed(what, |token| known.contains(&token).then(|| token.to_owned()))?);
             if !tokens.accept("or") {
-                return Ok(Expect::BackendState(first.to_owned(), id, stages));
+                return Ok(Expect::BackendState(first.to_owned(), id, states));
             }
         }
     }
--- a/crates/brassport-control-plane/tests/it/sim/script/tokens.rs
+++ b/crates/brassport-control-plane/tests/it/sim/script/tokens.rs
@@ -22,22 +22,22 @@
     }
 
     pub fn next(&mut self, expected: &str) -> ParseResult<&'a str> {
-        let Some(word) = self.peek() else { return self.fail(expected) };
+        let Some(token) = self.peek() else { return self.fail(expected) };
         self.at += 1;
-        Ok(word)
+        Ok(token)
     }
 
-    pub fn accept(&mut self, word: &str) -> bool {
-        let is_there = self.peek() == Some(word);
+    pub fn accept(&mut self, token: &str) -> bool {
+        let is_there = self.peek() == Some(token);
         self.at += usize::from(is_there);
         is_there
     }
 
-    pub fn expect(&mut self, word: &str) -> ParseResult<()> {
-        if self.accept(word) {
+    pub fn expect(&mut self, token: &str) -> ParseResult<()> {
+        if self.accept(token) {
             return Ok(());
         }
-        self.fail(&format!("`{word}`"))
+        self.fail(&format!("`{token}`"))
     }
 
     pub fn parsed<T>(&mut self, expected: &str, parse: impl Fn(&str) -> Option<T>) -> ParseResult<T> {
@@ -51,31 +51,31 @@
     }
 
     pub fn number(&mut self) -> ParseResult<u64> {
-        self.parsed("a number", |word| word.parse().ok())
+        self.parsed("a number", |token| token.parse().ok())
     }
 
     pub fn percent(&mut self) -> ParseResult<u64> {
-        self.parsed("a percentage such as 5%", |word| word.strip_suffix('%')?.parse().ok())
+        self.parsed("a percentage such as 5%", |token| token.strip_suffix('%')?.parse().ok())
     }
 
     pub fn seconds(&mut self) -> ParseResult<Millis> {
-        self.parsed("a time in seconds such as 1.5", |word| millis(word, 1000.0))
+        self.parsed("a time in seconds such as 1.5", |token| millis(token, 1000.0))
     }
 
     pub fn span(&mut self) -> ParseResult<Millis> {
-        self.parsed("a span such as 3s or 300ms", |word| match word.strip_suffix("ms") {
+        self.parsed("a span such as 3s or 300ms", |token| match token.strip_suffix("ms") {
             Some(number) => millis(number, 1.0),
-            None => millis(word.strip_suffix('s')?, 1000.0),
+            None => millis(token.strip_suffix('s')?, 1000.0),
         })
     }
 
     pub fn version(&mut self) -> ParseResult<u32> {
-        self.parsed("a version such as v5", |word| word.strip_prefix('v')?.parse().ok())
+        self.parsed("a version such as v5", |token| token.strip_prefix('v')?.parse().ok())
     }
 
     pub fn code(&mut self) -> ParseResult<u16> {
-        self.parsed("an answer: 200, 307, 400, 412, 503 or none", |word| match word {
-            "200" | "307" | "400" | "412" | "503" => word.parse().ok(),
+        self.parsed("an answer: 200, 307, 400, 412, 503 or none", |token| match token {
+            "200" | "307" | "400" | "412" | "503" => token.parse().ok(),
             "none" => Some(0),
             _ => None,
         })
@@ -83,8 +83,8 @@
 
     pub fn remaining(&mut self, expected: &str) -> ParseResult<Vec<String>> {
         let mut remaining = vec![self.next(expected)?.to_owned()];
-        while let Some(word) = self.peek() {
-            remaining.push(word.to_owned());
+        while let Some(token) = self.peek() {
+            remaining.push(token.to_owned());
             self.at += 1;
         }
         Ok(remaining)
@@ -99,7 +99,7 @@
     }
 }
 
-fn millis(word: &str, times: f64) -> Option<Millis> {
-    let number: f64 = word.parse().ok()?;
+fn millis(token: &str, times: f64) -> Option<Millis> {
+    let number: f64 = token.parse().ok()?;
     (number.is_finite() && number >= 0.0).then_some((number * times).round() as Millis)
 }
--- a/crates/brassport-control-plane/tests/it/sim/statements.rs
+++ b/crates/brassport-control-plane/tests/it/sim/statements.rs
@@ -14,6 +14,7 @@
 const FINAL_READ: &str = "the read at the end";
 
 impl Sim {
+    /// Schedules the lines that have a time.
     pub fn schedule_lines(&mut self) {
         for index in 0..self.lines.len() {
             if let When::At(at) = self.lines[index].when {
@@ -22,6 +23,7 @@
         }
     }
 
+    /// The end of the run.
     pub fn end(&self) -> Millis {
         let last = self.lines.iter().filter_map(|line| match line.when {
             When::At(at) => Some(at),
@@ -33,15 +35,15 @@
     /// Executes the `when` lines whose condition is now met.
     pub fn fire_conditions(&mut self) {
         for index in 0..self.lines.len() {
-            let has_come = match &self.lines[index].when {
+            let is_met = match &self.lines[index].when {
                 When::OnDisks(name, by) => self.disks_with(name) >= *by,
                 When::Status(name, code) => {
                     self.callers.session(name).is_some_and(|session| session.status == Some(*code))
                 }
                 _ => false,
             };
-            if has_come && self.fired.insert(index) {
-                self.line(index);
+            if is_met && self.fired.insert(index) {
+                self.run_line(index);
             }
         }
     }
@@ -59,14 +61,15 @@
             kept.state.applied_requests.values().any(|applied| *applied == change.digest())
                 || kept.accepted.as_ref().is_some_and(|accepted| holds(&accepted.entry))
         };
-        self.machines.iter().filter(|machine| has(&machine.store.kept)).count()
+        self.machines.iter().filter(|machine| has(&machine.store.durable)).count()
     }
 
-    pub fn line(&mut self, index: usize) {
+    /// Executes a line, and records its error, if any.
+    pub fn run_line(&mut self, index: usize) {
         let line = self.lines[index].clone();
-        if let Err(fault) = self.execute(&line.statement) {
+        if let Err(error) = self.execute(&line.statement) {
             let seconds = self.now as f64 / 1000.0;
-            self.unmet_expectations.push(format!("line {}: {seconds:.3} s: {fault}", line.number));
+            self.unmet_expectations.push(format!("line {}: {seconds:.3} s: {error}", line.number));
         }
     }
 
@@ -82,6 +85,7 @@
         (0..self.machines.len()).filter_map(holds).max().map(|(_, node)| node)
     }
 
+    /// The machines that a selector of the scenario language stands for.
     fn machines_of(&self, who: &str) -> Result<Vec<usize>, String> {
         let others = || {
             let leader = self.leader()?;
@@ -91,13 +95,13 @@
                     .collect::<Vec<_>>(),
             )
         };
-        let no_leader = || "nobody leads".to_owned();
+        let leader_missing = || "no machine leads".to_owned();
         match who {
             "core" => Ok(self.core()),
             "every" => Ok((0..self.machines.len()).collect()),
-            "leader" => Ok(vec![self.leader().ok_or_else(no_leader)?]),
-            "follower" => Ok(others().ok_or_else(no_leader)?.first().copied().into_iter().collect()),
-            "last" => Ok(others().ok_or_else(no_leader)?.last().copied().into_iter().collect()),
+            "leader" => Ok(vec![self.leader().ok_or_else(leader_missing)?]),
+            "follower" => Ok(others().ok_or_else(leader_missing)?.first().copied().into_iter().collect()),
+            "last" => Ok(others().ok_or_else(leader_missing)?.last().copied().into_iter().collect()),
             _ => {
                 let number = self.names.get(who).copied().or_else(|| who.parse().ok());
                 let known = number.filter(|node| *node < self.machines.len());
@@ -152,9 +156,9 @@
                 let node = self.single_machine(who)?;
                 self.names.insert(name.clone(), node);
             }
-            Statement::Freeze(who, long) => {
+            Statement::Freeze(who, duration) => {
                 let all = self.machines_of(who)?;
-                all.into_iter().for_each(|node| self.freeze(node, *long));
+                all.into_iter().for_each(|node| self.freeze(node, *duration));
             }
             Statement::Kill(who) => {
                 let all = self.machines_of_each(who)?;
@@ -187,7 +191,7 @@
                 let node = self.single_machine(who)?;
                 self.lose_disk(node);
             }
-            Statement::Partition(who, cut) => self.cut(who, cut)?,
+            Statement::Partition(who, partition) => self.partition(who, partition)?,
             Statement::Heal => {
                 for node in 0..self.machines.len() {
                     for other in 0..self.machines.len() {
@@ -197,16 +201,16 @@
             }
             Statement::MessageLoss(percent) => self.set_loss(*percent),
             Statement::Duplication(percent, within) => self.set_duplication(*percent, *within),
-            Statement::SendDelay(who, by, long) => {
+            Statement::SendDelay(who, delay, duration) => {
                 let node = self.single_machine(who)?;
-                self.set_send_delay(node, *by, *long);
+                self.set_send_delay(node, *delay, *duration);
             }
-            Statement::DiskFault(who, disk) => {
+            Statement::DiskFault(who, fault) => {
                 for node in self.machines_of(who)? {
-                    match disk {
+                    match fault {
                         DiskFault::Full => self.set_disk(node, Some(true), 0),
                         DiskFault::Healthy => self.set_disk(node, Some(false), 0),
-                        DiskFault::Hangs(long) => self.set_disk(node, None, *long),
+                        DiskFault::Hangs(duration) => self.set_disk(node, None, *duration),
                     }
                 }
             }
@@ -220,22 +224,22 @@
         Ok(())
     }
 
-    fn cut(&mut self, who: &str, cut: &Partition) -> Result<(), String> {
-        let (hears, is_heard) = match cut {
-            Partition::Inbound => (false, true),
-            Partition::Outbound => (true, false),
-            _ => (false, false),
+    fn partition(&mut self, who: &str, partition: &Partition) -> Result<(), String> {
+        let (blocks_inbound, blocks_outbound) = match partition {
+            Partition::Inbound => (true, false),
+            Partition::Outbound => (false, true),
+            _ => (true, true),
         };
-        let others = match cut {
+        let others = match partition {
             Partition::From(others) => self.machines_of_each(others)?,
             _ => (0..self.machines.len()).collect(),
         };
         for node in self.machines_of(who)? {
             for other in &others {
-                if !hears {
+                if blocks_inbound {
                     self.set_blocked(*other, node, true);
                 }
-                if !is_heard {
+                if blocks_outbound {
                     self.set_blocked(node, *other, true);
                 }
             }
@@ -243,7 +247,7 @@
         Ok(())
     }
 
-    fn code(&self, name: &str) -> Result<Option<u16>, String> {
+    fn status_of(&self, name: &str) -> Result<Option<u16>, String> {
         let session = self.callers.session(name).ok_or_else(|| format!("there is no call {name}"))?;
         Ok(session.status)
     }
@@ -251,13 +255,13 @@
     fn expect(&mut self, expect: &Expect) -> Result<(), String> {
         match expect {
             Expect::Status(name, codes) => {
-                let code = self.code(name)?;
+                let code = self.status_of(name)?;
                 if !code.is_some_and(|code| codes.contains(&code)) {
                     return Err(format!("{name} has status {code:?}, expected node of {codes:?}"));
                 }
             }
             Expect::ExactlyOne(names, code) => {
-                let codes: Result<Vec<_>, _> = names.iter().map(|name| self.code(name)).collect();
+                let codes: Result<Vec<_>, _> = names.iter().map(|name| self.status_of(name)).collect();
                 let codes = codes?;
                 if codes.iter().filter(|found| **found == Some(*code)).count() != 1 {
                     return Err(format!(
@@ -349,15 +353,15 @@
         for index in 0..self.lines.len() {
             let before = !matches!(self.lines[index].statement, Statement::Expect(Expect::ReadBack(_)));
             if self.lines[index].when == When::End && before {
-                self.line(index);
+                self.run_line(index);
             }
         }
         self.report_unmet_conditions();
         if meets {
             self.read_back();
         }
-        let kept = self.machines.iter().map(|machine| &machine.store.kept.state);
-        let newest: Option<ReplicatedState> = kept.max_by_key(|state| state.index).cloned();
+        let states = self.machines.iter().map(|machine| &machine.store.durable.state);
+        let newest: Option<ReplicatedState> = states.max_by_key(|state| state.index).cloned();
         let known = self.invariants.newest_state().map(|state| ReplicatedState::clone(&state));
         if let Some(newest) = newest.into_iter().chain(known).max_by_key(|state| state.index) {
             self.invariants.check_final_state(&newest, self.now);
@@ -365,7 +369,7 @@
         for index in 0..self.lines.len() {
             let is_read = matches!(self.lines[index].statement, Statement::Expect(Expect::ReadBack(_)));
             if self.lines[index].when == When::End && is_read {
-                self.line(index);
+                self.run_line(index);
             }
         }
     }
--- a/crates/brassport-control-plane/tests/it/sim/store.rs
+++ b/crates/brassport-control-plane/tests/it/sim/store.rs
@@ -7,9 +7,9 @@
 
 pub struct Store {
     /// The disk ID, drawn when an empty disk is first opened.
-    pub number: Option<u64>,
+    pub disk_id: Option<u64>,
     /// The durable state.
-    pub kept: DurableState,
+    pub durable: DurableState,
     /// Whether a record is missing. Later records are then rejected until a snapshot replaces the whole state.
     pub torn: bool,
     pub pending: VecDeque<(u64, Record)>,
@@ -22,8 +22,8 @@
 impl Store {
     pub fn empty() -> Store {
         Store {
-            number: None,
-            kept: DurableState::empty(),
+            disk_id: None,
+            durable: DurableState::empty(),
             torn: false,
             pending: VecDeque::new(),
             busy: 0,
@@ -33,34 +33,34 @@
     }
 }
 
-/// Applies a record to the durable state. Returns whether it was kept.
-pub fn keep(store: &mut Store, record: Record) -> bool {
+/// Applies a record to the durable state. Returns whether the record is durable.
+pub fn persist(store: &mut Store, record: Record) -> bool {
     let gap = store.torn && !matches!(record, Record::Snapshot(_));
     store.torn = store.full || gap;
     if store.torn {
         return false;
     }
-    let kept = &mut store.kept;
+    let durable = &mut store.durable;
     // A replica accepts an entry only after all entries before it were chosen.
-    let catch_up = |kept: &mut DurableState, index: LogIndex| {
-        while kept.state.index + 1 < index {
-            let Some(before) = kept.accepted.take() else { break };
-            kept.state.apply(&before.entry);
+    let catch_up = |durable: &mut DurableState, index: LogIndex| {
+        while durable.state.index + 1 < index {
+            let Some(before) = durable.accepted.take() else { break };
+            durable.state.apply(&before.entry);
         }
     };
     match record {
-        Record::Promised(term) => kept.promised = kept.promised.max(term),
+        Record::Promised(term) => durable.promised = durable.promised.max(term),
         Record::Accepted { term, index, entry } => {
-            kept.promised = kept.promised.max(term);
-            catch_up(kept, index);
-            kept.accepted = Some(AcceptedEntry { term, entry });
+            durable.promised = durable.promised.max(term);
+            catch_up(durable, index);
+            durable.accepted = Some(AcceptedEntry { term, entry });
         }
         Record::Committed(CommittedEntry { index, entry }) => {
-            catch_up(kept, index);
-            kept.accepted = None;
-            kept.state.apply(&entry);
+            catch_up(durable, index);
+            durable.accepted = None;
+            durable.state.apply(&entry);
         }
-        Record::Snapshot(whole) => *kept = whole,
+        Record::Snapshot(state) => *durable = state,
     }
     true
 }
