--- a/crates/brassport-config-store/src/configuration/parse.rs
+++ b/crates/brassport-config-store/src/configuration/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the complete document as a [`Configuration`], with the checks across items.
+//! Parses the complete document as a [`Configuration`], including the constraints across items.
 
 use super::limits::limits;
 use super::reader::wrong_type;
@@ -8,13 +8,13 @@
 use super::{Configuration, ValidationError, ValidationErrors, Version};
 use serde_json::{Map, Value};
 
-/// Reads a document. With `above`, the version must be above it.
+/// Parses a document. If `current` is given, the document's version has to be above it.
 pub fn configuration(
     raw: &Map<String, Value>,
-    above: Option<Version>,
+    current: Option<Version>,
 ) -> Result<Configuration, ValidationErrors> {
     let mut errors = Vec::new();
-    let version = version(raw, above, &mut errors);
+    let version = version(raw, current, &mut errors);
     let services = services(raw, &mut errors);
     let limits = limits(raw, &mut errors);
     let tenants = tenants(raw, &mut errors);
@@ -22,19 +22,26 @@
     if !errors.is_empty() {
         return Err(ValidationErrors(errors));
     }
-    let has_keys = !tenants.is_empty();
-    Ok(Configuration { version: version.unwrap_or_default(), services, limits, tenants, routes, has_keys })
+    let requires_key = !tenants.is_empty();
+    Ok(Configuration {
+        version: version.unwrap_or_default(),
+        services,
+        limits,
+        tenants,
+        routes,
+        requires_key,
+    })
 }
 
-/// Reads `version`, and compares it with the current one.
+/// Parses the field `version`, and compares it with the current version, if that is given.
 pub fn version(
     raw: &Map<String, Value>,
-    above: Option<Version>,
+    current: Option<Version>,
     errors: &mut Vec<ValidationError>,
 ) -> Option<Version> {
     let text = match raw.get("version") {
         None | Some(Value::Null) => {
-            errors.push(ValidationError::Missing { at: "version".to_owned() });
+            errors.push(ValidationError::MissingField { path: "version".to_owned() });
             return None;
         }
         Some(Value::String(text)) => text,
@@ -43,14 +50,17 @@
             return None;
         }
     };
-    match (text.parse::<Version>(), above) {
+    match (text.parse::<Version>(), current) {
         (Ok(sent), Some(current)) if sent <= current => {
             errors.push(ValidationError::StaleVersion { sent, current });
             None
         }
         (Ok(sent), _) => Some(sent),
-        (Err(bad), _) => {
-            errors.push(ValidationError::BadValue { at: "version".to_owned(), what: bad.to_string() });
+        (Err(error), _) => {
+            errors.push(ValidationError::InvalidValue {
+                path: "version".to_owned(),
+                reason: error.to_string(),
+            });
             None
         }
     }
--- a/crates/brassport-control-plane/src/log_sync/mod.rs
+++ b/crates/brassport-control-plane/src/log_sync/mod.rs
@@ -74,5 +74,5 @@
 
 /// The total size of entries, in bytes.
 fn size(entries: &[CommittedEntry]) -> usize {
-    entries.iter().map(|committed| committed.entry.size()).sum()
+    entries.iter().map(|committed| committed.entry.estimated_size()).sum()
 }
