--- a/crates/brassport-control-plane/src/backends/table.rs
+++ b/crates/brassport-control-plane/src/backends/table.rs
@@ -61,18 +61,18 @@
     }
 
     /// Replaces the record by a newer copy.
-    fn update(&mut self, newer: Backend, update: Update) -> MergeOutcome {
-        let state = state_after(self.backend.state, newer.state);
+    fn update(&mut self, newer: Backend, times: CopyTimes) -> MergeOutcome {
+        let state = merged_state(self.backend.state, newer.state);
         let is_changed = state != self.backend.state
             || newer.address != self.backend.address
             || newer.service != self.backend.service;
         let is_renewed = newer.call_count > self.backend.call_count;
         if is_renewed {
-            self.renewed_at = update.renewed_at;
-            self.heartbeat_at = update.heartbeat_at;
+            self.renewed_at = times.renewed_at;
+            self.heartbeat_at = times.heartbeat_at;
         }
         if is_renewed || (self.backend.warmup_left_ms == 0 && newer.warmup_left_ms > 0) {
-            self.warm_at = update.warm_at;
+            self.warm_at = times.warm_at;
         }
         self.backend = Backend { state, ..newer };
         if is_changed {
@@ -85,7 +85,7 @@
 
 /// The times of a received copy, on this node's clock.
 #[derive(Debug, Clone, Copy)]
-struct Update {
+struct CopyTimes {
     renewed_at: Millis,
     heartbeat_at: Option<Millis>,
     warm_at: Millis,
@@ -93,7 +93,7 @@
 
 /// The state after a newer copy. A draining backend stays draining until it terminates, so that heartbeats that arrive
 /// out of order do not make it ready again.
-fn state_after(known: BackendState, newer: BackendState) -> BackendState {
+fn merged_state(known: BackendState, newer: BackendState) -> BackendState {
     match (known, newer) {
         (BackendState::Draining, BackendState::Ready | BackendState::Unresponsive) => BackendState::Draining,
         _ => newer,
@@ -115,36 +115,36 @@
 
     /// Merges a record. The order in which copies are merged does not matter.
     pub(crate) fn merge(&mut self, now: Millis, backend: Backend, source: Source) -> MergeOutcome {
-        let update = Update {
+        let times = CopyTimes {
             renewed_at: now.saturating_sub(Millis::from(backend.age_ms)),
             heartbeat_at: (source == Source::Backend).then_some(now),
             warm_at: now + Millis::from(backend.warmup_left_ms),
         };
         // A node that has dropped an expired record must not add it again, or the record would circulate for ever.
-        if now >= update.renewed_at + backend.state.lease_ms() {
+        if now >= times.renewed_at + backend.state.lease_ms() {
             return MergeOutcome::Unchanged;
         }
-        let outcome = self.merge_unexpired(backend, update);
+        let outcome = self.merge_unexpired(backend, times);
         if outcome == MergeOutcome::Changed {
             self.changed_at = Some(now);
         }
         outcome
     }
 
-    fn merge_unexpired(&mut self, backend: Backend, update: Update) -> MergeOutcome {
+    fn merge_unexpired(&mut self, backend: Backend, times: CopyTimes) -> MergeOutcome {
         let Some(known) = self.entries.get_mut(&backend.id) else {
             let id = backend.id.clone();
-            let entry = Entry::new(backend, update.renewed_at, update.heartbeat_at, update.warm_at);
+            let entry = Entry::new(backend, times.renewed_at, times.heartbeat_at, times.warm_at);
             self.entries.insert(id, entry);
             return MergeOutcome::Changed;
         };
         known.is_quarantined = false;
         if backend.is_newer_than(&known.backend) {
-            return known.update(backend, update);
+            return known.update(backend, times);
         }
-        let is_heard_since =
+        let is_stale =
             backend.state == BackendState::Unresponsive && known.backend.state == BackendState::Ready;
-        if is_heard_since {
+        if is_stale {
             MergeOutcome::Stale
         } else {
             MergeOutcome::Unchanged
--- a/crates/brassport-control-plane/src/contacts.rs
+++ b/crates/brassport-control-plane/src/contacts.rs
@@ -13,14 +13,14 @@
 /// The peers from which messages came recently.
 #[derive(Debug, Default)]
 pub(crate) struct Contacts {
-    heard_at: BTreeMap<Ipv4Addr, Millis>,
+    last_seen_at: BTreeMap<Ipv4Addr, Millis>,
     indexes: BTreeMap<Ipv4Addr, LogIndex>,
 }
 
 impl Contacts {
     /// Records that a message came from a peer.
     pub(crate) fn record(&mut self, peer: Ipv4Addr, now: Millis) {
-        self.heard_at.insert(peer, now);
+        self.last_seen_at.insert(peer, now);
     }
 
     /// Records the index up to which a peer has applied the log.
@@ -30,19 +30,19 @@
 
     /// Forgets peers from which no message came for [`FORGET_MS`].
     pub(crate) fn expire(&mut self, now: Millis) {
-        self.heard_at.retain(|_, at| now < *at + FORGET_MS);
-        let heard_at = &self.heard_at;
-        self.indexes.retain(|ip, _| heard_at.contains_key(ip));
+        self.last_seen_at.retain(|_, at| now < *at + FORGET_MS);
+        let last_seen_at = &self.last_seen_at;
+        self.indexes.retain(|ip, _| last_seen_at.contains_key(ip));
     }
 
     /// Whether a message came from a peer within [`FORGET_MS`].
     pub(crate) fn contains(&self, peer: Ipv4Addr) -> bool {
-        self.heard_at.contains_key(&peer)
+        self.last_seen_at.contains_key(&peer)
     }
 
     /// Whether a message came from a peer within [`CONTACT_MS`].
     pub(crate) fn is_in_contact(&self, peer: Ipv4Addr, now: Millis) -> bool {
-        self.heard_at.get(&peer).is_some_and(|at| now < at + CONTACT_MS)
+        self.last_seen_at.get(&peer).is_some_and(|at| now < at + CONTACT_MS)
     }
 
     /// The log index that a peer reported last.
@@ -52,7 +52,7 @@
 
     /// All remembered peers, each with the time of its last message.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (Ipv4Addr, Millis)> + '_ {
-        self.heard_at.iter().map(|(ip, at)| (*ip, *at))
+        self.last_seen_at.iter().map(|(ip, at)| (*ip, *at))
     }
 
     /// The next peer after `last` in the cyclic order of addresses whose reported log index is at least `index`.
--- a/crates/brassport-control-plane/src/gossip.rs
+++ b/crates/brassport-control-plane/src/gossip.rs
@@ -150,9 +150,10 @@
     fn leader_hint(&self) -> Option<LeaderHint> {
         let now = self.clock.now();
         let (term, ip) = self.leader()?;
-        let is_heard_now = self.replica.leader(now).is_some();
-        let heard_at = if is_heard_now { now } else { self.known_leader.heard_at(ip).unwrap_or(now) };
-        let age_ms = u32::try_from(now.saturating_sub(heard_at)).unwrap_or(u32::MAX);
+        let is_in_contact = self.replica.leader(now).is_some();
+        let last_seen_at =
+            if is_in_contact { now } else { self.known_leader.last_seen_at(ip).unwrap_or(now) };
+        let age_ms = u32::try_from(now.saturating_sub(last_seen_at)).unwrap_or(u32::MAX);
         Some(LeaderHint { term, ip, age_ms })
     }
 
--- a/crates/brassport-control-plane/src/lib.rs
+++ b/crates/brassport-control-plane/src/lib.rs
@@ -8,7 +8,7 @@
 //! - a partial view of the peers, and the set of voters;
 //! - the grants of tenants' rate limits.
 //!
-//! The *core* are the nodes that may vote in consensus. A node outside the core learns committed entries from its
+//! The *core* is the set of nodes that may vote in consensus. A node outside the core learns committed entries from its
 //! peers.
 //!
 //! The control plane takes no part in handling requests: the data plane works on copies of its state. It opens no
--- a/crates/brassport-control-plane/src/snapshots/source.rs
+++ b/crates/brassport-control-plane/src/snapshots/encoded.rs
@@ -11,23 +11,23 @@
 
 /// An encoded state.
 #[derive(Debug)]
-pub(super) struct Source {
+pub(super) struct EncodedSnapshot {
     id: SnapshotId,
     bytes: Vec<u8>,
     used_at: Millis,
 }
 
-impl Source {
-    pub(super) fn encode(state: &ReplicatedState) -> Source {
+impl EncodedSnapshot {
+    pub(super) fn encode(state: &ReplicatedState) -> EncodedSnapshot {
         let mut bytes = Vec::new();
         // Writing to a vector can't fail.
         let _ = ciborium::into_writer(state, &mut bytes);
-        Source { id: SnapshotId { index: state.index, digest: digest(&bytes) }, bytes, used_at: 0 }
+        EncodedSnapshot { id: SnapshotId { index: state.index, digest: digest(&bytes) }, bytes, used_at: 0 }
     }
 
     /// Sets the time of the last use.
-    pub(super) fn with_used_at(self, now: Millis) -> Source {
-        Source { used_at: now, ..self }
+    pub(super) fn with_used_at(self, now: Millis) -> EncodedSnapshot {
+        EncodedSnapshot { used_at: now, ..self }
     }
 
     pub(super) fn index(&self) -> LogIndex {
--- a/crates/brassport-control-plane/src/snapshots/mod.rs
+++ b/crates/brassport-control-plane/src/snapshots/mod.rs
@@ -6,7 +6,7 @@
 
 mod chunk;
 mod download;
-mod source;
+mod encoded;
 
 pub use chunk::{SnapshotChunk, SnapshotId};
 
@@ -15,7 +15,7 @@
 use crate::Millis;
 use brassport_types::LogIndex;
 use download::{Download, Progress};
-use source::Source;
+use encoded::EncodedSnapshot;
 use std::net::Ipv4Addr;
 
 /// Size of a chunk: an eighth of a second on a link of 2 Mbit/s.
@@ -26,7 +26,7 @@
 /// The snapshot that is served to peers, and the one that is being downloaded.
 #[derive(Debug, Default)]
 pub(crate) struct Snapshots {
-    source: Option<Source>,
+    source: Option<EncodedSnapshot>,
     download: Option<Download>,
 }
 
@@ -73,13 +73,13 @@
     /// A snapshot that is useful to a peer at this index: its index is higher, and the later entries are still
     /// retained. The checkpoint is preferred to the latest state, because other nodes have the same checkpoint and can
     /// continue the download.
-    fn snapshot_source(&mut self, index: LogIndex) -> &Source {
+    fn snapshot_source(&mut self, index: LogIndex) -> &EncodedSnapshot {
         let (now, replica) = (self.clock.now(), &self.replica);
         let helps = |from: LogIndex| from > index && replica.entries_after(from).is_some();
         let kept = self.snapshots.source.take().filter(|source| helps(source.index()));
         let source = kept.unwrap_or_else(|| {
             let checkpoint = replica.checkpoint().filter(|state| helps(state.index));
-            Source::encode(&checkpoint.unwrap_or_else(|| replica.state().clone()))
+            EncodedSnapshot::encode(&checkpoint.unwrap_or_else(|| replica.state().clone()))
         });
         self.snapshots.source.insert(source.with_used_at(now))
     }
--- a/crates/brassport-control-plane/src/status.rs
+++ b/crates/brassport-control-plane/src/status.rs
@@ -37,14 +37,14 @@
 
     fn node_status(&self) -> Vec<Value> {
         let (now, own_index) = (self.clock.now(), self.replica.state().index);
-        let node = |(ip, heard_at)| {
+        let node = |(ip, last_seen_at)| {
             let index = self.contacts.index(ip);
             json!({
                 "ip": ip,
                 "zone": self.view.peer(ip).map(|peer| peer.zone.as_str()),
                 "index": index,
                 "behind": index.map(|index| own_index.saturating_sub(index)),
-                "heardMsAgo": now.saturating_sub(heard_at),
+                "heardMsAgo": now.saturating_sub(last_seen_at),
             })
         };
         self.contacts.iter().map(node).collect()
--- a/crates/brassport-transport/tests/it/golden.rs
+++ b/crates/brassport-transport/tests/it/golden.rs
@@ -67,7 +67,7 @@
     cases.push(("two long ones".to_owned(), hex(&bytes)));
     GOLDEN.same_lines("wire", &cases);
     // The links decode the same bytes when they receive them.
-    setup.peer_datagrams.send_to(b"a datagram", setup.local()).await.expect("the datagram is sent");
+    setup.peer_datagrams.send_to(b"a datagram", setup.links_address()).await.expect("the datagram is sent");
     assert_eq!(setup.next_frame().await.as_deref(), Some(&b"a datagram"[..]));
     let mut stream = setup.connect().await;
     stream.write_all(&bytes).await.expect("the frames are written");
--- a/crates/brassport-transport/tests/it/harness.rs
+++ b/crates/brassport-transport/tests/it/harness.rs
@@ -70,13 +70,13 @@
     }
 
     /// The address that the links are bound to.
-    pub fn local(&self) -> SocketAddrV4 {
+    pub fn links_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(LOCAL, self.peer_datagrams.local_addr().expect("a bound address").port())
     }
 
     /// Connects to the links, as the peer does.
     pub async fn connect(&self) -> TcpStream {
-        in_time(TcpStream::connect(self.local())).await.expect("the links listen")
+        in_time(TcpStream::connect(self.links_address())).await.expect("the links listen")
     }
 
     /// Accepts the connection that the links open to the peer.
--- a/crates/brassport-transport/tests/it/links.rs
+++ b/crates/brassport-transport/tests/it/links.rs
@@ -52,7 +52,7 @@
 fn dropped_links_close_all_their_sockets() {
     block_on(async {
         let setup = Setup::open().await;
-        let local = setup.local();
+        let local = setup.links_address();
         let mut incoming = setup.connect().await;
         incoming.write_all(&[0, 0, 0, 1]).await.expect("the length is written");
         setup.links.send(PEER, sequential_bytes(2_000));
