--- a/crates/brassport-policy/src/admission.rs
+++ b/crates/brassport-policy/src/admission.rs
@@ -1,18 +1,19 @@
-//! Quota admission: keeps each customer, over all gateways together, to its quota.
+//! Quota admission: limits each customer's usage, over all gateways together, to its quota.
 //!
-//! Each gateway rejects a customer's requests at random, with probability 1 - quota / offered: the random
-//! refusal of "Stochastic breakdown model for an unreliable web server system". No gateway knows the rate
-//! that all are offered. It is taken from the meter, whose reading comes back with a response: the customer's
-//! usage over all gateways in a past period, as a multiple of its quota.
+//! Each gateway rejects a customer's requests at random, with probability 1 - quota / offered rate: the random
+//! refusal of "Stochastic breakdown model for an unreliable web server system". A single gateway does not see
+//! the rate offered to all gateways. It estimates this rate from meter readings, which come with responses: the
+//! customer's usage over all gateways in a past meter period, as a multiple of its quota.
 //!
-//! * **Set once per meter period**, and at each new reading: the admission probability is what quota and
-//!   burst allow, over the offered rate, corrected for retries ([`attempt_probability`]).
-//! * **Before a first reading** a customer is taken to use what its plan's customers typically use, and other
-//!   gateways' readings are expected at the rate that an even share of the quota would bring.
-//! * **A floor above 0** ([`MIN_PROBABILITY`]): at 0 no response would bring a reading, and the probability
-//!   would stay.
-//! * **The lowest value first**: the caller turns the customer's probability into one per class, by value.
-//! * **Idle customers age out**: the caller forgets them once their buckets are full again.
+//! * **Update interval**: the admission probability is set once per meter period, and at each new reading. It is
+//!   the rate that quota and burst allow, divided by the offered rate and corrected for client retries
+//!   ([`attempt_probability`]).
+//! * **Before the first reading** of a customer, its usage is assumed to be typical for its plan, and readings are
+//!   assumed to arrive as often as at an even split of the quota over the customer's gateways.
+//! * **Minimum above 0** ([`MIN_PROBABILITY`]): at probability 0 no response would carry a reading, and the
+//!   probability would never rise again.
+//! * **Lowest value first**: the caller converts the customer's probability into one per class, by value.
+//! * **Idle customers expire**: the caller removes them after their token buckets are full again.
 
 use crate::interface::*;
 use brassport_policy_stats::{
@@ -21,53 +22,53 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Lowest admission probability: at 0 no response would bring a reading, and the probability would stay
-/// there.
+/// Minimum admission probability: at 0 no response would carry a reading, and the probability would never rise
+/// again.
 pub const MIN_PROBABILITY: f64 = 0.01;
-/// Meter periods over which tokens left in the bucket are released.
+/// Number of meter periods over which the tokens in the bucket are spent.
 const RELEASE_PERIODS: f64 = 6.0;
-/// Units that each other gateway is assumed to send unseen in a surge, for each unit beyond an even share
-/// here and each period of the meter's delay.
+/// Units that each other gateway is assumed to send in a surge before a reading shows them: per unit that this
+/// gateway sends above an even share of the quota, and per meter period of the meter's delay.
 const SURGE_FACTOR: f64 = 0.8;
-/// Part of its burst that a customer is assumed to have left when it first comes here: most have used little.
-/// Admits too much of a heavy customer after a restart of this gateway.
-const INITIAL_BUCKET: f64 = 0.75;
-/// Units over which a rate is averaged: fewer say little about a rate.
+/// Fraction of its burst that a new customer is assumed to have left: most customers have used little. As a
+/// drawback, a heavy customer is over-admitted after a restart of this gateway.
+const INITIAL_BUCKET_FRACTION: f64 = 0.75;
+/// Number of units over which a rate is averaged; an average over fewer would be too noisy.
 const RATE_UNITS: f64 = 4.0;
-/// Weight of a plan's typical usage beside the readings of one of its customers, in units.
+/// Weight of the plan's typical usage relative to the readings of one of its customers, in units.
 const PRIOR_UNITS: f64 = 0.4;
-/// Usage of a plan's customers before any reading, in quotas.
+/// Assumed usage of a plan's customers before any reading, as a multiple of the quota.
 const PRIOR_USAGE: f64 = 0.5;
-/// Multiple of its plan's typical offered load that a customer without readings is assumed to offer when the
-/// servers have no capacity: what likely exceeds a quota is shed first then. With full capacity the multiple
-/// is 1.
+/// Multiple of the plan's typical offered load that a customer without readings is assumed to offer when the
+/// servers have no capacity left, so that load which is likely over quota is shed first. The multiple decreases
+/// to 1 at full capacity.
 const OVERLOAD_PRIOR_FACTOR: f64 = 3.0;
-/// Units of an even share of the quota over which the local rate decays.
+/// Units that pass at an even share of the quota during one time constant of the local offered rate.
 const LOCAL_RATE_UNITS: f64 = 2.0;
-/// Weight of a new gap between readings in their mean.
-const GAP_WEIGHT: f64 = 0.3;
-/// Weight of a reading in the plan's typical usage.
+/// Weight of a sample in the moving average of the time between readings.
+const READING_INTERVAL_WEIGHT: f64 = 0.3;
+/// Weight of a reading in the moving average of the plan's typical usage.
 const READING_WEIGHT: f64 = 0.1;
 
-/// The moment of a call, and the capacity then.
+/// Time and server capacity at a call.
 #[derive(Debug, Clone, Copy)]
 pub struct Conditions {
-    /// Fraction of what the quotas admit that the servers have capacity for, 0 to 1.
+    /// Fraction of the requests within quota that the servers have capacity for, 0 to 1.
     pub capacity: f64,
-    /// The moment.
+    /// Time of the call.
     pub now: Millis,
 }
 
 /// A plan with its index in the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct IndexedPlan<'a> {
-    /// The plan.
+    /// The plan's settings.
     pub plan: &'a Plan,
-    /// Its index.
+    /// Index of the plan in the settings.
     pub index: usize,
 }
 
-/// What is learned over all customers: the meter's clock, typical usage by plan, and retries.
+/// Statistics over all customers: the meter's clock, typical usage per plan, and client retries.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct Admission")]
 pub struct QuotaAdmission {
@@ -76,62 +77,66 @@
     meter: MeterClock,
     #[serde(rename = "usual")]
     plan_usage: Vec<PlanUsage>,
-    /// How many rejected clients retry.
+    /// Estimates the fraction of rejected clients that retry.
     #[serde(rename = "returns")]
     pub retries: RetryEstimator,
 }
 
-/// What is known of one customer's use of its quota.
+/// Statistics of one customer's use of its quota.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Account {
-    /// Number of gateways through which the customer comes.
+    /// Number of gateways through which the customer's requests come.
     #[serde(rename = "spread")]
     gateways: f64,
-    /// The global token bucket: settled up to the last reading, with local sends that a later one may cover.
+    /// Token bucket over all gateways: final up to the last reading, plus the local sends that a later reading
+    /// may cover.
     #[serde(rename = "store")]
     bucket: SharedTokenBucket,
+    /// Admission probability over all classes.
     #[serde(rename = "chance")]
     probability: f64,
     #[serde(rename = "chance_set")]
     probability_set_at: Millis,
     #[serde(rename = "chances")]
     probabilities: ValueHistory,
-    /// Units offered to this gateway.
+    /// Rate of units offered to this gateway.
     #[serde(rename = "heard")]
     local_offered: ExponentialRate,
-    /// Usage at the other gateways; readings are expected first as an even share of the quota would bring
-    /// them.
+    /// Usage at the other gateways. Initially, readings are expected as often as at an even split of the quota
+    /// over the customer's gateways.
     #[serde(rename = "others")]
     remote: RemoteUsage,
-    /// End of the last period that a reading covered.
+    /// End of the last meter period that a reading covered.
     #[serde(rename = "read")]
     read_until: Millis,
 }
 
-/// What an estimate about a customer rests on beside its account.
+/// Inputs of estimates about a customer, in addition to its account.
 #[derive(Debug, Clone, Copy)]
-struct Basis<'a> {
+struct EstimateInput<'a> {
     plan: &'a Plan,
     usage: PlanUsage,
-    /// Factor on the plan's typical offered load.
+    /// Factor on the plan's typical offered load; see [`OVERLOAD_PRIOR_FACTOR`].
     offered_factor: f64,
+    /// Probability that a rejected client retries.
     retry_probability: f64,
     now: Millis,
 }
 
-/// Estimated rates at the other gateways, units a second.
+/// Estimated rates at the other gateways, in units per second.
 #[derive(Debug, Clone, Copy)]
 struct RemoteRates {
     sent: f64,
     offered: f64,
 }
 
+/// Decay of the usage statistics of a customer with this plan.
 fn decay(plan: &Plan) -> Decay {
     Decay { rate_per_s: plan.rate, units: RATE_UNITS }
 }
 
 impl QuotaAdmission {
-    /// Nothing learned yet.
+    /// Creates statistics without observations.
     pub fn new(settings: &Settings) -> QuotaAdmission {
         QuotaAdmission {
             meter_period: settings.meter_period,
@@ -141,7 +146,7 @@
         }
     }
 
-    /// Applies new settings, which must have no fewer plans.
+    /// Applies new settings, which must not have fewer plans. A changed meter period resets the meter clock.
     pub fn reconfigure(&mut self, settings: &Settings) {
         self.plan_usage.resize(settings.plans.len(), PlanUsage::new(PRIOR_USAGE));
         if self.meter_period != settings.meter_period {
@@ -150,8 +155,8 @@
         }
     }
 
-    /// Records an arrival, and returns the admission probability that the customer's quota leaves to it, over
-    /// all classes; 1 without a quota. It is set anew once per meter period.
+    /// Records an arrival, and returns its admission probability by the customer's quota, over all classes; 1 if
+    /// the plan has no quota. The probability is updated once per meter period.
     pub fn probability(
         &mut self,
         account: &mut Account,
@@ -164,37 +169,38 @@
         if plan.rate <= 0.0 {
             return 1.0;
         }
-        // Over no less than what a rate is averaged over: a customer of one gateway would come out too low.
+        // At least the averaging units of a rate; otherwise the rate of a customer with a single gateway would be
+        // underestimated.
         let units = (LOCAL_RATE_UNITS * account.gateways).max(RATE_UNITS);
         account.local_offered.decay_to(now, plan.rate, units);
-        let basis = self.basis(IndexedPlan { plan, index: request.plan }, conditions);
-        account.discard_before(basis, self.meter.max_age());
+        let input = self.input(IndexedPlan { plan, index: request.plan }, conditions);
+        account.discard_before(input, self.meter.max_age());
         if now >= account.probability_set_at + self.meter_period {
-            account.set_probability(basis, self.meter_period);
+            account.set_probability(input, self.meter_period);
         }
-        self.record_arrival(account, request, basis);
-        // Guards against sends beyond the quota between two settings of the probability.
-        let unseen = account.unseen_surge(basis, self.meter.delay_periods());
-        if account.bucket.level_at(now, account.flow(basis)) < unseen {
+        self.record_arrival(account, request, input);
+        // Limits over-admission in a surge until the next update of the probability.
+        let unseen = account.unseen_surge(input, self.meter.delay_periods());
+        if account.bucket.level_at(now, account.flow(input)) < unseen {
             return MIN_PROBABILITY;
         }
         account.probability
     }
 
-    /// Counts an arrival, after the probability was set: that a request came says nothing of how many others
-    /// did. A retry is not counted as load at all: it often comes to the gateway that rejected the first
-    /// attempt.
-    fn record_arrival(&mut self, account: &mut Account, request: &Request, basis: Basis) {
+    /// Records an arrival. Called after the probability was set, as the arrival that triggers an update says
+    /// nothing about the rate and would bias it upwards. A client retry does not count as offered load: it often
+    /// comes to the gateway that rejected the first attempt.
+    fn record_arrival(&mut self, account: &mut Account, request: &Request, input: EstimateInput) {
         if request.is_client_retry {
             return self.retries.record_retry();
         }
         account.local_offered.add(request.units);
-        let admitted = eventually_admitted(account.probability, basis.retry_probability);
+        let admitted = eventually_admitted(account.probability, input.retry_probability);
         self.plan_usage[request.plan].record_arrival(admitted, READING_WEIGHT / 3.0);
     }
 
-    fn basis<'a>(&self, plan: IndexedPlan<'a>, conditions: Conditions) -> Basis<'a> {
-        Basis {
+    fn input<'a>(&self, plan: IndexedPlan<'a>, conditions: Conditions) -> EstimateInput<'a> {
+        EstimateInput {
             plan: plan.plan,
             usage: self.plan_usage[plan.index],
             offered_factor: OVERLOAD_PRIOR_FACTOR + (1.0 - OVERLOAD_PRIOR_FACTOR) * conditions.capacity,
@@ -204,8 +210,8 @@
     }
 
     /// Applies a meter reading: `used` is the customer's usage over all gateways as a multiple of its quota.
-    /// Readings carry no period: the meter's clock tells which one is covered. A second reading of a period
-    /// is ignored.
+    /// Readings do not say which meter period they cover; the meter clock estimates it. A second reading for the
+    /// same period is ignored.
     pub fn apply_reading(
         &mut self,
         account: &mut Account,
@@ -219,21 +225,22 @@
         }
         let units = used * plan.rate * period / 1000.0;
         self.meter.observe(now, units, account.bucket.sends());
-        let to = self.meter.covered_until(now);
-        if to <= account.read_until {
+        let period_end = self.meter.covered_until(now);
+        if period_end <= account.read_until {
             return;
         }
-        account.read_until = to;
-        // The plan's typical usage without the factor for an overload: that is a precaution, not an estimate.
-        let basis = self.basis(indexed, Conditions { capacity: 1.0, now });
-        let reading = account.apply_reading(basis, Period { length: period, end: to }, Usage { used, units });
+        account.read_until = period_end;
+        // Without the overload factor on the plan's typical usage: that factor is a precaution, not an estimate.
+        let input = self.input(indexed, Conditions { capacity: 1.0, now });
+        let reading =
+            account.apply_reading(input, Period { length: period, end: period_end }, Usage { used, units });
         let weight = READING_WEIGHT * (1.0 - reading.confidence);
         self.plan_usage[indexed.index].observe(reading.customer, weight);
-        account.set_probability(self.basis(indexed, conditions), period);
+        account.set_probability(self.input(indexed, conditions), period);
     }
 }
 
-/// A meter period.
+/// A meter period, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 struct Period {
     length: Millis,
@@ -247,7 +254,7 @@
     units: f64,
 }
 
-/// What a reading says of a customer, and how well it was known before, 0 to 1.
+/// Result of applying a reading: the customer's usage, and the confidence (0 to 1) in the estimates before it.
 #[derive(Debug, Clone, Copy)]
 struct AppliedReading {
     customer: CustomerReading,
@@ -255,12 +262,12 @@
 }
 
 impl Account {
-    /// A customer that comes first to a gateway that has observed arrivals since `started_at`.
+    /// Creates the account of a new customer. The gateway has observed arrivals since `started_at`.
     pub fn new(plan: &Plan, gateways: u32, started_at: Millis) -> Account {
         let (gateways, never) = (f64::from(gateways.max(1)), f64::MIN);
         Account {
             gateways,
-            bucket: SharedTokenBucket::new(INITIAL_BUCKET * plan.burst, started_at),
+            bucket: SharedTokenBucket::new(INITIAL_BUCKET_FRACTION * plan.burst, started_at),
             probability: 1.0,
             probability_set_at: never,
             probabilities: ValueHistory::default(),
@@ -270,32 +277,34 @@
         }
     }
 
-    /// Records the send of a first attempt.
+    /// Records the send of a request's first attempt.
     pub fn record_send(&mut self, plan: &Plan, units: f64, now: Millis) {
-        // Without a quota nothing reads these, and nothing would discard them.
+        // Without a quota nothing would read the recorded sends or discard old ones.
         if plan.rate > 0.0 {
             self.bucket.record_send(now, units);
         }
     }
 
-    fn apply_reading(&mut self, basis: Basis, period: Period, usage: Usage) -> AppliedReading {
-        let (plan, now, start) = (basis.plan, basis.now, period.end - period.length);
-        let flow = self.flow(basis);
+    fn apply_reading(&mut self, input: EstimateInput, period: Period, usage: Usage) -> AppliedReading {
+        let (plan, now, start) = (input.plan, input.now, period.end - period.length);
+        let flow = self.flow(input);
         self.bucket.settle_until(start, flow);
         self.bucket.apply_reading(period.end, usage.used, flow);
         let remote_sent = usage.units - self.bucket.sends().between(start, period.end);
-        // Estimates from before this reading.
+        // Both estimates must not include this reading.
         let confidence = self.remote.confidence(now, decay(plan), PRIOR_UNITS);
-        let estimated_offered = self.remote_rates(basis).offered / plan.rate;
-        // Other gateways that know the customer no better admit as much of it as of all customers.
+        let estimated_offered = self.remote_rates(input).offered / plan.rate;
+        // If little is known about the customer, the other gateways are assumed to admit the same fraction of its
+        // requests as of all customers' requests.
         let middle = period.end - period.length / 2.0;
         let probability = self.probabilities.value_at(middle).unwrap_or(1.0);
-        let admitted = eventually_admitted(probability, basis.retry_probability);
-        let admitted_fraction = basis.usage.remote_admitted_fraction(admitted, confidence);
+        let admitted = eventually_admitted(probability, input.retry_probability);
+        let admitted_fraction = input.usage.remote_admitted_fraction(admitted, confidence);
         let offered = remote_sent / admitted_fraction;
         let window = UsageWindow { seconds: period.length / 1000.0, sent: remote_sent, offered };
-        self.remote.observe(now, decay(plan), window, GAP_WEIGHT);
-        // The local rate by local count: a reading comes only for a period in which this gateway sent.
+        self.remote.observe(now, decay(plan), window, READING_INTERVAL_WEIGHT);
+        // The local offered rate is counted locally, not taken from the reading: readings cover only periods in
+        // which this gateway sent, so they would overestimate it.
         let customer = CustomerReading {
             remote_sent: remote_sent / (plan.rate * period.length / 1000.0),
             local_offered: self.local_offered.per_second(RATE_UNITS / plan.rate) / plan.rate,
@@ -305,54 +314,60 @@
         AppliedReading { customer, confidence }
     }
 
-    /// Estimated rates at the other gateways: the customer's readings, with its plan's typical usage as the
-    /// prior.
-    fn remote_rates(&self, Basis { plan, usage, offered_factor, now, .. }: Basis) -> RemoteRates {
+    /// Estimates the rates at the other gateways from the customer's readings, with its plan's typical usage as
+    /// the prior.
+    fn remote_rates(
+        &self,
+        EstimateInput { plan, usage, offered_factor, now, .. }: EstimateInput,
+    ) -> RemoteRates {
         let prior = PRIOR_UNITS / plan.rate;
-        // One of n gateways sees one nth of the time that all see together.
-        let local = self.local_offered.seconds() / (self.gateways - 1.0).max(f64::MIN_POSITIVE);
+        // Each of the other n - 1 gateways is assumed to be offered the local rate: together they are offered the
+        // local units in 1 / (n - 1) of the local time.
+        let local_seconds = self.local_offered.seconds() / (self.gateways - 1.0).max(f64::MIN_POSITIVE);
         let UsageWindow { seconds, sent, offered } = self.remote.decayed(now, decay(plan));
-        let offers = PRIOR_UNITS * offered_factor * usage.offered + offered + self.local_offered.amount();
+        let remote_offered =
+            PRIOR_UNITS * offered_factor * usage.offered + offered + self.local_offered.amount();
         RemoteRates {
             sent: (PRIOR_UNITS * usage.sent + sent) / (prior + seconds),
-            offered: offers / (prior + seconds + local),
+            offered: remote_offered / (prior + seconds + local_seconds),
         }
     }
 
-    /// Units that other gateways have likely sent in a surge that no reading covers yet: the more, the longer
+    /// Estimates the units that other gateways have sent in a surge that no reading covers yet, in proportion to
     /// the meter's delay.
-    fn unseen_surge(&self, Basis { plan, now, .. }: Basis, delay_periods: f64) -> f64 {
-        let beyond = self.bucket.sent_beyond(now, plan.rate / self.gateways);
-        SURGE_FACTOR * delay_periods * (self.gateways - 1.0) * beyond
+    fn unseen_surge(&self, EstimateInput { plan, now, .. }: EstimateInput, delay_periods: f64) -> f64 {
+        let excess = self.bucket.sent_beyond(now, plan.rate / self.gateways);
+        SURGE_FACTOR * delay_periods * (self.gateways - 1.0) * excess
     }
 
-    /// What flows in and out of the bucket: the quota, and what the other gateways likely send.
-    fn flow(&self, basis: Basis) -> BucketFlow {
+    /// Inflow and outflow of the bucket: the quota, and the estimated sends of the other gateways.
+    fn flow(&self, input: EstimateInput) -> BucketFlow {
         BucketFlow {
-            rate_per_s: basis.plan.rate,
-            remote_per_s: self.remote_rates(basis).sent,
-            capacity: basis.plan.burst,
+            rate_per_s: input.plan.rate,
+            remote_per_s: self.remote_rates(input).sent,
+            capacity: input.plan.burst,
         }
     }
 
-    /// Settles and discards what is too old for a reading to cover.
-    fn discard_before(&mut self, basis: Basis, max_age: Millis) {
-        let (oldest, flow) = (basis.now - max_age, self.flow(basis));
+    /// Finalizes and discards entries that are too old to be covered by a future reading.
+    fn discard_before(&mut self, input: EstimateInput, max_age: Millis) {
+        let (oldest, flow) = (input.now - max_age, self.flow(input));
         self.bucket.discard_before(oldest, flow);
         self.probabilities.discard_before(oldest);
     }
 
-    fn set_probability(&mut self, basis: Basis, period: Millis) {
-        let (plan, now) = (basis.plan, basis.now);
+    /// Sets the admission probability from the allowed rate and the estimated offered rate.
+    fn set_probability(&mut self, input: EstimateInput, period: Millis) {
+        let (plan, now) = (input.plan, input.now);
         let offered =
-            self.local_offered.per_second(RATE_UNITS / plan.rate) + self.remote_rates(basis).offered;
-        // Released over some readings, so that random rejection, by value, sets in before the bucket is
-        // empty.
+            self.local_offered.per_second(RATE_UNITS / plan.rate) + self.remote_rates(input).offered;
+        // Tokens are spent over several readings, so that random rejection by class value starts before the
+        // bucket is empty.
         let release_s = RELEASE_PERIODS * period / 1000.0;
-        let tokens = self.bucket.level_at(now, self.flow(basis));
+        let tokens = self.bucket.level_at(now, self.flow(input));
         let allowed = plan.rate + tokens / release_s.max(self.remote.reading_gap_s());
-        let part = if offered > allowed { allowed / offered } else { 1.0 };
-        self.probability = attempt_probability(part, basis.retry_probability).max(MIN_PROBABILITY);
+        let fraction = if offered > allowed { allowed / offered } else { 1.0 };
+        self.probability = attempt_probability(fraction, input.retry_probability).max(MIN_PROBABILITY);
         self.probability_set_at = now;
         self.probabilities.record(now, self.probability);
     }
