--- a/crates/brassport-policy/src/load_balancer.rs
+++ b/crates/brassport-policy/src/load_balancer.rs
@@ -1,10 +1,10 @@
-//! Load balancing: which server gets the next attempt.
+//! Load balancing: selects the server for the next attempt.
 //!
-//! The server with the least expected wait is chosen, as far as this gateway's attempts in flight and their
-//! response times show. A few gateways with a small fleet weigh all servers. Otherwise a fixed number is
-//! sampled by relative capacity, so that a choice costs the same for any fleet, from this gateway's arc of a
-//! ring of servers: the arcs overlap, and as many gateways share each server. Servers in warm-up get turns
-//! instead (`slow_start.rs`).
+//! The server with the least expected wait is chosen, estimated from this gateway's own attempts in flight and
+//! response times. With few gateways and a small fleet, all servers are compared. Otherwise a fixed number of
+//! servers is sampled by relative capacity, so that the cost of a choice does not depend on the fleet size. Samples
+//! come from this gateway's arc of a ring of servers; the arcs overlap, and each server is on the arcs of equally
+//! many gateways. Servers in warm-up get turns instead (`slow_start.rs`).
 
 use crate::interface::*;
 use crate::server::{MeanResponse, Server, HUNG_SILENCE};
@@ -13,78 +13,79 @@
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
 
-/// Most warm servers that are all weighed, by few gateways.
-const MAX_WEIGHED_FLEET: usize = 32;
-/// Most servers sampled from a larger fleet, until an idle one is found: with four in five busy, all samples
-/// are busy once in two hundred choices.
-const SAMPLES: usize = 24;
-/// Gateways that share each server of a larger fleet: attempts in flight show a server's queue only if few
-/// others send to it. Costs evenness where one gateway's customers ask for far more than its neighbours'.
+/// Maximum number of warm servers that are all compared, if there are few gateways.
+const MAX_COMPARED_SERVERS: usize = 32;
+/// Maximum number of servers sampled from a larger fleet; sampling stops at an idle server. If four in five servers
+/// are busy, all samples are busy once in two hundred choices.
+const MAX_SAMPLES: usize = 24;
+/// Number of gateways that share each server of a larger fleet: a gateway's own attempts in flight reflect a
+/// server's queue only if few other gateways send to it. As a drawback, load is uneven if one gateway's customers
+/// offer far more load than those of its neighbours on the ring.
 const GATEWAYS_PER_SERVER: f64 = 4.0;
-/// Least servers on an arc, beside one for each attempt in flight: few enough that a gateway with few
-/// requests finds open connections, and has recent response times of each.
+/// Minimum number of servers on an arc, in addition to one per attempt in flight. It is small enough that a gateway
+/// with few requests reuses open connections and has recent response times of each server.
 const MIN_ARC_SERVERS: f64 = 8.0;
-/// Random part of a cost: enough to separate equals, too little to outweigh a difference.
+/// Random fraction of a cost: breaks ties between equal servers, and hardly outweighs a real difference.
 const TIE_BREAK: f64 = 0.1;
 
-/// What a server is selected for.
+/// Inputs of the selection of a server for one attempt.
 pub struct Selection<'a> {
-    /// The settings.
+    /// Settings of the gateway.
     pub settings: &'a Settings,
-    /// The moment.
+    /// Time of the selection.
     pub now: Millis,
     /// Mean response time over all classes, in milliseconds.
     pub mean_response: Millis,
-    /// What a second run of the request does.
+    /// Whether the request may be sent again.
     pub retry_safety: RetrySafety,
-    /// Where an attempt may have run already.
+    /// The server at which an earlier attempt may have run.
     pub ran_at: Option<ServerEntry>,
-    /// Whether a server was tried for this request.
+    /// Whether an earlier attempt of the request was sent to this server.
     pub tried: &'a dyn Fn(ServerId) -> bool,
-    /// Whether another gateway has replaced this one, and spends the turns of servers in warm-up.
+    /// Whether another gateway has replaced this one, and alone spends the turns of servers in warm-up.
     pub retired: bool,
 }
 
-/// A server with the cost of choosing it.
+/// A server with its cost: the expected wait, plus the tie break.
 #[derive(Debug, Clone, Copy)]
 struct Candidate {
     cost: f64,
     id: ServerId,
 }
 
-/// The cheapest servers that were weighed.
+/// Servers of the lowest cost among those compared so far.
 #[derive(Debug, Default)]
 struct Candidates {
-    /// Among those that are neither ejected nor were tried.
+    /// Best server that is not ejected and was not tried for the request.
     preferred: Option<Candidate>,
-    /// Among the others.
+    /// Best of the other servers.
     fallback: Option<Candidate>,
 }
 
-/// Whether the search for a server goes on after one was weighed.
+/// Whether to compare further servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Search {
     Continue,
-    /// An idle server of at least mean capacity and pace: none is better by more than the tie break.
+    /// Stop at an idle server of at least mean capacity and average latency: no server is better by more than the tie break.
     Stop,
 }
 
-/// The servers.
+/// The servers, and the state of the selection among them.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(expecting = "struct Fleet")]
 pub struct LoadBalancer {
     pub(crate) servers: TrustedKeyMap<ServerId, Server>,
-    /// Those that are ready and warm, by relative capacity.
+    /// Servers that are ready and warm, weighted by relative capacity.
     pub(crate) warm: WeightedRing,
-    /// Those that are ready and warming up.
+    /// Count of the servers that are ready and in warm-up.
     #[serde(rename = "cold")]
     pub(crate) warming_up: WarmUpCount,
-    /// When each warm-up ends. Entries that the server's state does not confirm are outdated.
+    /// End of each warm-up. May contain stale entries, which the server's state does not confirm.
     #[serde(rename = "warming")]
     pub(crate) warm_up_ends: DueQueue,
-    /// At how many choices the next turn of each server in warm-up is considered; may be outdated as well.
+    /// Value of `choices` at which the next turn of each server in warm-up is considered. May contain stale entries.
     pub(crate) turns: DueQueue,
-    /// Choices so far, each in parts of the fleet's capacity then.
+    /// Sum over all choices so far of 1 / the fleet's capacity at that time.
     #[serde(rename = "passed")]
     pub(crate) choices: f64,
     #[serde(skip)]
@@ -92,7 +93,8 @@
 }
 
 impl LoadBalancer {
-    /// No server yet. Attempts in flight are counted by age up to the latency target of each class.
+    /// Creates a load balancer without servers. Attempts in flight are counted by age up to the latency target of
+    /// each class.
     pub fn new(classes: &[Class]) -> LoadBalancer {
         LoadBalancer {
             servers: TrustedKeyMap::default(),
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Applies new settings. Warm-ups may end sooner or later than before.
+    /// Applies new settings. Warm-ups may end earlier or later than before.
     pub fn reconfigure(&mut self, settings: &Settings) {
         self.in_flight.set_windows(settings.classes.iter().map(|class| class.latency_target));
         for (id, server) in &self.servers {
@@ -115,62 +117,63 @@
         }
     }
 
-    /// Servers, removed ones with attempts in flight among them.
+    /// Number of servers, including removed servers that have attempts in flight.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Servers that take requests.
+    /// Number of servers that accept new requests.
     pub fn ready(&self) -> usize {
         self.warm.members().len() + self.warming_up.count
     }
 
-    /// This gateway's attempts in flight.
+    /// Number of this gateway's attempts in flight.
     pub fn in_flight(&self) -> f64 {
         self.in_flight.len() as f64
     }
 
-    /// This gateway's attempts in flight that can still meet the latency target of a class.
+    /// Number of this gateway's attempts in flight that can still meet the latency target of a class.
     pub fn in_flight_within_target(&mut self, class: usize, now: Millis) -> f64 {
         self.in_flight.count_within(class, now) as f64
     }
 
-    /// A server's line of the list.
+    /// A server's entry in the server list.
     pub fn entry(&self, id: ServerId) -> Option<ServerEntry> {
         Some(self.servers.get(&id)?.entry)
     }
 
-    /// Records that a server has an attempt completely. Returns a handle for its end.
+    /// Records that an attempt has been sent completely to a server. Returns a handle to end the attempt with.
     pub fn start_attempt(&mut self, now: Millis, id: ServerId) -> AttemptHandle {
         self.servers.get_mut(&id).into_iter().for_each(|server| server.start_attempt(now));
         self.in_flight.start(now)
     }
 
-    /// Records the end of an attempt that was sent at this moment.
+    /// Records the end of an attempt that was sent at time `sent`.
     pub fn end_attempt(&mut self, id: ServerId, sent: Millis, handle: AttemptHandle) {
         self.in_flight.finish(handle);
         let Some(server) = self.servers.get_mut(&id) else { return };
         server.end_attempt(sent);
-        if server.is_forgettable() {
+        if server.is_removable() {
             self.servers.swap_remove(&id);
         }
     }
 
-    /// Whether a server's response times show the fleet's capacity: those of one in warm-up, which has its
-    /// turns whatever its queue, only if most are warming up. Else all gateways would reject while a part
-    /// restarts.
+    /// Whether a server's response times reflect the fleet's capacity. A server in warm-up gets its turns whatever
+    /// the length of its queue, so its response times count only if most servers are in warm-up. Otherwise all
+    /// gateways would reject requests while a part of the fleet restarts.
     pub fn is_representative(&self, id: ServerId) -> bool {
         let is_warm = |server: &Server| server.warm_up.is_none();
         self.warming_up.count > self.warm.members().len() || self.servers.get(&id).is_none_or(is_warm)
     }
 
-    /// Whether a server with an attempt in flight has long been silent, or is no longer listed.
+    /// Whether a server is presumed hung: it has an attempt in flight and has not responded for long, or it is not
+    /// in the list any more.
     pub fn is_hung(&self, id: ServerId, now: Millis, mean_response: Millis) -> bool {
         self.servers.get(&id).is_none_or(|server| server.silence(now, mean_response) > HUNG_SILENCE)
     }
 
-    /// Learns from the end of an attempt. Returns a log line if its server was ejected by it, or is no
-    /// longer.
+    /// Updates the server's statistics with the end of an attempt. Returns a log line if this ejected the server,
+    /// or ended its ejection.
     pub fn record_outcome(
         &mut self,
         now: Millis,
@@ -181,7 +184,7 @@
         self.servers.get_mut(&id)?.record_outcome(now, end, mean)
     }
 
-    /// Chooses the server with the least expected wait; `None` if none may be sent the request.
+    /// Chooses the server with the least expected wait; `None` if the request may not be sent to any server.
     pub fn choose(&mut self, selection: &Selection, rng: &mut Rand64) -> Option<ServerId> {
         self.end_warm_ups(selection.settings, selection.now);
         let turn = self.next_turn(selection);
@@ -193,11 +196,11 @@
         if idle.is_some() {
             return idle;
         }
-        // All of a small fleet; and of a large one if no sample was acceptable: nearly all are ejected, or
-        // only the servers of one zone or cell may have the request.
+        // Compares all servers of a small fleet. Also those of a large fleet if no sample was acceptable: then
+        // nearly all servers are ejected, or only the servers of one zone or cell may serve the request.
         if candidates.preferred.is_none() {
             let warm = self.warm.members();
-            warm.iter().for_each(|&id| _ = self.weigh(id, selection, rng, &mut candidates));
+            warm.iter().for_each(|&id| _ = self.compare(id, selection, rng, &mut candidates));
         }
         if let Some(preferred) = candidates.preferred {
             return Some(preferred.id);
@@ -206,8 +209,8 @@
         turn.fallback.or(candidates.fallback.map(|candidate| candidate.id))
     }
 
-    /// Weighs samples of a larger fleet: from this gateway's arc, and if none was acceptable from the ring.
-    /// Returns one that is idle.
+    /// Compares samples of a larger fleet: from this gateway's arc, and from the whole ring if none of these was
+    /// acceptable. Returns a server that ends the search; `None` if the candidates have to be used.
     fn sample(
         &self,
         selection: &Selection,
@@ -215,7 +218,7 @@
         candidates: &mut Candidates,
     ) -> Option<ServerId> {
         let (warm, gateways) = (self.warm.members(), f64::from(selection.settings.gateways));
-        if warm.len() <= MAX_WEIGHED_FLEET && gateways <= GATEWAYS_PER_SERVER {
+        if warm.len() <= MAX_COMPARED_SERVERS && gateways <= GATEWAYS_PER_SERVER {
             return None;
         }
         let middle = (f64::from(selection.settings.ordinal) + 0.5) / gateways;
@@ -225,10 +228,10 @@
             if candidates.preferred.is_some() {
                 break;
             }
-            for _ in 0..SAMPLES {
+            for _ in 0..MAX_SAMPLES {
                 let fraction = (middle + arc * (rng.rand_float() - 0.5)).rem_euclid(1.0);
                 let Some(id) = self.warm.sample(fraction) else { break };
-                if self.weigh(id, selection, rng, candidates) == Search::Stop {
+                if self.compare(id, selection, rng, candidates) == Search::Stop {
                     return Some(id);
                 }
             }
@@ -236,8 +239,8 @@
         None
     }
 
-    /// Weighs one server, unless it may not serve the request.
-    fn weigh(
+    /// Compares one server with the candidates, unless it may not serve the request.
+    fn compare(
         &self,
         id: ServerId,
         selection: &Selection,
@@ -263,8 +266,7 @@
         }
     }
 
-    /// Applies the server list or changes to it. A server that is draining or removed gets nothing from now
-    /// on.
+    /// Applies the server list, or changes to it. Draining and removed servers get no new attempts from now on.
     pub fn apply_list(
         &mut self,
         settings: &Settings,
@@ -272,20 +274,20 @@
         (kind, entries): (ListKind, Vec<ServerEntry>),
         rng: &mut Rand64,
     ) {
-        let mut touched: Vec<ServerId> = entries.iter().map(|entry| entry.id).collect();
+        let mut changed: Vec<ServerId> = entries.iter().map(|entry| entry.id).collect();
         if kind != ListKind::Delta {
             self.servers.values_mut().for_each(|server| server.entry.lifecycle = Lifecycle::Removed);
-            touched = self.servers.keys().copied().chain(touched).collect();
+            changed = self.servers.keys().copied().chain(changed).collect();
         }
         for entry in entries {
-            // A random start, so that gateways do not give their turns at once.
+            // Random, so that gateways do not spend their turns at the same time.
             let turn_credit = if entry.launched_at.is_some() { rng.rand_float() } else { 0.0 };
             let server = self.servers.entry(entry.id).or_insert_with(|| Server::new(entry, now, turn_credit));
             server.update(entry, now);
         }
-        for id in touched {
+        for id in changed {
             self.classify(id, settings, now);
-            if self.servers.get(&id).is_some_and(Server::is_forgettable) {
+            if self.servers.get(&id).is_some_and(Server::is_removable) {
                 self.servers.swap_remove(&id);
             }
         }
--- a/crates/brassport-policy/src/server.rs
+++ b/crates/brassport-policy/src/server.rs
@@ -1,8 +1,7 @@
-//! One server: its attempts in flight, its pace, and outlier detection.
+//! State of one server: attempts in flight, latency ratio, and outlier detection.
 //!
-//! A server is ejected after consecutive failures, for a time that doubles with each further one. Short of
-//! that, each failure counts as a very slow response, so that a server that fails some of its requests gets
-//! fewer.
+//! A server is ejected after consecutive failures, for a time that doubles with each further failure. In addition
+//! each failure counts as a very slow response, so that a server that fails some of its requests gets fewer of them.
 
 use crate::interface::*;
 use crate::load_balancer::Selection;
@@ -11,65 +10,67 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Silence, in mean response times with an attempt in flight, after which a server is taken to hang.
+/// Time without a response while an attempt is in flight, in mean response times, after which a server is presumed
+/// hung.
 pub const HUNG_SILENCE: f64 = 4.0;
-/// Pace that a failure counts as, and the slowest that a response does.
-const SLOWEST_PACE: f64 = 2.0 * HUNG_SILENCE;
-/// Time constant, in mean response times, with which the learned pace decays to that of the others.
-const PACE_DECAY: f64 = 20.0;
-/// Consecutive failures that eject a server.
+/// Maximum latency ratio of a response, and the latency ratio that a failure counts as.
+const MAX_LATENCY_RATIO: f64 = 2.0 * HUNG_SILENCE;
+/// Time constant of the decay of the latency ratio to 1, the mean of all servers, in mean response times.
+const LATENCY_RATIO_DECAY: f64 = 20.0;
+/// Number of consecutive failures that eject a server.
 const EJECTION_FAILURES: u32 = 3;
-/// First ejection time, in mean response times.
+/// Duration of the first ejection, in mean response times of the attempt's class.
 const EJECTION_TIME: f64 = 3.0;
-/// Most doublings of the ejection time.
+/// Maximum number of doublings of the ejection time.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// Least pace: a server that was faster by chance must not draw all the work.
-const MIN_PACE: f64 = 0.2;
-/// Weight of a response in the pace.
-const PACE_WEIGHT: f64 = 0.1;
+/// Minimum latency ratio, so that a server that was faster by chance does not attract all requests.
+const MIN_LATENCY_RATIO: f64 = 0.2;
+/// Weight of a response in the moving average of the latency ratio.
+const LATENCY_RATIO_WEIGHT: f64 = 0.1;
 
 /// Mean response times, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct MeanResponse {
-    /// Over all classes.
+    /// Mean over all classes.
     pub overall: Millis,
-    /// Of the attempt's class, at least 1.
+    /// Mean of the attempt's class, at least 1.
     pub class: Millis,
 }
 
-/// A server.
+/// A server, as this gateway sees it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Server {
-    /// Its line of the server list.
+    /// Entry in the server list.
     pub entry: ServerEntry,
-    /// When this gateway's attempts in flight were sent, the oldest first.
+    /// Send times of this gateway's attempts in flight, oldest first.
     #[serde(skip)]
     in_flight: VecDeque<Millis>,
-    /// Response time as a multiple of the fleet's mean. It decays to 1, so that a server that was avoided is
-    /// tried again.
+    /// Response time as a multiple of the fleet's mean. It decays to 1, so that a slow server is tried again after
+    /// a while.
     #[serde(rename = "slowness")]
-    pace: DecayingFactor,
+    latency_ratio: DecayingFactor,
+    /// Time of the last response.
     #[serde(rename = "answered")]
     responded_at: Millis,
     #[serde(rename = "strikes")]
     consecutive_failures: u32,
     ejected_until: Millis,
-    /// Its part of the choices while it was warming up; at 1 it has a turn. Kept while it drains, so that one
-    /// that is listed off and on again has no more turns.
+    /// Share of the choices that the server has accumulated in warm-up; 1 is a complete turn. Kept while the server
+    /// drains, so that a server that is removed from the list and added again gets no additional turns.
     #[serde(rename = "lot")]
     pub turn_credit: f64,
-    /// Its warm-up, while it is ready and warming up.
+    /// Present while the server is ready and in warm-up.
     #[serde(rename = "cold")]
     pub warm_up: Option<WarmUp>,
 }
 
 impl Server {
-    /// A server without a history, with this credit of turns in its warm-up.
+    /// Creates a server without a history. `turn_credit` is its initial credit in a warm-up, 0 to 1.
     pub fn new(entry: ServerEntry, now: Millis, turn_credit: f64) -> Server {
         Server {
             entry,
             in_flight: VecDeque::new(),
-            pace: DecayingFactor::new(now),
+            latency_ratio: DecayingFactor::new(now),
             responded_at: now,
             consecutive_failures: 0,
             ejected_until: 0.0,
@@ -78,34 +79,34 @@
         }
     }
 
-    /// Applies a new line of the list. A server that was launched anew has no history.
+    /// Applies a new entry of the server list. A relaunched server loses its history.
     pub fn update(&mut self, entry: ServerEntry, now: Millis) {
         if entry.launched_at.is_some() && entry.launched_at != self.entry.launched_at {
             self.consecutive_failures = 0;
             self.ejected_until = 0.0;
-            self.pace = DecayingFactor::new(now);
+            self.latency_ratio = DecayingFactor::new(now);
         }
         self.entry = entry;
     }
 
-    /// Records the start of an attempt.
+    /// Records the start of an attempt at time `now`.
     pub fn start_attempt(&mut self, now: Millis) {
         self.in_flight.push_back(now);
     }
 
-    /// Records the end of an attempt that was sent at this moment.
+    /// Records the end of an attempt that was sent at time `sent`.
     pub fn end_attempt(&mut self, sent: Millis) {
         let index = self.in_flight.iter().position(|at| *at == sent);
         index.and_then(|index| self.in_flight.remove(index));
     }
 
-    /// Whether it was removed from the list and nothing is in flight.
-    pub fn is_forgettable(&self) -> bool {
+    /// Whether the server is not in the list any more and has no attempts in flight.
+    pub fn is_removable(&self) -> bool {
         self.entry.lifecycle == Lifecycle::Removed && self.in_flight.is_empty()
     }
 
-    /// Whether the request may be sent to it at all: the retry of one with a key goes to servers that would
-    /// drop it.
+    /// Whether the request may be sent to this server at all: the retry of a request with an idempotency key may
+    /// only go to servers that deduplicate it.
     pub fn may_serve(&self, selection: &Selection) -> bool {
         match (selection.retry_safety, selection.ran_at) {
             (RetrySafety::Keyed { scope: Scope::Zone, .. }, Some(ran_at)) => ran_at.zone == self.entry.zone,
@@ -114,43 +115,45 @@
         }
     }
 
-    /// Whether it is ejected. After that it gets one attempt, and more once that succeeded.
+    /// Whether the server is ejected. After an ejection it gets one attempt, and further ones after that attempt has
+    /// succeeded.
     pub fn is_ejected(&self, now: Millis) -> bool {
-        let is_on_trial = self.consecutive_failures >= EJECTION_FAILURES && !self.in_flight.is_empty();
-        now < self.ejected_until || is_on_trial
+        let has_probe_in_flight =
+            self.consecutive_failures >= EJECTION_FAILURES && !self.in_flight.is_empty();
+        now < self.ejected_until || has_probe_in_flight
     }
 
-    /// For how many mean response times it has had an attempt in flight and not responded. Hung, paused, slow
-    /// or partitioned: from here it looks the same, and the reaction is the same.
+    /// Time that the server has had an attempt in flight and has not responded, in mean response times. A gateway
+    /// cannot distinguish a hung, paused, slow or partitioned server, and reacts to all of them alike.
     pub fn silence(&self, now: Millis, mean: Millis) -> f64 {
         let Some(oldest) = self.in_flight.front() else { return 0.0 };
         (now - oldest.max(self.responded_at)) / mean.max(1.0)
     }
 
-    /// Expected wait of one more attempt, in mean response times of a server of relative capacity 1.
+    /// Expected wait of another attempt, in mean response times of a server of relative capacity 1.
     pub fn expected_wait(&self, now: Millis, mean: Millis, zone_factor: f64) -> f64 {
-        let pace = self.pace.value_at(now, PACE_DECAY * mean.max(1.0));
-        let pace = pace.max(self.silence(now, mean) / 2.0).max(MIN_PACE);
-        (self.in_flight.len() as f64 + 1.0) * pace * zone_factor / self.entry.relative_capacity()
+        let latency_ratio = self.latency_ratio.value_at(now, LATENCY_RATIO_DECAY * mean.max(1.0));
+        let latency_ratio = latency_ratio.max(self.silence(now, mean) / 2.0).max(MIN_LATENCY_RATIO);
+        (self.in_flight.len() as f64 + 1.0) * latency_ratio * zone_factor / self.entry.relative_capacity()
     }
 
-    /// Learns from the end of an attempt. Returns a log line if the server was ejected by it, or is no
-    /// longer.
+    /// Updates the statistics with the end of an attempt. Returns a log line if this ejected the server, or ended
+    /// its ejection.
     pub fn record_outcome(&mut self, now: Millis, end: &AttemptEnd, mean: MeanResponse) -> Option<String> {
-        self.pace.decay_to(now, PACE_DECAY * mean.overall.max(1.0));
+        self.latency_ratio.decay_to(now, LATENCY_RATIO_DECAY * mean.overall.max(1.0));
         let before = self.consecutive_failures;
-        let pace = (end.elapsed_ms() / mean.class).min(SLOWEST_PACE);
+        let latency_ratio = (end.elapsed_ms() / mean.class).min(MAX_LATENCY_RATIO);
         match end.outcome {
             Outcome::Ok => {
                 (self.consecutive_failures, self.ejected_until, self.responded_at) = (0, 0.0, now);
-                self.pace.observe(pace, PACE_WEIGHT);
+                self.latency_ratio.observe(latency_ratio, LATENCY_RATIO_WEIGHT);
             }
-            Outcome::Cancelled => self.pace.observe_lower_bound(pace, PACE_WEIGHT),
+            Outcome::Cancelled => self.latency_ratio.observe_lower_bound(latency_ratio, LATENCY_RATIO_WEIGHT),
             Outcome::NotSent => {}
-            // Also where the fault is the request's and not the server's, which looks the same from here.
+            // A fault of the request instead of the server cannot be distinguished here, and counts as well.
             _ => {
                 self.consecutive_failures += 1;
-                self.pace.observe(SLOWEST_PACE, PACE_WEIGHT);
+                self.latency_ratio.observe(MAX_LATENCY_RATIO, LATENCY_RATIO_WEIGHT);
                 if matches!(end.outcome, Outcome::Overloaded | Outcome::Error) {
                     self.responded_at = now;
                 }
--- a/crates/brassport-policy/src/slow_start.rs
+++ b/crates/brassport-policy/src/slow_start.rs
@@ -1,44 +1,49 @@
-//! Slow start: how many requests a server gets while it warms up.
+//! Slow start: limits the requests that a server gets while it warms up.
 //!
-//! A server that is warming up collapses when it is sent much more than its present capacity. So it gets
-//! turns, for its part of the fleet's present capacity, whatever its response times: all gateways together,
-//! however many, then send it no more for its capacity than a warm one. With few warm servers left, the rest
-//! is rejected. Turns are systematic, from a random start: independent draws come in runs that overload it.
+//! A server in warm-up collapses if it gets much more load than its present capacity. It therefore gets turns in
+//! proportion to its share of the fleet's present capacity, whatever its response times. Any number of gateways
+//! together then send it no more load, relative to its capacity, than a warm server. If few warm servers are left,
+//! the remaining requests are rejected. Turns are evenly spaced from a random start, since independent random draws
+//! would come in runs that overload the server.
 
 use crate::interface::*;
 use crate::load_balancer::{LoadBalancer, Selection};
 use serde::{Deserialize, Serialize};
 
-/// Part of the allowance for a server in warm-up that is used. The rest covers unlike requests, and gateways
-/// that have not heard of its start; those that have are safe below two thirds.
+/// Fraction of the allowed load of a server in warm-up that is used. The rest is a margin for requests of unequal
+/// cost and for gateways that do not know of the server's start yet; the gateways that know are safe below two
+/// thirds.
 const ALLOWANCE_MARGIN: f64 = 0.62;
-/// A turn that is skipped, as the server is ejected or was tried, comes back after this part of another.
-const SKIPPED_TURN: f64 = 0.25;
-/// Most turns that a server accumulates.
+/// Fraction of a turn after which a skipped turn is considered again. A turn is skipped if the server is ejected, was
+/// tried for the request or may not serve it.
+const SKIPPED_TURN_DELAY: f64 = 0.25;
+/// Maximum number of turns that a server accumulates.
 const MAX_TURNS: f64 = 2.0;
-/// A complete turn, but for rounding.
+/// Credit of a complete turn, less a tolerance for rounding.
 const COMPLETE_TURN: f64 = 1.0 - 1e-6;
 
-/// A server's warm-up.
+/// State of a server's warm-up.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(expecting = "struct Cold")]
 pub struct WarmUp {
     launched: Option<Millis>,
-    /// When it began.
+    /// Start of the warm-up.
     pub since: Millis,
-    /// Up to which count of choices, and at which part of the full capacity then, the credit of turns is
-    /// computed.
-    at: f64,
-    warmth: f64,
-    /// Count of choices at which its next turn is considered.
+    /// Value of `LoadBalancer::choices` up to which the turn credit is computed.
+    #[serde(rename = "at")]
+    credited_until: f64,
+    /// Fraction of its full capacity that the server had at `credited_until`.
+    #[serde(rename = "warmth")]
+    capacity_fraction: f64,
+    /// Value of `LoadBalancer::choices` at which the next turn is considered.
     due: f64,
 }
 
-/// How many servers are warming up, and the sum of the moments since when they are; serialized as a row.
+/// Number of servers in warm-up, and the sum of the start times of their warm-ups; serialized as an array.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(from = "(usize, f64)", into = "(usize, f64)")]
 pub struct WarmUpCount {
-    /// Servers that are warming up.
+    /// Number of servers in warm-up.
     pub count: usize,
     since_sum: f64,
 }
@@ -55,17 +60,17 @@
     }
 }
 
-/// The outcome of counting one choice.
+/// Result of counting one choice.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Turn {
-    /// The server whose turn it is.
+    /// The server that has the turn.
     pub server: Option<ServerId>,
-    /// A server with a turn that is ejected or was tried, for want of a better one.
+    /// A server that has a turn but is ejected or was tried for the request; used if there is no better one.
     pub fallback: Option<ServerId>,
 }
 
 impl LoadBalancer {
-    /// Counts one choice, and returns whose turn it is.
+    /// Counts one choice, and returns the server in warm-up that has the turn, if any.
     pub(crate) fn next_turn(&mut self, selection: &Selection) -> Turn {
         if self.warming_up.count == 0 || selection.retired {
             return Turn::default();
@@ -82,7 +87,7 @@
         Turn { server: None, fallback }
     }
 
-    /// One choice in parts of the fleet's present capacity.
+    /// Size of one choice: 1 / the fleet's present capacity, in warm servers of equal capacity.
     fn choice_size(&self, selection: &Selection) -> f64 {
         let (settings, now) = (selection.settings, selection.now);
         let WarmUpCount { count, since_sum } = self.warming_up;
@@ -92,26 +97,29 @@
         1.0 / f64::max(capacity, ready / (ALLOWANCE_MARGIN * settings.collapse_load).max(1.0))
     }
 
+    /// Updates a server's turn credit, schedules its next turn, and returns whether it takes this one.
     fn consider_turn(&mut self, id: ServerId, due: f64, selection: &Selection) -> Considered {
         let (settings, now) = (selection.settings, selection.now);
         let Some(server) = self.servers.get_mut(&id) else { return Considered::NotYet };
         let may_serve = server.may_serve(selection);
         let is_avoided = server.is_ejected(now) || (selection.tried)(id);
-        // An entry that the server's state does not confirm is outdated.
+        // A queue entry that the server's state does not confirm is stale.
         let warm_up = server.warm_up.as_mut().filter(|warm_up| warm_up.due == due);
         let Some(warm_up) = warm_up else { return Considered::NotYet };
-        // The capacity grew since the last time: the mean of both ends.
-        let warmth = settings.slow_start_factor(now - warm_up.since);
-        let credit = server.turn_credit + (self.choices - warm_up.at) * (warm_up.warmth + warmth) / 2.0;
+        // The capacity increased since the last update: uses the mean of both values.
+        let capacity_fraction = settings.slow_start_factor(now - warm_up.since);
+        let fractions = warm_up.capacity_fraction + capacity_fraction;
+        let credit = server.turn_credit + (self.choices - warm_up.credited_until) * fractions / 2.0;
         server.turn_credit = credit.min(MAX_TURNS);
-        (warm_up.at, warm_up.warmth) = (self.choices, warmth);
+        (warm_up.credited_until, warm_up.capacity_fraction) = (self.choices, capacity_fraction);
         let has_turn = server.turn_credit >= COMPLETE_TURN;
         let is_taken = has_turn && may_serve && !is_avoided;
         server.turn_credit -= if is_taken { server.turn_credit.min(1.0) } else { 0.0 };
-        let next = if has_turn && !is_taken { SKIPPED_TURN } else { (1.0 - server.turn_credit).max(0.0) };
-        // Later than now whatever the rounding, so that each is considered once a choice.
+        let next =
+            if has_turn && !is_taken { SKIPPED_TURN_DELAY } else { (1.0 - server.turn_credit).max(0.0) };
+        // Strictly greater than `choices` in spite of rounding, so that each server is considered once per choice.
         let later = self.choices * (1.0 + f64::EPSILON) + f64::MIN_POSITIVE;
-        warm_up.due = later.max(self.choices + next / warmth.max(f64::MIN_POSITIVE));
+        warm_up.due = later.max(self.choices + next / capacity_fraction.max(f64::MIN_POSITIVE));
         self.turns.push(warm_up.due, id);
         match (is_taken, has_turn && may_serve) {
             (true, _) => Considered::Taken,
@@ -120,27 +128,27 @@
         }
     }
 
-    /// Spends a turn of a server in warm-up that was chosen as the fallback.
+    /// Spends a turn of a server in warm-up that was chosen as a fallback.
     pub(crate) fn spend_turn(&mut self, id: ServerId) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.turn_credit = (server.turn_credit - 1.0).max(0.0);
         }
     }
 
-    /// Ends the warm-ups that are over by now.
+    /// Ends the warm-ups that are complete at time `now`.
     pub(crate) fn end_warm_ups(&mut self, settings: &Settings, now: Millis) {
         while let Some((_, id)) = self.warm_up_ends.pop_due(now) {
             self.classify(id, settings, now);
         }
     }
 
-    /// Puts a server into the warm set, into warm-up, or into neither, by its line of the list and the time.
+    /// Adds a server to the warm servers or to those in warm-up, or to neither, by its list entry and the time.
     pub(crate) fn classify(&mut self, id: ServerId, settings: &Settings, now: Millis) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         let is_ready = server.entry.lifecycle == Lifecycle::Ready;
         let launched = server.entry.launched_at;
         let same = server.warm_up.filter(|warm_up| warm_up.launched == launched);
-        // A start in the future, by an unsynchronized clock, is taken for one now.
+        // A launch time in the future, from an unsynchronized clock, counts as a launch now.
         let since = same.map(|warm_up| warm_up.since).or(launched.map(|at| at.min(now)));
         let since = since.filter(|since| is_ready && now < since + settings.warm_up_duration);
         if since.is_some() && same.is_some() {
@@ -151,17 +159,17 @@
             self.warming_up.since_sum -= before.since;
         }
         if let Some(since) = since {
-            let (at, warmth) = (self.choices, settings.slow_start_factor(now - since));
-            server.warm_up = Some(WarmUp { launched, since, at, warmth, due: at });
+            let (due, capacity_fraction) = (self.choices, settings.slow_start_factor(now - since));
+            server.warm_up = Some(WarmUp { launched, since, credited_until: due, capacity_fraction, due });
             self.warming_up.count += 1;
             self.warming_up.since_sum += since;
-            self.turns.push(at, id);
+            self.turns.push(due, id);
             self.warm_up_ends.push(since + settings.warm_up_duration, id);
         }
         let is_warm = is_ready && server.warm_up.is_none();
         let weight = if is_warm { server.entry.relative_capacity() } else { 0.0 };
         if self.warming_up.count == 0 {
-            // Drops accumulated rounding and outdated entries.
+            // Discards accumulated rounding errors and stale entries.
             (self.warming_up.since_sum, self.choices) = (0.0, 0.0);
             self.turns.clear();
             self.warm_up_ends.clear();
@@ -170,12 +178,12 @@
     }
 }
 
-/// What came of considering a server's turn.
+/// Result of considering a server for a turn.
 enum Considered {
-    /// It has the turn.
+    /// The server takes the turn.
     Taken,
-    /// It has one and could serve the request, but is ejected or was tried.
+    /// The server has a turn and may serve the request, but is ejected or was tried.
     Skipped,
-    /// It has none, or may not serve the request.
+    /// The server has no turn, or may not serve the request.
     NotYet,
 }
