--- a/crates/brassport-policy/src/handover.rs
+++ b/crates/brassport-policy/src/handover.rs
@@ -1,7 +1,7 @@
-//! The hand-over state: what a gateway that replaces another one must know, as a JSON text.
+//! Hand-over state: a JSON text with the state that a gateway needs to replace another one.
 //!
-//! The names in the text are those of its form 3: fields that were renamed since keep theirs by
-//! `#[serde(rename)]`, and types theirs in error texts by `#[serde(expecting)]`.
+//! The names in the JSON belong to format version 3. Fields that were renamed in the code keep their JSON names by
+//! `#[serde(rename)]`, and types keep their names in error texts by `#[serde(expecting)]`.
 
 use crate::admission::QuotaAdmission;
 use crate::concurrency_limit::ConcurrencyLimit;
@@ -13,15 +13,16 @@
 use std::fmt;
 use std::io::{self, Write};
 
-/// Version of the text's form; a text of another version is not read. To be raised with each change of the
-/// form.
-const FORM: u32 = 3;
+/// Format version of the state. A state of another version is rejected. Must be incremented with each change of the
+/// format.
+const FORMAT_VERSION: u32 = 3;
 
 #[derive(Serialize, Deserialize)]
 #[serde(expecting = "struct Heritage with 11 elements")]
 struct HandoverState<'a> {
-    form: u32,
-    /// Numbers of classes and plans.
+    #[serde(rename = "form")]
+    version: u32,
+    /// Number of classes, and number of plans.
     counts: (usize, usize),
     meter_period: Millis,
     #[serde(rename = "born")]
@@ -38,7 +39,7 @@
     concurrency: MaybeOwned<'a, ConcurrencyLimit>,
 }
 
-/// Borrowed to be written, owned once it was read.
+/// A value that is borrowed for serialization and owned after deserialization.
 enum MaybeOwned<'a, T> {
     Borrowed(&'a T),
     Owned(T),
@@ -63,7 +64,7 @@
     fn into_owned(self) -> Result<T, HandoverError> {
         match self {
             MaybeOwned::Owned(value) => Ok(value),
-            MaybeOwned::Borrowed(_) => Err(HandoverError::NotRead),
+            MaybeOwned::Borrowed(_) => Err(HandoverError::NotParsed),
         }
     }
 }
@@ -71,23 +72,25 @@
 /// Why a hand-over state was not applied.
 #[derive(Debug)]
 enum HandoverError {
-    /// The text is not JSON, or not of the expected structure.
+    /// The text is not valid JSON, or does not have the expected structure.
     Syntax(serde_json::Error),
-    /// The text has this form, which is not [`FORM`].
-    Form(u32),
-    /// It belongs to other settings, or requests came before it.
+    /// The state has this version instead of [`FORMAT_VERSION`].
+    Version(u32),
+    /// The state belongs to other settings, or the gateway has handled requests already.
     Mismatch,
-    /// A part was not read; cannot occur for a parsed text.
-    NotRead,
+    /// A part of the state was not deserialized; cannot occur after successful parsing.
+    NotParsed,
 }
 
 impl fmt::Display for HandoverError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             HandoverError::Syntax(error) => error.fmt(f),
-            HandoverError::Form(form) => write!(f, "it has form {form}, this program's is {FORM}"),
+            HandoverError::Version(version) => {
+                write!(f, "it has form {version}, this program's is {FORMAT_VERSION}")
+            }
             HandoverError::Mismatch => f.write_str("it is of other settings, or comes too late"),
-            HandoverError::NotRead => f.write_str("it was not read"),
+            HandoverError::NotParsed => f.write_str("a part of it was not parsed"),
         }
     }
 }
@@ -101,7 +104,7 @@
     }
 }
 
-/// A buffer that gives up when the text would exceed a limit, to guard the memory of both gateways.
+/// A buffer that fails when its contents would exceed a limit; protects the memory of both gateways.
 struct BoundedBuffer {
     bytes: Vec<u8>,
     max_bytes: usize,
@@ -121,17 +124,18 @@
     }
 }
 
+/// Numbers of classes and plans.
 fn counts(settings: &Settings) -> (usize, usize) {
     (settings.classes.len(), settings.plans.len())
 }
 
 impl Gateway {
-    /// The hand-over state: customers' accounts and rate limits, and what was learned of servers, classes and
-    /// the meter. Moments in it are of this gateway's clock, which the successor must continue. Empty if it
-    /// would take more than `max_bytes`: the successor then starts without it.
+    /// Returns the hand-over state: customers' accounts and rate limits, and the statistics of servers, classes and
+    /// the meter. Its times are on this gateway's clock, which the successor must continue. Empty if the state would
+    /// take more than `max_bytes`; the successor then starts without it.
     pub fn handover_state(&self, max_bytes: usize) -> String {
         let state = HandoverState {
-            form: FORM,
+            version: FORMAT_VERSION,
             counts: counts(&self.settings),
             meter_period: self.settings.meter_period,
             started_at: self.started_at,
@@ -143,39 +147,40 @@
             balancer: MaybeOwned::Borrowed(&self.balancer),
             concurrency: MaybeOwned::Borrowed(&self.concurrency),
         };
-        // Keys of maps are integers and all figures are finite, so that JSON can hold everything; only the
-        // limit fails.
+        // Map keys are integers and all numbers are finite, so that everything can be represented in JSON; only the
+        // size limit can fail.
         let mut text = BoundedBuffer { bytes: Vec::new(), max_bytes };
         let written = serde_json::to_writer(&mut text, &state);
         written.ok().and_then(|()| String::from_utf8(text.bytes).ok()).unwrap_or_default()
     }
 
-    /// Continues from another gateway's state; `in_flight` has the customer of each attempt in flight there.
-    /// Returns a log line if the state cannot be applied; the gateway is then as at its start.
-    pub(crate) fn inherit(&mut self, state: &str, in_flight: &[CustomerId]) -> Option<String> {
-        let problem = self.apply_handover(state).err();
+    /// Continues from another gateway's state. `in_flight` contains the customer of each attempt in flight there.
+    /// Returns a log line if the state cannot be applied; the gateway then continues with its initial state.
+    pub(crate) fn take_over(&mut self, state: &str, in_flight: &[CustomerId]) -> Option<String> {
+        let error = self.apply_handover(state).err();
         for customer in in_flight {
             if let Some(customer) = self.customers.get_mut(customer) {
                 customer.in_flight += 1;
             }
         }
-        problem.map(|problem| format!("what the other process had learned is not taken: {problem}"))
+        error.map(|error| format!("what the other process had learned is not taken: {error}"))
     }
 
+    /// Replaces this gateway's state by the parsed one, or leaves it unchanged on an error.
     fn apply_handover(&mut self, text: &str) -> Result<(), HandoverError> {
         let state: HandoverState = serde_json::from_str(text).map_err(HandoverError::Syntax)?;
-        if state.form != FORM {
-            return Err(HandoverError::Form(state.form));
+        if state.version != FORMAT_VERSION {
+            return Err(HandoverError::Version(state.version));
         }
         let is_same = state.counts == counts(&self.settings);
         if !is_same || state.meter_period != self.settings.meter_period || !self.requests.is_empty() {
             return Err(HandoverError::Mismatch);
         }
-        // All parts are taken out before one is applied: an error must leave the gateway as it is.
+        // All parts are unwrapped before any is applied, as an error must leave the gateway unchanged.
         let (mut customers, admission) = (state.customers.into_owned()?, state.admission.into_owned()?);
         let (classes, mut balancer) = (state.classes.into_owned()?, state.balancer.into_owned()?);
         let concurrency = state.concurrency.into_owned()?;
-        // Requests that are queued there are answered there.
+        // The other gateway answers the requests that are queued there.
         for customer in customers.values_mut() {
             customer.in_flight = 0;
             customer.queue.clear();
--- a/crates/brassport-policy/src/policy.rs
+++ b/crates/brassport-policy/src/policy.rs
@@ -130,7 +130,7 @@
             Event::Servers { kind, entries } => self.apply_server_list(kind, entries, actions),
             Event::Settings(settings) => self.reconfigure(*settings),
             Event::ApplyHandover { state, in_flight } => {
-                actions.extend(self.inherit(&state, &in_flight).map(Action::Log));
+                actions.extend(self.take_over(&state, &in_flight).map(Action::Log));
             }
             Event::PredecessorAttemptEnded(customer) => self.release_slot(customer, actions),
             Event::Retire => self.retired = true,
@@ -313,7 +313,7 @@
                 if !was_overdue || end.elapsed_ms() > latency_target =>
             {
                 if end.outcome == Outcome::Overloaded {
-                    self.concurrency.server_full_at = self.now;
+                    self.concurrency.server_overloaded_at = self.now;
                 }
                 let is_timely = end.outcome == Outcome::Ok
                     && end.elapsed_ms() <= self.settings.tuning.late_after_fraction * latency_target;
