--- a/crates/brassport-policy/src/bin/brassport-policy-sim-adapter.rs
+++ b/crates/brassport-policy/src/bin/brassport-policy-sim-adapter.rs
@@ -1,5 +1,5 @@
-//! The adapter: runs the decision module behind the simulator's wire on standard input and output, with one
-//! [`Gateway`] per instance. It decides nothing.
+//! Adapter that connects the decision module to the simulator: reads event frames from standard input and writes action
+//! frames to standard output, with one [`Gateway`] per instance.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
@@ -22,6 +22,7 @@
     }
 }
 
+/// Replies to each batch of events until the end of the input.
 fn serve() -> Result<(), WireError> {
     let mut input = BufReader::new(io::stdin().lock());
     let mut output = io::stdout().lock();
@@ -37,6 +38,7 @@
     Ok(())
 }
 
+/// Handles one event of an instance, and adds the resulting actions to the reply.
 fn deliver(
     gateways: &mut BTreeMap<u16, Gateway>,
     clock: f64,
@@ -62,7 +64,7 @@
             match handled {
                 Ok(()) => actions.iter().for_each(|action| reply.push(instance, action)),
                 Err(cause) => {
-                    // Its state may be inconsistent: the instance counts as crashed.
+                    // The state may be inconsistent after a panic, so the instance is removed.
                     gateways.remove(&instance);
                     reply.push_panic(instance, panic_message(&*cause));
                 }
@@ -72,6 +74,7 @@
     Ok(())
 }
 
+/// Returns the text of a panic payload.
 fn panic_message(cause: &(dyn Any + Send)) -> &str {
     let text = cause.downcast_ref::<String>().map(String::as_str);
     let text = text.or_else(|| cause.downcast_ref::<&str>().copied());
--- a/crates/brassport-policy/src/lib.rs
+++ b/crates/brassport-policy/src/lib.rs
@@ -1,36 +1,35 @@
 //! The decision module of the gateway: admission, load balancing and retries.
 //!
-//! It decides which request is admitted, which server gets an attempt, whether a failed or slow attempt is
-//! retried, and when a request is rejected, so that each customer of a shared back end is kept to its plan
-//! and the back end is not overloaded. It is not for I/O, connections or time-outs of sockets: a host feeds
-//! one [`Gateway`] with [`Event`]s, each with the host's own monotonic clock in milliseconds, and executes
-//! the [`Action`]s it gets back, in order. For equal settings, seed and events the actions are equal.
+//! It decides which requests are admitted, which server gets an attempt, whether a failed or slow attempt is retried,
+//! and when a request is rejected. The goals are that each customer of a shared back end stays within its plan, and
+//! that the back end is not overloaded. The module does no I/O and has no connections or socket timeouts. A host passes
+//! [`Event`]s to one [`Gateway`], each with the time on the host's monotonic clock in milliseconds, and executes the
+//! returned [`Action`]s in order. The decisions are deterministic: equal settings, seed and events give equal actions.
 //!
 //! # Requirements on the host
 //!
-//! * **clock**: time never runs backwards between two calls;
-//! * **timers**: each [`Action::Timer`] comes back as one [`Event::Timer`] at or shortly after its time;
-//! * **order**: events are handed over in the order in which they happened, and every
-//!   [`Action::Send`] is answered by exactly one [`Event::AttemptEnd`];
-//! * **isolation**: one gateway a process; gateways share nothing and learn of each other from the
-//!   meter alone.
+//! * **Clock**: time never goes backwards between two calls.
+//! * **Timers**: each [`Action::SetTimer`] results in one [`Event::Timer`] at its time or shortly after.
+//! * **Order**: events are passed in the order in which they occurred, and every [`Action::Send`] is followed by exactly
+//!   one [`Event::AttemptEnd`].
+//! * **Isolation**: one gateway per process. Gateways share no state, and know of each other's load from the meter only.
 //!
 //! # The decisions
 //!
-//! * **Quota** (`admission.rs`): per customer, requests are rejected at random with probability 1 - quota /
-//!   offered. The admission probability is set once per meter period from the meter's global reading. Its
-//!   floor is above 0, as without responses no reading would come; classes of low value are rejected first;
-//!   before a first reading a customer is taken for a typical one of its plan, with a share of the quota at
-//!   each of its gateways; customers that are idle until their buckets are full are forgotten.
-//! * **Rate limit** (`rate_limit.rs`): a hard limit, by a token bucket with a share of it at each gateway.
-//! * **Concurrency limit** (`concurrency_limit.rs`): AIMD on late and timely responses; beyond it, early
-//!   rejection.
-//! * **Load balancing** (`load_balancer.rs`, `server.rs`, `slow_start.rs`): least expected wait among sampled
-//!   servers, outlier ejection, and turns for servers in warm-up.
-//! * **Retries** (`request_lifecycle.rs`): only where a second run is safe and a retry budget allows it.
+//! * **Quota** (`admission.rs`): each customer's requests are rejected at random with probability 1 - quota / offered
+//!   rate. The admission probability is set once per meter period from the meter's global reading. Its minimum is above
+//!   0, as without responses there would be no readings. Classes of low value are rejected first. Before its first
+//!   reading, a customer is assumed to be typical for its plan and to have an equal share of the quota at each of its
+//!   gateways. Customers that are idle until their token buckets are full are removed.
+//! * **Rate limit** (`rate_limit.rs`): a hard limit, with a token bucket for a share of it at each gateway.
+//! * **Concurrency limit** (`concurrency_limit.rs`): AIMD on late and timely responses; requests beyond it are rejected
+//!   early.
+//! * **Load balancing** (`load_balancer.rs`, `server.rs`, `slow_start.rs`): least expected wait among sampled servers,
+//!   outlier ejection, and turns for servers in warm-up.
+//! * **Retries** (`request_lifecycle.rs`): only if the request may be sent again and the retry budget allows it.
 //!
-//! `policy.rs` puts these together. Everything else in the crate is data: [`interface`], the hand-over state
-//! ([`Gateway::handover_state`]), figures for operators, and the simulator's [`wire`].
+//! `policy.rs` combines these. The rest of the crate makes no decisions: [`interface`], the hand-over state
+//! ([`Gateway::handover_state`]), metrics for operators, and the simulator's [`wire`] format.
 //!
 //! # Example
 //!
--- a/crates/brassport-policy/src/wire/event.rs
+++ b/crates/brassport-policy/src/wire/event.rs
@@ -1,31 +1,32 @@
-//! Event records.
+//! Decoder of event records.
 
 use super::frame::Record;
 use super::settings::parse_settings;
 use super::{malformed, WireError};
 use crate::interface::*;
 
-/// Size of a line of the server list, in bytes.
+/// Size of an entry of the server list, in bytes.
 const SERVER_ENTRY_BYTES: usize = 22;
 
 /// A decoded event record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WireEvent {
-    /// An instance starts.
+    /// An instance of the decision module starts.
     Start {
-        /// Its seed.
+        /// Seed of its random draws.
         seed: u64,
-        /// Its settings.
+        /// Settings of the instance.
         settings: Box<Settings>,
     },
     /// An instance was killed.
     Kill,
-    /// An event of the module's interface.
+    /// An event for a running instance.
     Event(Event),
-    /// An event of probes, peers or the counter, which the module does not use.
+    /// An event of health probes, peers or the usage counter, which the decision module does not use.
     Unused,
 }
 
+/// Checks that a decoded number is finite; `what` names it in the error.
 fn finite(value: f64, what: &str) -> Result<f64, WireError> {
     if value.is_finite() {
         return Ok(value);
@@ -68,7 +69,7 @@
         outcome: outcome(record.u16(29))?,
         elapsed: finite(record.f64(11), "ATTEMPT_END duration")?,
         finished: record.u8(19) != 0,
-        // Per cent and 1, as 0 stands for no reading.
+        // Encoded as percent + 1; 0 means no reading.
         used: record.u16(22).checked_sub(1).map(|percent| f64::from(percent) / 100.0),
     })
 }
--- a/crates/brassport-policy/src/wire/frame.rs
+++ b/crates/brassport-policy/src/wire/frame.rs
@@ -1,20 +1,20 @@
-//! Frames of event records.
+//! Decoder of frames of event records.
 
 use super::event::{decode, WireEvent};
 use super::{malformed, WireError, EVENT_RECORD_BYTES};
 use std::io::Read;
 
-/// Size of the clock and the length before a frame's records, in bytes.
+/// Size of a frame header, which contains the clock and the length of the rest, in bytes.
 const HEADER_BYTES: usize = 12;
-/// A frame longer than this is taken for garbage.
+/// Maximum length in a frame header, in bytes; a greater length is treated as corrupt.
 const MAX_FRAME_BYTES: u32 = 1 << 30;
 
 /// A frame of event records.
 #[derive(Debug)]
 pub struct Batch {
-    /// The clock, in milliseconds.
+    /// Time of the events on the host's clock, in milliseconds.
     pub clock: f64,
-    /// Number of records.
+    /// Number of event records in the frame.
     pub count: usize,
     body: Vec<u8>,
 }
@@ -23,7 +23,7 @@
     /// Reads one frame; `None` at the end of the input.
     ///
     /// # Errors
-    /// On a read error, and on a frame that is truncated or whose lengths are inconsistent.
+    /// Fails on a read error, and on a frame that is truncated or has inconsistent lengths.
     pub fn read(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
         let mut header = Vec::with_capacity(HEADER_BYTES);
         input.by_ref().take(HEADER_BYTES as u64).read_to_end(&mut header).map_err(WireError::Io)?;
@@ -46,7 +46,7 @@
     /// Decodes the record at `index`.
     ///
     /// # Errors
-    /// On an unknown code, a figure that is not finite, or a reference outside the tail.
+    /// Fails on an unknown code, a number that is not finite, or a reference outside the tail.
     ///
     /// # Panics
     /// If `index` is not below `count`.
@@ -57,7 +57,7 @@
     }
 }
 
-/// The clock and the length of the rest.
+/// Decodes the clock, and the length of the rest of the frame in bytes.
 fn decode_header(header: &[u8]) -> Result<(f64, u32), WireError> {
     if header.len() < HEADER_BYTES {
         return malformed(format!("frame header cut short after {} of 16 bytes", header.len()));
@@ -74,10 +74,11 @@
     Ok((clock, length))
 }
 
-/// Big-endian fields of a slice whose length was checked before; an offset outside it panics.
+/// Reads big-endian fields from a slice whose length has been checked; panics on an offset outside of it.
 pub(super) struct Record<'a>(pub(super) &'a [u8]);
 
 impl Record<'_> {
+    /// The `N` bytes at offset `at`.
     fn take<const N: usize>(&self, at: usize) -> [u8; N] {
         let mut bytes = [0; N];
         bytes.copy_from_slice(&self.0[at..at + N]);
@@ -108,8 +109,8 @@
         f64::from_be_bytes(self.take(at))
     }
 
-    /// The part of the tail that the reference at `at` names: an offset, and a length in units of `unit`
-    /// bytes.
+    /// Returns the part of the tail that the reference at offset `at` refers to. A reference consists of an offset in
+    /// bytes and a length in units of `unit` bytes. `what` names the field in errors.
     pub(super) fn tail<'t>(
         &self,
         at: usize,
--- a/crates/brassport-policy/src/wire/mod.rs
+++ b/crates/brassport-policy/src/wire/mod.rs
@@ -1,9 +1,9 @@
-//! The codec of the simulator's wire: frames, records and settings to and from the types of
-//! [`crate::interface`]. It decides nothing.
+//! Codec of the simulator's wire format: converts frames, records and settings to and from the types of
+//! [`crate::interface`], without decisions.
 //!
-//! All numbers are big-endian. A frame to the adapter holds the clock and event records of [`EVENT_RECORD_BYTES`] bytes, a
-//! frame from it action records of [`ACTION_RECORD_BYTES`] bytes; both end with a tail of texts and lists to which records
-//! refer by offset.
+//! All numbers are big-endian. A frame to the adapter contains the clock and event records of [`EVENT_RECORD_BYTES`]
+//! bytes each; a frame from the adapter contains action records of [`ACTION_RECORD_BYTES`] bytes each. Both end with a
+//! tail of texts and lists, to which records refer by offset.
 
 mod event;
 mod frame;
@@ -23,12 +23,12 @@
 /// Size of an action record, in bytes.
 pub const ACTION_RECORD_BYTES: usize = 24;
 
-/// An error of the input.
+/// An error while reading or decoding the input.
 #[derive(Debug)]
 pub enum WireError {
     /// The input could not be read.
     Io(io::Error),
-    /// The input violates the format; the text says where and how.
+    /// The input violates the format; the text describes the violation.
     Malformed(String),
 }
 
--- a/crates/brassport-policy/src/wire/reply.rs
+++ b/crates/brassport-policy/src/wire/reply.rs
@@ -1,4 +1,4 @@
-//! Frames of action records.
+//! Encoder of frames of action records.
 
 use super::ACTION_RECORD_BYTES;
 use crate::interface::Action;
@@ -12,7 +12,7 @@
 }
 
 impl Reply {
-    /// Adds an action of an instance.
+    /// Adds a record of an action of an instance.
     pub fn push(&mut self, instance: u16, action: &Action) {
         match action {
             Action::Send { request, server, expire_at } => self.record(91, instance, |out| {
@@ -34,16 +34,17 @@
                 out.extend(token.to_be_bytes());
             }),
             Action::WatchServers => self.record(81, instance, |out| out.push(1)),
-            Action::Log(text) => self.text(84, instance, text),
+            Action::Log(text) => self.push_text(84, instance, text),
         }
     }
 
-    /// Adds a record that the decision code of an instance panicked.
+    /// Adds a record that the decision module of an instance panicked with this message.
     pub fn push_panic(&mut self, instance: u16, text: &str) {
-        self.text(92, instance, text);
+        self.push_text(92, instance, text);
     }
 
-    fn text(&mut self, code: u8, instance: u16, text: &str) {
+    /// Adds a record that refers to a text in the tail.
+    fn push_text(&mut self, code: u8, instance: u16, text: &str) {
         let from = self.tail.len() as u32;
         self.tail.extend(text.as_bytes());
         self.record(code, instance, |out| {
@@ -52,6 +53,7 @@
         });
     }
 
+    /// Adds a record, padded with zeros to [`ACTION_RECORD_BYTES`].
     fn record(&mut self, code: u8, instance: u16, fields: impl FnOnce(&mut Vec<u8>)) {
         self.count += 1;
         self.records.push(code);
@@ -60,7 +62,7 @@
         self.records.resize(self.count as usize * ACTION_RECORD_BYTES, 0);
     }
 
-    /// The complete frame.
+    /// Returns the encoded frame.
     pub fn into_bytes(self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(8 + self.records.len() + self.tail.len());
         frame.extend(self.count.to_be_bytes());
--- a/crates/brassport-policy/src/wire/settings.rs
+++ b/crates/brassport-policy/src/wire/settings.rs
@@ -1,13 +1,14 @@
-//! Settings of an instance, as lines of `path=value`.
+//! Parser of an instance's settings, which are lines of `path=value`.
 
 use super::{malformed, WireError};
 use crate::interface::*;
 use std::collections::BTreeMap;
 
-/// Settings as path=value lines.
+/// Values by path.
 struct Params<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Params<'a> {
+    /// Parses a required setting.
     fn get<T: std::str::FromStr>(&self, path: &str) -> Result<T, WireError> {
         let Some(text) = self.0.get(path) else {
             return malformed(format!("required setting {path} is missing"));
@@ -18,6 +19,7 @@
         }
     }
 
+    /// Returns the text of a required setting.
     fn word(&self, path: &str) -> Result<&'a str, WireError> {
         match self.0.get(path) {
             Some(text) => Ok(text),
@@ -25,22 +27,22 @@
         }
     }
 
-    /// An object list gives its length under `.count`; its items are looked up one by one.
+    /// Parses a list of objects. Its length is at `path.count`, and the fields of each object are below `path.INDEX`.
     fn list<T>(&self, path: &str, item: impl Fn(&str) -> Result<T, WireError>) -> Result<Vec<T>, WireError> {
         let count: u16 = self.get(&format!("{path}.count"))?;
         (0..count).map(|index| item(&format!("{path}.{index}"))).collect()
     }
 }
 
-/// Reads the settings of an instance; unknown keys are skipped.
+/// Parses the settings of an instance; unknown paths are ignored.
 ///
 /// # Errors
-/// Names a required key that is missing, unreadable or out of range.
+/// Returns the first required path that is missing, unreadable or out of range.
 pub fn parse_settings(text: &str) -> Result<Settings, WireError> {
     let params = Params(text.lines().filter_map(|line| line.split_once('=')).collect());
     let classes = params.list("classes", |at| class(&params, at))?;
     let plans = params.list("plans", |at| plan(&params, at))?;
-    let forwards_advice: bool = params.get("bounds.retryAfter")?;
+    let sends_retry_after: bool = params.get("bounds.retryAfter")?;
     let settings = Settings {
         gateways: params.get("balancers")?,
         ordinal: params.get("ordinal")?,
@@ -52,7 +54,7 @@
         max_attempts: params.get("bounds.maxAttempts")?,
         allow_hedging: params.get("bounds.mayDuplicate")?,
         allow_cancel: params.get("bounds.cancel")?,
-        max_retry_after: if forwards_advice { params.get("bounds.maxRetryAfter")? } else { 0.0 },
+        max_retry_after: if sends_retry_after { params.get("bounds.maxRetryAfter")? } else { 0.0 },
         drain_grace: params.get("rules.stopSendingWithin")?,
         warm_up_start_fraction: params.get("rules.coldFrom")?,
         warm_up_duration: params.get("rules.cold")?,
@@ -109,16 +111,16 @@
 }
 
 fn plan(params: &Params, at: &str) -> Result<Plan, WireError> {
-    let figure = |name: &str| params.get(&format!("{at}.{name}"));
+    let number = |name: &str| params.get(&format!("{at}.{name}"));
     Ok(Plan {
-        rate: figure("unitsPerS")?,
-        burst: figure("storeSize")?,
+        rate: number("unitsPerS")?,
+        burst: number("storeSize")?,
         max_in_flight: params.get(&format!("{at}.concurrency"))?,
-        value_factor: figure("price")?,
-        over_quota_value_fraction: figure("excessWorth")?,
-        over_quota_cost_fraction: figure("overrunCost")?,
-        hard_limit_rate: figure("neverOverRate")?,
-        hard_limit_burst: figure("capDepth")?,
-        hard_limit_slack: figure("tolerance")?,
+        value_factor: number("price")?,
+        over_quota_value_fraction: number("excessWorth")?,
+        over_quota_cost_fraction: number("overrunCost")?,
+        hard_limit_rate: number("neverOverRate")?,
+        hard_limit_burst: number("capDepth")?,
+        hard_limit_slack: number("tolerance")?,
     })
 }
