--- a/crates/brassport-gateway/src/node/control_host.rs
+++ b/crates/brassport-gateway/src/node/control_host.rs
@@ -99,7 +99,7 @@
         self.calls.sweep(number);
     }
 
-    /// Reports to the lender what tenants use here.
+    /// Reports to the coordinator what tenants use here.
     pub(super) fn report_usage(&mut self) {
         self.data_plane.set_ring_position(self.control.ring_position());
         let (number, usage) = self.data_plane.report_usage();
@@ -110,7 +110,7 @@
 
     /// Whether the cluster can do without this node, which is shutting down.
     pub(super) fn is_released(&self) -> bool {
-        self.control.is_released()
+        self.control.may_shut_down()
     }
 }
 
--- a/crates/brassport-policy/src/admission.rs
+++ b/crates/brassport-policy/src/admission.rs
@@ -7,7 +7,7 @@
 //!
 //! * **Update interval**: the admission probability is set once per meter period, and at each new reading. It is
 //!   the rate that quota and burst allow, divided by the offered rate and corrected for client retries
-//!   ([`attempt_probability`]).
+//!   ([`attempt_admission_probability`]).
 //! * **Before the first reading** of a customer, its usage is assumed to be typical for its plan, and readings are
 //!   assumed to arrive as often as at an even split of the quota over the customer's gateways.
 //! * **Minimum above 0** ([`MIN_PROBABILITY`]): at probability 0 no response would carry a reading, and the
@@ -17,8 +17,9 @@
 
 use crate::interface::*;
 use brassport_policy_stats::{
-    attempt_probability, eventually_admitted, BucketFlow, CustomerReading, Decay, ExponentialRate,
-    MeterClock, PlanUsage, RemoteUsage, RetryEstimator, SharedTokenBucket, UsageWindow, ValueHistory,
+    attempt_admission_probability, eventual_admission_fraction, BucketFlow, CustomerReading, ExponentialRate,
+    MeterClock, PlanUsage, ReadingDecay, RemoteUsage, RetryEstimator, SharedTokenBucket, UsageWindow,
+    ValueHistory,
 };
 use serde::{Deserialize, Serialize};
 
@@ -130,9 +131,9 @@
     offered: f64,
 }
 
-/// Decay of the usage statistics of a customer with this plan.
-fn decay(plan: &Plan) -> Decay {
-    Decay { rate_per_s: plan.rate, units: RATE_UNITS }
+/// ReadingDecay of the usage statistics of a customer with this plan.
+fn decay(plan: &Plan) -> ReadingDecay {
+    ReadingDecay { rate_per_s: plan.rate, units: RATE_UNITS }
 }
 
 impl QuotaAdmission {
@@ -174,13 +175,13 @@
         let units = (LOCAL_RATE_UNITS * account.gateways).max(RATE_UNITS);
         account.local_offered.decay_to(now, plan.rate, units);
         let input = self.input(IndexedPlan { plan, index: request.plan }, conditions);
-        account.discard_before(input, self.meter.max_age());
+        account.discard_before(input, self.meter.max_reading_age());
         if now >= account.probability_set_at + self.meter_period {
             account.set_probability(input, self.meter_period);
         }
         self.record_arrival(account, request, input);
         // Limits over-admission in a surge until the next update of the probability.
-        let unseen = account.unseen_surge(input, self.meter.delay_periods());
+        let unseen = account.unseen_surge(input, self.meter.reporting_delay_periods());
         if account.bucket.level_at(now, account.flow(input)) < unseen {
             return MIN_PROBABILITY;
         }
@@ -195,7 +196,7 @@
             return self.retries.record_retry();
         }
         account.local_offered.add(request.units);
-        let admitted = eventually_admitted(account.probability, input.retry_probability);
+        let admitted = eventual_admission_fraction(account.probability, input.retry_probability);
         self.plan_usage[request.plan].record_arrival(admitted, READING_WEIGHT / 3.0);
     }
 
@@ -225,7 +226,7 @@
         }
         let units = used * plan.rate * period / 1000.0;
         self.meter.observe(now, units, account.bucket.sends());
-        let period_end = self.meter.covered_until(now);
+        let period_end = self.meter.covered_period_end(now);
         if period_end <= account.read_until {
             return;
         }
@@ -290,7 +291,7 @@
         let flow = self.flow(input);
         self.bucket.settle_until(start, flow);
         self.bucket.apply_reading(period.end, usage.used, flow);
-        let remote_sent = usage.units - self.bucket.sends().between(start, period.end);
+        let remote_sent = usage.units - self.bucket.sends().units_between(start, period.end);
         // Both estimates must not include this reading.
         let confidence = self.remote.confidence(now, decay(plan), PRIOR_UNITS);
         let estimated_offered = self.remote_rates(input).offered / plan.rate;
@@ -298,7 +299,7 @@
         // requests as of all customers' requests.
         let middle = period.end - period.length / 2.0;
         let probability = self.probabilities.value_at(middle).unwrap_or(1.0);
-        let admitted = eventually_admitted(probability, input.retry_probability);
+        let admitted = eventual_admission_fraction(probability, input.retry_probability);
         let admitted_fraction = input.usage.remote_admitted_fraction(admitted, confidence);
         let offered = remote_sent / admitted_fraction;
         let window = UsageWindow { seconds: period.length / 1000.0, sent: remote_sent, offered };
@@ -336,7 +337,7 @@
     /// Estimates the units that other gateways have sent in a surge that no reading covers yet, in proportion to
     /// the meter's delay.
     fn unseen_surge(&self, EstimateInput { plan, now, .. }: EstimateInput, delay_periods: f64) -> f64 {
-        let excess = self.bucket.sent_beyond(now, plan.rate / self.gateways);
+        let excess = self.bucket.sent_above_rate(now, plan.rate / self.gateways);
         SURGE_FACTOR * delay_periods * (self.gateways - 1.0) * excess
     }
 
@@ -367,7 +368,8 @@
         let tokens = self.bucket.level_at(now, self.flow(input));
         let allowed = plan.rate + tokens / release_s.max(self.remote.reading_gap_s());
         let fraction = if offered > allowed { allowed / offered } else { 1.0 };
-        self.probability = attempt_probability(fraction, input.retry_probability).max(MIN_PROBABILITY);
+        self.probability =
+            attempt_admission_probability(fraction, input.retry_probability).max(MIN_PROBABILITY);
         self.probability_set_at = now;
         self.probabilities.record(now, self.probability);
     }
