--- a/crates/brassport-policy/src/admission.rs
+++ b/crates/brassport-policy/src/admission.rs
@@ -1,15 +1,15 @@
 //! Quota admission: limits each customer's usage, over all gateways together, to its quota.
 //!
-//! Each gateway rejects a customer's requests at random, with probability 1 - quota / offered rate: the random
-//! refusal of "Stochastic breakdown model for an unreliable web server system". A single gateway does not see
-//! the rate offered to all gateways. It estimates this rate from meter readings, which come with responses: the
-//! customer's usage over all gateways in a past meter period, as a multiple of its quota.
+//! Each gateway rejects a customer's requests at random, with probability 1 - quota / offered rate: the
+//! random refusal of "Stochastic breakdown model for an unreliable web server system". A single gateway does
+//! not see the rate offered to all gateways. It estimates this rate from meter readings, which come with
+//! responses: the customer's usage over all gateways in a past meter period, as a multiple of its quota.
 //!
-//! * **Update interval**: the admission probability is set once per meter period, and at each new reading. It is
-//!   the rate that quota and burst allow, divided by the offered rate and corrected for client retries
+//! * **Update interval**: the admission probability is set once per meter period, and at each new reading. It
+//!   is the rate that quota and burst allow, divided by the offered rate and corrected for client retries
 //!   ([`attempt_admission_probability`]).
-//! * **Before the first reading** of a customer, its usage is assumed to be typical for its plan, and readings are
-//!   assumed to arrive as often as at an even split of the quota over the customer's gateways.
+//! * **Before the first reading** of a customer, its usage is assumed to be typical for its plan, and
+//!   readings are assumed to arrive as often as at an even split of the quota over the customer's gateways.
 //! * **Minimum above 0** ([`MIN_PROBABILITY`]): at probability 0 no response would carry a reading, and the
 //!   probability would never rise again.
 //! * **Lowest value first**: the caller converts the customer's probability into one per class, by value.
@@ -23,13 +23,13 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Minimum admission probability: at 0 no response would carry a reading, and the probability would never rise
-/// again.
+/// Minimum admission probability: at 0 no response would carry a reading, and the probability would never
+/// rise again.
 pub const MIN_PROBABILITY: f64 = 0.01;
 /// Number of meter periods over which the tokens in the bucket are spent.
 const RELEASE_PERIODS: f64 = 6.0;
-/// Units that each other gateway is assumed to send in a surge before a reading shows them: per unit that this
-/// gateway sends above an even share of the quota, and per meter period of the meter's delay.
+/// Units that each other gateway is assumed to send in a surge before a reading shows them: per unit that
+/// this gateway sends above an even share of the quota, and per meter period of the meter's delay.
 const SURGE_FACTOR: f64 = 0.8;
 /// Fraction of its burst that a new customer is assumed to have left: most customers have used little. As a
 /// drawback, a heavy customer is over-admitted after a restart of this gateway.
@@ -41,8 +41,8 @@
 /// Assumed usage of a plan's customers before any reading, as a multiple of the quota.
 const PRIOR_USAGE: f64 = 0.5;
 /// Multiple of the plan's typical offered load that a customer without readings is assumed to offer when the
-/// servers have no capacity left, so that load which is likely over quota is shed first. The multiple decreases
-/// to 1 at full capacity.
+/// servers have no capacity left, so that load which is likely over quota is shed first. The multiple
+/// decreases to 1 at full capacity.
 const OVERLOAD_PRIOR_FACTOR: f64 = 3.0;
 /// Units that pass at an even share of the quota during one time constant of the local offered rate.
 const LOCAL_RATE_UNITS: f64 = 2.0;
@@ -89,8 +89,8 @@
     /// Number of gateways through which the customer's requests come.
     #[serde(rename = "spread")]
     gateways: f64,
-    /// Token bucket over all gateways: final up to the last reading, plus the local sends that a later reading
-    /// may cover.
+    /// Token bucket over all gateways: final up to the last reading, plus the local sends that a later
+    /// reading may cover.
     #[serde(rename = "store")]
     bucket: SharedTokenBucket,
     /// Admission probability over all classes.
@@ -103,8 +103,8 @@
     /// Rate of units offered to this gateway.
     #[serde(rename = "heard")]
     local_offered: ExponentialRate,
-    /// Usage at the other gateways. Initially, readings are expected as often as at an even split of the quota
-    /// over the customer's gateways.
+    /// Usage at the other gateways. Initially, readings are expected as often as at an even split of the
+    /// quota over the customer's gateways.
     #[serde(rename = "others")]
     remote: RemoteUsage,
     /// End of the last meter period that a reading covered.
@@ -131,7 +131,7 @@
     offered: f64,
 }
 
-/// ReadingDecay of the usage statistics of a customer with this plan.
+/// Decay of the usage statistics of a customer with this plan.
 fn decay(plan: &Plan) -> ReadingDecay {
     ReadingDecay { rate_per_s: plan.rate, units: RATE_UNITS }
 }
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Records an arrival, and returns its admission probability by the customer's quota, over all classes; 1 if
-    /// the plan has no quota. The probability is updated once per meter period.
+    /// Records an arrival, and returns its admission probability by the customer's quota, over all classes; 1
+    /// if the plan has no quota. The probability is updated once per meter period.
     pub fn probability(
         &mut self,
         account: &mut Account,
@@ -170,8 +170,8 @@
         if plan.rate <= 0.0 {
             return 1.0;
         }
-        // At least the averaging units of a rate; otherwise the rate of a customer with a single gateway would be
-        // underestimated.
+        // At least the averaging units of a rate; otherwise the rate of a customer with a single gateway
+        // would be underestimated.
         let units = (LOCAL_RATE_UNITS * account.gateways).max(RATE_UNITS);
         account.local_offered.decay_to(now, plan.rate, units);
         let input = self.input(IndexedPlan { plan, index: request.plan }, conditions);
@@ -189,8 +189,8 @@
     }
 
     /// Records an arrival. Called after the probability was set, as the arrival that triggers an update says
-    /// nothing about the rate and would bias it upwards. A client retry does not count as offered load: it often
-    /// comes to the gateway that rejected the first attempt.
+    /// nothing about the rate and would bias it upwards. A client retry does not count as offered load: it
+    /// often comes to the gateway that rejected the first attempt.
     fn record_arrival(&mut self, account: &mut Account, request: &Request, input: EstimateInput) {
         if request.is_client_retry {
             return self.retries.record_retry();
@@ -211,8 +211,8 @@
     }
 
     /// Applies a meter reading: `used` is the customer's usage over all gateways as a multiple of its quota.
-    /// Readings do not say which meter period they cover; the meter clock estimates it. A second reading for the
-    /// same period is ignored.
+    /// Readings do not say which meter period they cover; the meter clock estimates it. A second reading for
+    /// the same period is ignored.
     pub fn apply_reading(
         &mut self,
         account: &mut Account,
@@ -231,7 +231,8 @@
             return;
         }
         account.read_until = period_end;
-        // Without the overload factor on the plan's typical usage: that factor is a precaution, not an estimate.
+        // Without the overload factor on the plan's typical usage: that factor is a precaution, not an
+        // estimate.
         let input = self.input(indexed, Conditions { capacity: 1.0, now });
         let reading =
             account.apply_reading(input, Period { length: period, end: period_end }, Usage { used, units });
@@ -255,7 +256,8 @@
     units: f64,
 }
 
-/// Result of applying a reading: the customer's usage, and the confidence (0 to 1) in the estimates before it.
+/// Result of applying a reading: the customer's usage, and the confidence (0 to 1) in the estimates before
+/// it.
 #[derive(Debug, Clone, Copy)]
 struct AppliedReading {
     customer: CustomerReading,
@@ -295,8 +297,8 @@
         // Both estimates must not include this reading.
         let confidence = self.remote.confidence(now, decay(plan), PRIOR_UNITS);
         let estimated_offered = self.remote_rates(input).offered / plan.rate;
-        // If little is known about the customer, the other gateways are assumed to admit the same fraction of its
-        // requests as of all customers' requests.
+        // If little is known about the customer, the other gateways are assumed to admit the same fraction of
+        // its requests as of all customers' requests.
         let middle = period.end - period.length / 2.0;
         let probability = self.probabilities.value_at(middle).unwrap_or(1.0);
         let admitted = eventual_admission_fraction(probability, input.retry_probability);
@@ -304,8 +306,8 @@
         let offered = remote_sent / admitted_fraction;
         let window = UsageWindow { seconds: period.length / 1000.0, sent: remote_sent, offered };
         self.remote.observe(now, decay(plan), window, READING_INTERVAL_WEIGHT);
-        // The local offered rate is counted locally, not taken from the reading: readings cover only periods in
-        // which this gateway sent, so they would overestimate it.
+        // The local offered rate is counted locally, not taken from the reading: readings cover only periods
+        // in which this gateway sent, so they would overestimate it.
         let customer = CustomerReading {
             remote_sent: remote_sent / (plan.rate * period.length / 1000.0),
             local_offered: self.local_offered.per_second(RATE_UNITS / plan.rate) / plan.rate,
@@ -315,15 +317,15 @@
         AppliedReading { customer, confidence }
     }
 
-    /// Estimates the rates at the other gateways from the customer's readings, with its plan's typical usage as
-    /// the prior.
+    /// Estimates the rates at the other gateways from the customer's readings, with its plan's typical usage
+    /// as the prior.
     fn remote_rates(
         &self,
         EstimateInput { plan, usage, offered_factor, now, .. }: EstimateInput,
     ) -> RemoteRates {
         let prior = PRIOR_UNITS / plan.rate;
-        // Each of the other n - 1 gateways is assumed to be offered the local rate: together they are offered the
-        // local units in 1 / (n - 1) of the local time.
+        // Each of the other n - 1 gateways is assumed to be offered the local rate: together they are offered
+        // the local units in 1 / (n - 1) of the local time.
         let local_seconds = self.local_offered.seconds() / (self.gateways - 1.0).max(f64::MIN_POSITIVE);
         let UsageWindow { seconds, sent, offered } = self.remote.decayed(now, decay(plan));
         let remote_offered =
@@ -334,8 +336,8 @@
         }
     }
 
-    /// Estimates the units that other gateways have sent in a surge that no reading covers yet, in proportion to
-    /// the meter's delay.
+    /// Estimates the units that other gateways have sent in a surge that no reading covers yet, in proportion
+    /// to the meter's delay.
     fn unseen_surge(&self, EstimateInput { plan, now, .. }: EstimateInput, delay_periods: f64) -> f64 {
         let excess = self.bucket.sent_above_rate(now, plan.rate / self.gateways);
         SURGE_FACTOR * delay_periods * (self.gateways - 1.0) * excess
--- a/crates/brassport-policy/src/bin/brassport-policy-sim-adapter.rs
+++ b/crates/brassport-policy/src/bin/brassport-policy-sim-adapter.rs
@@ -1,5 +1,5 @@
-//! Adapter that connects the decision module to the simulator: reads event frames from standard input and writes action
-//! frames to standard output, with one [`Gateway`] per instance.
+//! Adapter that connects the decision module to the simulator: reads event frames from standard input and
+//! writes action frames to standard output, with one [`Gateway`] per instance.
 
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/brassport-policy/src/concurrency_limit.rs
+++ b/crates/brassport-policy/src/concurrency_limit.rs
@@ -1,17 +1,18 @@
-//! Adaptive concurrency limit: the fraction of the requests within quota that is admitted, and the number of attempts
-//! that this gateway may have in flight.
+//! Adaptive concurrency limit: the fraction of the requests within quota that is admitted, and the number of
+//! attempts that this gateway may have in flight.
 //!
-//! Both adapt to responses by additive increase and multiplicative decrease (AIMD). A response within a configured
-//! fraction of its class's latency target is timely and raises them; a late response lowers them. Requests beyond the
-//! limit are rejected early, the lowest value first, instead of queueing at the servers.
+//! Both adapt to responses by additive increase and multiplicative decrease (AIMD). A response within a
+//! configured fraction of its class's latency target is timely and raises them; a late response lowers them.
+//! Requests beyond the limit are rejected early, the lowest value first, instead of queueing at the servers.
 
 use crate::interface::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Maximum time that one response accounts for, in latency targets, so that a single late response does not weigh too
-/// much if responses are rare.
+/// Maximum time that one response accounts for, in latency targets, so that a single late response does not
+/// weigh too much if responses are rare.
 const MAX_RESPONSE_WEIGHT: f64 = 0.2;
-/// Minimum admitted fraction. It is this low because retries may arrive at a hundred times the servers' capacity.
+/// Minimum admitted fraction. It is this low because retries may arrive at a hundred times the servers'
+/// capacity.
 const MIN_FRACTION: f64 = 0.01;
 /// Relative decrease of the fraction by late responses during one latency target.
 const FRACTION_DECREASE: f64 = 0.7;
@@ -20,14 +21,15 @@
 const FRACTION_INCREASE: f64 = 0.3;
 /// See [`FRACTION_INCREASE`].
 const FRACTION_INCREASE_OFFSET: f64 = 0.1;
-/// Number of attempts per server, from all gateways together, that are assumed to cause no queueing whatever the
-/// response times. The limit does not apply up to this gateway's share of them: idle servers give no responses, so a
-/// limit that admits nothing would never rise again.
+/// Number of attempts per server, from all gateways together, that are assumed to cause no queueing whatever
+/// the response times. The limit does not apply up to this gateway's share of them: idle servers give no
+/// responses, so a limit that admits nothing would never rise again.
 const IDLE_ATTEMPTS_PER_SERVER: f64 = 3.0;
 /// Factor on the limit at a late response.
 const LIMIT_DECREASE: f64 = 0.95;
-/// Increase of the limit at a timely response, in attempts; it is doubled at a limit of [`LIMIT_INCREASE_SCALE`]. Thus
-/// gateways with small limits converge to equal shares, and one late response in five keeps a limit of any size level.
+/// Increase of the limit at a timely response, in attempts; it is doubled at a limit of
+/// [`LIMIT_INCREASE_SCALE`]. Thus gateways with small limits converge to equal shares, and one late response
+/// in five keeps a limit of any size level.
 const LIMIT_INCREASE: f64 = 0.05;
 /// See [`LIMIT_INCREASE`].
 const LIMIT_INCREASE_SCALE: f64 = 5.0;
@@ -81,16 +83,17 @@
         self.limit = self.limit.max(self.idle_attempts);
     }
 
-    /// Number of attempts beyond those in flight up to which the servers count as idle. `None` if a server rejected an
-    /// attempt for lack of capacity within the last latency target.
+    /// Number of attempts beyond those in flight up to which the servers count as idle. `None` if a server
+    /// rejected an attempt for lack of capacity within the last latency target.
     pub fn idle_allowance(&self, now: Millis, latency_target: Millis, in_flight: f64) -> Option<f64> {
         (now >= self.server_overloaded_at + latency_target).then_some(self.idle_attempts - in_flight)
     }
 
     /// Fraction of the requests within quota that is admitted with `in_flight` attempts in flight.
     ///
-    /// Prevents that a surge is admitted before its late responses arrive. Above the limit the fraction falls to 0 over
-    /// two standard deviations of a Poisson count, so that random fluctuations do not cause rejections at a small limit.
+    /// Prevents that a surge is admitted before its late responses arrive. Above the limit the fraction falls
+    /// to 0 over two standard deviations of a Poisson count, so that random fluctuations do not cause
+    /// rejections at a small limit.
     pub fn admitted_fraction(&self, in_flight: f64) -> f64 {
         let slack = 2.0 * self.limit.sqrt() + 1.0;
         ((self.limit + slack - in_flight) / slack).clamp(0.0, self.fraction)
@@ -98,10 +101,10 @@
 
     /// Adapts to a response, or to an overdue one, with `in_flight` attempts that can still be in time.
     ///
-    /// The fraction changes in proportion to the time since the last response, so that the adaptation does not depend
-    /// on the number of gateways. Prevents overload by requests within quota, from a surge or from lost or slow
-    /// servers: requests of the lowest value are rejected early. As a drawback, throughput is lost if responses are
-    /// slow for reasons other than queueing.
+    /// The fraction changes in proportion to the time since the last response, so that the adaptation does
+    /// not depend on the number of gateways. Prevents overload by requests within quota, from a surge or from
+    /// lost or slow servers: requests of the lowest value are rejected early. As a drawback, throughput is
+    /// lost if responses are slow for reasons other than queueing.
     pub fn adapt(&mut self, now: Millis, latency_target: Millis, in_flight: f64, response: Timeliness) {
         let weight = ((now - self.adapted_at) / latency_target).min(MAX_RESPONSE_WEIGHT);
         self.adapted_at = now;
--- a/crates/brassport-policy/src/handover.rs
+++ b/crates/brassport-policy/src/handover.rs
@@ -1,7 +1,7 @@
 //! Hand-over state: a JSON text with the state that a gateway needs to replace another one.
 //!
-//! The names in the JSON belong to format version 3. Fields that were renamed in the code keep their JSON names by
-//! `#[serde(rename)]`, and types keep their names in error texts by `#[serde(expecting)]`.
+//! The names in the JSON belong to format version 3. Fields that were renamed in the code keep their JSON
+//! names by `#[serde(rename)]`, and types keep their names in error texts by `#[serde(expecting)]`.
 
 use crate::admission::QuotaAdmission;
 use crate::concurrency_limit::ConcurrencyLimit;
@@ -13,8 +13,8 @@
 use std::fmt;
 use std::io::{self, Write};
 
-/// Format version of the state. A state of another version is rejected. Must be incremented with each change of the
-/// format.
+/// Format version of the state. A state of another version is rejected. Must be incremented with each change
+/// of the format.
 const FORMAT_VERSION: u32 = 3;
 
 #[derive(Serialize, Deserialize)]
@@ -130,9 +130,9 @@
 }
 
 impl Gateway {
-    /// Returns the hand-over state: customers' accounts and rate limits, and the statistics of servers, classes and
-    /// the meter. Its times are on this gateway's clock, which the successor must continue. Empty if the state would
-    /// take more than `max_bytes`; the successor then starts without it.
+    /// Returns the hand-over state: customers' accounts and rate limits, and the statistics of servers,
+    /// classes and the meter. Its times are on this gateway's clock, which the successor must continue. Empty
+    /// if the state would take more than `max_bytes`; the successor then starts without it.
     pub fn handover_state(&self, max_bytes: usize) -> String {
         let state = HandoverState {
             version: FORMAT_VERSION,
@@ -147,15 +147,16 @@
             balancer: MaybeOwned::Borrowed(&self.balancer),
             concurrency: MaybeOwned::Borrowed(&self.concurrency),
         };
-        // Map keys are integers and all numbers are finite, so that everything can be represented in JSON; only the
-        // size limit can fail.
+        // Map keys are integers and all numbers are finite, so that everything can be represented in JSON;
+        // only the size limit can fail.
         let mut text = BoundedBuffer { bytes: Vec::new(), max_bytes };
         let written = serde_json::to_writer(&mut text, &state);
         written.ok().and_then(|()| String::from_utf8(text.bytes).ok()).unwrap_or_default()
     }
 
-    /// Continues from another gateway's state. `in_flight` contains the customer of each attempt in flight there.
-    /// Returns a log line if the state cannot be applied; the gateway then continues with its initial state.
+    /// Continues from another gateway's state. `in_flight` contains the customer of each attempt in flight
+    /// there. Returns a log line if the state cannot be applied; the gateway then continues with its initial
+    /// state.
     pub(crate) fn take_over(&mut self, state: &str, in_flight: &[CustomerId]) -> Option<String> {
         let error = self.apply_handover(state).err();
         for customer in in_flight {
--- a/crates/brassport-policy/src/interface/events.rs
+++ b/crates/brassport-policy/src/interface/events.rs
@@ -94,8 +94,8 @@
     },
     /// A complete request arrived. The gateway returns exactly one final answer to it.
     Request(Request),
-    /// A request arrived whose body is still being received, and is forwarded at the same time. Such a request
-    /// gets one attempt only.
+    /// A request arrived whose body is still being received, and is forwarded at the same time. Such a
+    /// request gets one attempt only.
     Upload(Request),
     /// The body of an [`Event::Upload`] request is complete and forwarded: the request's deadline starts.
     UploadComplete(RequestId),
--- a/crates/brassport-policy/src/interface/settings.rs
+++ b/crates/brassport-policy/src/interface/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of a gateway: request classes, plans, server behaviour and tuning.
 //!
-//! Settings are handed over to the next process as JSON, and operators see their names in errors. A renamed field or
-//! variant keeps its outer name by `#[serde(rename)]`.
+//! Settings are handed over to the next process as JSON, and operators see their names in errors. A renamed
+//! field or variant keeps its outer name by `#[serde(rename)]`.
 
 use super::validation::MAX_VALUE;
 use super::{Millis, Request};
@@ -25,8 +25,8 @@
     /// Always: the request is idempotent.
     #[serde(rename = "Free")]
     Idempotent,
-    /// The request has an idempotency key: servers in `scope` deduplicate it for `window` after the first attempt
-    /// that may have run.
+    /// The request has an idempotency key: servers in `scope` deduplicate it for `window` after the first
+    /// attempt that may have run.
     Keyed {
         /// The servers that deduplicate it.
         scope: Scope,
@@ -130,8 +130,8 @@
     /// Longest warm-up of a server, in milliseconds.
     #[serde(rename = "cold_for")]
     pub warm_up_duration: Millis,
-    /// Load, as a multiple of its present capacity, at which a server in warm-up collapses if the load lasts for
-    /// `collapse_after`.
+    /// Load, as a multiple of its present capacity, at which a server in warm-up collapses if the load lasts
+    /// for `collapse_after`.
     #[serde(rename = "tip_multiple")]
     pub collapse_load: f64,
     /// Time that a server in warm-up withstands `collapse_load`, in milliseconds.
@@ -152,11 +152,13 @@
     /// Factor on the expected wait at servers of another zone, above 0; 1: zones make no difference.
     #[serde(rename = "far")]
     pub remote_zone_factor: f64,
-    /// Fraction of the latency target after which a response, or an attempt in flight, counts as late, that is, as
-    /// a sign of queueing at the server. Between the fraction that work takes on an idle server, and 1.
+    /// Fraction of the latency target after which a response, or an attempt in flight, counts as late, that
+    /// is, as a sign of queueing at the server. Between the fraction that work takes on an idle server, and
+    /// 1.
     #[serde(rename = "late")]
     pub late_after_fraction: f64,
-    /// Fraction of the requests within quota that a new gateway admits until it has received responses, above 0.
+    /// Fraction of the requests within quota that a new gateway admits until it has received responses, above
+    /// 0.
     #[serde(rename = "start")]
     pub initial_admitted_fraction: f64,
     /// Retries that each first attempt adds to the retry budget.
@@ -175,8 +177,8 @@
 }
 
 impl Default for Tuning {
-    /// For zones with similar network costs, work that takes a small part of the latency target, and hundreds of
-    /// gateways that may start at the same time without knowledge of each other.
+    /// For zones with similar network costs, work that takes a small part of the latency target, and hundreds
+    /// of gateways that may start at the same time without knowledge of each other.
     fn default() -> Self {
         Tuning {
             remote_zone_factor: 1.1,
--- a/crates/brassport-policy/src/interface/validation.rs
+++ b/crates/brassport-policy/src/interface/validation.rs
@@ -55,8 +55,8 @@
 }
 
 impl Settings {
-    /// Whether a running gateway can switch from `current` to these settings: they are valid and have no fewer
-    /// classes or plans, since requests and statistics refer to both by index.
+    /// Whether a running gateway can switch from `current` to these settings: they are valid and have no
+    /// fewer classes or plans, since requests and statistics refer to both by index.
     pub fn can_replace(&self, current: &Settings) -> bool {
         let keeps = self.classes.len() >= current.classes.len() && self.plans.len() >= current.plans.len();
         keeps && self.validate().is_ok()
--- a/crates/brassport-policy/src/lib.rs
+++ b/crates/brassport-policy/src/lib.rs
@@ -1,32 +1,36 @@
 //! The decision module of the gateway: admission, load balancing and retries.
 //!
-//! It decides which requests are admitted, which server gets an attempt, whether a failed or slow attempt is retried,
-//! and when a request is rejected. The goals are that each customer of a shared back end stays within its plan, and
-//! that the back end is not overloaded. The module does no I/O and has no connections or socket timeouts. A host passes
-//! [`Event`]s to one [`Gateway`], each with the time on the host's monotonic clock in milliseconds, and executes the
-//! returned [`Action`]s in order. The decisions are deterministic: equal settings, seed and events give equal actions.
+//! It decides which requests are admitted, which server gets an attempt, whether a failed or slow attempt is
+//! retried, and when a request is rejected. The goals are that each customer of a shared back end stays
+//! within its plan, and that the back end is not overloaded. The module does no I/O and has no connections or
+//! socket timeouts. A host passes [`Event`]s to one [`Gateway`], each with the time on the host's monotonic
+//! clock in milliseconds, and executes the returned [`Action`]s in order. The decisions are deterministic:
+//! equal settings, seed and events give equal actions.
 //!
 //! # Requirements on the host
 //!
 //! * **Clock**: time never goes backwards between two calls.
 //! * **Timers**: each [`Action::SetTimer`] results in one [`Event::Timer`] at its time or shortly after.
-//! * **Order**: events are passed in the order in which they occurred, and every [`Action::Send`] is followed by exactly
-//!   one [`Event::AttemptEnd`].
-//! * **Isolation**: one gateway per process. Gateways share no state, and know of each other's load from the meter only.
+//! * **Order**: events are passed in the order in which they occurred, and every [`Action::Send`] is followed
+//!   by exactly one [`Event::AttemptEnd`].
+//! * **Isolation**: one gateway per process. Gateways share no state, and know of each other's load from the
+//!   meter only.
 //!
 //! # The decisions
 //!
-//! * **Quota** (`admission.rs`): each customer's requests are rejected at random with probability 1 - quota / offered
-//!   rate. The admission probability is set once per meter period from the meter's global reading. Its minimum is above
-//!   0, as without responses there would be no readings. Classes of low value are rejected first. Before its first
-//!   reading, a customer is assumed to be typical for its plan and to have an equal share of the quota at each of its
-//!   gateways. Customers that are idle until their token buckets are full are removed.
+//! * **Quota** (`admission.rs`): each customer's requests are rejected at random with probability 1 - quota /
+//!   offered rate. The admission probability is set once per meter period from the meter's global reading.
+//!   Its minimum is above 0, as without responses there would be no readings. Classes of low value are
+//!   rejected first. Before its first reading, a customer is assumed to be typical for its plan and to have
+//!   an equal share of the quota at each of its gateways. Customers that are idle until their token buckets
+//!   are full are removed.
 //! * **Rate limit** (`rate_limit.rs`): a hard limit, with a token bucket for a share of it at each gateway.
-//! * **Concurrency limit** (`concurrency_limit.rs`): AIMD on late and timely responses; requests beyond it are rejected
-//!   early.
-//! * **Load balancing** (`load_balancer.rs`, `server.rs`, `slow_start.rs`): least expected wait among sampled servers,
-//!   outlier ejection, and turns for servers in warm-up.
-//! * **Retries** (`request_lifecycle.rs`): only if the request may be sent again and the retry budget allows it.
+//! * **Concurrency limit** (`concurrency_limit.rs`): AIMD on late and timely responses; requests beyond it
+//!   are rejected early.
+//! * **Load balancing** (`load_balancer.rs`, `server.rs`, `slow_start.rs`): least expected wait among sampled
+//!   servers, outlier ejection, and turns for servers in warm-up.
+//! * **Retries** (`request_lifecycle.rs`): only if the request may be sent again and the retry budget allows
+//!   it.
 //!
 //! `policy.rs` combines these. The rest of the crate makes no decisions: [`interface`], the hand-over state
 //! ([`Gateway::handover_state`]), metrics for operators, and the simulator's [`wire`] format.
--- a/crates/brassport-policy/src/load_balancer.rs
+++ b/crates/brassport-policy/src/load_balancer.rs
@@ -1,10 +1,10 @@
 //! Load balancing: selects the server for the next attempt.
 //!
-//! The server with the least expected wait is chosen, estimated from this gateway's own attempts in flight and
-//! response times. With few gateways and a small fleet, all servers are compared. Otherwise a fixed number of
-//! servers is sampled by relative capacity, so that the cost of a choice does not depend on the fleet size. Samples
-//! come from this gateway's arc of a ring of servers; the arcs overlap, and each server is on the arcs of equally
-//! many gateways. Servers in warm-up get turns instead (`slow_start.rs`).
+//! The server with the least expected wait is chosen, estimated from this gateway's own attempts in flight
+//! and response times. With few gateways and a small fleet, all servers are compared. Otherwise a fixed
+//! number of servers is sampled by relative capacity, so that the cost of a choice does not depend on the
+//! fleet size. Samples come from this gateway's arc of a ring of servers; the arcs overlap, and each server
+//! is on the arcs of equally many gateways. Servers in warm-up get turns instead (`slow_start.rs`).
 
 use crate::interface::*;
 use crate::server::{MeanResponse, Server, HUNG_SILENCE};
@@ -15,15 +15,15 @@
 
 /// Maximum number of warm servers that are all compared, if there are few gateways.
 const MAX_COMPARED_SERVERS: usize = 32;
-/// Maximum number of servers sampled from a larger fleet; sampling stops at an idle server. If four in five servers
-/// are busy, all samples are busy once in two hundred choices.
+/// Maximum number of servers sampled from a larger fleet; sampling stops at an idle server. If four in five
+/// servers are busy, all samples are busy once in two hundred choices.
 const MAX_SAMPLES: usize = 24;
 /// Number of gateways that share each server of a larger fleet: a gateway's own attempts in flight reflect a
-/// server's queue only if few other gateways send to it. As a drawback, load is uneven if one gateway's customers
-/// offer far more load than those of its neighbours on the ring.
+/// server's queue only if few other gateways send to it. As a drawback, load is uneven if one gateway's
+/// customers offer far more load than those of its neighbours on the ring.
 const GATEWAYS_PER_SERVER: f64 = 4.0;
-/// Minimum number of servers on an arc, in addition to one per attempt in flight. It is small enough that a gateway
-/// with few requests reuses open connections and has recent response times of each server.
+/// Minimum number of servers on an arc, in addition to one per attempt in flight. It is small enough that a
+/// gateway with few requests reuses open connections and has recent response times of each server.
 const MIN_ARC_SERVERS: f64 = 8.0;
 /// Random fraction of a cost: breaks ties between equal servers, and hardly outweighs a real difference.
 const TIE_BREAK: f64 = 0.1;
@@ -66,7 +66,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Search {
     Continue,
-    /// Stop at an idle server of at least mean capacity and average latency: no server is better by more than the tie break.
+    /// Stop at an idle server of at least mean capacity and average latency: no server is better by more than
+    /// the tie break.
     Stop,
 }
 
@@ -83,7 +84,8 @@
     /// End of each warm-up. May contain stale entries, which the server's state does not confirm.
     #[serde(rename = "warming")]
     pub(crate) warm_up_ends: DueQueue,
-    /// Value of `choices` at which the next turn of each server in warm-up is considered. May contain stale entries.
+    /// Value of `choices` at which the next turn of each server in warm-up is considered. May contain stale
+    /// entries.
     pub(crate) turns: DueQueue,
     /// Sum over all choices so far of 1 / the fleet's capacity at that time.
     #[serde(rename = "passed")]
@@ -93,8 +95,8 @@
 }
 
 impl LoadBalancer {
-    /// Creates a load balancer without servers. Attempts in flight are counted by age up to the latency target of
-    /// each class.
+    /// Creates a load balancer without servers. Attempts in flight are counted by age up to the latency
+    /// target of each class.
     pub fn new(classes: &[Class]) -> LoadBalancer {
         LoadBalancer {
             servers: TrustedKeyMap::default(),
@@ -142,7 +144,8 @@
         Some(self.servers.get(&id)?.entry)
     }
 
-    /// Records that an attempt has been sent completely to a server. Returns a handle to end the attempt with.
+    /// Records that an attempt has been sent completely to a server. Returns a handle to end the attempt
+    /// with.
     pub fn start_attempt(&mut self, now: Millis, id: ServerId) -> AttemptHandle {
         self.servers.get_mut(&id).into_iter().for_each(|server| server.start_attempt(now));
         self.in_flight.start(now)
@@ -158,22 +161,22 @@
         }
     }
 
-    /// Whether a server's response times reflect the fleet's capacity. A server in warm-up gets its turns whatever
-    /// the length of its queue, so its response times count only if most servers are in warm-up. Otherwise all
-    /// gateways would reject requests while a part of the fleet restarts.
+    /// Whether a server's response times reflect the fleet's capacity. A server in warm-up gets its turns
+    /// whatever the length of its queue, so its response times count only if most servers are in warm-up.
+    /// Otherwise all gateways would reject requests while a part of the fleet restarts.
     pub fn is_representative(&self, id: ServerId) -> bool {
         let is_warm = |server: &Server| server.warm_up.is_none();
         self.warming_up.count > self.warm.members().len() || self.servers.get(&id).is_none_or(is_warm)
     }
 
-    /// Whether a server is presumed hung: it has an attempt in flight and has not responded for long, or it is not
-    /// in the list any more.
+    /// Whether a server is presumed hung: it has an attempt in flight and has not responded for long, or it
+    /// is not in the list any more.
     pub fn is_hung(&self, id: ServerId, now: Millis, mean_response: Millis) -> bool {
         self.servers.get(&id).is_none_or(|server| server.silence(now, mean_response) > HUNG_SILENCE)
     }
 
-    /// Updates the server's statistics with the end of an attempt. Returns a log line if this ejected the server,
-    /// or ended its ejection.
+    /// Updates the server's statistics with the end of an attempt. Returns a log line if this ejected the
+    /// server, or ended its ejection.
     pub fn record_outcome(
         &mut self,
         now: Millis,
@@ -196,8 +199,8 @@
         if idle.is_some() {
             return idle;
         }
-        // Compares all servers of a small fleet. Also those of a large fleet if no sample was acceptable: then
-        // nearly all servers are ejected, or only the servers of one zone or cell may serve the request.
+        // Compares all servers of a small fleet. Also those of a large fleet if no sample was acceptable:
+        // then nearly all servers are ejected, or only the servers of one zone or cell may serve the request.
         if candidates.preferred.is_none() {
             let warm = self.warm.members();
             warm.iter().for_each(|&id| _ = self.compare(id, selection, rng, &mut candidates));
@@ -209,8 +212,8 @@
         turn.fallback.or(candidates.fallback.map(|candidate| candidate.id))
     }
 
-    /// Compares samples of a larger fleet: from this gateway's arc, and from the whole ring if none of these was
-    /// acceptable. Returns a server that ends the search; `None` if the candidates have to be used.
+    /// Compares samples of a larger fleet: from this gateway's arc, and from the whole ring if none of these
+    /// was acceptable. Returns a server that ends the search; `None` if the candidates have to be used.
     fn sample(
         &self,
         selection: &Selection,
@@ -266,7 +269,8 @@
         }
     }
 
-    /// Applies the server list, or changes to it. Draining and removed servers get no new attempts from now on.
+    /// Applies the server list, or changes to it. Draining and removed servers get no new attempts from now
+    /// on.
     pub fn apply_list(
         &mut self,
         settings: &Settings,
--- a/crates/brassport-policy/src/metrics.rs
+++ b/crates/brassport-policy/src/metrics.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Returns the concurrency limit, in attempts in flight, and the fraction (0 to 1) of the requests within quota
-    /// that the servers have capacity for.
+    /// Returns the concurrency limit, in attempts in flight, and the fraction (0 to 1) of the requests within
+    /// quota that the servers have capacity for.
     pub fn capacity(&self) -> (f64, f64) {
         (self.concurrency.limit, self.concurrency.fraction)
     }
--- a/crates/brassport-policy/src/policy.rs
+++ b/crates/brassport-policy/src/policy.rs
@@ -68,8 +68,8 @@
     pub(crate) concurrency: ConcurrencyLimit,
     /// Number of retries that the retry budget allows at present.
     pub(crate) retry_budget: f64,
-    /// Whether another gateway has replaced this one, and alone spends the rate limits and the turns of servers
-    /// in warm-up.
+    /// Whether another gateway has replaced this one, and alone spends the rate limits and the turns of
+    /// servers in warm-up.
     pub(crate) retired: bool,
 }
 
@@ -90,7 +90,8 @@
 }
 
 impl Gateway {
-    /// Creates a gateway that starts at `now` with an empty server list. `seed` determines all its random draws.
+    /// Creates a gateway that starts at `now` with an empty server list. `seed` determines all its random
+    /// draws.
     ///
     /// # Errors
     /// Returns the first setting that is out of range.
@@ -114,8 +115,8 @@
         })
     }
 
-    /// Handles one event at time `now`, and appends the actions that the host must execute, in order. If `now` is
-    /// before the time of an earlier event, that time is used instead.
+    /// Handles one event at time `now`, and appends the actions that the host must execute, in order. If
+    /// `now` is before the time of an earlier event, that time is used instead.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
@@ -184,8 +185,8 @@
         }
     }
 
-    /// Records an arrival. Returns the time since the client's first attempt, in milliseconds, as estimated from
-    /// the remaining time of a client retry; 0 for a first attempt.
+    /// Records an arrival. Returns the time since the client's first attempt, in milliseconds, as estimated
+    /// from the remaining time of a client retry; 0 for a first attempt.
     fn record_arrival(&mut self, request: &Request, expires_in: Millis) -> Millis {
         let bounds = (self.settings.classes[request.class].deadline, self.settings.tick);
         let elapsed =
@@ -197,9 +198,9 @@
         elapsed
     }
 
-    /// Admits a request with a probability that depends on its customer's quota, the servers' capacity and its
-    /// class: classes of the lowest value are rejected first. One random draw decides on quota and capacity, so
-    /// that a rejection counts for one of them only.
+    /// Admits a request with a probability that depends on its customer's quota, the servers' capacity and
+    /// its class: classes of the lowest value are rejected first. One random draw decides on quota and
+    /// capacity, so that a rejection counts for one of them only.
     fn admit(&mut self, request: &Request, elapsed: Millis) -> Admission {
         let class = self.settings.classes[request.class];
         let by_quota = self.quota_probability(request);
@@ -212,9 +213,9 @@
             fraction.max(MIN_PROBABILITY * capacity)
         };
         let (quota, both, draw) = (by_class(1.0), by_class(capacity), self.rng.rand_float());
-        // A client retry that can only get a late response has the value of a late response, and must not spend
-        // the quota at full value. A long mean response time alone does not count as late: if nothing were sent,
-        // no shorter response time would ever be measured.
+        // A client retry that can only get a late response has the value of a late response, and must not
+        // spend the quota at full value. A long mean response time alone does not count as late: if nothing
+        // were sent, no shorter response time would ever be measured.
         let is_late = elapsed > 0.0 && elapsed + response > class.latency_target;
         let value = if is_late { class.late_value_fraction.min(1.0) } else { 1.0 };
         if by_quota <= 0.0 || draw >= quota * value {
@@ -226,8 +227,8 @@
         }
     }
 
-    /// Fraction of the requests within quota that the servers have capacity for, 0 to 1. It is 1 while servers are
-    /// idle, even if the concurrency limit is reached.
+    /// Fraction of the requests within quota that the servers have capacity for, 0 to 1. It is 1 while
+    /// servers are idle, even if the concurrency limit is reached.
     fn capacity_fraction(&mut self, class: usize, latency_target: Millis) -> f64 {
         let in_flight = self.balancer.in_flight_within_target(class, self.now);
         let all = self.balancer.in_flight();
@@ -264,8 +265,8 @@
         self.concurrency.adapt(self.now, self.settings.classes[class].latency_target, in_flight, response);
     }
 
-    /// Checks a few customers, and removes those that have been idle until all their token buckets are full. Also
-    /// logs, at most once per second, the rejections that are not due to a quota.
+    /// Checks a few customers, and removes those that have been idle until all their token buckets are full.
+    /// Also logs, at most once per second, the rejections that are not due to a quota.
     fn expire_customers(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let idle = self.expiry.next_matching(&self.customers, |customer| {
@@ -308,7 +309,8 @@
         match end.outcome {
             // Must not affect the limit; see `LoadBalancer::is_representative`.
             _ if !self.balancer.is_representative(id) => {}
-            // An overdue attempt has already counted as late; after the latency target it counts as late again.
+            // An overdue attempt has already counted as late; after the latency target it counts as late
+            // again.
             Outcome::Ok | Outcome::Overloaded | Outcome::TimedOut
                 if !was_overdue || end.elapsed_ms() > latency_target =>
             {
--- a/crates/brassport-policy/src/rate_limit.rs
+++ b/crates/brassport-policy/src/rate_limit.rs
@@ -1,7 +1,8 @@
 //! Hard rate limit of a customer over all gateways, without communication between them.
 //!
-//! Rate and burst of the limit are divided among the gateways through which a customer's requests come. Each gateway
-//! has a token bucket for its share. The shares add up to the limit, so it holds without coordination.
+//! Rate and burst of the limit are divided among the gateways through which a customer's requests come. Each
+//! gateway has a token bucket for its share. The shares add up to the limit, so it holds without
+//! coordination.
 
 use crate::interface::*;
 use brassport_policy_stats::TokenBucket;
@@ -14,8 +15,8 @@
     pub retry_after: Millis,
 }
 
-/// This gateway's share of one customer's rate limit. The bucket is empty when the gateway starts, as an earlier
-/// incarnation of the gateway may have spent the tokens.
+/// This gateway's share of one customer's rate limit. The bucket is empty when the gateway starts, as an
+/// earlier incarnation of the gateway may have spent the tokens.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(expecting = "tuple struct Ceiling")]
 pub struct RateLimitShare(TokenBucket);
@@ -28,8 +29,8 @@
 
     /// Takes the units of a request's first attempt from the share.
     ///
-    /// If equal shares were smaller than the largest request, such a request could never pass. In this case only some
-    /// of the customer's gateways have a share; the customer identifier determines which.
+    /// If equal shares were smaller than the largest request, such a request could never pass. In this case
+    /// only some of the customer's gateways have a share; the customer identifier determines which.
     pub fn try_take(
         &mut self,
         settings: &Settings,
--- a/crates/brassport-policy/src/request_lifecycle.rs
+++ b/crates/brassport-policy/src/request_lifecycle.rs
@@ -1,9 +1,10 @@
 //! Lifecycle of a request: queued or sent, retried, and completed with exactly one final answer.
 //!
 //! A request is opened with a deadline timer and admitted (`policy.rs`). It is then sent, or queued while its
-//! customer has the maximum number of attempts in flight. A timer checks for slow attempts. At the end of each
-//! attempt the request is retried, completed, failed or rejected. A retry requires that the class allows it, the
-//! maximum number of attempts is not reached, the latency target has not passed, and the retry budget is not empty.
+//! customer has the maximum number of attempts in flight. A timer checks for slow attempts. At the end of
+//! each attempt the request is retried, completed, failed or rejected. A retry requires that the class allows
+//! it, the maximum number of attempts is not reached, the latency target has not passed, and the retry budget
+//! is not empty.
 
 use crate::admission::{Conditions, IndexedPlan};
 use crate::concurrency_limit::Timeliness;
@@ -13,8 +14,8 @@
 
 /// Time after which an attempt in flight is slow and may be hedged, in mean response times.
 pub const SLOW_ATTEMPT: f64 = 3.0;
-/// Fraction of the latency target after which a queued request is rejected and an attempt counts as slow at the
-/// latest: what starts later is unlikely to meet the target.
+/// Fraction of the latency target after which a queued request is rejected and an attempt counts as slow at
+/// the latest: what starts later is unlikely to meet the target.
 const LATEST_START: f64 = 0.5;
 
 /// Kinds of request timers. A timer token is the request identifier, shifted by 2 bits, plus the kind.
@@ -26,8 +27,8 @@
 pub enum Body {
     /// The body has been received completely.
     Complete,
-    /// The body is still being received, and forwarded at the same time: the request has a single attempt, and no
-    /// deadline yet.
+    /// The body is still being received, and forwarded at the same time: the request has a single attempt,
+    /// and no deadline yet.
     Uploading,
 }
 
@@ -37,8 +38,8 @@
     /// The server's list entry at the time of the send.
     pub server: ServerEntry,
     sent: Millis,
-    /// Present once the request has been sent completely; until then the attempt does not count as in flight for
-    /// its server and customer.
+    /// Present once the request has been sent completely; until then the attempt does not count as in flight
+    /// for its server and customer.
     handle: Option<AttemptHandle>,
     in_flight: bool,
     /// Whether the attempt has counted as late while it was in flight.
@@ -95,6 +96,7 @@
         }
     }
 
+    /// Sets the deadline timer of a request.
     fn set_deadline(&self, request: &Request, actions: &mut Vec<Action>) {
         // The answer must reach the client before its timeout, with a margin of two ticks of the host.
         let at = self.now + (request.expires_in - 2.0 * self.settings.tick).max(0.0);
@@ -120,8 +122,8 @@
         }
     }
 
-    /// Sends the first attempt, or queues the request while its customer has the maximum number of attempts in
-    /// flight. Rejects the request if no server is available or the rate limit is exhausted.
+    /// Sends the first attempt, or queues the request while its customer has the maximum number of attempts
+    /// in flight. Rejects the request if no server is available or the rate limit is exhausted.
     pub(crate) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let (request, latency_target) = (self.requests[&id].request, self.requests[&id].class.latency_target);
         let plan = self.settings.plans[request.plan];
@@ -175,7 +177,8 @@
         }
     }
 
-    /// Marks the last attempt, now sent completely, as in flight, and sets a timer to check whether it is slow.
+    /// Marks the last attempt, now sent completely, as in flight, and sets a timer to check whether it is
+    /// slow.
     fn attempt_started(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = open.attempts.last_mut().filter(|attempt| attempt.in_flight) else { return };
@@ -208,7 +211,8 @@
         open.attempts.len() < max_attempts && self.now < open.arrived + open.class.latency_target
     }
 
-    /// Handles a progress timer: sends another attempt if one is slow, or rejects a request queued for too long.
+    /// Handles a progress timer: sends another attempt if one is slow, or rejects a request queued for too
+    /// long.
     fn check_progress(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let is_active =
             |open: &&mut OpenRequest| !open.is_answered && (open.is_queued || open.body == Body::Complete);
@@ -231,8 +235,8 @@
         }
     }
 
-    /// Sends another attempt in parallel to a slow one. If attempts may not run in parallel, cancels an attempt whose
-    /// server is hung.
+    /// Sends another attempt in parallel to a slow one. If attempts may not run in parallel, cancels an
+    /// attempt whose server is hung.
     fn handle_slow_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let open = &self.requests[&id];
         let Some(last) = open.attempts.last() else { return };
@@ -243,8 +247,8 @@
         if self.may_retry(open) {
             self.retry(id, actions);
         } else if one_at_a_time && self.has_attempts_left(open) {
-            // The end of the cancelled attempt triggers the retry. Its budget is spent here already, so that if many
-            // attempts hang at once, no more of them are cancelled than may be retried.
+            // The end of the cancelled attempt triggers the retry. Its budget is spent here already, so that
+            // if many attempts hang at once, no more of them are cancelled than may be retried.
             if self.retry_budget >= 1.0 && self.balancer.is_hung(last.server.id, self.now, mean) {
                 actions.push(Action::Cancel { request: id, attempt: (open.attempts.len() - 1) as u8 });
                 self.retry_budget -= 1.0;
@@ -263,7 +267,8 @@
         true
     }
 
-    /// Handles the end of an attempt: updates the statistics, and completes, retries, fails or rejects the request.
+    /// Handles the end of an attempt: updates the statistics, and completes, retries, fails or rejects the
+    /// request.
     pub(crate) fn attempt_ended(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get_mut(&end.request) else { return };
         let attempt = open.attempts.get_mut(usize::from(end.attempt));
@@ -296,9 +301,10 @@
         }
     }
 
+    /// Retries a request after the end of its only attempt in flight, or gives the final answer.
     fn retry_or_end(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
-        // Refunds the budget: for a cancelled attempt it was spent at the cancellation, and an attempt that was never
-        // sent costs nothing.
+        // Refunds the budget that the retry below spends again: for a cancelled attempt it was spent at the
+        // cancellation, and an attempt that was never sent costs nothing.
         let is_unsent = matches!(end.outcome, Outcome::Cancelled | Outcome::NotSent);
         self.retry_budget += if is_unsent { 1.0 } else { 0.0 };
         if !(self.may_retry(&self.requests[&end.request]) && self.retry(end.request, actions)) {
@@ -306,8 +312,8 @@
         }
     }
 
-    /// Releases the slot of a customer's attempt that ended, here or at a gateway that this one replaced, and sends
-    /// the customer's next queued request.
+    /// Releases the slot of a customer's attempt that ended, here or at a gateway that this one replaced, and
+    /// sends the customer's next queued request.
     pub(crate) fn release_slot(&mut self, customer: CustomerId, actions: &mut Vec<Action>) {
         let Some(customer) = self.customers.get_mut(&customer) else { return };
         customer.in_flight = customer.in_flight.saturating_sub(1);
@@ -316,8 +322,8 @@
         }
     }
 
-    /// Gives the final answer to a request without a response: a rejection if no attempt can have run, otherwise a
-    /// failure.
+    /// Gives the final answer to a request without a response: a rejection if no attempt can have run,
+    /// otherwise a failure.
     fn end_without_response(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get(&id).filter(|open| !open.is_answered) else { return };
         if open.first_possible_run().is_none() {
@@ -328,8 +334,8 @@
         self.close(id);
     }
 
-    /// Handles a client's disconnect: cancels idempotent attempts and lets others run to their end. The request is not
-    /// retried.
+    /// Handles a client's disconnect: cancels idempotent attempts and lets others run to their end. The
+    /// request is not retried.
     pub(crate) fn client_disconnected(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.requests.get(&id).is_some_and(|open| open.class.retry_safety == RetrySafety::Idempotent) {
             self.cancel_attempts(id, actions);
@@ -363,6 +369,7 @@
         self.remove_if_complete(id);
     }
 
+    /// Removes a request that is answered and has no attempts in flight.
     fn remove_if_complete(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|open| open.is_answered && !open.has_attempt_in_flight()) {
             self.requests.swap_remove(&id);
--- a/crates/brassport-policy/src/server.rs
+++ b/crates/brassport-policy/src/server.rs
@@ -1,7 +1,8 @@
 //! State of one server: attempts in flight, latency ratio, and outlier detection.
 //!
-//! A server is ejected after consecutive failures, for a time that doubles with each further failure. In addition
-//! each failure counts as a very slow response, so that a server that fails some of its requests gets fewer of them.
+//! A server is ejected after consecutive failures, for a time that doubles with each further failure. In
+//! addition each failure counts as a very slow response, so that a server that fails some of its requests
+//! gets fewer of them.
 
 use crate::interface::*;
 use crate::load_balancer::Selection;
@@ -10,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Time without a response while an attempt is in flight, in mean response times, after which a server is presumed
-/// hung.
+/// Time without a response while an attempt is in flight, in mean response times, after which a server is
+/// presumed hung.
 pub const HUNG_SILENCE: f64 = 4.0;
 /// Maximum latency ratio of a response, and the latency ratio that a failure counts as.
 const MAX_LATENCY_RATIO: f64 = 2.0 * HUNG_SILENCE;
@@ -45,8 +46,8 @@
     /// Send times of this gateway's attempts in flight, oldest first.
     #[serde(skip)]
     in_flight: VecDeque<Millis>,
-    /// Response time as a multiple of the fleet's mean. It decays to 1, so that a slow server is tried again after
-    /// a while.
+    /// Response time as a multiple of the fleet's mean. It decays to 1, so that a slow server is tried again
+    /// after a while.
     #[serde(rename = "slowness")]
     latency_ratio: DecayingFactor,
     /// Time of the last response.
@@ -55,8 +56,9 @@
     #[serde(rename = "strikes")]
     consecutive_failures: u32,
     ejected_until: Millis,
-    /// Share of the choices that the server has accumulated in warm-up; 1 is a complete turn. Kept while the server
-    /// drains, so that a server that is removed from the list and added again gets no additional turns.
+    /// Share of the choices that the server has accumulated in warm-up; 1 is a complete turn. Kept while the
+    /// server drains, so that a server that is removed from the list and added again gets no additional
+    /// turns.
     #[serde(rename = "lot")]
     pub turn_credit: f64,
     /// Present while the server is ready and in warm-up.
@@ -105,8 +107,8 @@
         self.entry.lifecycle == Lifecycle::Removed && self.in_flight.is_empty()
     }
 
-    /// Whether the request may be sent to this server at all: the retry of a request with an idempotency key may
-    /// only go to servers that deduplicate it.
+    /// Whether the request may be sent to this server at all: the retry of a request with an idempotency key
+    /// may only go to servers that deduplicate it.
     pub fn may_serve(&self, selection: &Selection) -> bool {
         match (selection.retry_safety, selection.ran_at) {
             (RetrySafety::Keyed { scope: Scope::Zone, .. }, Some(ran_at)) => ran_at.zone == self.entry.zone,
@@ -115,16 +117,17 @@
         }
     }
 
-    /// Whether the server is ejected. After an ejection it gets one attempt, and further ones after that attempt has
-    /// succeeded.
+    /// Whether the server is ejected. After an ejection it gets one attempt, and further ones after that
+    /// attempt has succeeded.
     pub fn is_ejected(&self, now: Millis) -> bool {
         let has_probe_in_flight =
             self.consecutive_failures >= EJECTION_FAILURES && !self.in_flight.is_empty();
         now < self.ejected_until || has_probe_in_flight
     }
 
-    /// Time that the server has had an attempt in flight and has not responded, in mean response times. A gateway
-    /// cannot distinguish a hung, paused, slow or partitioned server, and reacts to all of them alike.
+    /// Time that the server has had an attempt in flight and has not responded, in mean response times. A
+    /// gateway cannot distinguish a hung, paused, slow or partitioned server, and reacts to all of them
+    /// alike.
     pub fn silence(&self, now: Millis, mean: Millis) -> f64 {
         let Some(oldest) = self.in_flight.front() else { return 0.0 };
         (now - oldest.max(self.responded_at)) / mean.max(1.0)
@@ -137,8 +140,8 @@
         (self.in_flight.len() as f64 + 1.0) * latency_ratio * zone_factor / self.entry.relative_capacity()
     }
 
-    /// Updates the statistics with the end of an attempt. Returns a log line if this ejected the server, or ended
-    /// its ejection.
+    /// Updates the statistics with the end of an attempt. Returns a log line if this ejected the server, or
+    /// ended its ejection.
     pub fn record_outcome(&mut self, now: Millis, end: &AttemptEnd, mean: MeanResponse) -> Option<String> {
         self.latency_ratio.decay_to(now, LATENCY_RATIO_DECAY * mean.overall.max(1.0));
         let before = self.consecutive_failures;
--- a/crates/brassport-policy/src/slow_start.rs
+++ b/crates/brassport-policy/src/slow_start.rs
@@ -1,21 +1,21 @@
 //! Slow start: limits the requests that a server gets while it warms up.
 //!
-//! A server in warm-up collapses if it gets much more load than its present capacity. It therefore gets turns in
-//! proportion to its share of the fleet's present capacity, whatever its response times. Any number of gateways
-//! together then send it no more load, relative to its capacity, than a warm server. If few warm servers are left,
-//! the remaining requests are rejected. Turns are evenly spaced from a random start, since independent random draws
-//! would come in runs that overload the server.
+//! A server in warm-up collapses if it gets much more load than its present capacity. It therefore gets turns
+//! in proportion to its share of the fleet's present capacity, whatever its response times. Any number of
+//! gateways together then send it no more load, relative to its capacity, than a warm server. If few warm
+//! servers are left, the remaining requests are rejected. Turns are evenly spaced from a random start, since
+//! independent random draws would come in runs that overload the server.
 
 use crate::interface::*;
 use crate::load_balancer::{LoadBalancer, Selection};
 use serde::{Deserialize, Serialize};
 
-/// Fraction of the allowed load of a server in warm-up that is used. The rest is a margin for requests of unequal
-/// cost and for gateways that do not know of the server's start yet; the gateways that know are safe below two
-/// thirds.
+/// Fraction of the allowed load of a server in warm-up that is used. The rest is a margin for requests of
+/// unequal cost and for gateways that do not know of the server's start yet; the gateways that know are safe
+/// below two thirds.
 const ALLOWANCE_MARGIN: f64 = 0.62;
-/// Fraction of a turn after which a skipped turn is considered again. A turn is skipped if the server is ejected, was
-/// tried for the request or may not serve it.
+/// Fraction of a turn after which a skipped turn is considered again. A turn is skipped if the server is
+/// ejected, was tried for the request or may not serve it.
 const SKIPPED_TURN_DELAY: f64 = 0.25;
 /// Maximum number of turns that a server accumulates.
 const MAX_TURNS: f64 = 2.0;
@@ -117,7 +117,8 @@
         server.turn_credit -= if is_taken { server.turn_credit.min(1.0) } else { 0.0 };
         let next =
             if has_turn && !is_taken { SKIPPED_TURN_DELAY } else { (1.0 - server.turn_credit).max(0.0) };
-        // Strictly greater than `choices` in spite of rounding, so that each server is considered once per choice.
+        // Strictly greater than `choices` in spite of rounding, so that each server is considered once per
+        // choice.
         let later = self.choices * (1.0 + f64::EPSILON) + f64::MIN_POSITIVE;
         warm_up.due = later.max(self.choices + next / capacity_fraction.max(f64::MIN_POSITIVE));
         self.turns.push(warm_up.due, id);
@@ -142,7 +143,8 @@
         }
     }
 
-    /// Adds a server to the warm servers or to those in warm-up, or to neither, by its list entry and the time.
+    /// Adds a server to the warm servers or to those in warm-up, or to neither, by its list entry and the
+    /// time.
     pub(crate) fn classify(&mut self, id: ServerId, settings: &Settings, now: Millis) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         let is_ready = server.entry.lifecycle == Lifecycle::Ready;
--- a/crates/brassport-policy/src/wire/frame.rs
+++ b/crates/brassport-policy/src/wire/frame.rs
@@ -109,8 +109,8 @@
         f64::from_be_bytes(self.take(at))
     }
 
-    /// Returns the part of the tail that the reference at offset `at` refers to. A reference consists of an offset in
-    /// bytes and a length in units of `unit` bytes. `what` names the field in errors.
+    /// Returns the part of the tail that the reference at offset `at` refers to. A reference consists of an
+    /// offset in bytes and a length in units of `unit` bytes. `what` names the field in errors.
     pub(super) fn tail<'t>(
         &self,
         at: usize,
--- a/crates/brassport-policy/src/wire/mod.rs
+++ b/crates/brassport-policy/src/wire/mod.rs
@@ -1,9 +1,10 @@
 //! Codec of the simulator's wire format: converts frames, records and settings to and from the types of
 //! [`crate::interface`], without decisions.
 //!
-//! All numbers are big-endian. A frame to the adapter contains the clock and event records of [`EVENT_RECORD_BYTES`]
-//! bytes each; a frame from the adapter contains action records of [`ACTION_RECORD_BYTES`] bytes each. Both end with a
-//! tail of texts and lists, to which records refer by offset.
+//! All numbers are big-endian. A frame to the adapter contains the clock and event records of
+//! [`EVENT_RECORD_BYTES`] bytes each; a frame from the adapter contains action records of
+//! [`ACTION_RECORD_BYTES`] bytes each. Both end with a tail of texts and lists, to which records refer by
+//! offset.
 
 mod event;
 mod frame;
--- a/crates/brassport-policy/src/wire/settings.rs
+++ b/crates/brassport-policy/src/wire/settings.rs
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Parses a list of objects. Its length is at `path.count`, and the fields of each object are below `path.INDEX`.
+    /// Parses a list of objects. Its length is at `path.count`, and the fields of each object are below
+    /// `path.INDEX`.
     fn list<T>(&self, path: &str, item: impl Fn(&str) -> Result<T, WireError>) -> Result<Vec<T>, WireError> {
         let count: u16 = self.get(&format!("{path}.count"))?;
         (0..count).map(|index| item(&format!("{path}.{index}"))).collect()
