--- a/crates/brassport-policy/tests/it/admission.rs
+++ b/crates/brassport-policy/tests/it/admission.rs
@@ -98,11 +98,11 @@
         expires_in,
         is_client_retry: false,
     };
-    let out = !sends(&host.event(Event::Request(request))).is_empty();
-    if out {
+    let is_sent = !sends(&host.event(Event::Request(request))).is_empty();
+    if is_sent {
         host.end(id, 0, Outcome::Ok, used);
     }
-    out
+    is_sent
 }
 
 /// Submits `rate` requests per second of such a customer to one gateway for `seconds`, without meter
@@ -112,10 +112,10 @@
     let (mut sent, mut offered) = (0.0, 0.0);
     for id in 1..=(rate * seconds) as u64 {
         host.now += 1000.0 / rate;
-        let out = submit_one_of_fifty(&mut host, id, 1, None);
+        let is_sent = submit_one_of_fifty(&mut host, id, 1, None);
         if host.now > seconds * 500.0 {
             offered += 1.0;
-            sent += f64::from(u8::from(out));
+            sent += f64::from(u8::from(is_sent));
         }
     }
     (sent, offered)
@@ -138,11 +138,11 @@
 /// other gateways behave alike: readings report the fraction of the load that is admitted here.
 fn host_with_plan_usage(load: f64) -> Host {
     let mut host = one_of_fifty();
-    let mut part = 1.0;
+    let mut admitted_fraction = 1.0;
     for customer in 1..=400 {
         host.now += 5.0;
-        let out = submit_one_of_fifty(&mut host, customer, customer, Some(load * part));
-        part += 0.05 * (f64::from(u8::from(out)) - part);
+        let is_sent = submit_one_of_fifty(&mut host, customer, customer, Some(load * admitted_fraction));
+        admitted_fraction += 0.05 * (f64::from(u8::from(is_sent)) - admitted_fraction);
     }
     host
 }
@@ -242,7 +242,7 @@
         let (id, _) = host.submit(1, 0, 0);
         host.end(id, 0, Outcome::Ok, Some(0.5));
     }
-    // Clients time out after 4 s. With 2.9 s left the first attempt was 1.1 s ago, beyond the latency target
+    // Clients time is_sent after 4 s. With 2.9 s left the first attempt was 1.1 s ago, beyond the latency target
     // of 1 s.
     assert!(is_rejected(&host.submit_retry(1, 0, 2900.0)));
     assert!(!is_rejected(&host.submit_retry(1, 0, 3900.0)));
@@ -397,12 +397,12 @@
             expires_in,
             is_client_retry: repeat,
         };
-        let out = !sends(&host.event(Event::Request(request))).is_empty();
-        if out {
+        let is_sent = !sends(&host.event(Event::Request(request))).is_empty();
+        if is_sent {
             host.end(step, 0, Outcome::Ok, None);
         }
         if step >= 800 && !repeat {
-            (sent, offered) = (sent + u32::from(out), offered + 1);
+            (sent, offered) = (sent + u32::from(is_sent), offered + 1);
         }
     }
     assert!(sent > 9 * offered / 10, "{sent} of {offered} first attempts admitted");
--- a/crates/brassport-policy/tests/it/golden/handover.rs
+++ b/crates/brassport-policy/tests/it/golden/handover.rs
@@ -5,7 +5,7 @@
 /// A gateway after a fixed history. If `idle`, no server is in warm-up and no attempt is in flight at the
 /// end.
 fn gateway_with_history(idle: bool) -> Gateway {
-    let mut gateway = Gateway::new(sample_settings(), 11, 0.0).expect("sound settings");
+    let mut gateway = Gateway::new(sample_settings(), 11, 0.0).expect("the settings are valid");
     let mut actions = Vec::new();
     let entries = (1..9).map(|id| server(id, Lifecycle::Ready, (id < 4 && !idle).then_some(-1500.0)));
     gateway.handle(0.0, Event::Servers { kind: ListKind::Full, entries: entries.collect() }, &mut actions);
@@ -39,7 +39,7 @@
 const MAX_BYTES: usize = 1 << 20;
 
 fn successor(state: &str) -> (Gateway, Vec<Action>) {
-    let mut gateway = Gateway::new(sample_settings(), 12, 0.0).expect("sound settings");
+    let mut gateway = Gateway::new(sample_settings(), 12, 0.0).expect("the settings are valid");
     let mut actions = Vec::new();
     let state = state.to_string();
     gateway.handle(0.0, Event::ApplyHandover { state, in_flight: vec![101, 101, 9999] }, &mut actions);
@@ -68,7 +68,7 @@
 fn an_idle_gateways_state_round_trips() {
     let fixture = GOLDEN
         .same_text("heritage-calm.json", &(gateway_with_history(true).handover_state(MAX_BYTES) + "\n"));
-    let mut gateway = Gateway::new(sample_settings(), 12, 0.0).expect("sound settings");
+    let mut gateway = Gateway::new(sample_settings(), 12, 0.0).expect("the settings are valid");
     let mut actions = Vec::new();
     let state = fixture.trim_end().to_string();
     gateway.handle(0.0, Event::ApplyHandover { state, in_flight: Vec::new() }, &mut actions);
@@ -80,7 +80,7 @@
 
 #[test]
 fn the_state_of_a_new_gateway_is_unchanged() {
-    let gateway = Gateway::new(sample_settings(), 11, 0.0).expect("sound settings");
+    let gateway = Gateway::new(sample_settings(), 11, 0.0).expect("the settings are valid");
     GOLDEN.same_text("heritage-new.json", &(gateway.handover_state(MAX_BYTES) + "\n"));
 }
 
--- a/crates/brassport-policy/tests/it/invariants.rs
+++ b/crates/brassport-policy/tests/it/invariants.rs
@@ -99,11 +99,14 @@
             limited_units: BTreeMap::new(),
             trace: Vec::new(),
         };
-        host.list(ListKind::Full, &[(1, Lifecycle::Ready), (2, Lifecycle::Ready), (3, Lifecycle::Ready)]);
+        host.apply_list(
+            ListKind::Full,
+            &[(1, Lifecycle::Ready), (2, Lifecycle::Ready), (3, Lifecycle::Ready)],
+        );
         host
     }
 
-    fn list(&mut self, kind: ListKind, servers: &[(ServerId, Lifecycle)]) {
+    fn apply_list(&mut self, kind: ListKind, servers: &[(ServerId, Lifecycle)]) {
         if kind != ListKind::Failed {
             if kind != ListKind::Delta {
                 self.listed.values_mut().for_each(|state| *state = Lifecycle::Removed);
@@ -129,13 +132,13 @@
 
     fn check_send(&mut self, request: RequestId, server: ServerId) {
         assert_eq!(self.listed.get(&server), Some(&Lifecycle::Ready), "sent to a server that is not ready");
-        let known = self.requests.get_mut(&request).expect("a known request");
-        assert!(!known.is_complete, "sent after the final answer");
-        assert!(known.attempts.len() < self.settings.max_attempts as usize, "too many attempts");
-        let has_in_flight = known.attempts.iter().any(|attempt| attempt.1.is_none());
+        let state = self.requests.get_mut(&request).expect("a known request");
+        assert!(!state.is_complete, "sent after the final answer");
+        assert!(state.attempts.len() < self.settings.max_attempts as usize, "too many attempts");
+        let has_in_flight = state.attempts.iter().any(|attempt| attempt.1.is_none());
         assert!(self.settings.allow_hedging || !has_in_flight, "two attempts in flight");
-        let ran = known.attempts.iter().find(|attempt| attempt.1.is_none_or(|end| !end.never_ran()));
-        match (self.settings.classes[known.class].retry_safety, ran) {
+        let ran = state.attempts.iter().find(|attempt| attempt.1.is_none_or(|end| !end.never_ran()));
+        match (self.settings.classes[state.class].retry_safety, ran) {
             (RetrySafety::NonIdempotent, Some(_)) => panic!("a non-idempotent request was sent again"),
             (RetrySafety::Keyed { window, .. }, Some(ran)) => {
                 assert!(
@@ -146,33 +149,33 @@
             }
             _ => {}
         }
-        let plan = self.settings.plans[known.plan];
-        if known.attempts.is_empty() && plan.hard_limit_rate > 0.0 {
-            let sent = self.limited_units.entry(known.customer).or_insert(0.0);
-            *sent += known.units;
+        let plan = self.settings.plans[state.plan];
+        if state.attempts.is_empty() && plan.hard_limit_rate > 0.0 {
+            let sent = self.limited_units.entry(state.customer).or_insert(0.0);
+            *sent += state.units;
             let share = plan.hard_limit_rate / 2.0 * self.now / 1000.0;
             assert!(*sent <= share + 1e-6, "the share of the rate limit is exceeded: {sent} of {share}");
         }
-        self.in_flight.push((request, known.attempts.len() as u8));
-        known.attempts.push((self.now, None, server as u16 % 2));
+        self.in_flight.push((request, state.attempts.len() as u8));
+        state.attempts.push((self.now, None, server as u16 % 2));
     }
 
     fn check(&mut self, action: &Action) {
         match *action {
             Action::Send { request, server, .. } => self.check_send(request, server),
             Action::Reject { request, .. } => {
-                let known = self.requests.get(&request).expect("a known request");
+                let state = self.requests.get(&request).expect("a known request");
                 let may_have_run =
-                    known.attempts.iter().any(|attempt| attempt.1.is_none_or(|end| !end.never_ran()));
+                    state.attempts.iter().any(|attempt| attempt.1.is_none_or(|end| !end.never_ran()));
                 let idempotent = self
                     .settings
                     .classes
-                    .get(known.class)
+                    .get(state.class)
                     .is_none_or(|class| class.retry_safety == RetrySafety::Idempotent);
                 assert!(idempotent || !may_have_run, "a request that may have run was rejected");
-                self.answer(request);
+                self.check_answer(request);
             }
-            Action::Fail(request) => self.answer(request),
+            Action::Fail(request) => self.check_answer(request),
             Action::SetTimer { at, token } => {
                 assert!(at.is_finite());
                 self.timers.push((at, token));
@@ -184,11 +187,11 @@
         }
     }
 
-    fn answer(&mut self, request: u64) {
-        let known = self.requests.get_mut(&request).expect("a known request");
-        known.answers += 1;
-        assert!(!known.is_complete && known.answers == 1, "two final answers");
-        known.is_complete = true;
+    fn check_answer(&mut self, request: u64) {
+        let state = self.requests.get_mut(&request).expect("a known request");
+        state.answers += 1;
+        assert!(!state.is_complete && state.answers == 1, "two final answers");
+        state.is_complete = true;
     }
 
     fn wait(&mut self, until: f64) {
@@ -200,9 +203,9 @@
             self.event(Event::Timer(token));
         }
         self.now = self.now.max(until);
-        for (id, known) in &self.requests {
+        for (id, state) in &self.requests {
             assert!(
-                known.is_complete || self.now <= known.deadline + self.settings.tick,
+                state.is_complete || self.now <= state.deadline + self.settings.tick,
                 "request {id} has no final answer"
             );
         }
@@ -210,14 +213,14 @@
 
     fn end(&mut self, pick: usize, outcome: Outcome, used: Option<f64>) {
         let (request, attempt) = self.in_flight.swap_remove(pick % self.in_flight.len());
-        let known = self.requests.get_mut(&request).expect("a known request");
-        let sent = &mut known.attempts[usize::from(attempt)];
+        let state = self.requests.get_mut(&request).expect("a known request");
+        let sent = &mut state.attempts[usize::from(attempt)];
         sent.1 = Some(outcome);
         let elapsed = self.now - sent.0;
-        if outcome == Outcome::Ok && !known.is_complete {
-            known.is_complete = true;
+        if outcome == Outcome::Ok && !state.is_complete {
+            state.is_complete = true;
         }
-        let finished = known.is_complete;
+        let finished = state.is_complete;
         self.event(Event::AttemptEnd(AttemptEnd { request, attempt, outcome, elapsed, finished, used }));
     }
 
@@ -242,9 +245,9 @@
         let id = self.requests.len() as u64 + 1;
         let deadline = self.now + expires_in;
         let attempts = Vec::new();
-        let known =
+        let state =
             RequestState { plan, class, customer, units, deadline, answers: 0, is_complete: false, attempts };
-        self.requests.insert(id, known);
+        self.requests.insert(id, state);
         let is_client_retry = id % 3 == 0;
         let request = Request {
             id,
@@ -268,12 +271,12 @@
             }
             Step::Disconnect { pick } if !self.requests.is_empty() => {
                 let id = (pick % self.requests.len()) as u64 + 1;
-                if let Some(known) = self.requests.get_mut(&id) {
-                    known.is_complete = true;
+                if let Some(state) = self.requests.get_mut(&id) {
+                    state.is_complete = true;
                 }
                 self.event(Event::ClientDisconnected(id));
             }
-            Step::List { kind, ref servers } => self.list(kind, servers),
+            Step::List { kind, ref servers } => self.apply_list(kind, servers),
             Step::Wait { time } => self.wait(self.now + time),
             Step::Invalid { id, attempt, token } => self.handle_invalid(id, attempt, token),
             Step::End { .. } | Step::Disconnect { .. } => {}
--- a/crates/brassport-policy/tests/it/load_balancer_model.rs
+++ b/crates/brassport-policy/tests/it/load_balancer_model.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone)]
 struct ModelServer {
     entry: ServerEntry,
-    out: Vec<Millis>,
+    in_flight: Vec<Millis>,
     latency_ratio: f64,
     updated_at: Millis,
     responded_at: Millis,
@@ -43,7 +43,7 @@
     }
 
     fn is_ejected(&self, now: Millis) -> bool {
-        now < self.ejected_until || self.failures >= 3 && !self.out.is_empty()
+        now < self.ejected_until || self.failures >= 3 && !self.in_flight.is_empty()
     }
 
     fn is_warming_up(&self, now: Millis) -> bool {
@@ -70,11 +70,13 @@
 
     /// The expected wait, without the random tie break.
     fn wait(&self, now: Millis, mean: Millis) -> f64 {
-        let silence =
-            self.out.first().map_or(0.0, |oldest| (now - oldest.max(self.responded_at)) / mean.max(1.0));
+        let silence = self
+            .in_flight
+            .first()
+            .map_or(0.0, |oldest| (now - oldest.max(self.responded_at)) / mean.max(1.0));
         let latency_ratio = self.latency_ratio(now, mean).max(silence / 2.0).max(0.2);
-        let far = if self.entry.zone == 0 { 1.0 } else { 1.1 };
-        (self.out.len() as f64 + 1.0) * latency_ratio * far / self.capacity()
+        let zone_factor = if self.entry.zone == 0 { 1.0 } else { 1.1 };
+        (self.in_flight.len() as f64 + 1.0) * latency_ratio * zone_factor / self.capacity()
     }
 }
 
@@ -125,7 +127,7 @@
         }
     }
 
-    fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
+    fn apply_list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
         if kind == ListKind::Full {
             self.servers.values_mut().for_each(|server| server.entry.lifecycle = Lifecycle::Removed);
         }
@@ -133,7 +135,7 @@
             let now = self.now;
             let server = self.servers.entry(entry.id).or_insert_with(|| ModelServer {
                 entry,
-                out: Vec::new(),
+                in_flight: Vec::new(),
                 latency_ratio: 1.0,
                 updated_at: now,
                 responded_at: now,
@@ -146,7 +148,7 @@
             server.entry = entry;
         }
         self.servers
-            .retain(|_, server| server.entry.lifecycle != Lifecycle::Removed || !server.out.is_empty());
+            .retain(|_, server| server.entry.lifecycle != Lifecycle::Removed || !server.in_flight.is_empty());
         self.handle(Event::Servers { kind, entries });
     }
 
@@ -167,21 +169,21 @@
     }
 
     fn end(&mut self, which: usize, outcome: Outcome, elapsed: Millis) {
-        let out: Vec<(u64, usize)> = self
+        let in_flight: Vec<(u64, usize)> = self
             .open
             .iter()
             .flat_map(|(&id, attempts)| attempts.iter().enumerate().map(move |(n, a)| (id, n, a.2)))
-            .filter_map(|(id, n, out)| out.then_some((id, n)))
+            .filter_map(|(id, n, in_flight)| in_flight.then_some((id, n)))
             .collect();
-        let Some(&(request, attempt)) = out.get(which % out.len().max(1)) else { return };
-        let known = &mut self.open.get_mut(&request).expect("it is open")[attempt];
-        (known.2, known.3) = (false, !outcome.never_ran());
-        let (entry, sent, ..) = *known;
+        let Some(&(request, attempt)) = in_flight.get(which % in_flight.len().max(1)) else { return };
+        let state = &mut self.open.get_mut(&request).expect("the request is open")[attempt];
+        (state.2, state.3) = (false, !outcome.never_ran());
+        let (entry, sent, ..) = *state;
         let (now, mean) = (self.now, self.mean);
         if let Some(server) = self.servers.get_mut(&entry.id) {
-            let index = server.out.iter().position(|at| *at == sent).expect("its send is known");
-            server.out.remove(index);
-            if server.out.is_empty() && server.entry.lifecycle == Lifecycle::Removed {
+            let index = server.in_flight.iter().position(|at| *at == sent).expect("the send was recorded");
+            server.in_flight.remove(index);
+            if server.in_flight.is_empty() && server.entry.lifecycle == Lifecycle::Removed {
                 self.servers.remove(&entry.id);
             } else {
                 server.record_outcome(now, mean, outcome, elapsed);
@@ -202,8 +204,8 @@
         for action in actions {
             if let Action::Send { request, server, .. } = action {
                 self.check(request, server);
-                let server = self.servers.get_mut(&server).expect("checked");
-                server.out.push(self.now);
+                let server = self.servers.get_mut(&server).expect("the server is in the list");
+                server.in_flight.push(self.now);
                 let entry = server.entry;
                 self.open.entry(request).or_default().push((entry, self.now, true, true));
                 self.sends += 1;
@@ -324,7 +326,7 @@
         let retry_safety = if repeats == 0 { RetrySafety::Idempotent } else { RetrySafety::Keyed { scope, window: 10_000.0 } };
         let mut model = Model::new(seed, retry_safety);
         let warm = |id| ServerEntry { lifecycle: Lifecycle::Ready, launched_at: None, ..entry(id, (id * 16) as u8, 0.0) };
-        model.list(ListKind::Full, (0..servers).map(warm).collect());
+        model.apply_list(ListKind::Full, (0..servers).map(warm).collect());
         for step in steps {
             match step {
                 Step::Submit(times) => (0..times).for_each(|_| model.submit()),
@@ -334,11 +336,11 @@
                     let now = model.now;
                     let changed: BTreeMap<u32, ServerEntry> =
                         changes.into_iter().map(|(id, kind)| (id % servers, entry(id % servers, kind, now))).collect();
-                    model.list(ListKind::Delta, changed.into_values().collect());
+                    model.apply_list(ListKind::Delta, changed.into_values().collect());
                 }
                 Step::List(left) => {
                     let left = (0..servers).filter(|id| id % 256 != u32::from(left)).map(warm);
-                    model.list(ListKind::Full, left.collect());
+                    model.apply_list(ListKind::Full, left.collect());
                 }
             }
         }
@@ -350,7 +352,7 @@
 fn the_model_covers_choices_in_large_busy_fleets() {
     let mut model = Model::new(3, RetrySafety::Idempotent);
     let warm = |id| ServerEntry { lifecycle: Lifecycle::Ready, launched_at: None, ..entry(id, 32, 0.0) };
-    model.list(ListKind::Full, (0..200).map(warm).collect());
+    model.apply_list(ListKind::Full, (0..200).map(warm).collect());
     for number in 0..4000 {
         model.submit();
         if number > 300 {
--- a/crates/brassport-policy/tests/it/load_balancing.rs
+++ b/crates/brassport-policy/tests/it/load_balancing.rs
@@ -92,21 +92,21 @@
 fn the_arc_widens_with_the_attempts_in_flight() {
     let settings = Settings { gateways: 100, ordinal: 7, ..settings() };
     let mut instance = Instance::with_settings(settings, 3, (0..60).map(server).collect());
-    let mut out = Vec::new();
+    let mut in_flight = Vec::new();
     for number in 0..4000u64 {
         let now = number as f64 * 20.0;
-        out.extend(instance.submit(now).map(|(request, server)| (now, request, server)));
-        // Up to thirty stay in hand, for as long as answers are timely.
-        if number % 4 == 3 || out.len() > 30 {
-            let (_, request, _) = out.remove(0);
+        in_flight.extend(instance.submit(now).map(|(request, server)| (now, request, server)));
+        // Up to thirty requests stay in flight, while responses are reported in time.
+        if number % 4 == 3 || in_flight.len() > 30 {
+            let (_, request, _) = in_flight.remove(0);
             instance.end(now + 1.0, request, Outcome::Ok);
         }
-        if out.len() > 24 {
+        if in_flight.len() > 24 {
             break;
         }
     }
-    let used: std::collections::BTreeSet<ServerId> = out.iter().map(|(_, _, server)| *server).collect();
-    assert!(used.len() >= 16, "{} attempts in flight at {} servers", out.len(), used.len());
+    let used: std::collections::BTreeSet<ServerId> = in_flight.iter().map(|(_, _, server)| *server).collect();
+    assert!(used.len() >= 16, "{} attempts in flight at {} servers", in_flight.len(), used.len());
 }
 
 #[test]
@@ -236,12 +236,12 @@
 #[test]
 fn frozen_servers_get_little_more_than_one_attempt_each() {
     let mut instance = Instance::new(12, (0..400).map(server).collect());
-    let mut out = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     let (mut to_frozen, mut to_others) = (0u32, 0u32);
     for number in 0..20_000u64 {
         let now = number as f64;
-        while out.front().is_some_and(|(at, _)| *at <= now) {
-            let (_, request) = out.pop_front().expect("there is one");
+        while in_flight.front().is_some_and(|(at, _)| *at <= now) {
+            let (_, request) = in_flight.pop_front().expect("there is one");
             instance.end(now, request, Outcome::Ok);
         }
         let Some((request, server)) = instance.submit(now) else { continue };
@@ -250,7 +250,7 @@
             to_frozen += 1;
         } else {
             to_others += u32::from(now >= 2000.0);
-            out.push_back((now + 20.0, request));
+            in_flight.push_back((now + 20.0, request));
         }
     }
     assert!(to_others > 15_000, "{to_others} of 18,000 were sent to servers that respond");
--- a/crates/brassport-policy/tests/it/overload.rs
+++ b/crates/brassport-policy/tests/it/overload.rs
@@ -6,8 +6,8 @@
 /// Submits `count` requests at once. Returns the numbers of requests sent and rejected.
 fn burst(host: &mut Host, count: usize, class: usize) -> (usize, usize) {
     let replies: Vec<_> = (0..count).map(|_| host.submit(1, 3, class).1).collect();
-    let out = replies.iter().filter(|actions| !sends(actions).is_empty()).count();
-    (out, replies.iter().filter(|actions| is_rejected(actions)).count())
+    let admitted = replies.iter().filter(|actions| !sends(actions).is_empty()).count();
+    (admitted, replies.iter().filter(|actions| is_rejected(actions)).count())
 }
 
 /// Ends the first attempt of a request with a successful response after `elapsed` milliseconds.
@@ -19,7 +19,7 @@
 /// Submits a request every 10 ms for `seconds`, of each class in turn. Servers respond after `elapsed`
 /// milliseconds. Returns the number of requests of each class that were sent in the second half.
 fn sent_with_response_time(host: &mut Host, classes: &[usize], elapsed: f64, seconds: f64) -> Vec<usize> {
-    let mut out = vec![0; 3];
+    let mut admitted = vec![0; 3];
     let mut pending = std::collections::VecDeque::new();
     let half = host.now + seconds * 500.0;
     for step in 0..(seconds * 100.0) as usize {
@@ -31,7 +31,7 @@
         let class = classes[step % classes.len()];
         let (id, actions) = host.submit(1, 3, class);
         if !sends(&actions).is_empty() {
-            out[class] += usize::from(host.now > half);
+            admitted[class] += usize::from(host.now > half);
             pending.push_back((id, host.now + elapsed));
         }
     }
@@ -39,21 +39,21 @@
     for (id, _) in pending {
         respond(host, id, elapsed);
     }
-    out
+    admitted
 }
 
 #[test]
 fn overload_leads_to_early_rejections() {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
-    let out = sent_with_response_time(&mut host, &[0], 900.0, 20.0)[0];
-    assert!(out > 0 && out < 100, "{out} of 1000 admitted although all responses are late");
+    let admitted = sent_with_response_time(&mut host, &[0], 900.0, 20.0)[0];
+    assert!(admitted > 0 && admitted < 100, "{admitted} of 1000 admitted although all responses are late");
 }
 
 #[test]
 fn low_value_is_rejected_before_high_value() {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
-    let out = sent_with_response_time(&mut host, &[0, 1], 900.0, 20.0);
-    assert!(out[0] > 2 * out[1], "{out:?} of high and low value admitted");
+    let admitted = sent_with_response_time(&mut host, &[0, 1], 900.0, 20.0);
+    assert!(admitted[0] > 2 * admitted[1], "{admitted:?} of high and low value admitted");
 }
 
 #[test]
@@ -61,24 +61,24 @@
     let servers: Vec<_> = (1..=4).map(server).collect();
     let mut host = Host::new(settings(), &servers);
     sent_with_response_time(&mut host, &[0], 50.0, 5.0);
-    let (out, rejected) = burst(&mut host, 1000, 0);
-    assert!(out > 8 && out < 60, "{out} sent at once, {rejected} rejected");
+    let (admitted, rejected) = burst(&mut host, 1000, 0);
+    assert!(admitted > 8 && admitted < 60, "{admitted} sent at once, {rejected} rejected");
 }
 
 #[test]
 fn with_full_queues_few_of_thousands_of_retries_are_admitted() {
     let servers: Vec<_> = (1..=4).map(server).collect();
     let mut host = Host::new(Settings { max_attempts: 1, ..settings() }, &servers);
-    let mut out = 0;
+    let mut admitted = 0;
     for step in 0..20_000 {
         host.now += 1.0;
         let (id, actions) = host.submit(1, 3, 0);
         if !sends(&actions).is_empty() {
-            out += u32::from(step > 10_000);
+            admitted += u32::from(step > 10_000);
             host.end(id, 0, Outcome::Overloaded, None);
         }
     }
-    assert!(out > 0 && out < 300, "{out} of 10000 sent to overloaded servers");
+    assert!(admitted > 0 && admitted < 300, "{admitted} of 10000 sent to overloaded servers");
 }
 
 #[test]
@@ -95,14 +95,14 @@
     for id in sent {
         respond(&mut host, id, 3000.0);
     }
-    let mut out = 0;
+    let mut admitted = 0;
     for _ in 0..50 {
         host.now += 100.0;
         let (id, actions) = host.submit(1, 3, 0);
-        out += sends(&actions).len();
+        admitted += sends(&actions).len();
         host.end(id, 0, Outcome::Ok, None);
     }
-    assert_eq!(out, 50);
+    assert_eq!(admitted, 50);
 }
 
 /// Admitted fraction after 15 s in which one response in `every` takes `slow` milliseconds and the others
--- a/crates/brassport-policy/tests/it/rules.rs
+++ b/crates/brassport-policy/tests/it/rules.rs
@@ -34,8 +34,8 @@
 
 #[test]
 fn a_keyed_request_that_may_have_run_is_retried_in_its_scope_and_window() {
-    let far = ServerEntry { zone: 1, ..server(2) };
-    let mut host = Host::new(settings(), &[server(1), far]);
+    let other_zone = ServerEntry { zone: 1, ..server(2) };
+    let mut host = Host::new(settings(), &[server(1), other_zone]);
     let (id, first) = host.submit(1, 3, 2);
     assert_eq!(sends(&first), [1]);
     let again = sends(&host.end(id, 0, Outcome::Reset, None));
