--- a/crates/brassport-gateway/src/node/mod.rs
+++ b/crates/brassport-gateway/src/node/mod.rs
@@ -96,7 +96,7 @@
     fn on_terminate(&mut self) {
         log::info!("shutdown started grace_ms={}", self.shutdown.grace().as_millis());
         self.shutdown.start(Instant::now());
-        self.phase.advance(Phase::Leaving);
+        self.phase.advance(Phase::Draining);
         self.data_plane.begin_shutdown();
         self.control.handle(Event::Shutdown);
     }
--- a/crates/brassport-proxy/src/shutdown.rs
+++ b/crates/brassport-proxy/src/shutdown.rs
@@ -12,7 +12,7 @@
     /// Clients are served.
     Serving,
     /// Clients are still accepted; each response closes its connection.
-    Leaving,
+    Draining,
     /// No more clients are accepted, and idle connections are closed.
     Closing,
 }
--- a/crates/brassport/src/program.rs
+++ b/crates/brassport/src/program.rs
@@ -407,7 +407,7 @@
             }
         }
     });
-    shutdown.advance(Phase::Leaving);
+    shutdown.advance(Phase::Draining);
     if orderly {
         tokio::select! {
             biased;
