--- a/crates/brassport-data-plane/src/downstream/body.rs
+++ b/crates/brassport-data-plane/src/downstream/body.rs
@@ -2,7 +2,7 @@
 
 use super::rejection::{BodyFault, Rejection};
 use crate::data_plane::DataPlane;
-use brassport_proxy::body::pace::TransferPace;
+use brassport_proxy::body::data_rate::DataRateMonitor;
 use brassport_proxy::body::upload::{Upload, UploadProgress};
 use brassport_proxy::body::{read_body, ReadBody, UpstreamBody};
 use brassport_proxy::clock::Clock;
@@ -19,7 +19,7 @@
     /// All of it.
     Complete(Bytes),
     /// The first part; the rest is still coming.
-    Partial { first: Bytes, rest: Incoming, pace: TransferPace },
+    Partial { first: Bytes, rest: Incoming, data_rate: DataRateMonitor },
 }
 
 /// A body on its way to a backend.
@@ -40,10 +40,10 @@
         if max_bytes.is_some_and(|max_bytes| body.size_hint().lower() > max_bytes) {
             return Err(Rejection::LengthBeyondLimit);
         }
-        let mut pace = TransferPace::new(client.request_age());
-        match read_body(&self.resources.clock, &mut body, &mut pace).await {
+        let mut data_rate = DataRateMonitor::new(client.request_age());
+        match read_body(&self.resources.clock, &mut body, &mut data_rate).await {
             Ok(ReadBody::Complete(bytes)) => Ok(ReceivedBody::Complete(bytes)),
-            Ok(ReadBody::Partial(first)) => Ok(ReceivedBody::Partial { first, rest: body, pace }),
+            Ok(ReadBody::Partial(first)) => Ok(ReceivedBody::Partial { first, rest: body, data_rate }),
             Err(problem) => Err(Rejection::Body(BodyFault::from(problem))),
         }
     }
@@ -60,8 +60,8 @@
             ReceivedBody::Complete(bytes) => {
                 OutgoingBody { body: RequestBody::Complete(bytes), progress: None }
             }
-            ReceivedBody::Partial { first, rest, pace } => {
-                let (upload, progress) = Upload::new(clock.clone(), first, rest, pace);
+            ReceivedBody::Partial { first, rest, data_rate } => {
+                let (upload, progress) = Upload::new(clock.clone(), first, rest, data_rate);
                 let body = RefCell::new(Some(UpstreamBody::Streaming(Box::pin(upload))));
                 let upload = StreamingUpload { body, progress: progress.clone(), client_timeout: timeout };
                 OutgoingBody { body: RequestBody::Streaming(upload), progress: Some(progress) }
--- a/crates/brassport-proxy/src/body/buffered.rs
+++ b/crates/brassport-proxy/src/body/buffered.rs
@@ -1,6 +1,6 @@
 //! Reads the body of a client's request into memory, as far as it is short.
 
-use super::pace::TransferPace;
+use super::data_rate::DataRateMonitor;
 use super::{MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
 use crate::clock::Clock;
 use http_body_util::BodyExt;
@@ -14,7 +14,7 @@
 pub enum ReadError {
     /// The connection broke, or what came is not HTTP.
     Incomplete,
-    /// It came more slowly than [`pace`](super::pace) allows.
+    /// It came more slowly than [`data_rate`](super::data_rate) allows.
     TooSlow,
     /// It declares more than [`MAX_BODY_BYTES`].
     TooLong,
@@ -48,7 +48,7 @@
 pub async fn read_body<C: Clock>(
     clock: &C,
     body: &mut Incoming,
-    pace: &mut TransferPace,
+    data_rate: &mut DataRateMonitor,
 ) -> Result<ReadBody, ReadError> {
     if body.size_hint().lower() > MAX_BODY_BYTES {
         return Err(ReadError::TooLong);
@@ -56,7 +56,7 @@
     let mut first = Bytes::new();
     let mut all = Vec::new();
     loop {
-        match next_chunk(clock, body, pace).await? {
+        match next_chunk(clock, body, data_rate).await? {
             None if all.is_empty() => return Ok(ReadBody::Complete(first)),
             None => return Ok(ReadBody::Complete(all.into())),
             // Most bodies are one chunk, and need no copy.
@@ -78,10 +78,10 @@
 async fn next_chunk<C: Clock>(
     clock: &C,
     body: &mut Incoming,
-    pace: &mut TransferPace,
+    data_rate: &mut DataRateMonitor,
 ) -> Result<Option<Bytes>, ReadError> {
     loop {
-        let (since, time_left) = (clock.now(), pace.time_left());
+        let (since, time_left) = (clock.now(), data_rate.read_timeout());
         if time_left == Duration::ZERO {
             return Err(ReadError::TooSlow);
         }
@@ -92,7 +92,7 @@
         };
         // Trailers are not forwarded.
         if let Ok(bytes) = frame.into_data() {
-            pace.record(clock.now().saturating_duration_since(since), bytes.len());
+            data_rate.record(clock.now().saturating_duration_since(since), bytes.len());
             return Ok(Some(bytes));
         }
     }
--- a/crates/brassport-proxy/src/body/mod.rs
+++ b/crates/brassport-proxy/src/body/mod.rs
@@ -1,11 +1,11 @@
 //! Bodies of requests and responses: buffered while they are short, proxied chunk by chunk beyond that.
 //!
 //! What this layer adds: one body type for both cases, and a bound on how long a slow peer is waited for
-//! ([`pace`]). What it requires of the layer below: an [`hyper::body::Incoming`] whose connection is driven by its
+//! ([`data_rate`]). What it requires of the layer below: an [`hyper::body::Incoming`] whose connection is driven by its
 //! owner. It opens no socket and starts no task.
 
 mod buffered;
-pub mod pace;
+pub mod data_rate;
 mod streamed;
 pub mod upload;
 
--- a/crates/brassport-proxy/src/body/upload.rs
+++ b/crates/brassport-proxy/src/body/upload.rs
@@ -1,6 +1,6 @@
 //! The body of a long request that is forwarded to a backend while it arrives from its client.
 
-use super::pace::TransferPace;
+use super::data_rate::DataRateMonitor;
 use super::BodyError;
 use crate::clock::Clock;
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
@@ -77,7 +77,7 @@
     clock: C,
     first: Bytes,
     rest: Incoming,
-    pace: TransferPace,
+    data_rate: DataRateMonitor,
     waiting: Option<ClientWait<C>>,
     progress: Rc<UploadProgress>,
 }
@@ -91,10 +91,10 @@
         clock: C,
         first: Bytes,
         rest: Incoming,
-        pace: TransferPace,
+        data_rate: DataRateMonitor,
     ) -> (Upload<C>, Rc<UploadProgress>) {
         let progress = Rc::new(UploadProgress::default());
-        (Upload { clock, first, rest, pace, waiting: None, progress: progress.clone() }, progress)
+        (Upload { clock, first, rest, data_rate, waiting: None, progress: progress.clone() }, progress)
     }
 
     fn forwarded(&self, bytes: u64) {
@@ -109,15 +109,15 @@
     fn received(&mut self, bytes: usize) {
         let now = self.clock.now();
         let waited = self.waiting.take().map(|wait| now.saturating_duration_since(wait.since));
-        self.pace.record(waited.unwrap_or_default(), bytes);
+        self.data_rate.record(waited.unwrap_or_default(), bytes);
     }
 
     /// Waits for the client's next bytes, as long as its pace allows: an error once it is too slow.
     fn poll_timeout(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        let (clock, pace) = (&self.clock, &self.pace);
+        let (clock, data_rate) = (&self.clock, &self.data_rate);
         let wait = self.waiting.get_or_insert_with(|| {
             let since = clock.now();
-            ClientWait { since, timeout: Box::pin(clock.sleep_until(since + pace.time_left())) }
+            ClientWait { since, timeout: Box::pin(clock.sleep_until(since + data_rate.read_timeout())) }
         });
         wait.timeout.as_mut().poll(context).map(|()| Some(Err(BodyError)))
     }
--- a/crates/brassport-proxy/tests/it/main.rs
+++ b/crates/brassport-proxy/tests/it/main.rs
@@ -4,10 +4,10 @@
 mod body;
 mod client_left;
 mod common;
+mod data_rate;
 mod date;
 mod deadline;
 mod dispatch;
 mod golden;
-mod pace;
 mod upstream_connection;
 mod upstream_request;
--- a/crates/brassport/src/clients.rs
+++ b/crates/brassport/src/clients.rs
@@ -13,7 +13,7 @@
 use crate::run::terms::Terms;
 use crate::shutdown::{Phase, Shutdown};
 use brassport_policy::{Effect, Settings};
-use brassport_proxy::body::pace::TransferPace;
+use brassport_proxy::body::data_rate::DataRateMonitor;
 use brassport_proxy::body::upload::{Upload, UploadProgress};
 use brassport_proxy::body::{read_body, ReadBody, ReadError, ResponseBody, UpstreamBody, MAX_BUFFERED_BYTES};
 use brassport_proxy::downstream::DownstreamService;
@@ -180,8 +180,8 @@
     } else {
         Some(room)
     };
-    let mut pace = TransferPace::new(client.request_age());
-    let read = match read_body(&context.clock, &mut body, &mut pace).await {
+    let mut data_rate = DataRateMonitor::new(client.request_age());
+    let read = match read_body(&context.clock, &mut body, &mut data_rate).await {
         Ok(read) => read,
         Err(ReadError::Incomplete) => return Err(plain_text(StatusCode::BAD_REQUEST, "the body is broken")),
         Err(ReadError::TooLong) => {
@@ -196,7 +196,7 @@
     let (body, progress) = match read {
         ReadBody::Complete(bytes) => (RequestBody::Complete(bytes), None),
         ReadBody::Partial(first) => {
-            let (upload, progress) = Upload::new(context.clock.clone(), first, body, pace);
+            let (upload, progress) = Upload::new(context.clock.clone(), first, body, data_rate);
             let body = RefCell::new(Some(UpstreamBody::Streaming(Box::pin(upload))));
             (
                 RequestBody::Streaming(StreamingUpload {
