--- a/crates/brassport-appliance/src/looker.rs
+++ b/crates/brassport-appliance/src/looker.rs
@@ -6,7 +6,7 @@
 use crate::protocol::Event;
 use crate::site::Site;
 use brassport::clock::{Clock, SystemClock};
-use brassport::hooks::{RequestEnd, RequestHooks, Wait};
+use brassport::hooks::{AttemptDelay, RequestEnd, RequestHooks};
 use brassport_policy::{AttemptEnd, CustomerId, Effect, Millis, Request, RequestId};
 use brassport_state::model::State;
 use brassport_state::store::Sent;
@@ -117,15 +117,15 @@
 }
 
 impl RequestHooks for Looker {
-    fn plan_of(&self, customer: CustomerId) -> Option<usize> {
+    fn plan_override(&self, customer: CustomerId) -> Option<usize> {
         self.plans.borrow().get(&customer).copied()
     }
 
-    fn admitted(&self, name: &str, request: &Request) {
+    fn on_admitted(&self, name: &str, request: &Request) {
         self.board.borrow_mut().admitted(self.now(), name, request);
     }
 
-    fn before_attempt(&self, request: RequestId, node: &str) -> Option<Wait> {
+    fn before_attempt(&self, request: RequestId, node: &str) -> Option<AttemptDelay> {
         self.board.borrow_mut().sending(request, node);
         let board = self.board.borrow();
         let (name, class, studio) = board.describe(request)?;
@@ -155,15 +155,15 @@
         }))
     }
 
-    fn attempt_ended(&self, node: &str, end: &AttemptEnd) {
+    fn on_attempt_end(&self, node: &str, end: &AttemptEnd) {
         self.board.borrow_mut().attempt_ended(self.now(), node, end);
     }
 
-    fn answered(&self, request: RequestId, verdict: RequestEnd) {
+    fn on_request_end(&self, request: RequestId, verdict: RequestEnd) {
         self.board.borrow_mut().answered(self.now(), request, verdict);
     }
 
-    fn departed(&self, request: RequestId) {
+    fn on_request_removed(&self, request: RequestId) {
         let mut board = self.board.borrow_mut();
         if self.recorded.borrow_mut().remove(&request) {
             if let Some((name, ..)) = board.describe(request) {
--- a/crates/brassport-data-plane/src/hooks.rs
+++ b/crates/brassport-data-plane/src/hooks.rs
@@ -34,7 +34,7 @@
 }
 
 impl<C: Clock> RequestHooks for ServiceHooks<C> {
-    fn admitted(&self, _: &str, request: &Request) {
+    fn on_admitted(&self, _: &str, request: &Request) {
         let in_flight = InFlight { tenant: tenant_of(request.customer), client_left_ms: None };
         self.in_flight.borrow_mut().insert(request.id, in_flight);
     }
@@ -52,13 +52,13 @@
         })
     }
 
-    fn attempt_ended(&self, _: &str, end: &AttemptEnd) {
+    fn on_attempt_end(&self, _: &str, end: &AttemptEnd) {
         let client_left_ms = self.in_flight.borrow().get(&end.request).and_then(|one| one.client_left_ms);
         let since_ms = client_left_ms.map(|at| self.quotas.now().saturating_sub(at));
         self.counters.record_attempt(end.outcome, since_ms);
     }
 
-    fn answered(&self, request: RequestId, verdict: RequestEnd) {
+    fn on_request_end(&self, request: RequestId, verdict: RequestEnd) {
         self.counters.record_verdict(verdict);
         if verdict == RequestEnd::ClientLeft {
             if let Some(one) = self.in_flight.borrow_mut().get_mut(&request) {
@@ -67,7 +67,7 @@
         }
     }
 
-    fn departed(&self, request: RequestId) {
+    fn on_request_removed(&self, request: RequestId) {
         self.in_flight.borrow_mut().remove(&request);
     }
 }
--- a/crates/brassport-data-plane/src/service.rs
+++ b/crates/brassport-data-plane/src/service.rs
@@ -78,7 +78,7 @@
         let host = DispatcherOptions {
             meter: Some(Box::new(UsageMeter::new(resources.quotas.clone(), &settings))),
             hooks: Some(Rc::new(ServiceHooks::new(resources.quotas.clone(), counters.clone()))),
-            on_release: Box::new(|_| {}),
+            on_attempt_end: Box::new(|_| {}),
             inherited_clock: None,
         };
         let policy =
--- a/crates/brassport-peers/src/door.rs
+++ b/crates/brassport-peers/src/door.rs
@@ -7,7 +7,7 @@
 use crate::host::Clock;
 use crate::identity::Identity;
 use crate::record::{steady_ms, whole_lines, Record, RECORD_FILE};
-use brassport::hooks::{RequestHooks, Wait};
+use brassport::hooks::{AttemptDelay, RequestHooks};
 use brassport::log;
 use brassport::run::admin::{Call, Command};
 use brassport_fleet::clocks::Mark;
@@ -118,7 +118,7 @@
 }
 
 impl RequestHooks for InFleet {
-    fn may_act(&self) -> Result<(), f64> {
+    fn may_serve(&self) -> Result<(), f64> {
         if self.handle.may_act() {
             Ok(())
         } else {
@@ -126,7 +126,7 @@
         }
     }
 
-    fn admitted(&self, name: &str, request: &Request) {
+    fn on_admitted(&self, name: &str, request: &Request) {
         self.handle.admissions.fetch_add(1, Ordering::AcqRel);
         // A class that settings brought since is taken for one that must not run twice.
         if self.once.get(request.class).copied().unwrap_or(true) {
@@ -134,7 +134,7 @@
         }
     }
 
-    fn before_attempt(&self, request: RequestId, node: &str) -> Option<Wait> {
+    fn before_attempt(&self, request: RequestId, node: &str) -> Option<AttemptDelay> {
         if let Some(name) = self.open.borrow().get(&request) {
             let version = self.handle.acted.load(Ordering::Acquire);
             self.handle.add(What::Unsafe { request: name.clone(), node: node.into(), version });
@@ -142,7 +142,7 @@
         None
     }
 
-    fn departed(&self, request: RequestId) {
+    fn on_request_removed(&self, request: RequestId) {
         self.open.borrow_mut().remove(&request);
     }
 }
--- a/crates/brassport-proxy/src/dispatch/attempt.rs
+++ b/crates/brassport-proxy/src/dispatch/attempt.rs
@@ -74,7 +74,7 @@
         // The state is borrowed up to here: the program and the policy are called without.
         let Some(ended) = self.record_end(now, elapsed, backend_name, result) else { return };
         if let Some(customer) = ended.customer {
-            (self.dispatcher.on_release)(customer);
+            (self.dispatcher.on_attempt_end)(customer);
         }
         self.dispatcher.handle(Event::AttemptEnd(ended.report));
     }
@@ -101,7 +101,7 @@
             used: self.meter(state, now, &result),
         };
         if let (Some(hooks), Some(name)) = (state.requests.hooks(), backend_name) {
-            hooks.attempt_ended(name, &report);
+            hooks.on_attempt_end(name, &report);
         }
         let customer = state.requests.get(self.id).map(|in_flight| in_flight.request.customer);
         state.requests.remove_if_over(self.id);
@@ -157,7 +157,7 @@
 impl<C: Clock, N: Network> AttemptOwner for AttemptTask<C, N> {
     fn may_send(&self) -> bool {
         // Guards against a standstill, or a partition, in which the right to act ran out. Earlier attempts may have run.
-        if let Err(wait_ms) = self.dispatcher.may_act() {
+        if let Err(wait_ms) = self.dispatcher.may_serve() {
             let is_first = self.number == 0;
             let outcome = if is_first { RequestOutcome::Rejected(wait_ms) } else { RequestOutcome::Failed };
             self.dispatcher.state.borrow_mut().requests.answer(self.id, outcome);
--- a/crates/brassport-proxy/src/dispatch/dispatcher.rs
+++ b/crates/brassport-proxy/src/dispatch/dispatcher.rs
@@ -39,7 +39,7 @@
     pub(super) state: RefCell<State>,
     /// Notified when the earliest timer changes.
     earlier_timer: Notify,
-    pub(super) on_release: Box<dyn Fn(CustomerId)>,
+    pub(super) on_attempt_end: Box<dyn Fn(CustomerId)>,
 }
 
 impl<C: Clock, N: Network> Dispatcher<C, N> {
@@ -67,7 +67,7 @@
             pool,
             state: RefCell::new(state),
             earlier_timer: Notify::new(),
-            on_release: options.on_release,
+            on_attempt_end: options.on_attempt_end,
         }))
     }
 
@@ -201,13 +201,13 @@
     ///
     /// # Errors
     /// It does not; how many milliseconds clients are to wait.
-    pub fn may_act(&self) -> Result<(), Millis> {
-        self.state.borrow().requests.hooks().map_or(Ok(()), |hooks| hooks.may_act())
+    pub fn may_serve(&self) -> Result<(), Millis> {
+        self.state.borrow().requests.hooks().map_or(Ok(()), |hooks| hooks.may_serve())
     }
 
     /// The plan that the host has for this customer, by index.
-    pub fn plan_of(&self, customer: CustomerId) -> Option<usize> {
-        self.state.borrow().requests.hooks()?.plan_of(customer)
+    pub fn plan_override(&self, customer: CustomerId) -> Option<usize> {
+        self.state.borrow().requests.hooks()?.plan_override(customer)
     }
 
     /// The policy's limit on attempts in flight, and the part of what the quotas admit that it has room for, from 0 to 1.
--- a/crates/brassport-proxy/src/dispatch/options.rs
+++ b/crates/brassport-proxy/src/dispatch/options.rs
@@ -46,7 +46,7 @@
     /// Called at the phases of each request.
     pub hooks: Option<Rc<dyn RequestHooks>>,
     /// Called for each attempt that has ended, before the policy is notified, with the request's customer.
-    pub on_release: Box<dyn Fn(CustomerId)>,
+    pub on_attempt_end: Box<dyn Fn(CustomerId)>,
     /// The policy clock of the process whose place this one takes: its time, and the Unix time of its start, both in
     /// milliseconds.
     pub inherited_clock: Option<(Millis, Millis)>,
--- a/crates/brassport-proxy/src/dispatch/requests.rs
+++ b/crates/brassport-proxy/src/dispatch/requests.rs
@@ -125,7 +125,7 @@
     /// Inserts a request under the id that was reserved for it.
     pub(super) fn insert(&mut self, request: InFlight) {
         if let Some(hooks) = &self.hooks {
-            hooks.admitted(&request.name, &request.request);
+            hooks.on_admitted(&request.name, &request.request);
         }
         self.requests.insert(request.request.id, request);
     }
@@ -163,7 +163,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         if let Some(client) = request.client.take() {
             if let Some(hooks) = &self.hooks {
-                hooks.answered(id, outcome.end());
+                hooks.on_request_end(id, outcome.end());
             }
             // A client that has left since needs no outcome.
             let _ = client.send(outcome);
@@ -178,7 +178,7 @@
             return false;
         }
         if let Some(hooks) = &self.hooks {
-            hooks.answered(id, RequestEnd::ClientLeft);
+            hooks.on_request_end(id, RequestEnd::ClientLeft);
         }
         self.remove_if_over(id);
         true
@@ -190,7 +190,7 @@
             if let Some(client) = request.client.take() {
                 let _ = client.send(RequestOutcome::Failed);
                 if let Some(hooks) = &self.hooks {
-                    hooks.answered(*id, RequestEnd::Failed);
+                    hooks.on_request_end(*id, RequestEnd::Failed);
                 }
             }
         }
@@ -204,7 +204,7 @@
         if let Some(request) = self.requests.remove(&id) {
             self.names.remove(&request.name);
             if let Some(hooks) = &self.hooks {
-                hooks.departed(id);
+                hooks.on_request_removed(id);
             }
         }
     }
--- a/crates/brassport-proxy/src/hooks.rs
+++ b/crates/brassport-proxy/src/hooks.rs
@@ -1,10 +1,10 @@
 //! The named phases of a request, for a host that observes them or limits attempts. A host without hooks pays one test
 //! for `None` at each phase.
 //!
-//! In their order: [`may_act`](RequestHooks::may_act) and [`plan_of`](RequestHooks::plan_of) before admission,
-//! [`admitted`](RequestHooks::admitted), [`before_attempt`](RequestHooks::before_attempt) and
-//! [`may_send`](RequestHooks::may_send) before each attempt, [`attempt_ended`](RequestHooks::attempt_ended),
-//! [`answered`](RequestHooks::answered) at the response, [`departed`](RequestHooks::departed) at the end of all.
+//! In their order: [`may_serve`](RequestHooks::may_serve) and [`plan_override`](RequestHooks::plan_override) before admission,
+//! [`on_admitted`](RequestHooks::on_admitted), [`before_attempt`](RequestHooks::before_attempt) and
+//! [`may_send`](RequestHooks::may_send) before each attempt, [`on_attempt_end`](RequestHooks::on_attempt_end),
+//! [`on_request_end`](RequestHooks::on_request_end) at the response, [`on_request_removed`](RequestHooks::on_request_removed) at the end of all.
 
 use brassport_policy::{AttemptEnd, CustomerId, Millis, Request, RequestId};
 use std::future::Future;
@@ -24,7 +24,7 @@
 }
 
 /// Work that an attempt waits for.
-pub type Wait = Pin<Box<dyn Future<Output = ()>>>;
+pub type AttemptDelay = Pin<Box<dyn Future<Output = ()>>>;
 
 /// Calls at the phases of a request. Every method is called on the dispatcher's thread with its state borrowed: it must
 /// return at once and must not call the dispatcher. Nothing here chooses a backend, a retry or a rejection; the policy
@@ -35,25 +35,25 @@
     ///
     /// # Errors
     /// It may not; how many milliseconds clients are to wait.
-    fn may_act(&self) -> Result<(), Millis> {
+    fn may_serve(&self) -> Result<(), Millis> {
         Ok(())
     }
 
     /// Before admission: the plan of this customer, by index, if the host has a better one than the request names.
-    fn plan_of(&self, customer: CustomerId) -> Option<usize> {
+    fn plan_override(&self, customer: CustomerId) -> Option<usize> {
         let _ = customer;
         None
     }
 
     /// A request was admitted to the policy; `name` is its client's name for it.
-    fn admitted(&self, name: &str, request: &Request) {
+    fn on_admitted(&self, name: &str, request: &Request) {
         let _ = (name, request);
     }
 
     /// The policy chose a backend for an attempt. The attempt is sent once the returned work is done, if by then its
     /// backend still takes requests and its client still waits; the work must end within a bound of its own.
-    fn before_attempt(&self, request: RequestId, node: &str) -> Option<Wait> {
-        let _ = (request, node);
+    fn before_attempt(&self, request: RequestId, backend: &str) -> Option<AttemptDelay> {
+        let _ = (request, backend);
         None
     }
 
@@ -68,17 +68,17 @@
     }
 
     /// An attempt ended.
-    fn attempt_ended(&self, node: &str, end: &AttemptEnd) {
-        let _ = (node, end);
+    fn on_attempt_end(&self, backend: &str, end: &AttemptEnd) {
+        let _ = (backend, end);
     }
 
     /// A request has its one response, or nobody waits for it any more.
-    fn answered(&self, request: RequestId, verdict: RequestEnd) {
-        let _ = (request, verdict);
+    fn on_request_end(&self, request: RequestId, end: RequestEnd) {
+        let _ = (request, end);
     }
 
     /// A request is answered and none of its attempts is in flight.
-    fn departed(&self, request: RequestId) {
+    fn on_request_removed(&self, request: RequestId) {
         let _ = request;
     }
 }
--- a/crates/brassport-proxy/tests/it/common/mod.rs
+++ b/crates/brassport-proxy/tests/it/common/mod.rs
@@ -145,13 +145,13 @@
     addresses: &[SocketAddr],
     settings: Settings,
     counts: Rc<Counts>,
-    on_release: impl Fn(u64) + 'static,
+    on_attempt_end: impl Fn(u64) + 'static,
 ) -> Rc<Dispatcher<SystemClock, Tcp>> {
     let (long, descriptors) = (Duration::from_secs(60), Arc::new(Semaphore::new(16)));
     let pool = UpstreamPool::new(SystemClock, Tcp, descriptors, long, long, counts, Rc::new(ForwardsAll));
     let pool = Rc::new(pool);
-    let on_release = Box::new(on_release);
-    let options = DispatcherOptions { meter: None, hooks: None, on_release, inherited_clock: None };
+    let on_attempt_end = Box::new(on_attempt_end);
+    let options = DispatcherOptions { meter: None, hooks: None, on_attempt_end, inherited_clock: None };
     let dispatcher = Dispatcher::new(SystemClock, settings, 1, options, pool.clone());
     let dispatcher = dispatcher.expect("settings that hold");
     let mut entries = Vec::new();
@@ -181,8 +181,8 @@
         let settings = Settings { classes, plans, max_attempts: 2, may_cancel: true, ..Settings::default() };
         let addresses = [script.clone().backend().await, script.clone().backend().await];
         let recorded = released.clone();
-        let on_release = move |customer| recorded.borrow_mut().push(customer);
-        let dispatcher = dispatcher_before(&addresses, settings, counts.clone(), on_release);
+        let on_attempt_end = move |customer| recorded.borrow_mut().push(customer);
+        let dispatcher = dispatcher_before(&addresses, settings, counts.clone(), on_attempt_end);
         TestProxy { dispatcher, script, counts, released }
     }
 
--- a/crates/brassport/src/door.rs
+++ b/crates/brassport/src/door.rs
@@ -64,7 +64,7 @@
         let surroundings = dispatch::DispatcherOptions {
             meter: host.local_meter.map(|meter| Box::new(meter) as Box<dyn dispatch::UsageMeter>),
             hooks: host.hooks,
-            on_release: Box::new(move |customer| links.tell_successor(|| Told::Released(customer))),
+            on_attempt_end: Box::new(move |customer| links.tell_successor(|| Told::Released(customer))),
             inherited_clock: host.clock_before,
         };
         Ok(Rc::new(Door {
@@ -89,12 +89,12 @@
 
     /// Whether the host lets this door act now; if not, how long clients are to wait.
     pub fn may_act(&self) -> Result<(), Millis> {
-        self.dispatcher.may_act()
+        self.dispatcher.may_serve()
     }
 
     /// The plan that the host knows of this customer.
     pub fn plan_of(&self, customer: CustomerId) -> Option<usize> {
-        self.dispatcher.plan_of(customer)
+        self.dispatcher.plan_override(customer)
     }
 
     /// The module's limit on attempts out, and its room.
--- a/crates/brassport/tests/hooks.rs
+++ b/crates/brassport/tests/hooks.rs
@@ -2,7 +2,7 @@
 
 use brassport::clock::SystemClock;
 use brassport::config::{Assumed, Config, Names, Origin};
-use brassport::hooks::{RequestHooks, Wait};
+use brassport::hooks::{AttemptDelay, RequestHooks};
 use brassport::network::Tcp;
 use brassport::{front_door_with, Surroundings};
 use brassport_membership::book::{Entry, Report, Source};
@@ -25,7 +25,7 @@
 }
 
 impl RequestHooks for Holding {
-    fn may_act(&self) -> Result<(), f64> {
+    fn may_serve(&self) -> Result<(), f64> {
         if self.is_out.get() {
             Err(1000.0)
         } else {
@@ -33,7 +33,7 @@
         }
     }
 
-    fn before_attempt(&self, _: RequestId, _: &str) -> Option<Wait> {
+    fn before_attempt(&self, _: RequestId, _: &str) -> Option<AttemptDelay> {
         self.asked.notify_one();
         let go_on = self.go_on.clone();
         Some(Box::pin(async move { go_on.notified().await }))
