--- a/crates/brassport-proxy/src/downstream/connection.rs
+++ b/crates/brassport-proxy/src/downstream/connection.rs
@@ -136,7 +136,7 @@
     H: Service<Request<Incoming>, Response = Response<ResponseBody>, Error = Infallible>,
 {
     let parts = serving.into_parts();
-    if let Ok(socket) = S::Network::release(parts.io.into_inner().into_stream()) {
+    if let Ok(socket) = S::Network::stream_into_fd(parts.io.into_inner().into_stream()) {
         service.hand_over(socket, parts.read_buf, client.request_count());
         // The other process counts it from here on.
         descriptor.forget();
--- a/crates/brassport-proxy/src/network.rs
+++ b/crates/brassport-proxy/src/network.rs
@@ -31,7 +31,7 @@
     fn listen(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>>;
 
     /// As [`listen`](Network::listen), beside another process of this user that does the same.
-    fn listen_beside(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>> {
+    fn listen_reuse_port(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>> {
         self.listen(at)
     }
 
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// This network's sockets cannot be passed to another process, or the system refuses to duplicate it.
-    fn share(listener: &Self::Listener) -> io::Result<OwnedFd> {
+    fn duplicate_listener(listener: &Self::Listener) -> io::Result<OwnedFd> {
         let _ = listener;
         Err(io::ErrorKind::Unsupported.into())
     }
@@ -47,8 +47,8 @@
     /// Adopts a listening socket of another process.
     ///
     /// # Errors
-    /// As [`share`](Network::share).
-    fn adopt_listener(&self, socket: OwnedFd) -> io::Result<Self::Listener> {
+    /// As [`duplicate_listener`](Network::duplicate_listener).
+    fn listener_from_fd(&self, socket: OwnedFd) -> io::Result<Self::Listener> {
         let _ = socket;
         Err(io::ErrorKind::Unsupported.into())
     }
@@ -56,8 +56,8 @@
     /// Releases a connection, for another process.
     ///
     /// # Errors
-    /// As [`share`](Network::share).
-    fn release(stream: Self::Stream) -> io::Result<OwnedFd> {
+    /// As [`duplicate_listener`](Network::duplicate_listener).
+    fn stream_into_fd(stream: Self::Stream) -> io::Result<OwnedFd> {
         let _ = stream;
         Err(io::ErrorKind::Unsupported.into())
     }
@@ -65,8 +65,8 @@
     /// Adopts a connection of another process.
     ///
     /// # Errors
-    /// As [`share`](Network::share).
-    fn adopt(&self, socket: OwnedFd) -> io::Result<Self::Stream> {
+    /// As [`duplicate_listener`](Network::duplicate_listener).
+    fn stream_from_fd(&self, socket: OwnedFd) -> io::Result<Self::Stream> {
         let _ = socket;
         Err(io::ErrorKind::Unsupported.into())
     }
@@ -110,7 +110,7 @@
         TcpListener::bind(at).await
     }
 
-    async fn listen_beside(&self, at: SocketAddr) -> io::Result<TcpListener> {
+    async fn listen_reuse_port(&self, at: SocketAddr) -> io::Result<TcpListener> {
         let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         socket.set_reuseaddr(true)?;
         // Without it one process alone can listen here, as everywhere.
@@ -119,19 +119,19 @@
         socket.listen(BACKLOG)
     }
 
-    fn share(listener: &TcpListener) -> io::Result<OwnedFd> {
+    fn duplicate_listener(listener: &TcpListener) -> io::Result<OwnedFd> {
         listener.as_fd().try_clone_to_owned()
     }
 
-    fn adopt_listener(&self, socket: OwnedFd) -> io::Result<TcpListener> {
+    fn listener_from_fd(&self, socket: OwnedFd) -> io::Result<TcpListener> {
         TcpListener::from_std(std::net::TcpListener::from(socket))
     }
 
-    fn release(stream: TcpStream) -> io::Result<OwnedFd> {
+    fn stream_into_fd(stream: TcpStream) -> io::Result<OwnedFd> {
         stream.into_std().map(OwnedFd::from)
     }
 
-    fn adopt(&self, socket: OwnedFd) -> io::Result<TcpStream> {
+    fn stream_from_fd(&self, socket: OwnedFd) -> io::Result<TcpStream> {
         TcpStream::from_std(std::net::TcpStream::from(socket))
     }
 
--- a/crates/brassport/src/program.rs
+++ b/crates/brassport/src/program.rs
@@ -215,8 +215,8 @@
     let descriptors = Arc::new(Semaphore::new(lent));
     let most_bodies = (config.memory / BODIES_PART).min(Semaphore::MAX_PERMITS);
     let listener = match (taken.as_ref().map(|taken| taken.listener.try_clone()), &at) {
-        (Some(socket), _) => socket.and_then(|socket| network.adopt_listener(socket)),
-        (None, Some(_)) => network.listen_beside(config.listen).await,
+        (Some(socket), _) => socket.and_then(|socket| network.listener_from_fd(socket)),
+        (None, Some(_)) => network.listen_reuse_port(config.listen).await,
         (None, None) => network.listen(config.listen).await,
     };
     let listener = listener.map_err(|error| format!("cannot listen on {}: {error}", config.listen))?;
--- a/crates/brassport/src/run/handover/mod.rs
+++ b/crates/brassport/src/run/handover/mod.rs
@@ -201,7 +201,7 @@
 
     /// What the successor needs. From here on nothing is spent that must not be spent twice.
     fn offer(&self) -> Option<(Offer, OwnedFd)> {
-        let listener = N::share(&*self.listener.upgrade()?).ok()?;
+        let listener = N::duplicate_listener(&*self.listener.upgrade()?).ok()?;
         self.context.backends.keep_idle(false);
         let free = self.descriptors.available_permits().saturating_sub(KEPT);
         let free = self.descriptors.forget_permits(free);
@@ -268,7 +268,7 @@
     fn note(&mut self, message: Message, socket: Option<OwnedFd>) {
         match message {
             Message::Client { read, asked } => {
-                let stream = socket.and_then(|socket| self.network.adopt(socket).ok());
+                let stream = socket.and_then(|socket| self.network.stream_from_fd(socket).ok());
                 // Its descriptor comes with it.
                 self.add(1);
                 if let Some(stream) = stream {
