--- a/crates/brassport-data-plane/src/backend_protocol.rs
+++ b/crates/brassport-data-plane/src/backend_protocol.rs
@@ -1,7 +1,7 @@
 //! The protocol of the gateway's backends: the headers of an attempt, and what the head of a response says of it.
 
 use brassport_policy::Outcome;
-use brassport_proxy::protocol::{ResponseVerdict, UpstreamProtocol};
+use brassport_proxy::protocol::{ResponseClassification, UpstreamProtocol};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_ENCODING};
 use hyper::http::response::Parts;
 use hyper::StatusCode;
@@ -35,7 +35,7 @@
     }
 
     /// The address is another incarnation's: the one that was addressed has terminated, and nothing ran.
-    fn misdirected(&self, request: &HeaderMap, verdict: Verdict) -> ResponseVerdict {
+    fn misdirected(&self, request: &HeaderMap, verdict: Verdict) -> ResponseClassification {
         let backend = request.get(EXPECTED_BACKEND).and_then(|id| id.to_str().ok());
         self.displaced.borrow_mut().extend(backend.map(str::to_owned));
         verdict.withhold(Outcome::NoConnection)
@@ -43,7 +43,7 @@
 }
 
 impl UpstreamProtocol for BackendProtocol {
-    fn annotate(&self, headers: &mut HeaderMap, left: Duration, backend: &str) {
+    fn add_attempt_headers(&self, headers: &mut HeaderMap, left: Duration, backend: &str) {
         if let Ok(left) = HeaderValue::from_str(&left.as_millis().to_string()) {
             headers.insert(TIME_LEFT_MS, left);
         }
@@ -52,7 +52,7 @@
         }
     }
 
-    fn classify(&self, request: &HeaderMap, response: &Parts) -> ResponseVerdict {
+    fn classify(&self, request: &HeaderMap, response: &Parts) -> ResponseClassification {
         // Guards against the late response to another request in the place of this one's.
         if response.headers.get(REQUEST_ID) != request.get(REQUEST_ID) {
             return untrusted();
@@ -86,8 +86,8 @@
 
 impl Verdict {
     /// The response may go to the client.
-    fn forward(self, outcome: Outcome) -> ResponseVerdict {
-        ResponseVerdict {
+    fn forward(self, outcome: Outcome) -> ResponseClassification {
+        ResponseClassification {
             outcome,
             quota_used: None,
             is_for_client: true,
@@ -97,14 +97,14 @@
     }
 
     /// The response says something to the gateway alone.
-    fn withhold(self, outcome: Outcome) -> ResponseVerdict {
-        ResponseVerdict { is_for_client: false, ..self.forward(outcome) }
+    fn withhold(self, outcome: Outcome) -> ResponseClassification {
+        ResponseClassification { is_for_client: false, ..self.forward(outcome) }
     }
 }
 
 /// The judgement of a response of which nothing can be believed: the request may have run.
-fn untrusted() -> ResponseVerdict {
-    ResponseVerdict {
+fn untrusted() -> ResponseClassification {
+    ResponseClassification {
         outcome: Outcome::Reset,
         quota_used: None,
         is_for_client: false,
--- a/crates/brassport-data-plane/tests/it/backend_protocol.rs
+++ b/crates/brassport-data-plane/tests/it/backend_protocol.rs
@@ -6,7 +6,7 @@
     BackendProtocol, EXPECTED_BACKEND, REQUEST_ID, TENANT, TIME_LEFT_MS,
 };
 use brassport_policy::Outcome;
-use brassport_proxy::protocol::{ResponseVerdict, UpstreamProtocol};
+use brassport_proxy::protocol::{ResponseClassification, UpstreamProtocol};
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
 use hyper::Response;
@@ -28,7 +28,7 @@
     response.body(()).expect("a response").into_parts().0
 }
 
-fn judge(status: u16, headers: &[(&'static str, &'static str)]) -> ResponseVerdict {
+fn judge(status: u16, headers: &[(&'static str, &'static str)]) -> ResponseClassification {
     BackendProtocol::default().classify(&request(), &response(status, headers))
 }
 
@@ -76,7 +76,7 @@
 #[test]
 fn an_attempt_carries_the_time_left_and_the_expected_backend() {
     let mut headers = request();
-    BackendProtocol::default().annotate(&mut headers, Duration::from_micros(1_499_900), "i-0001");
+    BackendProtocol::default().add_attempt_headers(&mut headers, Duration::from_micros(1_499_900), "i-0001");
     assert_eq!(headers["x-time-left-ms"], "1499");
     assert_eq!(headers["x-expect-server"], "i-0001");
 }
@@ -85,7 +85,7 @@
 fn headers_have_pinned_names() {
     let mut headers = HeaderMap::new();
     headers.insert("x-expect-server", HeaderValue::from_static("another"));
-    BackendProtocol::default().annotate(&mut headers, Duration::from_micros(1_499_900), "i-0001");
+    BackendProtocol::default().add_attempt_headers(&mut headers, Duration::from_micros(1_499_900), "i-0001");
     let mut lines: Vec<String> =
         headers.iter().map(|(name, value)| format!("{name}: {}", value.to_str().expect("text"))).collect();
     lines.sort();
--- a/crates/brassport-proxy/src/protocol.rs
+++ b/crates/brassport-proxy/src/protocol.rs
@@ -10,16 +10,16 @@
 pub trait UpstreamProtocol: 'static {
     /// Adds an attempt's own headers to a request: how long the client still waits, and which backend is meant. Called
     /// once for each attempt, right before its first byte.
-    fn annotate(&self, headers: &mut HeaderMap, time_left: Duration, backend: &str);
+    fn add_attempt_headers(&self, headers: &mut HeaderMap, time_left: Duration, backend: &str);
 
     /// Classifies the head of the response to a request with these headers. Called once for each attempt that has a
     /// response; the verdict decides the attempt's outcome, and whether its connection returns to the pool.
-    fn classify(&self, request: &HeaderMap, response: &Parts) -> ResponseVerdict;
+    fn classify(&self, request: &HeaderMap, response: &Parts) -> ResponseClassification;
 }
 
 /// What the head of a response says of its attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ResponseVerdict {
+pub struct ResponseClassification {
     /// The attempt's outcome, if its body comes completely.
     pub outcome: Outcome,
     /// The customer's use in the meter's last period, as a share of its rate: 1.0 is all of it.
--- a/crates/brassport-proxy/src/upstream/attempt.rs
+++ b/crates/brassport-proxy/src/upstream/attempt.rs
@@ -13,7 +13,7 @@
 use crate::deadline::ResettableDeadline;
 use crate::mutants::mutant;
 use crate::network::Network;
-use crate::protocol::{AttemptEvent, ResponseVerdict};
+use crate::protocol::{AttemptEvent, ResponseClassification};
 use brassport_policy::{Outcome, ServerId};
 use http_body_util::Full;
 use hyper::body::{Body, Bytes, Incoming};
@@ -192,7 +192,7 @@
     async fn receive(
         &self,
         pooled: &mut PooledConnection<N::Stream>,
-        verdict: ResponseVerdict,
+        verdict: ResponseClassification,
         head: Parts,
         body: Incoming,
     ) -> Result<(AttemptResult, bool), Outcome> {
@@ -233,7 +233,7 @@
         &self,
         address: SocketAddr,
         mut pooled: PooledConnection<N::Stream>,
-        verdict: ResponseVerdict,
+        verdict: ResponseClassification,
     ) {
         // Behind a request that is still being uploaded no other one can be sent.
         let may_be_idle = verdict.is_reusable && self.pool.keeps_idle() && self.target.request.is_complete();
--- a/crates/brassport-proxy/src/upstream/request.rs
+++ b/crates/brassport-proxy/src/upstream/request.rs
@@ -83,7 +83,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        protocol.annotate(request.headers_mut(), time_left, backend);
+        protocol.add_attempt_headers(request.headers_mut(), time_left, backend);
         Some(request)
     }
 }
--- a/crates/brassport-proxy/tests/it/common/mod.rs
+++ b/crates/brassport-proxy/tests/it/common/mod.rs
@@ -6,7 +6,7 @@
 use brassport_proxy::clock::SystemClock;
 use brassport_proxy::dispatch::{Dispatcher, DispatcherOptions, PendingRequest, RequestOutcome};
 use brassport_proxy::network::Tcp;
-use brassport_proxy::protocol::{AttemptEvent, AttemptObserver, ResponseVerdict, UpstreamProtocol};
+use brassport_proxy::protocol::{AttemptEvent, AttemptObserver, ResponseClassification, UpstreamProtocol};
 use brassport_proxy::upstream::{RequestBody, UpstreamPool, UpstreamRequest};
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
@@ -33,15 +33,15 @@
 pub struct ForwardsAll;
 
 impl UpstreamProtocol for ForwardsAll {
-    fn annotate(&self, headers: &mut HeaderMap, _: Duration, backend: &str) {
+    fn add_attempt_headers(&self, headers: &mut HeaderMap, _: Duration, backend: &str) {
         headers.insert("host", HeaderValue::from_str(backend).expect("a name"));
     }
 
-    fn classify(&self, request: &HeaderMap, response: &Parts) -> ResponseVerdict {
+    fn classify(&self, request: &HeaderMap, response: &Parts) -> ResponseClassification {
         let outcome = if response.status == StatusCode::OK { Outcome::Ok } else { Outcome::Error };
         let timeout_ms =
             response.headers.get("keep").map(|ms| ms.to_str().expect("text").parse().expect("a number"));
-        ResponseVerdict {
+        ResponseClassification {
             outcome,
             quota_used: None,
             is_for_client: !request.contains_key("forward-nothing"),
--- a/crates/brassport-proxy/tests/it/upstream_request.rs
+++ b/crates/brassport-proxy/tests/it/upstream_request.rs
@@ -1,7 +1,7 @@
 //! A client's request as its attempts send it.
 
 use brassport_proxy::body::UpstreamBody;
-use brassport_proxy::protocol::{ResponseVerdict, UpstreamProtocol};
+use brassport_proxy::protocol::{ResponseClassification, UpstreamProtocol};
 use brassport_proxy::upstream::{RequestBody, StreamingUpload, UpstreamRequest};
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -16,12 +16,12 @@
 struct Deadline;
 
 impl UpstreamProtocol for Deadline {
-    fn annotate(&self, headers: &mut HeaderMap, time_left: Duration, backend: &str) {
+    fn add_attempt_headers(&self, headers: &mut HeaderMap, time_left: Duration, backend: &str) {
         let text = format!("{}u for {backend}", time_left.as_micros());
         headers.insert("x-deadline", HeaderValue::from_str(&text).expect("a header's value"));
     }
 
-    fn classify(&self, _: &HeaderMap, _: &Parts) -> ResponseVerdict {
+    fn classify(&self, _: &HeaderMap, _: &Parts) -> ResponseClassification {
         unreachable!("nothing is answered")
     }
 }
--- a/crates/brassport/src/upstream.rs
+++ b/crates/brassport/src/upstream.rs
@@ -1,7 +1,7 @@
 //! What the front door says to a node and reads from its answers.
 
 use crate::mutants::mutant;
-use crate::protocol::{ResponseVerdict, UpstreamProtocol};
+use crate::protocol::{ResponseClassification, UpstreamProtocol};
 use brassport_policy::Outcome;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
@@ -17,13 +17,13 @@
 pub struct Upstream;
 
 impl UpstreamProtocol for Upstream {
-    fn annotate(&self, headers: &mut HeaderMap, left: Duration, _node: &str) {
+    fn add_attempt_headers(&self, headers: &mut HeaderMap, left: Duration, _node: &str) {
         if let Ok(left) = HeaderValue::from_str(&format!("{}u", left.as_micros())) {
             headers.insert("x-deadline", left);
         }
     }
 
-    fn classify(&self, _asked: &HeaderMap, answer: &Parts) -> ResponseVerdict {
+    fn classify(&self, _asked: &HeaderMap, answer: &Parts) -> ResponseClassification {
         let header = |name| answer.headers.get(name).and_then(|value| value.to_str().ok());
         let used = used(&answer.headers);
         let turned_away =
@@ -35,7 +35,7 @@
             // Anything else may have run.
             _ => Outcome::Error,
         };
-        ResponseVerdict {
+        ResponseClassification {
             outcome,
             quota_used: used,
             is_for_client: outcome == Outcome::Ok,
@@ -64,7 +64,7 @@
     fn an_attempt_says_how_long_its_client_waits() {
         let mut headers = HeaderMap::new();
         headers.insert("x-deadline", HeaderValue::from_static("3s"));
-        Upstream.annotate(&mut headers, Duration::from_millis(480), "a node");
+        Upstream.add_attempt_headers(&mut headers, Duration::from_millis(480), "a node");
         assert_eq!(headers["x-deadline"], "480000u");
         assert_eq!(headers.len(), 1, "nothing is said besides");
     }
