--- a/crates/brassport-appliance/src/looker.rs
+++ b/crates/brassport-appliance/src/looker.rs
@@ -113,7 +113,7 @@
 }
 
 pub fn unix_ms() -> u64 {
-    SystemClock.unix().as_millis() as u64
+    SystemClock.unix_time().as_millis() as u64
 }
 
 impl RequestHooks for Looker {
--- a/crates/brassport-appliance/src/run.rs
+++ b/crates/brassport-appliance/src/run.rs
@@ -118,10 +118,10 @@
         report(panic);
         std::process::abort();
     }));
-    log::to_standard_error();
+    log::start_stderr_writer();
     let socket = place.socket().map_err(Failure::failed)?;
     if place.open_to_others() {
-        log::line(format!("{} can be entered by other users; `chmod 700` it", place.path.display()));
+        log::write_line(format!("{} can be entered by other users; `chmod 700` it", place.path.display()));
     }
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -225,7 +225,7 @@
     if *looker.read_only.borrow() != news.read_only {
         if let Some(problem) = &news.read_only {
             looker.event(format!("changes are no longer taken: {problem}"));
-            log::line(problem.clone());
+            log::write_line(problem.clone());
         }
         looker.read_only.replace(news.read_only);
     }
--- a/crates/brassport-appliance/src/serve.rs
+++ b/crates/brassport-appliance/src/serve.rs
@@ -59,7 +59,7 @@
         report(panic);
         std::process::abort();
     }));
-    log::to_standard_error();
+    log::start_stderr_writer();
     let seed = RandomState::new().build_hasher().finish();
     let (reread, rereads) = watch::channel(0);
     let config = site.config(seed, site.origins(seed, &Known::new(), &rereads).map_err(Failure::failed)?);
--- a/crates/brassport-appliance/src/sources/dns.rs
+++ b/crates/brassport-appliance/src/sources/dns.rs
@@ -164,7 +164,7 @@
         Ok(Box::new(move |reader: Reader| {
             let host = Host {
                 reader: Box::new(move |report| reader(report)),
-                log: Box::new(move |line| log::line(format!("{name}: {line}"))),
+                log: Box::new(move |line| log::write_line(format!("{name}: {line}"))),
                 seed,
                 reread: Some(reread),
             };
--- a/crates/brassport-appliance/src/sources/mod.rs
+++ b/crates/brassport-appliance/src/sources/mod.rs
@@ -152,7 +152,7 @@
                         token: Box::new(token),
                         seed,
                         reader: Box::new(move |report| reader(report)),
-                        log: Box::new(log::line),
+                        log: Box::new(log::write_line),
                     };
                     Box::pin(Source::new(SystemClock, Tcp, settings, host).follow())
                 })
@@ -377,13 +377,13 @@
             Some(Ok(list)) => {
                 if in_force || told.is_some() {
                     let nodes = list.entries.len();
-                    log::line(format!("{name}: {nodes} nodes read from {}", path.display()));
+                    log::write_line(format!("{name}: {nodes} nodes read from {}", path.display()));
                 }
                 (in_force, told) = (true, None);
                 reader(list);
             }
             Some(Err(problem)) if told.as_ref() != Some(&problem) => {
-                log::line(format!("{name}: {problem}; what was read before stays in force"));
+                log::write_line(format!("{name}: {problem}; what was read before stays in force"));
                 told = Some(problem);
             }
             Some(Err(_)) => {}
--- a/crates/brassport-nomad/src/source.rs
+++ b/crates/brassport-nomad/src/source.rs
@@ -248,7 +248,7 @@
 
     fn now(&self) -> Moment {
         let monotonic = self.clock.now().saturating_duration_since(self.start).as_millis() as u64;
-        Moment { monotonic, unix: self.clock.unix().as_millis() as u64 }
+        Moment { monotonic, unix: self.clock.unix_time().as_millis() as u64 }
     }
 
     /// Follows one list by blocking queries.
--- a/crates/brassport-peers/src/call.rs
+++ b/crates/brassport-peers/src/call.rs
@@ -240,7 +240,7 @@
         if is_due {
             self.told.set(Some(std::time::Instant::now()));
             let from: String = from.chars().filter(|c| !c.is_control()).take(64).collect();
-            log::line(format!("fleet: a call of '{from}' to {path} was refused: {why}"));
+            log::write_line(format!("fleet: a call of '{from}' to {path} was refused: {why}"));
         }
         Said::problem(403, &why.to_string())
     }
--- a/crates/brassport-peers/src/door.rs
+++ b/crates/brassport-peers/src/door.rs
@@ -259,7 +259,7 @@
                     let before = self.shared.borrow().version();
                     let taken = self.shared.borrow_mut().catch_up(catch);
                     if let Err(fault) = taken {
-                        log::line(format!("fleet: {}: {fault}", lines.current().address()));
+                        log::write_line(format!("fleet: {}: {fault}", lines.current().address()));
                         lines.turn();
                         self.back_off().await;
                     }
@@ -272,7 +272,7 @@
                     }
                 }
                 Err(problem) => {
-                    log::line(format!("fleet: no instance tells news: {problem}"));
+                    log::write_line(format!("fleet: no instance tells news: {problem}"));
                     self.back_off().await;
                 }
             }
@@ -322,7 +322,7 @@
         let lines = self.lines();
         let mut identity = self.agent.identity.clone();
         while let Err(problem) = self.enter(&lines, &mut identity).await {
-            log::line(format!("fleet: {} is not in the fleet yet: {problem}", self.agent.door));
+            log::write_line(format!("fleet: {} is not in the fleet yet: {problem}", self.agent.door));
             self.back_off().await;
         }
         let Agent { door, process, handle, length, .. } = &self.agent;
@@ -339,7 +339,7 @@
                     if !had_one {
                         identity.had_one = true;
                         if let Err(problem) = identity.write() {
-                            log::line(format!(
+                            log::write_line(format!(
                                 "fleet: {problem}; the next start of this door may have to wait"
                             ));
                         }
@@ -368,11 +368,11 @@
             if why != told {
                 told = why;
                 match why {
-                    Some(Why::Replaced) => log::line(format!(
+                    Some(Why::Replaced) => log::write_line(format!(
                         "fleet: another process goes by the name {door}: this one stops; was its directory copied? Give \
                          one of them another name with `follow`"
                     )),
-                    Some(why) => log::line(format!("fleet: {door} is given no right to act: {why:?}")),
+                    Some(why) => log::write_line(format!("fleet: {door} is given no right to act: {why:?}")),
                     None => {}
                 }
             }
@@ -428,7 +428,9 @@
             let part = record().part(from, SHIPPED);
             let text = part.unwrap_or_else(|problem| {
                 if !std::mem::replace(&mut told, true) {
-                    log::line(format!("fleet: its record cannot be shipped, and stays here: {problem}"));
+                    log::write_line(format!(
+                        "fleet: its record cannot be shipped, and stays here: {problem}"
+                    ));
                 }
                 String::new()
             });
--- a/crates/brassport-peers/src/record.rs
+++ b/crates/brassport-peers/src/record.rs
@@ -51,7 +51,7 @@
         if let Some(fault) = fault {
             // Kept for whoever looks for the cause.
             std::fs::write(folder.join("record.damaged.jsonl"), &text)?;
-            log::line(format!("fleet: {}: {fault}; goes on behind line before it", path.display()));
+            log::write_line(format!("fleet: {}: {fault}; goes on behind line before it", path.display()));
             file.set_len(sound as u64)?;
         }
         let length = sound as u64;
@@ -84,7 +84,7 @@
         match self.turn().and_then(|()| self.file.write_all(text.as_bytes())) {
             Ok(()) => {
                 if self.lost > 0 {
-                    log::line(format!("fleet: the record goes on; {} lines are lost", self.lost));
+                    log::write_line(format!("fleet: the record goes on; {} lines are lost", self.lost));
                 }
                 (self.length, self.chain) = (self.length + text.len() as u64, chain);
                 (self.lost, self.acts) = (0, None);
@@ -92,7 +92,7 @@
             Err(error) => {
                 if self.lost == 0 {
                     let path = self.folder.join(RECORD_FILE);
-                    log::line(format!(
+                    log::write_line(format!(
                         "fleet: {}: {error}; lines are lost until there is room",
                         path.display()
                     ));
--- a/crates/brassport-peers/src/run.rs
+++ b/crates/brassport-peers/src/run.rs
@@ -36,7 +36,7 @@
         report(panic);
         std::process::abort();
     }));
-    log::to_standard_error();
+    log::start_stderr_writer();
     let settings = place.settings()?;
     let (_held, identity) = identity::take(&place.0)?;
     let process = draw();
--- a/crates/brassport-peers/src/tasks.rs
+++ b/crates/brassport-peers/src/tasks.rs
@@ -255,7 +255,7 @@
         let due = schedule::due(wall_ms(), self.declared.every_ms, begun_for)?;
         if due.missed > 0 {
             let name = &self.declared.name;
-            log::line(format!(
+            log::write_line(format!(
                 "fleet: task {name}: {} due times passed with nobody to begin them",
                 due.missed
             ));
@@ -284,7 +284,7 @@
             }
         };
         self.last = done.unwrap_or_else(|problem| {
-            log::line(format!("fleet: task {name}: {problem}"));
+            log::write_line(format!("fleet: task {name}: {problem}"));
             problem
         });
     }
--- a/crates/brassport-proxy/src/clock.rs
+++ b/crates/brassport-proxy/src/clock.rs
@@ -23,7 +23,7 @@
     fn sleep_until(&self, at: Instant) -> Self::Sleep;
 
     /// The wall clock, as the time since 1970-01-01 UTC. It may be set, in either direction.
-    fn unix(&self) -> Duration;
+    fn unix_time(&self) -> Duration;
 
     /// Ready after so long.
     fn sleep(&self, time: Duration) -> Self::Sleep {
@@ -63,7 +63,7 @@
         tokio::time::sleep_until(at.into())
     }
 
-    fn unix(&self) -> Duration {
+    fn unix_time(&self) -> Duration {
         SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
     }
 }
--- a/crates/brassport-proxy/src/dispatch/clock.rs
+++ b/crates/brassport-proxy/src/dispatch/clock.rs
@@ -16,7 +16,7 @@
 impl<C: Clock> PolicyClock<C> {
     /// A clock that starts now, or continues another process's: its time, and the Unix time of its start.
     pub(super) fn new(clock: C, inherited: Option<(Millis, Millis)>) -> PolicyClock<C> {
-        let (now_ms, start_unix) = inherited.unwrap_or((0.0, clock.unix().as_secs_f64() * 1000.0));
+        let (now_ms, start_unix) = inherited.unwrap_or((0.0, clock.unix_time().as_secs_f64() * 1000.0));
         let start = clock.now().checked_sub(duration(now_ms)).unwrap_or_else(|| clock.now());
         PolicyClock { clock, start, start_unix }
     }
@@ -37,8 +37,8 @@
     }
 
     /// The wall clock, as the time since 1970-01-01 UTC.
-    pub fn unix(&self) -> Duration {
-        self.clock.unix()
+    pub fn unix_time(&self) -> Duration {
+        self.clock.unix_time()
     }
 
     /// The clock below, which timers run on.
--- a/crates/brassport-proxy/src/dispatch/dispatcher.rs
+++ b/crates/brassport-proxy/src/dispatch/dispatcher.rs
@@ -135,7 +135,7 @@
             Action::Timer { at, token } => self.set_timer(state, at, token),
             // The program follows the list from its start, whether or not the policy wants it.
             Action::FollowServers => {}
-            Action::Log(text) => log::line(text),
+            Action::Log(text) => log::write_line(text),
         }
     }
 
--- a/crates/brassport-proxy/src/downstream/connection.rs
+++ b/crates/brassport-proxy/src/downstream/connection.rs
@@ -196,7 +196,7 @@
     }
     // The date is that of whoever made the response (RFC 9110, section 6.6.1).
     if !response.headers().contains_key(header::DATE) {
-        let date = service.date().value(service.clock().unix());
+        let date = service.date().value(service.clock().unix_time());
         response.headers_mut().insert(header::DATE, date);
     }
 }
--- a/crates/brassport-proxy/src/log.rs
+++ b/crates/brassport-proxy/src/log.rs
@@ -1,4 +1,4 @@
-//! The log, on standard error once [`to_standard_error`] was called, else nowhere.
+//! The log, on standard error once [`start_stderr_writer`] was called, else nowhere.
 //!
 //! Guards against a reader that is slow or has closed its end: a thread of its own writes, and lines that it can't
 //! write in time, or that come too fast, are dropped.
@@ -17,12 +17,12 @@
 static WRITER: OnceLock<Option<SyncSender<String>>> = OnceLock::new();
 
 /// Starts the writer. A host that wants no thread beside its own leaves this out.
-pub fn to_standard_error() {
+pub fn start_stderr_writer() {
     WRITER.get_or_init(start);
 }
 
 /// Writes one line, if there is room for it.
-pub fn line(text: String) {
+pub fn write_line(text: String) {
     if let Some(Some(writer)) = WRITER.get() {
         let _ = writer.try_send(text);
     }
--- a/crates/brassport-proxy/src/upstream/pool.rs
+++ b/crates/brassport-proxy/src/upstream/pool.rs
@@ -134,7 +134,7 @@
 
 impl<C: Clock, N: Network> UpstreamPool<C, N> {
     /// Closes all idle connections, and keeps none from now on, or keeps them again.
-    pub fn keep_idle(&self, keep: bool) {
+    pub fn set_keep_idle(&self, keep: bool) {
         self.keeps_idle.set(keep);
         self.backends.borrow_mut().values_mut().for_each(|backend| backend.idle.clear());
     }
--- a/crates/brassport-proxy/tests/it/golden/downstream.rs
+++ b/crates/brassport-proxy/tests/it/golden/downstream.rs
@@ -38,7 +38,7 @@
         SystemClock.sleep_until(at)
     }
 
-    fn unix(&self) -> Duration {
+    fn unix_time(&self) -> Duration {
         Duration::from_millis(784_111_777_250)
     }
 }
--- a/crates/brassport-sim/benches/clocks/src/main.rs
+++ b/crates/brassport-sim/benches/clocks/src/main.rs
@@ -71,7 +71,7 @@
     fn sleep_until(&self, at: Instant) -> tokio::time::Sleep {
         tokio::time::sleep_until(at.into())
     }
-    fn unix(&self) -> Duration {
+    fn unix_time(&self) -> Duration {
         Duration::ZERO
     }
 }
--- a/crates/brassport-sim/src/seams.rs
+++ b/crates/brassport-sim/src/seams.rs
@@ -52,7 +52,7 @@
         SimSleep { kernel: self.kernel.clone(), host: self.host, at: at.div_ceil(MS) * MS, timer: None }
     }
 
-    fn unix(&self) -> Duration {
+    fn unix_time(&self) -> Duration {
         let unix = (START_UNIX.as_nanos() as i64) + self.kernel.now() as i64 + self.wall_offset.get();
         Duration::from_nanos(unix.max(0) as u64)
     }
--- a/crates/brassport/src/discovery.rs
+++ b/crates/brassport/src/discovery.rs
@@ -263,7 +263,7 @@
     /// Says why a list is not taken, once until one is taken.
     fn complain(&self, why: String) -> Option<List> {
         if !self.complained.replace(true) {
-            log::line(format!("discovery: {why}; the last good list stays in force"));
+            log::write_line(format!("discovery: {why}; the last good list stays in force"));
         }
         None
     }
--- a/crates/brassport/src/door.rs
+++ b/crates/brassport/src/door.rs
@@ -177,7 +177,7 @@
                 Told::Ban { node, boot_ms }
             }
             Call::Enable(node) => {
-                let at_ms = self.dispatcher.clock().unix().as_secs_f64() * 1000.0;
+                let at_ms = self.dispatcher.clock().unix_time().as_secs_f64() * 1000.0;
                 Told::CallBack { node, at_ms }
             }
         };
@@ -205,7 +205,7 @@
         if done.is_err() {
             return false;
         }
-        log::line(format!("backend {node} {word} by staff"));
+        log::write_line(format!("backend {node} {word} by staff"));
         if let Some(told) = self.told_of(node) {
             self.servers(ListKind::Delta, &[told]);
         }
--- a/crates/brassport/src/main.rs
+++ b/crates/brassport/src/main.rs
@@ -26,7 +26,7 @@
     if let Some((first, rest)) = words.split_first() {
         return other(first.to_str().unwrap_or_default(), rest);
     }
-    log::to_standard_error();
+    log::start_stderr_writer();
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
@@ -125,7 +125,7 @@
             (Err(problem), Some(taken)) => {
                 let theirs = config::parse(&taken.offer.file, First::Environment, |name| env::var(name).ok());
                 let config = theirs.map_err(|_| problem.clone())?;
-                log::line(format!("starts with the file of the process that serves: {problem}"));
+                log::write_line(format!("starts with the file of the process that serves: {problem}"));
                 config
             }
             (read, _) => read?,
--- a/crates/brassport/src/members.rs
+++ b/crates/brassport/src/members.rs
@@ -52,7 +52,7 @@
 
     pub fn now(&self) -> Moment {
         let monotonic = self.clock.now().saturating_duration_since(self.start).as_millis() as u64;
-        Moment { monotonic, unix: self.clock.unix().as_millis() as u64 }
+        Moment { monotonic, unix: self.clock.unix_time().as_millis() as u64 }
     }
 }
 
--- a/crates/brassport/src/program.rs
+++ b/crates/brassport/src/program.rs
@@ -304,7 +304,7 @@
     if let Some(taken) = taken {
         // Its own file may be newer than what the other process took.
         if let Err(problem) = settle(&config.names, &config.settings, &context) {
-            log::line(format!("goes on with the settings of the other process: {problem}"));
+            log::write_line(format!("goes on with the settings of the other process: {problem}"));
         }
         let (door, links, descriptors) = (door.clone(), links.clone(), descriptors.clone());
         let heir = Heir { network, door, links, descriptors, owed: spare - lent, clients };
@@ -368,7 +368,7 @@
                 // Guards against half a file: what is in force stays so.
                 Err(problem) => {
                     figures.reloaded(false);
-                    log::line(format!("not reloaded: {problem}"));
+                    log::write_line(format!("not reloaded: {problem}"));
                 }
             },
         }
--- a/crates/brassport/src/run/handover/mod.rs
+++ b/crates/brassport/src/run/handover/mod.rs
@@ -84,7 +84,9 @@
                 return Some(Taken { offer, listener, link, early });
             }
             _ => {
-                log::line("the process that serves here did not give its place: starting beside it".into());
+                log::write_line(
+                    "the process that serves here did not give its place: starting beside it".into(),
+                );
                 return None;
             }
         }
@@ -126,7 +128,7 @@
                 asked
             }
             Err(error) => {
-                log::line(format!("no upgrade of this process without a loss: TMPDIR: {error}"));
+                log::write_line(format!("no upgrade of this process without a loss: TMPDIR: {error}"));
                 return;
             }
         };
@@ -176,17 +178,19 @@
                         link.sender().send(Message::Offer(Box::new(offer)), Some(listener));
                     }
                     (GiverDoes::Give, _) => {
-                        log::line("another process has taken this one's place".into());
+                        log::write_line("another process has taken this one's place".into());
                         // Before the first client's connection: it is served once it is there.
                         link.sender().send(Message::Go, None);
                         self.ready(false);
                         self.links.set_state(HandOver::Given);
                     }
                     (GiverDoes::TakeBack, _) => {
-                        log::line("the process that took this one's place has ended: serving again".into());
+                        log::write_line(
+                            "the process that took this one's place has ended: serving again".into(),
+                        );
                         self.links.set_successor(None);
                         self.descriptors.add_permits(self.links.take_lent());
-                        self.context.backends.keep_idle(true);
+                        self.context.backends.set_keep_idle(true);
                         self.context.door.take_back();
                         self.links.set_state(HandOver::Not);
                         self.ready(true);
@@ -202,7 +206,7 @@
     /// What the successor needs. From here on nothing is spent that must not be spent twice.
     fn offer(&self) -> Option<(Offer, OwnedFd)> {
         let listener = N::duplicate_listener(&*self.listener.upgrade()?).ok()?;
-        self.context.backends.keep_idle(false);
+        self.context.backends.set_keep_idle(false);
         let free = self.descriptors.available_permits().saturating_sub(KEPT);
         let free = self.descriptors.forget_permits(free);
         self.links.lend(free);
