--- a/crates/brassport-proxy/src/body/buffered.rs
+++ b/crates/brassport-proxy/src/body/buffered.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a client's request into memory, as far as it is short.
+//! Reads the body of a client's request into memory, up to the buffer limit.
 
 use super::data_rate::DataRateMonitor;
 use super::{MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
@@ -8,15 +8,15 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Why a request's body was not read. Its source is downstream; nothing has been sent to a backend, so that its client
-/// may send the request again.
+/// Why reading a request body failed. The cause is on the client's side. Nothing has been sent to a backend, so the
+/// client may safely retry the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadError {
-    /// The connection broke, or what came is not HTTP.
+    /// The connection was lost before the end of the body, or the received bytes are not valid HTTP.
     Incomplete,
-    /// It came more slowly than [`data_rate`](super::data_rate) allows.
+    /// The body arrived below the minimum data rate (see [`data_rate`](super::data_rate)).
     TooSlow,
-    /// It declares more than [`MAX_BODY_BYTES`].
+    /// The declared length exceeds [`MAX_BODY_BYTES`].
     TooLong,
 }
 
@@ -24,27 +24,28 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             ReadError::Incomplete => "the body is incomplete",
-            ReadError::TooSlow => "the body came too slowly",
-            ReadError::TooLong => "the body is too long",
+            ReadError::TooSlow => "the body arrived below the minimum data rate",
+            ReadError::TooLong => "the declared body length exceeds the limit",
         })
     }
 }
 
 impl std::error::Error for ReadError {}
 
-/// What [`read_body`] has read.
+/// The result of [`read_body`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadBody {
-    /// All of the body.
+    /// The complete body.
     Complete(Bytes),
-    /// The first bytes of a long body; the rest is still to come.
+    /// The first bytes of a body that exceeds the buffer limit; the remainder has not been read.
     Partial(Bytes),
 }
 
-/// Reads a body to its end, or until more than [`MAX_BUFFERED_BYTES`] have come, as long as it keeps pace.
+/// Reads a body to its end, or until more than [`MAX_BUFFERED_BYTES`] have been received, and enforces the minimum
+/// data rate.
 ///
 /// # Errors
-/// The body broke off, came too slowly or declares a length that no body may have.
+/// The body was truncated, arrived too slowly, or declares a length beyond [`MAX_BODY_BYTES`].
 pub async fn read_body<C: Clock>(
     clock: &C,
     body: &mut Incoming,
@@ -59,7 +60,7 @@
         match next_chunk(clock, body, data_rate).await? {
             None if all.is_empty() => return Ok(ReadBody::Complete(first)),
             None => return Ok(ReadBody::Complete(all.into())),
-            // Most bodies are one chunk, and need no copy.
+            // Most bodies arrive in a single chunk and are not copied.
             Some(bytes) if first.is_empty() && all.is_empty() => first = bytes,
             Some(bytes) => {
                 if all.is_empty() {
@@ -74,18 +75,18 @@
     }
 }
 
-/// The next bytes of a body; `None` at its end.
+/// Returns the next bytes of a body, or `None` at its end.
 async fn next_chunk<C: Clock>(
     clock: &C,
     body: &mut Incoming,
     data_rate: &mut DataRateMonitor,
 ) -> Result<Option<Bytes>, ReadError> {
     loop {
-        let (since, time_left) = (clock.now(), data_rate.read_timeout());
-        if time_left == Duration::ZERO {
+        let (since, read_timeout) = (clock.now(), data_rate.read_timeout());
+        if read_timeout == Duration::ZERO {
             return Err(ReadError::TooSlow);
         }
-        let frame = match clock.timeout(time_left, body.frame()).await {
+        let frame = match clock.timeout(read_timeout, body.frame()).await {
             None => return Err(ReadError::TooSlow),
             Some(None) => return Ok(None),
             Some(Some(frame)) => frame.map_err(|_| ReadError::Incomplete)?,
--- a/crates/brassport-proxy/src/body/data_rate.rs
+++ b/crates/brassport-proxy/src/body/data_rate.rs
@@ -1,15 +1,16 @@
-//! How slow a peer may be that sends a body. No I/O: whoever reads the body measures and waits.
+//! The minimum data rate of a body that is being received. No I/O: the reader of the body measures the waiting times
+//! and applies the timeouts.
 
 use std::time::Duration;
 
-/// Time that a peer may be waited for beyond what its bytes account for.
+/// Waiting time allowed in addition to the time that the received bytes take at [`MIN_BYTES_PER_S`].
 pub const GRACE_PERIOD: Duration = Duration::from_millis(2500);
-/// Least average rate of a body: clients are promised service from 64 kB a second, and this is below that.
+/// Minimum average data rate of a body. The service guarantee covers clients from 64 kB/s; this limit is below it.
 pub const MIN_BYTES_PER_S: f64 = 48_000.0;
-/// Longest time without a byte, however fast those before came.
+/// Maximum waiting time for the next byte, regardless of the average rate so far.
 pub const MAX_READ_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The pace of one body that is coming in.
+/// Tracks the average data rate of one body that is being received.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DataRateMonitor {
     waited: Duration,
@@ -17,21 +18,21 @@
 }
 
 impl DataRateMonitor {
-    /// The pace of a body whose peer was waited for so long already.
+    /// Creates a monitor for a body. `waited` is the time already spent waiting for its sender.
     pub fn new(waited: Duration) -> DataRateMonitor {
         DataRateMonitor { waited, bytes: 0 }
     }
 
-    /// Records bytes and the wait that they ended.
+    /// Records received bytes and the time spent waiting for them.
     pub fn record(&mut self, waited: Duration, bytes: usize) {
         self.waited += waited;
         self.bytes += bytes as u64;
     }
 
-    /// How long the next bytes may be waited for: `GRACE_PERIOD + bytes / MIN_BYTES_PER_S - waited`, at most [`MAX_READ_TIMEOUT`].
-    /// Zero: the peer is too slow.
+    /// The maximum time to wait for the next bytes: `GRACE_PERIOD + bytes / MIN_BYTES_PER_S - waited`, at most
+    /// [`MAX_READ_TIMEOUT`]. Zero if the sender is below the minimum data rate.
     pub fn read_timeout(&self) -> Duration {
-        let earned = Duration::from_secs_f64(self.bytes as f64 / MIN_BYTES_PER_S);
-        (GRACE_PERIOD + earned).saturating_sub(self.waited).min(MAX_READ_TIMEOUT)
+        let allowed = Duration::from_secs_f64(self.bytes as f64 / MIN_BYTES_PER_S);
+        (GRACE_PERIOD + allowed).saturating_sub(self.waited).min(MAX_READ_TIMEOUT)
     }
 }
--- a/crates/brassport-proxy/src/body/mod.rs
+++ b/crates/brassport-proxy/src/body/mod.rs
@@ -1,8 +1,8 @@
-//! Bodies of requests and responses: buffered while they are short, proxied chunk by chunk beyond that.
+//! Request and response bodies: short ones are buffered in memory, longer ones are forwarded chunk by chunk.
 //!
-//! What this layer adds: one body type for both cases, and a bound on how long a slow peer is waited for
-//! ([`data_rate`]). What it requires of the layer below: an [`hyper::body::Incoming`] whose connection is driven by its
-//! owner. It opens no socket and starts no task.
+//! This layer provides one body type for both cases and enforces a minimum data rate on slow peers ([`data_rate`]).
+//! It requires an [`hyper::body::Incoming`] whose connection is polled by its owner. It opens no sockets and spawns no
+//! tasks.
 
 mod buffered;
 pub mod data_rate;
@@ -18,30 +18,31 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Most bytes of a body that is buffered completely, in either direction. It bounds the memory of a request that can
-/// be sent again.
+/// Maximum size of a body that is buffered completely, in either direction. Only a request whose body is buffered can
+/// be retried, so this limits the memory of a retryable request.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
-/// Most bytes of any body: a request that declares more is rejected, a response that does is not accepted.
+/// Maximum declared length of a body, in either direction. A request that declares more is rejected; a response that
+/// declares more is treated as broken.
 pub const MAX_BODY_BYTES: u64 = 256 << 20;
 
-/// A body that ended before all of it had come. Its source is the side that was sending it: downstream for a request,
-/// upstream for a response. Never retryable as such: some of the body may have reached the other side.
+/// A body that ended before its last byte. The cause is on the sender's side: the client for a request, the backend
+/// for a response. Not retryable by itself, as part of the body may already have been forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BodyError;
 
 impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the body did not come whole")
+        f.write_str("the body is incomplete")
     }
 }
 
 impl std::error::Error for BodyError {}
 
-/// A body that is complete in memory, or one that arrives while it is forwarded.
+/// A body that is either buffered completely or streamed while it is being received.
 pub enum ProxiedBody<B> {
-    /// All of it is in memory.
+    /// The complete body, in memory.
     Complete(Full<Bytes>),
-    /// More of it arrives.
+    /// A body that is forwarded while it is being received.
     Streaming(B),
 }
 
--- a/crates/brassport-proxy/src/body/streamed.rs
+++ b/crates/brassport-proxy/src/body/streamed.rs
@@ -1,4 +1,4 @@
-//! The body of a response that is forwarded to its client while it arrives from a backend.
+//! The body of a response that is streamed to the client while it is being received from a backend.
 
 use super::BodyError;
 use hyper::body::{Body, Bytes, Frame, SizeHint};
@@ -6,40 +6,40 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// Chunks of a response that wait for its client to take them: one keeps both sides busy and bounds the memory of a
-/// client that takes nothing.
+/// Maximum number of chunks of a response that are buffered for the client. One chunk lets the backend send while the
+/// client reads, and limits the memory used by a client that does not read.
 pub const MAX_PENDING_CHUNKS: usize = 1;
 
 enum Chunk {
     Data(Bytes),
-    /// All has come. Without it the body is incomplete.
+    /// The body is complete. If the channel closes without it, the body is incomplete.
     End,
 }
 
-/// The reading side of a response that is forwarded as it arrives. Its client's connection reads it.
+/// The reading side of a streamed response body, polled by the client's connection.
 pub struct StreamedBody {
     chunks: mpsc::Receiver<Chunk>,
-    /// Bytes that are still to come, where the length is known.
+    /// The number of bytes not yet read; `None` if the length of the body is unknown.
     remaining: Option<u64>,
-    is_over: bool,
+    has_ended: bool,
     on_end: Option<Box<dyn FnOnce(bool)>>,
 }
 
 impl StreamedBody {
-    /// A body of this many bytes, if the length is known, and its writing side.
+    /// Creates a body and its writing side. `length` is the length in bytes; `None` if it is unknown.
     pub fn new(length: Option<u64>) -> (BodySender, StreamedBody) {
         let (sender, chunks) = mpsc::channel(MAX_PENDING_CHUNKS);
-        (BodySender(sender), StreamedBody { chunks, remaining: length, is_over: false, on_end: None })
+        (BodySender(sender), StreamedBody { chunks, remaining: length, has_ended: false, on_end: None })
     }
 
-    /// Registers a call for the end of this body: with `true` once all of it has been read, with `false` once it broke
-    /// off or nobody reads it any more. It is made once; a later registration replaces an earlier one.
+    /// Sets the callback for the end of this body. It is called once: with `true` when the whole body has been read,
+    /// with `false` if the body was truncated or the reader was dropped. A later callback replaces an earlier one.
     pub fn on_end(&mut self, callback: impl FnOnce(bool) + 'static) {
         self.on_end = Some(Box::new(callback));
     }
 
     fn end(&mut self, is_complete: bool) {
-        self.is_over = true;
+        self.has_ended = true;
         if let Some(callback) = self.on_end.take() {
             callback(is_complete);
         }
@@ -48,7 +48,7 @@
     fn received(&mut self, bytes: Bytes) -> Frame<Bytes> {
         if let Some(remaining) = &mut self.remaining {
             *remaining = remaining.saturating_sub(bytes.len() as u64);
-            // hyper polls no more once the declared length is there: the end would never be seen.
+            // hyper stops polling when the declared length has been read, so `Chunk::End` would never be received.
             if *remaining == 0 {
                 self.end(true);
             }
@@ -66,7 +66,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let this = self.get_mut();
-        if this.is_over {
+        if this.has_ended {
             return Poll::Ready(None);
         }
         Poll::Ready(match std::task::ready!(this.chunks.poll_recv(context)) {
@@ -83,7 +83,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.is_over
+        self.has_ended
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -97,24 +97,24 @@
     }
 }
 
-/// The writing side of a [`StreamedBody`]. Dropped before [`finish`](BodySender::finish) the body is incomplete, and
-/// its client can tell.
+/// The writing side of a [`StreamedBody`]. If it is dropped without a call of [`finish`](BodySender::finish), the body
+/// is incomplete and the client can detect this.
 pub struct BodySender(mpsc::Sender<Chunk>);
 
 impl BodySender {
-    /// Writes a chunk once there is room for it; false if nobody reads the body any more.
+    /// Writes a chunk as soon as the buffer has space. Returns false if the reader was dropped.
     pub async fn send(&self, bytes: Bytes) -> bool {
         bytes.is_empty() || self.0.send(Chunk::Data(bytes)).await.is_ok()
     }
 
-    /// Ready once nobody reads the body any more.
+    /// Completes when the reader has been dropped.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
 
     /// Marks the body as complete.
     pub async fn finish(self) {
-        // A reader that has left needs no end.
+        // Sending fails only if the reader was dropped; the end marker is not needed then.
         let _ = self.0.send(Chunk::End).await;
     }
 }
--- a/crates/brassport-proxy/src/body/upload.rs
+++ b/crates/brassport-proxy/src/body/upload.rs
@@ -1,4 +1,4 @@
-//! The body of a long request that is forwarded to a backend while it arrives from its client.
+//! The body of a long request that is streamed to a backend while it is being received from the client.
 
 use super::data_rate::DataRateMonitor;
 use super::BodyError;
@@ -12,10 +12,10 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// How long an upload may stall, on either side.
+/// Maximum time without progress of an upload, on either side.
 const STALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How far an upload has come, for those who do not read it: the attempt, the dispatcher, the client's connection.
+/// The progress of an upload, shared with the attempt, the dispatcher and the client's connection.
 #[derive(Default)]
 pub struct UploadProgress {
     bytes: Cell<u64>,
@@ -30,18 +30,19 @@
 }
 
 impl UploadProgress {
-    /// When its last byte was forwarded, once it has been.
+    /// When the last byte was forwarded; `None` if the upload is not complete.
     pub fn completed_at(&self) -> Option<Instant> {
         self.completed_at.get()
     }
 
-    /// Registers a call for the moment when the last byte is forwarded; a later registration replaces an earlier one.
+    /// Sets the callback for when the last byte is forwarded. A later callback replaces an earlier one.
     pub fn on_complete(&self, callback: impl FnOnce() + 'static) {
         self.on_complete.replace(Some(Box::new(callback)));
     }
 
-    /// Ready once nothing has moved for 15 s; never once the upload is complete. Guards against a backend that accepts
-    /// a request and reads no more of it, as there is no deadline before the last byte.
+    /// Completes when the upload has made no progress for 15 s; never after the upload is complete. This handles a
+    /// backend that accepts a request but stops reading its body, as the request's deadline starts only at the last
+    /// byte.
     pub async fn stalled(&self, clock: &impl Clock) {
         loop {
             let before = self.bytes.get();
@@ -65,14 +66,15 @@
     }
 }
 
-/// A wait for the client's next bytes.
+/// A pending wait for the client's next bytes.
 struct ClientWait<C: Clock> {
     since: Instant,
-    /// On the heap, so that the body stays `Unpin`.
+    /// Boxed, so that [`Upload`] is `Unpin`.
     timeout: Pin<Box<C::Sleep>>,
 }
 
-/// The body: what was read before it was known to be long, and what still comes, as long as it keeps pace.
+/// The body of an upload: the bytes that were buffered before it exceeded the buffer limit, followed by the rest as it
+/// is received. Enforces the minimum data rate.
 pub struct Upload<C: Clock> {
     clock: C,
     first: Bytes,
@@ -82,11 +84,11 @@
     progress: Rc<UploadProgress>,
 }
 
-// Its timer is on the heap.
+// The only field that may not be `Unpin`, the timer, is boxed.
 impl<C: Clock> Unpin for Upload<C> {}
 
 impl<C: Clock> Upload<C> {
-    /// A body of these first bytes and this rest, and its progress.
+    /// Creates a body from the buffered `first` bytes and the `rest`, and returns it with its progress.
     pub fn new(
         clock: C,
         first: Bytes,
@@ -99,20 +101,20 @@
 
     fn forwarded(&self, bytes: u64) {
         self.progress.bytes.set(self.progress.bytes.get() + bytes);
-        // hyper does not poll a body again that says that it has ended.
+        // hyper does not poll a body again after `is_end_stream` has returned true.
         if self.is_end_stream() {
             self.progress.complete(self.clock.now());
         }
     }
 
-    /// Ends the wait for the client's bytes, of which so many came.
+    /// Ends the wait for the client and records the received bytes.
     fn received(&mut self, bytes: usize) {
         let now = self.clock.now();
         let waited = self.waiting.take().map(|wait| now.saturating_duration_since(wait.since));
         self.data_rate.record(waited.unwrap_or_default(), bytes);
     }
 
-    /// Waits for the client's next bytes, as long as its pace allows: an error once it is too slow.
+    /// Polls the timeout of the wait for the client's next bytes. Fails if the client is below the minimum data rate.
     fn poll_timeout(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let (clock, data_rate) = (&self.clock, &self.data_rate);
         let wait = self.waiting.get_or_insert_with(|| {
