--- a/crates/brassport-proxy/src/dispatch/attempt.rs
+++ b/crates/brassport-proxy/src/dispatch/attempt.rs
@@ -1,4 +1,4 @@
-//! The task of one attempt: from the policy's choice of a backend to the report of its end.
+//! The task of one attempt, from the policy's selection of a backend to the report of the attempt's end.
 
 use super::dispatcher::{Dispatcher, State};
 use super::options::RequestOutcome;
@@ -17,7 +17,7 @@
 pub(super) struct AttemptTask<C: Clock, N: Network> {
     pub(super) dispatcher: Rc<Dispatcher<C, N>>,
     pub(super) id: RequestId,
-    /// Its number among the request's attempts, from 0.
+    /// The index of the attempt among the attempts of its request; 0 is the first.
     pub(super) number: u8,
     pub(super) backend: ServerId,
     pub(super) message: Rc<UpstreamRequest>,
@@ -25,11 +25,11 @@
 }
 
 impl<C: Clock, N: Network> AttemptTask<C, N> {
-    /// Executes the attempt and reports its end.
+    /// Executes the attempt and reports its end. A message on `cancelled` cancels it.
     pub(super) async fn run(self, cancelled: oneshot::Receiver<()>) {
         let sent_at = self.dispatcher.clock.now();
         let backend_name = self.before_attempt().await;
-        // A sender that is dropped without a call cancels nothing.
+        // A dropped sender is not a cancellation.
         let cancelled = async {
             if cancelled.await.is_err() {
                 std::future::pending::<()>().await;
@@ -41,8 +41,9 @@
         self.finish(sent_at, backend_name.as_deref(), result);
     }
 
-    /// Waits for what the hooks want to be done first. Returns the backend's name, if there are hooks. Whether the
-    /// backend still takes requests and the client still waits is checked after this, before the first byte.
+    /// Waits for the work that the hooks request before the attempt. Returns the name of the backend, or `None` if there
+    /// are no hooks. Whether the backend still accepts requests and the client still waits is checked afterwards, before
+    /// the first byte.
     async fn before_attempt(&self) -> Option<Rc<str>> {
         let (name, wait) = {
             let state = self.dispatcher.state.borrow();
@@ -57,21 +58,22 @@
         Some(name)
     }
 
-    /// Whether the host's limits have room for this attempt. A first attempt without room is rejected here.
+    /// Whether the host's limits allow this attempt. If they do not and this is the first attempt, the request is
+    /// rejected.
     fn is_within_limits(&self) -> bool {
         let state = &mut *self.dispatcher.state.borrow_mut();
-        let room = state.requests.hooks().map_or(Ok(()), |hooks| hooks.may_send(self.id, self.number));
-        if let (Err(wait_ms), 0) = (room, self.number) {
-            state.requests.answer(self.id, RequestOutcome::Rejected(wait_ms));
+        let permission = state.requests.hooks().map_or(Ok(()), |hooks| hooks.may_send(self.id, self.number));
+        if let (Err(wait_ms), 0) = (permission, self.number) {
+            state.requests.resolve(self.id, RequestOutcome::Rejected(wait_ms));
         }
-        room.is_ok()
+        permission.is_ok()
     }
 
-    /// Reports the attempt's end: to its request and the hooks, to the program, then to the policy.
+    /// Reports the end of the attempt to its request and the hooks, then to the program, then to the policy.
     fn finish(&self, sent_at: Millis, backend_name: Option<&str>, result: AttemptResult) {
         let now = self.dispatcher.clock.now();
         let elapsed = self.elapsed(sent_at, now, &result);
-        // The state is borrowed up to here: the program and the policy are called without.
+        // The callback and the policy are called below, when the state is no longer borrowed.
         let Some(ended) = self.record_end(now, elapsed, backend_name, result) else { return };
         if let Some(customer) = ended.customer {
             (self.dispatcher.on_attempt_end)(customer);
@@ -79,7 +81,7 @@
         self.dispatcher.handle(Event::AttemptEnd(ended.report));
     }
 
-    /// Records the end in the state. `None` if a mutant loses it.
+    /// Records the end in the state. Returns `None` only if the mutant `LeakInFlight` drops it.
     fn record_end(
         &self,
         now: Millis,
@@ -88,7 +90,7 @@
         mut result: AttemptResult,
     ) -> Option<EndedAttempt> {
         let state = &mut *self.dispatcher.state.borrow_mut();
-        if mutant!(LeakInFlight) && state.requests.get(self.id).is_some_and(|one| !one.is_awaited()) {
+        if mutant!(LeakInFlight) && state.requests.get(self.id).is_some_and(|request| !request.is_awaited()) {
             return None;
         }
         self.deliver(state, &mut result);
@@ -104,28 +106,28 @@
             hooks.on_attempt_end(name, &report);
         }
         let customer = state.requests.get(self.id).map(|in_flight| in_flight.request.customer);
-        state.requests.remove_if_over(self.id);
+        state.requests.remove_if_finished(self.id);
         Some(EndedAttempt { report, customer })
     }
 
-    /// How long the backend took, in milliseconds, up to the first bytes of a long response. Its work begins with the
-    /// last byte that it gets.
+    /// The time in milliseconds from the last byte of the request to the complete response, or to the first bytes of a
+    /// streamed response.
     fn elapsed(&self, sent_at: Millis, now: Millis, result: &AttemptResult) -> Millis {
         let clock = &self.dispatcher.clock;
         let sent_at = self.message.upload_completed_at().map_or(sent_at, |at| clock.millis(at));
         result.streaming_since.map_or(now, |since| clock.millis(since)) - sent_at
     }
 
-    /// Gives the response to the client, or keeps one that reports a failure, and marks the attempt as ended.
+    /// Passes a successful response to the client, or stores an error response, and marks the attempt as ended.
     fn deliver(&self, state: &mut State, result: &mut AttemptResult) {
         let response = result.response.take();
         match (response, result.outcome) {
             (Some(response), Outcome::Ok) => {
-                state.requests.answer(self.id, RequestOutcome::Served(response));
+                state.requests.resolve(self.id, RequestOutcome::Served(response));
             }
             (Some(response), _) => {
                 if let Some(in_flight) = state.requests.get_mut(self.id) {
-                    in_flight.failure = Some(response);
+                    in_flight.error_response = Some(response);
                 }
             }
             (None, _) => {}
@@ -135,7 +137,8 @@
         }
     }
 
-    /// Records the attempt with the meter. Returns the customer's use: as the backend reported it, else as metered.
+    /// Records the attempt with the usage meter. Returns the customer's usage: the value that the backend reported, or
+    /// else the meter's reading.
     fn meter(&self, state: &mut State, now: Millis, result: &AttemptResult) -> Option<f64> {
         let State { meter, requests, .. } = state;
         let (Some(meter), Some(in_flight)) = (meter, requests.get(self.id)) else { return result.quota_used };
@@ -147,27 +150,28 @@
     }
 }
 
-/// An attempt whose end is recorded.
+/// The end of an attempt, as recorded in the state.
 struct EndedAttempt {
     report: AttemptEnd,
-    /// The customer of its request, if that is still in the table.
+    /// The customer of the request; `None` if the request is no longer in the table.
     customer: Option<CustomerId>,
 }
 
 impl<C: Clock, N: Network> AttemptOwner for AttemptTask<C, N> {
     fn may_send(&self) -> bool {
-        // Guards against a standstill, or a partition, in which the right to act ran out. Earlier attempts may have run.
+        // The permission to serve may have expired since admission, while the process was suspended or partitioned from
+        // the network. If there were earlier attempts, they may have run, so the request fails instead of being rejected.
         if let Err(wait_ms) = self.dispatcher.may_serve() {
             let is_first = self.number == 0;
             let outcome = if is_first { RequestOutcome::Rejected(wait_ms) } else { RequestOutcome::Failed };
-            self.dispatcher.state.borrow_mut().requests.answer(self.id, outcome);
+            self.dispatcher.state.borrow_mut().requests.resolve(self.id, outcome);
         }
         let is_awaited = self.dispatcher.state.borrow().requests.is_awaited(self.id);
         is_awaited && self.is_within_limits()
     }
 
     fn forward(&self, response: Response<ResponseBody>) {
-        self.dispatcher.state.borrow_mut().requests.answer(self.id, RequestOutcome::Served(response));
+        self.dispatcher.state.borrow_mut().requests.resolve(self.id, RequestOutcome::Served(response));
         self.dispatcher.handle(Event::Started(self.id));
     }
 }
--- a/crates/brassport-proxy/src/dispatch/dispatcher.rs
+++ b/crates/brassport-proxy/src/dispatch/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The owner of the policy: events in, actions out.
+//! The owner of the policy: passes events to it and executes the resulting actions.
 
 use super::attempt::AttemptTask;
 use super::clock::{duration, PolicyClock};
@@ -20,14 +20,15 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, Notify};
 
-/// The deadline of a request that is still being uploaded: it ends by its pace, or by stalling, before that.
+/// The provisional deadline of a request that is still being uploaded. The minimum data rate and the stall timeout end
+/// an upload long before it.
 const UPLOAD_DEADLINE: Duration = Duration::from_secs(24 * 3600);
 
-/// What a dispatcher keeps between two events.
+/// The mutable state of a dispatcher.
 pub(super) struct State {
     pub(super) policy: Gateway,
     pub(super) requests: RequestTable,
-    /// The policy's timers, the earliest first, with their tokens.
+    /// The timers of the policy with their tokens; the earliest is on top.
     timers: BinaryHeap<Reverse<(Instant, u64)>>,
     pub(super) meter: Option<Box<dyn UsageMeter>>,
 }
@@ -43,11 +44,11 @@
 }
 
 impl<C: Clock, N: Network> Dispatcher<C, N> {
-    /// A dispatcher without requests, whose policy knows no backends. The program runs
+    /// Creates a dispatcher whose policy has no backends. The program has to spawn
     /// [`run_timers`](Dispatcher::run_timers).
     ///
     /// # Errors
-    /// The policy does not accept a setting.
+    /// The policy rejects a setting.
     pub fn new(
         clock: C,
         settings: Settings,
@@ -71,9 +72,9 @@
         }))
     }
 
-    /// Admits a request to the policy; its `expires_in` and id are filled in here. Its client waits for `timeout`, from
-    /// now or from when all of it has come. Guards against a second effect: `None` if a request of the same name is in
-    /// flight, until the last of its attempts has ended.
+    /// Admits a request to the policy; its `expires_in` and `id` are set here. The client waits for `timeout`, starting
+    /// now or, for an upload, when the request has been received completely. Returns `None` if a request of the same
+    /// name is in flight, up to the end of its last attempt, so that a duplicate cannot take effect twice.
     pub fn admit(
         self: &Rc<Self>,
         mut request: Request,
@@ -96,7 +97,7 @@
         Some(PendingRequest::new(self.clone(), request.id, deadline, outcome))
     }
 
-    /// All of a request has come and been forwarded: its client's time begins.
+    /// Starts the deadline of an upload, which has been received and forwarded completely.
     pub(super) fn upload_completed(self: &Rc<Self>, id: RequestId) {
         if let Some(in_flight) = self.state.borrow().requests.get(id) {
             let timeout = duration(in_flight.request.expires_in);
@@ -105,7 +106,7 @@
         self.handle(Event::Whole(id));
     }
 
-    /// Hands an event to the policy, and executes the actions that follow from it.
+    /// Passes an event to the policy and executes the resulting actions.
     pub fn handle(self: &Rc<Self>, event: Event) {
         let state = &mut *self.state.borrow_mut();
         let mut actions = Vec::new();
@@ -115,17 +116,18 @@
         }
     }
 
-    /// Executes an action. One for a request that is no longer in flight was overtaken by its outcome: it is dropped.
+    /// Executes an action. Actions for requests that are no longer in flight are ignored.
     fn execute(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
             Action::Send { request, server, expire_at } => self.send(state, request, server, expire_at),
             Action::Refuse { request, retry_after } => {
-                state.requests.answer(request, RequestOutcome::Rejected(retry_after));
+                state.requests.resolve(request, RequestOutcome::Rejected(retry_after));
             }
             Action::Fail(request) => {
-                let failure = state.requests.get_mut(request).and_then(|one| one.failure.take());
-                let outcome = failure.map_or(RequestOutcome::Failed, RequestOutcome::Served);
-                state.requests.answer(request, outcome);
+                let error_response =
+                    state.requests.get_mut(request).and_then(|in_flight| in_flight.error_response.take());
+                let outcome = error_response.map_or(RequestOutcome::Failed, RequestOutcome::Served);
+                state.requests.resolve(request, outcome);
             }
             Action::Cancel { request, attempt } => {
                 if let Some(in_flight) = state.requests.get_mut(request) {
@@ -133,7 +135,7 @@
                 }
             }
             Action::Timer { at, token } => self.set_timer(state, at, token),
-            // The program follows the list from its start, whether or not the policy wants it.
+            // Programs subscribe to the server list at startup, regardless of this action.
             Action::FollowServers => {}
             Action::Log(text) => log::write_line(text),
         }
@@ -159,7 +161,8 @@
         state.timers.push(Reverse((at, token)));
     }
 
-    /// Notifies the policy when its timers expire. Never ready: the program spawns it, and drops it with its other tasks.
+    /// Notifies the policy when its timers expire. Never completes; the program spawns it and aborts it with its other
+    /// tasks.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let next = self.state.borrow().timers.peek().map(|Reverse((at, _))| *at);
@@ -181,7 +184,7 @@
         }
     }
 
-    /// Applies other settings from now on; a class or a plan keeps its index.
+    /// Replaces the settings. Classes and plans must keep their indexes.
     pub fn apply_settings(self: &Rc<Self>, settings: Settings) {
         if let Some(meter) = &mut self.state.borrow_mut().meter {
             meter.apply_settings(&settings);
@@ -189,33 +192,33 @@
         self.handle(Event::Settings(Box::new(settings)));
     }
 
-    /// Fails all that is still in flight, as the program has to end.
+    /// Fails all requests in flight, as the program is about to exit.
     pub fn fail_all(self: &Rc<Self>) {
         self.state.borrow_mut().requests.fail_all();
     }
 }
 
-/// What a program reads of it.
+/// Accessors for the program.
 impl<C: Clock, N: Network> Dispatcher<C, N> {
-    /// Whether the host lets this gateway instance act now.
+    /// Checks whether the host currently allows this gateway instance to serve requests.
     ///
     /// # Errors
-    /// It does not; how many milliseconds clients are to wait.
+    /// The instance may not serve. The error is the suggested retry delay for clients, in milliseconds.
     pub fn may_serve(&self) -> Result<(), Millis> {
         self.state.borrow().requests.hooks().map_or(Ok(()), |hooks| hooks.may_serve())
     }
 
-    /// The plan that the host has for this customer, by index.
+    /// The index of the plan that the host sets for this customer; `None` to use the request's plan.
     pub fn plan_override(&self, customer: CustomerId) -> Option<usize> {
         self.state.borrow().requests.hooks()?.plan_override(customer)
     }
 
-    /// The policy's limit on attempts in flight, and the part of what the quotas admit that it has room for, from 0 to 1.
+    /// The policy's limit on attempts in flight, and the fraction of the quota-admitted load that fits into it (0 to 1).
     pub fn capacity(&self) -> (f64, f64) {
         self.inspect(Gateway::room)
     }
 
-    /// Reads from the policy. `read` must not call the dispatcher.
+    /// Calls `read` with the policy. `read` must not call the dispatcher.
     pub fn inspect<T>(&self, read: impl FnOnce(&Gateway) -> T) -> T {
         read(&self.state.borrow().policy)
     }
@@ -225,17 +228,18 @@
         &self.clock
     }
 
-    /// The customers of the attempts in flight: each as often as it has one.
+    /// The customer of each attempt in flight; a customer is listed once per attempt.
     pub fn attempts_in_flight(&self) -> Vec<CustomerId> {
         self.state.borrow().requests.attempts_in_flight()
     }
 
-    /// A name for a request to which its client gave none; no client can give it.
+    /// Generates a name for a request without a client-supplied id. It starts with `~`, which programs must not accept
+    /// in client-supplied ids.
     pub fn generate_id(&self) -> String {
         self.state.borrow_mut().requests.generate_name()
     }
 
-    /// How many requests await their outcome or the end of an attempt.
+    /// The number of requests that await their outcome or the end of an attempt.
     pub fn in_flight(&self) -> usize {
         self.state.borrow().requests.count()
     }
--- a/crates/brassport-proxy/src/dispatch/mod.rs
+++ b/crates/brassport-proxy/src/dispatch/mod.rs
@@ -1,15 +1,15 @@
-//! Between clients and backends: the single owner of the policy.
+//! The dispatch layer between clients and backends. It is the only owner of the policy.
 //!
-//! What this layer adds to a request: one owner from admission to the end of its last attempt, a name that no other
-//! request in flight has, a deadline, and exactly one outcome for its client. It keeps the policy's clock and timers,
-//! hands events to the policy and executes the actions that follow, in order. It decides nothing.
+//! This layer tracks each request from admission to the end of its last attempt. It gives the request a unique name
+//! among the requests in flight, a deadline and exactly one outcome for its client. It runs the clock and the timers of
+//! the policy, passes events to the policy and executes the resulting actions in order. It makes no decisions itself.
 //!
-//! What it requires of the layer below, [`crate::upstream`]: that an attempt is over, its socket closed or idle, when
-//! [`UpstreamPool::attempt`](crate::upstream::UpstreamPool::attempt) is ready.
+//! It requires from the layer below, [`crate::upstream`], that an attempt has ended and its socket is closed or idle
+//! when [`UpstreamPool::attempt`](crate::upstream::UpstreamPool::attempt) completes.
 //!
-//! Ownership: a [`Dispatcher`] starts one task for each attempt that the policy sends. The task ends when its attempt
-//! does, also one that was cancelled; the request is removed once it is answered and its last attempt has ended. All
-//! run on one thread: the state is borrowed between two awaits only, and never while the policy's events nest.
+//! Tasks: a [`Dispatcher`] spawns one task for each attempt. The task ends with its attempt, also if the attempt was
+//! cancelled. A request is removed when it has its outcome and its last attempt has ended. Everything runs on one
+//! thread; the state is never borrowed across an await or while another event is being handled.
 
 mod attempt;
 mod clock;
--- a/crates/brassport-proxy/src/dispatch/options.rs
+++ b/crates/brassport-proxy/src/dispatch/options.rs
@@ -1,4 +1,4 @@
-//! What a program brings to a dispatcher, and what it gets back for a request.
+//! The options of a dispatcher, the usage meter interface, and the outcome of a request.
 
 use crate::body::ResponseBody;
 use crate::hooks::{RequestEnd, RequestHooks};
@@ -6,18 +6,19 @@
 use hyper::Response;
 use std::rc::Rc;
 
-/// The final outcome of a request, for its client.
+/// The final outcome of a request for its client.
 pub enum RequestOutcome {
-    /// A backend's response.
+    /// The response of a backend.
     Served(Response<ResponseBody>),
-    /// Rejected: it has not run, and sending it again is harmless, after so many milliseconds if that is not 0.
+    /// The request was rejected. It has not run and may safely be retried. The value is the suggested retry delay in
+    /// milliseconds; 0 means no suggestion.
     Rejected(Millis),
-    /// It failed, and may have run.
+    /// The request failed. It may have run.
     Failed,
 }
 
 impl RequestOutcome {
-    /// How the request ended, for hooks.
+    /// The outcome as it is reported to hooks.
     pub(super) fn end(&self) -> RequestEnd {
         match self {
             RequestOutcome::Served(_) => RequestEnd::Served,
@@ -27,27 +28,27 @@
     }
 }
 
-/// Measures customers' use on this side, where backends do not report it. No I/O.
+/// Measures the usage of customers locally, for backends that do not report it. No I/O.
 pub trait UsageMeter {
-    /// Records an attempt that a backend may have run.
+    /// Records an attempt that a backend may have run, with its cost in units.
     fn record(&mut self, now: Millis, customer: CustomerId, units: f64);
 
-    /// The customer's use in the last finished period, as a share of its plan's rate.
+    /// The customer's usage in the last complete metering period, as a fraction of the rate of its plan.
     fn reading(&mut self, now: Millis, customer: CustomerId, plan: usize) -> Option<f64>;
 
-    /// Applies other settings; a plan keeps its index.
+    /// Replaces the settings. Plans keep their indexes.
     fn apply_settings(&mut self, settings: &Settings);
 }
 
-/// What a program brings to a dispatcher.
+/// The options of a dispatcher.
 pub struct DispatcherOptions {
-    /// The meter, where backends do not report use.
+    /// The usage meter; `None` if backends report usage.
     pub meter: Option<Box<dyn UsageMeter>>,
-    /// Called at the phases of each request.
+    /// Callbacks at the phases of each request.
     pub hooks: Option<Rc<dyn RequestHooks>>,
-    /// Called for each attempt that has ended, before the policy is notified, with the request's customer.
+    /// Called with the customer of the request when an attempt has ended, before the policy is notified.
     pub on_attempt_end: Box<dyn Fn(CustomerId)>,
-    /// The policy clock of the process whose place this one takes: its time, and the Unix time of its start, both in
-    /// milliseconds.
+    /// The policy clock of the process that this one replaces: its current time and the Unix time of its start, both in
+    /// milliseconds. `None` if this process does not replace another one.
     pub inherited_clock: Option<(Millis, Millis)>,
 }
--- a/crates/brassport-proxy/src/dispatch/pending.rs
+++ b/crates/brassport-proxy/src/dispatch/pending.rs
@@ -1,4 +1,4 @@
-//! A client's wait for the outcome of its request.
+//! The client's handle of an admitted request.
 
 use super::dispatcher::Dispatcher;
 use super::options::RequestOutcome;
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A request that was admitted and awaits its outcome. Dropped before that has come, it notifies the policy that the
-/// client has left.
+/// An admitted request that awaits its outcome. Dropping it before the outcome is available notifies the policy that
+/// the client has disconnected.
 pub struct PendingRequest<C: Clock, N: Network> {
     dispatcher: Rc<Dispatcher<C, N>>,
     id: RequestId,
@@ -28,13 +28,14 @@
         PendingRequest { dispatcher, id, deadline, outcome }
     }
 
-    /// What is to be called once all of the request has come and been forwarded: the client's time begins then.
+    /// Returns a callback that must be called when an upload has been received and forwarded completely. It starts the
+    /// deadline of the request.
     pub fn completion_callback(&self) -> impl FnOnce() + 'static {
         let (dispatcher, id) = (self.dispatcher.clone(), self.id);
         move || dispatcher.upload_completed(id)
     }
 
-    /// The final outcome. Guards against a request that nothing answers: it fails at its deadline.
+    /// Waits for the final outcome. The request fails at its deadline if there is no outcome by then.
     pub async fn outcome(mut self) -> RequestOutcome {
         let deadline = self.deadline.clone();
         let dispatcher = self.dispatcher.clone();
--- a/crates/brassport-proxy/src/dispatch/requests.rs
+++ b/crates/brassport-proxy/src/dispatch/requests.rs
@@ -1,4 +1,4 @@
-//! The requests in flight: their state, their names and their one outcome.
+//! The table of requests in flight.
 
 use super::options::RequestOutcome;
 use crate::body::ResponseBody;
@@ -14,21 +14,21 @@
 /// A request that awaits its outcome or the ends of its attempts.
 pub(super) struct InFlight {
     pub(super) request: Request,
-    /// Its client's name for it.
+    /// The client-supplied or generated id; unique among the requests in flight.
     pub(super) name: String,
     pub(super) message: Rc<UpstreamRequest>,
-    /// When its client gives up; far away while it is being uploaded.
+    /// The deadline; a provisional value far in the future while the request is being uploaded.
     pub(super) deadline: Rc<ResettableDeadline>,
-    /// `None` once it is answered or its client has left.
+    /// The channel for the outcome; `None` after the outcome was sent or the client has disconnected.
     pub(super) client: Option<oneshot::Sender<RequestOutcome>>,
-    /// A backend's response that reports a failure; it is for the client if no attempt does better.
-    pub(super) failure: Option<Response<ResponseBody>>,
+    /// An error response of a backend. It is sent to the client if no other attempt succeeds.
+    pub(super) error_response: Option<Response<ResponseBody>>,
     attempts: Vec<Attempt>,
 }
 
-/// An attempt of a request: in flight until its end, also when it was cancelled.
+/// An attempt of a request. It stays in flight until its end, even after it was cancelled.
 struct Attempt {
-    /// `None` once it was cancelled.
+    /// The cancellation channel; `None` after the attempt was cancelled.
     cancel: Option<oneshot::Sender<()>>,
     is_in_flight: bool,
 }
@@ -47,12 +47,12 @@
             message,
             deadline,
             client: Some(client),
-            failure: None,
+            error_response: None,
             attempts: Vec::new(),
         }
     }
 
-    /// Adds an attempt: its number, and what is ready once it is cancelled.
+    /// Adds an attempt. Returns its number and the receiver of its cancellation.
     pub(super) fn add_attempt(&mut self) -> (u8, oneshot::Receiver<()>) {
         let (cancel, cancelled) = oneshot::channel();
         let number = self.attempts.len() as u8;
@@ -63,7 +63,7 @@
     pub(super) fn cancel_attempt(&mut self, number: u8) {
         let attempt = self.attempts.get_mut(usize::from(number));
         if let Some(cancel) = attempt.and_then(|attempt| attempt.cancel.take()) {
-            // An attempt that has ended meanwhile needs no cancelling.
+            // Sending fails only if the attempt has already ended.
             let _ = cancel.send(());
         }
     }
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether its client still waits for its outcome.
+    /// Whether the client still waits for the outcome.
     pub(super) fn is_awaited(&self) -> bool {
         self.client.is_some()
     }
@@ -83,15 +83,15 @@
         self.attempts.iter().filter(|attempt| attempt.is_in_flight).count()
     }
 
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         !self.is_awaited() && self.attempts_in_flight() == 0
     }
 }
 
-/// All requests in flight. A request leaves the table once it is answered and its last attempt has ended.
+/// All requests in flight. A request is removed when it has its outcome and its last attempt has ended.
 pub(super) struct RequestTable {
     requests: BTreeMap<RequestId, InFlight>,
-    /// Their names. Guards against a second effect: no two of one name are in flight.
+    /// The names of the requests in flight. Duplicates are rejected, so that a request cannot take effect twice.
     names: BTreeSet<String>,
     last_id: RequestId,
     last_generated: u64,
@@ -113,7 +113,7 @@
         self.hooks.as_ref()
     }
 
-    /// Reserves a name: the new request's id, or `None` if the name is in flight.
+    /// Reserves a name. Returns the id for the new request, or `None` if a request of this name is in flight.
     pub(super) fn reserve(&mut self, name: &str) -> Option<RequestId> {
         if !self.names.insert(name.to_owned()) {
             return None;
@@ -122,7 +122,7 @@
         Some(self.last_id)
     }
 
-    /// Inserts a request under the id that was reserved for it.
+    /// Inserts a request with the id that [`reserve`](RequestTable::reserve) returned.
     pub(super) fn insert(&mut self, request: InFlight) {
         if let Some(hooks) = &self.hooks {
             hooks.on_admitted(&request.name, &request.request);
@@ -130,7 +130,8 @@
         self.requests.insert(request.request.id, request);
     }
 
-    /// A name that no client can give: `~` is not in their alphabet.
+    /// Generates a unique name. The prefix `~` separates it from client-supplied ids, in which programs must not accept
+    /// `~`.
     pub(super) fn generate_name(&mut self) -> String {
         self.last_generated += 1;
         format!("~{}", self.last_generated)
@@ -152,26 +153,28 @@
         self.requests.len().max(self.names.len())
     }
 
-    /// The customer of each attempt in flight, as often as it has one.
+    /// The customer of each attempt in flight; a customer is listed once per attempt.
     pub(super) fn attempts_in_flight(&self) -> Vec<CustomerId> {
-        let of_request = |one: &InFlight| std::iter::repeat_n(one.request.customer, one.attempts_in_flight());
+        let of_request = |in_flight: &InFlight| {
+            std::iter::repeat_n(in_flight.request.customer, in_flight.attempts_in_flight())
+        };
         self.requests.values().flat_map(of_request).collect()
     }
 
-    /// Gives a request its outcome, unless it had one before or its client has left.
-    pub(super) fn answer(&mut self, id: RequestId, outcome: RequestOutcome) {
+    /// Sends a request's outcome to its client, unless an outcome was already sent or the client has disconnected.
+    pub(super) fn resolve(&mut self, id: RequestId, outcome: RequestOutcome) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if let Some(client) = request.client.take() {
             if let Some(hooks) = &self.hooks {
                 hooks.on_request_end(id, outcome.end());
             }
-            // A client that has left since needs no outcome.
+            // Sending fails only if the client has disconnected.
             let _ = client.send(outcome);
         }
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// Records that a request's client has left; false if it had its outcome before.
+    /// Records that the client of a request has disconnected. Returns false if the request already had its outcome.
     pub(super) fn client_left(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         if request.client.take().is_none() {
@@ -180,11 +183,11 @@
         if let Some(hooks) = &self.hooks {
             hooks.on_request_end(id, RequestEnd::ClientLeft);
         }
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
         true
     }
 
-    /// Fails every request that awaits its outcome. They stay in the table until their attempts have ended.
+    /// Fails every request that awaits its outcome. Requests stay in the table until their attempts have ended.
     pub(super) fn fail_all(&mut self) {
         for (id, request) in &mut self.requests {
             if let Some(client) = request.client.take() {
@@ -196,9 +199,9 @@
         }
     }
 
-    /// Removes a request that is answered and has no attempt in flight.
-    pub(super) fn remove_if_over(&mut self, id: RequestId) {
-        if !self.get(id).is_some_and(InFlight::is_over) {
+    /// Removes a request if it has its outcome and none of its attempts is in flight.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
+        if !self.get(id).is_some_and(InFlight::is_finished) {
             return;
         }
         if let Some(request) = self.requests.remove(&id) {
