--- a/crates/brassport-proxy/src/downstream/accept.rs
+++ b/crates/brassport-proxy/src/downstream/accept.rs
@@ -1,4 +1,5 @@
-//! The accept loop: takes clients in as long as there are descriptors, and closes connections that are of no more use.
+//! The accept loop: accepts clients while file descriptors are available, and closes connections that exceed their
+//! timeouts.
 
 use super::connection::{Admission, ConnectionTask};
 use super::service::DownstreamService;
@@ -14,35 +15,36 @@
 use tokio::sync::{mpsc, OwnedSemaphorePermit, Semaphore};
 use tokio::task::JoinSet;
 
-/// Descriptors that are reserved for attempts: with fewer left, connections that nobody waits on are closed.
+/// Number of descriptors reserved for attempts. When fewer are free, client connections without a request in flight are
+/// closed.
 const ATTEMPT_RESERVE: usize = 64;
-/// The divisor of all descriptors that bounds that reserve in a small process.
+/// Limits the reserve to this fraction (one over the divisor) of all descriptors, for processes with few descriptors.
 const ATTEMPT_RESERVE_DIVISOR: usize = 4;
-/// The divisor of all descriptors beyond which client connections are many, and idle ones have less time.
-const CROWD_DIVISOR: usize = 8;
-/// Time between two searches for connections whose time is up.
+/// When client connections exceed this fraction (one over the divisor) of all descriptors, idle timeouts are shortened.
+const REDUCED_IDLE_DIVISOR: usize = 8;
+/// Interval between two checks for connections that exceed their timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// The pause after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 type Stream<S> = <<S as DownstreamService>::Network as Network>::Stream;
 type ListenerOf<S> = <<S as DownstreamService>::Network as Network>::Listener;
 
-/// A client connection that came from the process whose place this one took.
+/// A client connection that was handed over by the process that this one replaced.
 pub struct AdoptedConnection<S> {
     /// The connection.
     pub stream: S,
-    /// What the other process had read from it and not handled.
+    /// The bytes that the other process has read but not processed.
     pub buffered: Bytes,
-    /// Requests that it had there.
+    /// The number of requests that the other process has received on the connection.
     pub request_count: u32,
 }
 
-/// Accepts clients until the shutdown reaches [`Phase::Closing`](crate::shutdown::Phase), closes the listener, then
-/// returns once every connection has ended. `total_descriptors` is the number of descriptors for clients and backends
-/// together; `adopted` brings clients of the process whose place this one took.
+/// Accepts clients until the shutdown reaches [`Phase::Closing`](crate::shutdown::Phase), then closes the listener and
+/// returns when every connection has ended. `total_descriptors` is the number of descriptors for clients and backends
+/// together. `adopted` receives the client connections of the process that this one replaced.
 ///
-/// All tasks of client connections belong to this call: dropping it ends them and closes their sockets.
+/// The tasks of all client connections are owned by this future: dropping it aborts them and closes their sockets.
 pub async fn serve<S: DownstreamService>(
     listener: Rc<ListenerOf<S>>,
     service: Rc<S>,
@@ -57,28 +59,29 @@
     while acceptor.connections.join_next().await.is_some() {}
 }
 
-/// The descriptors of the process, as far as they are shared by clients and attempts.
+/// The file descriptors that clients and attempts share.
 struct Descriptors<S> {
     service: Rc<S>,
     permits: Arc<Semaphore>,
     attempt_reserve: usize,
-    /// Client connections beyond which there are many.
-    crowd_threshold: usize,
+    /// The number of client connections above which idle timeouts are shortened.
+    reduced_idle_threshold: usize,
 }
 
 impl<S: DownstreamService> Descriptors<S> {
     fn new(service: Rc<S>, permits: Arc<Semaphore>, total: usize) -> Descriptors<S> {
         let reserve = ATTEMPT_RESERVE.min(total / ATTEMPT_RESERVE_DIVISOR);
         let attempt_reserve = if mutant!(IgnoreReserve) { 0 } else { reserve };
-        Descriptors { service, permits, attempt_reserve, crowd_threshold: total / CROWD_DIVISOR }
+        let reduced_idle_threshold = total / REDUCED_IDLE_DIVISOR;
+        Descriptors { service, permits, attempt_reserve, reduced_idle_threshold }
     }
 
-    /// Closes connections until so many descriptors are free or about to be; false if there are none left to close.
-    /// Guards against connections that nobody waits on and that use up all descriptors. Those of which their clients
-    /// most likely have no more use are closed first.
-    fn free_up(&self, least: usize) -> bool {
+    /// Closes connections until at least `min_free` descriptors are free or about to be freed. Returns false if no more
+    /// connections can be closed. This keeps connections without a request in flight from exhausting the descriptors.
+    /// The connections that their clients are least likely to use again are closed first.
+    fn free_up(&self, min_free: usize) -> bool {
         let connections = self.service.connections();
-        while self.permits.available_permits() + connections.closing_count() < least {
+        while self.permits.available_permits() + connections.closing_count() < min_free {
             if !connections.close_least_useful() && !self.service.evict_idle() {
                 return false;
             }
@@ -86,7 +89,8 @@
         true
     }
 
-    /// Whether a client that was just accepted is served: not if it took what is reserved for attempts.
+    /// Decides whether a newly accepted client is served. It is not if its descriptor is one of those reserved for
+    /// attempts.
     fn admission(&self) -> Admission {
         if self.free_up(self.attempt_reserve) {
             Admission::Served
@@ -99,7 +103,7 @@
         self.permits.clone().acquire_owned().await.map_err(io::Error::other)
     }
 
-    /// The next connection once there is a descriptor for it; until then it waits in the listener's backlog.
+    /// Accepts the next connection when a descriptor is available. Until then, connections wait in the listen queue.
     async fn accept(&self, listener: &ListenerOf<S>) -> io::Result<(Stream<S>, OwnedSemaphorePermit)> {
         self.service.until_accepting(true).await;
         self.free_up(1);
@@ -109,7 +113,7 @@
     }
 }
 
-/// The owner of all client connections' tasks.
+/// The owner of the tasks of all client connections.
 struct Acceptor<S> {
     service: Rc<S>,
     descriptors: Descriptors<S>,
@@ -130,17 +134,17 @@
                 biased;
                 () = &mut closing => return,
                 () = &mut sweep => {
-                    service.connections().close_overdue(self.descriptors.crowd_threshold);
+                    service.connections().close_overdue(self.descriptors.reduced_idle_threshold);
                     sweep.set(service.clock().sleep(SWEEP_INTERVAL));
                 }
-                // Takes ended tasks out of the set, which would grow without bound.
+                // Removes completed tasks; without this the set would grow without limit.
                 Some(_) = self.connections.join_next() => {}
-                // An accept that is under way is dropped, which loses no connection.
+                // Cancels a pending accept, which loses no connection.
                 () = service.until_accepting(false), if service.is_accepting() => {}
                 Some(connection) = adopted.recv() => self.adopt(connection).await,
                 accepted = self.descriptors.accept(listener) => match accepted {
                     Ok((stream, descriptor)) => self.admit(stream, descriptor),
-                    // Guards against a spin where the system is out of descriptors or the like.
+                    // Avoids a busy loop while accept keeps failing, e.g. when the system is out of descriptors.
                     Err(_) => service.clock().sleep(ACCEPT_BACKOFF).await,
                 },
             }
@@ -148,7 +152,7 @@
     }
 
     fn admit(&mut self, stream: Stream<S>, descriptor: OwnedSemaphorePermit) {
-        // Before it is registered: it must not be the one that is closed for its own sake.
+        // Must precede the registration, or the new connection itself could be closed to free a descriptor.
         let admission = self.descriptors.admission();
         let client = Rc::new(self.service.connections().register());
         self.spawn(ConnectionTask {
@@ -163,7 +167,7 @@
 
     async fn adopt(&mut self, adopted: AdoptedConnection<Stream<S>>) {
         let AdoptedConnection { stream, buffered, request_count } = adopted;
-        // Its descriptor came with it: this does not wait for long.
+        // The total already includes the descriptor of this connection, so a permit becomes available soon.
         let Ok(descriptor) = self.descriptors.acquire().await else { return };
         let client = Rc::new(self.service.connections().register());
         client.resume(request_count);
--- a/crates/brassport-proxy/src/downstream/connection.rs
+++ b/crates/brassport-proxy/src/downstream/connection.rs
@@ -1,7 +1,7 @@
 //! One client connection, from its first byte to its close.
 //!
-//! [`ConnectionTask`] owns the socket. It ends in one of four ways: the client or a response closes it, the registry
-//! requests it, the graceful shutdown does, or another process takes it over.
+//! [`ConnectionTask`] owns the socket. It ends when the client or a response closes the connection, when the registry
+//! requests it, when the graceful shutdown closes it, or when the connection is handed over to another process.
 
 use super::phase::ConnectionPhase;
 use super::registry::DownstreamConnection;
@@ -25,22 +25,23 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::sync::OwnedSemaphorePermit;
 
-/// Most bytes of a request's head.
+/// Maximum size of a request's head.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Whether a connection's requests are served.
+/// Whether the requests of a connection are served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// They are.
+    /// Requests are served.
     Served,
-    /// It was accepted while all others were busy: its first request is rejected, and closes it.
+    /// The connection was accepted when all descriptors beyond the reserve were in use. Its first request is rejected,
+    /// then it is closed.
     Overloaded,
 }
 
 /// The task of one client connection.
 pub(super) struct ConnectionTask<S: DownstreamService> {
     pub(super) stream: <S::Network as Network>::Stream,
-    /// What another process has read from it.
+    /// The bytes that another process has read from the connection but not processed.
     pub(super) buffered: Bytes,
     pub(super) descriptor: OwnedSemaphorePermit,
     pub(super) service: Rc<S>,
@@ -48,21 +49,21 @@
     pub(super) client: Rc<DownstreamConnection<S::Clock>>,
 }
 
-/// hyper's side of a connection.
+/// The hyper state machine of a connection.
 type Serving<C, S, H> = http1::Connection<TokioIo<MeteredStream<C, S>>, H>;
 
-/// Why a connection is served no more.
+/// Why serving a connection ended.
 enum ServingEnd {
-    /// By itself: closed in order, or by an error.
+    /// The connection was closed normally or failed.
     Ended(Result<(), hyper::Error>),
-    /// Another process takes it.
+    /// The connection is to be handed over to another process.
     HandedOver,
-    /// Nobody waits for a response on it.
-    Dismissed,
+    /// The registry requested to close the connection.
+    CloseRequested,
 }
 
 impl<S: DownstreamService> ConnectionTask<S> {
-    /// Serves the connection to its end. The socket is closed, or passed on, when this is ready.
+    /// Serves the connection to its end. When this completes, the socket is closed or handed over.
     pub(super) async fn run(self) {
         let ConnectionTask { stream, buffered, descriptor, service, admission, client } = self;
         let stream = MeteredStream::new(stream, buffered, client.clone());
@@ -70,22 +71,22 @@
             client.set_phase(ConnectionPhase::Active);
             respond(service.clone(), client.clone(), admission, request)
         });
-        // The date comes from the clock's seam: hyper would read the system's.
+        // The date header is added by `add_headers`, from the abstract clock; hyper would read the system clock.
         let mut serving = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .auto_date_header(false)
             .serve_connection(TokioIo::new(stream), handler);
         match serve_until_end(&*service, &client, &mut serving).await {
             ServingEnd::Ended(result) if result.is_err() || client.phase() == ConnectionPhase::Final => {
-                close_slowly(&client, serving).await;
+                close_lingering(&client, serving).await;
             }
-            ServingEnd::Ended(_) | ServingEnd::Dismissed => {}
+            ServingEnd::Ended(_) | ServingEnd::CloseRequested => {}
             ServingEnd::HandedOver => hand_over(&*service, &client, serving, descriptor),
         }
     }
 }
 
-/// Drives a connection until it ends, is dismissed or is to be handed over.
+/// Drives a connection until it ends, the registry requests to close it, or it is to be handed over.
 async fn serve_until_end<S, IO, H>(
     service: &S,
     client: &DownstreamConnection<S::Clock>,
@@ -102,26 +103,26 @@
         tokio::select! {
             biased;
             ended = &mut *serving => return ServingEnd::Ended(ended),
-            // Behind the first branch, so that it is checked each time that anything was read or written.
+            // Polled after the first branch, so that it is checked whenever bytes were read or written.
             () = poll_fn(|_| if can_hand_over(service, client) { Poll::Ready(()) } else { Poll::Pending }) => {
                 return ServingEnd::HandedOver;
             }
             // Wakes the branch above.
             () = service.handed_over(), if !service.is_handed_over() => {}
             () = &mut closing, if !is_closing => {
-                // An idle connection closes now, a busy one behind its response.
+                // An idle connection closes immediately, a busy one after its response.
                 is_closing = true;
                 if mutant!(CloseWithoutAnswer) {
-                    return ServingEnd::Dismissed;
+                    return ServingEnd::CloseRequested;
                 }
                 std::pin::Pin::new(&mut *serving).graceful_shutdown();
             }
-            () = client.close_requested() => return ServingEnd::Dismissed,
+            () = client.close_requested() => return ServingEnd::CloseRequested,
         }
     }
 }
 
-/// Whether the connection can be passed to the process that has taken this one's place.
+/// Whether the connection can now be handed over to the process that has replaced this one.
 fn can_hand_over<S: DownstreamService>(service: &S, client: &DownstreamConnection<S::Clock>) -> bool {
     service.is_handed_over() && client.is_between_requests()
 }
@@ -138,14 +139,14 @@
     let parts = serving.into_parts();
     if let Ok(socket) = S::Network::stream_into_fd(parts.io.into_inner().into_stream()) {
         service.hand_over(socket, parts.read_buf, client.request_count());
-        // The other process counts it from here on.
+        // The other process accounts for the descriptor from now on.
         descriptor.forget();
     }
 }
 
-/// Closes a connection whose client may still be sending: it has left, or what it sent is not HTTP and was
-/// rejected as such.
-async fn close_slowly<C, IO, H>(client: &DownstreamConnection<C>, serving: Serving<C, IO, H>)
+/// Closes a connection whose client may still be sending, after its final response or after an error. Lingers so that
+/// the client can read the response.
+async fn close_lingering<C, IO, H>(client: &DownstreamConnection<C>, serving: Serving<C, IO, H>)
 where
     C: Clock,
     IO: AsyncRead + AsyncWrite + Unpin,
@@ -155,12 +156,12 @@
     tokio::select! {
         biased;
         () = serving.into_parts().io.into_inner().linger() => {}
-        // Others need its descriptor more.
+        // The descriptor is needed for another connection.
         () = client.close_requested() => {}
     }
 }
 
-/// Answers one request, and moves its connection to the phase that follows.
+/// Responds to one request and sets the resulting phase of the connection.
 async fn respond<S: DownstreamService>(
     service: Rc<S>,
     client: Rc<DownstreamConnection<S::Clock>>,
@@ -178,7 +179,7 @@
     match response.body_mut() {
         ResponseBody::Complete(_) => S::on_response(&context, response.status()),
         ResponseBody::Streaming(body) => {
-            // It is in flight until its last byte is taken.
+            // The request is in flight until the client has taken the last byte of the body.
             client.set_phase(ConnectionPhase::Active);
             body.on_end(move |is_complete| {
                 S::on_stream_end(&context, is_complete);
@@ -194,7 +195,7 @@
     if is_last {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    // The date is that of whoever made the response (RFC 9110, section 6.6.1).
+    // A `Date` set by the origin of the response is kept (RFC 9110, section 6.6.1).
     if !response.headers().contains_key(header::DATE) {
         let date = service.date().value(service.clock().unix_time());
         response.headers_mut().insert(header::DATE, date);
--- a/crates/brassport-proxy/src/downstream/mod.rs
+++ b/crates/brassport-proxy/src/downstream/mod.rs
@@ -1,13 +1,13 @@
-//! The downstream side: accepts client connections and serves each to its end. What is answered is a program's own,
-//! behind [`DownstreamService`].
+//! The downstream side: accepts client connections and serves each to its end. The program generates the responses by
+//! implementing [`DownstreamService`].
 //!
-//! What this layer adds to a request: a bound on how long its head and the idle time around it may take, the `Date` and
-//! `Connection` headers of its response, and the choice of which connection is closed when descriptors run short. What
-//! it requires of the layer below, [`crate::network`]: a listener, and streams that are closed when they are dropped.
+//! This layer enforces timeouts on receiving requests and on idle connections, adds the `Date` and `Connection` headers
+//! of responses, and selects the connections to close when file descriptors run short. It requires from the layer
+//! below, [`crate::network`], a listener, and streams that are closed when they are dropped.
 //!
-//! Ownership: [`serve`] owns the task of each connection, in one set that it waits for at the end. The task owns the
-//! socket and the descriptor's permit; it alone closes the socket, in `connection.rs`, or passes it to another process.
-//! [`ConnectionRegistry`] keeps each connection's phase and requests tasks to close; it owns no socket.
+//! Ownership: [`serve`] owns the tasks of all connections and waits for them at the end. Each task owns its socket and
+//! its descriptor permit; only the task closes the socket or hands it over to another process, in `connection.rs`.
+//! [`ConnectionRegistry`] tracks the phase of each connection and requests tasks to close; it owns no sockets.
 
 mod accept;
 mod connection;
--- a/crates/brassport-proxy/src/downstream/phase.rs
+++ b/crates/brassport-proxy/src/downstream/phase.rs
@@ -1,69 +1,71 @@
-//! How far a client connection has come, and how long it may stay there.
+//! The phases of a client connection and their timeouts.
 
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// How long all of a request may take to arrive, from the connection's start or its own first byte: a client that has
-/// not sent it by then is owed an end within 3 s.
+/// Maximum time to receive the head of a request, from the start of the connection or from the first byte of the
+/// request. It is below the 3 s within which such a connection must be ended.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long a connection may be idle after a response.
+/// Maximum idle time after a response.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The same where connections are many; beyond it a connection counts as idle for long.
-pub(super) const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The same for one that has had a single request. No connection is closed sooner for being idle: its client may not
-/// have received all of the response yet.
+/// Maximum idle time while there are many connections. In the eviction order, a connection that has been idle for longer
+/// counts as unused.
+pub(super) const REDUCED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum idle time of a connection with a single request while there are many connections. No connection is closed
+/// for being idle sooner than this, as its client may not have received the complete response yet.
 pub(super) const MIN_IDLE: Duration = Duration::from_millis(300);
-/// A client that has sent nothing for that long is not about to.
+/// A new connection without data for this long is unlikely to send a request soon.
 pub(super) const SILENT_AFTER: Duration = Duration::from_millis(100);
-/// How long a client may read nothing of a response.
+/// Maximum time during which a client reads none of the pending bytes of a response.
 const STALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How far a client connection has come.
+/// The phase of a client connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionPhase {
-    /// No complete request has come on it yet.
+    /// No complete request has been received yet.
     New,
     /// A request is in flight.
     Active,
-    /// Answered, with no byte of a further request.
+    /// The last request has its response, and no byte of the next one has been received.
     Idle,
-    /// Some of a further request has come.
+    /// Part of the next request has been received.
     Receiving,
-    /// It has had its last response.
+    /// The final response has been sent.
     Final,
-    /// Its task was requested to close it.
+    /// The connection's task was requested to close it.
     Closing,
 }
 
 impl ConnectionPhase {
-    /// Whether bytes that come now belong to the head of a request.
+    /// Whether bytes received in this phase belong to the head of a request.
     pub(super) fn is_before_request(self) -> bool {
         matches!(self, ConnectionPhase::New | ConnectionPhase::Idle | ConnectionPhase::Receiving)
     }
 }
 
-/// Whether client connections are many, so that idle ones have less time.
+/// Which timeouts apply to idle connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Crowding {
-    Few,
-    Many,
+pub(super) enum IdleTimeouts {
+    Normal,
+    /// Shortened timeouts, while there are many client connections.
+    Reduced,
 }
 
-/// The state of one client connection: written by its task and its stream, read by the registry.
+/// The state of one client connection, written by its task and its stream and read by the registry.
 #[derive(Debug)]
 pub(super) struct ConnectionState {
     pub(super) phase: Cell<ConnectionPhase>,
-    /// When the phase began; for a request in flight, when its first byte came.
+    /// When the current phase began; for a request in flight, when its first byte was received.
     pub(super) since: Cell<Instant>,
-    /// Requests so far.
+    /// The number of requests on the connection so far.
     pub(super) request_count: Cell<u32>,
     pub(super) close_requested: Notify,
-    /// Whether bytes of a response wait to be written.
+    /// Whether bytes of a response are waiting to be written.
     pub(super) has_unwritten: Cell<bool>,
-    /// When the client's side last took bytes of a response.
+    /// When the socket last accepted bytes of a response.
     pub(super) last_write: Cell<Instant>,
-    /// What has come of a request's head, as it came.
+    /// The raw bytes received of a request's head.
     pub(super) head: RefCell<Vec<u8>>,
 }
 
@@ -80,20 +82,20 @@
         }
     }
 
-    /// Requests the connection's task to close it.
+    /// Requests the task of the connection to close it.
     pub(super) fn request_close(&self) {
         self.phase.set(ConnectionPhase::Closing);
         self.close_requested.notify_one();
     }
 
-    /// Whether the time of its phase is up.
-    pub(super) fn is_overdue(&self, crowding: Crowding, now: Instant) -> bool {
-        let timeout = match (self.phase.get(), crowding) {
+    /// Whether the connection has exceeded the timeout of its phase.
+    pub(super) fn is_overdue(&self, idle_timeouts: IdleTimeouts, now: Instant) -> bool {
+        let timeout = match (self.phase.get(), idle_timeouts) {
             (ConnectionPhase::New | ConnectionPhase::Receiving, _) => REQUEST_TIMEOUT,
-            (ConnectionPhase::Idle, Crowding::Many) if self.request_count.get() <= 1 => MIN_IDLE,
-            (ConnectionPhase::Idle, Crowding::Many) => CROWDED_IDLE_TIMEOUT,
+            (ConnectionPhase::Idle, IdleTimeouts::Reduced) if self.request_count.get() <= 1 => MIN_IDLE,
+            (ConnectionPhase::Idle, IdleTimeouts::Reduced) => REDUCED_IDLE_TIMEOUT,
             (ConnectionPhase::Idle | ConnectionPhase::Final, _) => IDLE_TIMEOUT,
-            // Guards against clients that request long responses and read nothing of them.
+            // Clients that request long responses and do not read them would otherwise hold their connections forever.
             (ConnectionPhase::Active, _) if self.has_unwritten.get() => {
                 return now.saturating_duration_since(self.last_write.get()) >= STALL_TIMEOUT
             }
--- a/crates/brassport-proxy/src/downstream/registry.rs
+++ b/crates/brassport-proxy/src/downstream/registry.rs
@@ -1,7 +1,7 @@
-//! All client connections: which of them to close when descriptors or time run out.
+//! The registry of client connections, which selects the connections to close on timeouts or for lack of descriptors.
 
 use super::phase::{
-    ConnectionPhase, ConnectionState, Crowding, CROWDED_IDLE_TIMEOUT, MIN_IDLE, SILENT_AFTER,
+    ConnectionPhase, ConnectionState, IdleTimeouts, MIN_IDLE, REDUCED_IDLE_TIMEOUT, SILENT_AFTER,
 };
 use crate::clock::Clock;
 use std::cell::{Cell, RefCell};
@@ -10,10 +10,10 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// Room for the next head that a connection keeps while it is idle.
+/// Maximum capacity in bytes of the head buffer that a connection keeps while it is idle.
 const IDLE_HEAD_CAPACITY: usize = 1024;
 
-/// All client connections, in the order in which they were accepted. It owns their states, not their sockets.
+/// All client connections, in the order in which they were accepted. Owns their states, not their sockets.
 #[derive(Debug)]
 pub struct ConnectionRegistry<C> {
     clock: C,
@@ -21,37 +21,40 @@
     last_number: Cell<u64>,
 }
 
-/// Connections that may be closed for others: of one phase, with at most so many requests, in it for so long.
-struct Candidates {
+/// A rule that selects connections to close when descriptors run short.
+struct EvictionRule {
     phase: ConnectionPhase,
+    /// The maximum number of requests that the connection has had.
     max_requests: u32,
-    least: Duration,
+    /// The minimum time that the connection has been in the phase.
+    min_time: Duration,
 }
 
-/// The order in which connections are closed for others. Guards against crowds that send one request and stay: they use
-/// what newcomers need, and are back at once.
-const CLOSING_ORDER: [Candidates; 6] = [
-    // Had its last response.
-    Candidates { phase: ConnectionPhase::Final, max_requests: u32::MAX, least: SILENT_AFTER },
-    // Had time to send a request and did not.
-    Candidates { phase: ConnectionPhase::New, max_requests: 0, least: SILENT_AFTER },
-    // Idle for long.
-    Candidates { phase: ConnectionPhase::Idle, max_requests: u32::MAX, least: CROWDED_IDLE_TIMEOUT },
-    // Idle, and sent one request only.
-    Candidates { phase: ConnectionPhase::Idle, max_requests: 1, least: MIN_IDLE },
-    // Just accepted.
-    Candidates { phase: ConnectionPhase::New, max_requests: 0, least: Duration::ZERO },
-    // Any idle one.
-    Candidates { phase: ConnectionPhase::Idle, max_requests: u32::MAX, least: MIN_IDLE },
+/// The rules by which connections are closed to free descriptors, in order of preference. Many clients that send a single
+/// request and keep the connection open would otherwise use the descriptors that new clients need. Such a client can
+/// reconnect immediately.
+const EVICTION_ORDER: [EvictionRule; 6] = [
+    // The final response was sent.
+    EvictionRule { phase: ConnectionPhase::Final, max_requests: u32::MAX, min_time: SILENT_AFTER },
+    // The client had time to send a request, but did not.
+    EvictionRule { phase: ConnectionPhase::New, max_requests: 0, min_time: SILENT_AFTER },
+    // Idle for a long time.
+    EvictionRule { phase: ConnectionPhase::Idle, max_requests: u32::MAX, min_time: REDUCED_IDLE_TIMEOUT },
+    // Idle after a single request.
+    EvictionRule { phase: ConnectionPhase::Idle, max_requests: 1, min_time: MIN_IDLE },
+    // Just accepted, without data.
+    EvictionRule { phase: ConnectionPhase::New, max_requests: 0, min_time: Duration::ZERO },
+    // Any other idle connection.
+    EvictionRule { phase: ConnectionPhase::Idle, max_requests: u32::MAX, min_time: MIN_IDLE },
 ];
 
 impl<C: Clock> ConnectionRegistry<C> {
-    /// A registry without connections.
+    /// Creates an empty registry.
     pub fn new(clock: C) -> ConnectionRegistry<C> {
         ConnectionRegistry { clock, connections: RefCell::default(), last_number: Cell::new(0) }
     }
 
-    /// Registers a connection; it is removed when the handle is dropped.
+    /// Registers a connection. Dropping the returned handle removes it.
     pub fn register(self: &Rc<Self>) -> DownstreamConnection<C> {
         let number = self.last_number.get() + 1;
         self.last_number.set(number);
@@ -60,52 +63,53 @@
         DownstreamConnection { registry: self.clone(), number, state }
     }
 
-    /// How many connections there are.
+    /// The number of connections.
     pub fn count(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// How many were requested to close and have not closed yet.
+    /// The number of connections that were requested to close and are still open.
     pub fn closing_count(&self) -> usize {
         let connections = self.connections.borrow();
         connections.values().filter(|state| state.phase.get() == ConnectionPhase::Closing).count()
     }
 
-    /// Closes the connection whose client has the least use for it; false if there is none that may be closed.
+    /// Closes the connection that its client is least likely to use again. Returns false if no connection may be closed.
     pub fn close_least_useful(&self) -> bool {
-        let chosen = CLOSING_ORDER.iter().find_map(|candidates| self.longest(candidates));
-        if let Some(state) = &chosen {
+        let selected = EVICTION_ORDER.iter().find_map(|rule| self.longest_matching(rule));
+        if let Some(state) = &selected {
             state.request_close();
         }
-        chosen.is_some()
+        selected.is_some()
     }
 
-    /// The candidate that has been in its phase for the longest time.
-    fn longest(&self, candidates: &Candidates) -> Option<Rc<ConnectionState>> {
+    /// The connection matching the rule that has been in its phase for the longest time.
+    fn longest_matching(&self, rule: &EvictionRule) -> Option<Rc<ConnectionState>> {
         let (connections, now) = (self.connections.borrow(), self.clock.now());
-        let fits = |state: &&Rc<ConnectionState>| {
-            state.phase.get() == candidates.phase && state.request_count.get() <= candidates.max_requests
+        let matches = |state: &&Rc<ConnectionState>| {
+            state.phase.get() == rule.phase && state.request_count.get() <= rule.max_requests
         };
-        let longest = connections.values().filter(fits).min_by_key(|state| state.since.get())?;
-        let is_due = now.saturating_duration_since(longest.since.get()) >= candidates.least;
+        let longest = connections.values().filter(matches).min_by_key(|state| state.since.get())?;
+        let is_due = now.saturating_duration_since(longest.since.get()) >= rule.min_time;
         is_due.then(|| longest.clone())
     }
 
-    /// Closes the connections whose time is up; beyond `crowd_threshold` connections an idle one has less time. Guards
-    /// against clients that are kept out by connections of their own: a load balancer before this process may allow
-    /// only so many, and a crowd that sends one request and stays, that opens a connection each time or that closes
-    /// late fills them up, long before descriptors run out here. Costs a client in a crowd that sends rarely: it has to
-    /// connect again.
-    pub fn close_overdue(&self, crowd_threshold: usize) {
+    /// Closes the connections that have exceeded the timeout of their phase. With more than `reduced_idle_threshold`
+    /// connections, shorter idle timeouts apply: a load balancer in front of this process may limit the number of
+    /// connections, and clients that keep connections open after a single request, open a new connection for each
+    /// request or close late would reach that limit long before descriptors run out here. The cost is that a client
+    /// with infrequent requests has to reconnect.
+    pub fn close_overdue(&self, reduced_idle_threshold: usize) {
         let (connections, now) = (self.connections.borrow(), self.clock.now());
-        let crowding = if connections.len() > crowd_threshold { Crowding::Many } else { Crowding::Few };
-        for state in connections.values().filter(|state| state.is_overdue(crowding, now)) {
+        let is_reduced = connections.len() > reduced_idle_threshold;
+        let idle_timeouts = if is_reduced { IdleTimeouts::Reduced } else { IdleTimeouts::Normal };
+        for state in connections.values().filter(|state| state.is_overdue(idle_timeouts, now)) {
             state.request_close();
         }
     }
 }
 
-/// One client connection among all; it is removed from the registry when this is dropped.
+/// The handle of one registered client connection. Dropping it removes the connection from the registry.
 pub struct DownstreamConnection<C: Clock> {
     registry: Rc<ConnectionRegistry<C>>,
     number: u64,
@@ -113,10 +117,10 @@
 }
 
 impl<C: Clock> DownstreamConnection<C> {
-    /// Sets the phase. A connection that was requested to close leaves [`ConnectionPhase::Closing`] by this if it
-    /// turns out to be in use.
+    /// Sets the phase. If the connection was requested to close but turns out to be in use, this leaves
+    /// [`ConnectionPhase::Closing`] and so cancels the request to close.
     pub fn set_phase(&self, phase: ConnectionPhase) {
-        // A request's time begins with its first byte, not when all of its head is there.
+        // The time of a request starts with its first byte, not with the end of its head.
         let has_begun = matches!(self.phase(), ConnectionPhase::New | ConnectionPhase::Receiving)
             && phase == ConnectionPhase::Active;
         if !has_begun {
@@ -133,33 +137,34 @@
         self.state.phase.set(phase);
     }
 
-    /// The phase as it is now.
+    /// The current phase.
     pub fn phase(&self) -> ConnectionPhase {
         self.state.phase.get()
     }
 
-    /// Continues a connection on which another process has had so many requests.
+    /// Initializes a connection that was handed over by another process, which has received `request_count` requests.
     pub fn resume(&self, request_count: u32) {
         self.state.request_count.set(request_count);
         self.set_phase(ConnectionPhase::Idle);
     }
 
-    /// How many requests it has had.
+    /// The number of requests received on the connection.
     pub fn request_count(&self) -> u32 {
         self.state.request_count.get()
     }
 
-    /// Whether neither a request nor a response is in flight on it: what was read is all of its state.
+    /// Whether neither a request nor a response is in flight, so that the bytes read so far are the complete state of the
+    /// connection.
     pub fn is_between_requests(&self) -> bool {
         self.phase().is_before_request() && !self.state.has_unwritten.get()
     }
 
-    /// Whether the head that came last is complete and has no header of this name in the bytes as they came: hyper
-    /// removes some headers. False if that is unclear, as for a head that came in one read with another. Once per
-    /// head: the bytes are dropped.
+    /// Whether the raw bytes of the last head are complete and do not contain this header. The raw bytes are checked
+    /// because hyper removes some headers. Returns false if the result is uncertain, e.g. for a head that was received
+    /// in one read together with another. Consumes the stored bytes, so it works only once per head.
     pub fn head_lacks(&self, name: &[u8]) -> bool {
         let head = self.state.head.take();
-        // Empty lines before a request are no part of it (RFC 9112, section 2.2).
+        // Empty lines before a request are ignored (RFC 9112, section 2.2).
         let begin = head.iter().position(|byte| !byte.is_ascii_whitespace()).unwrap_or(head.len());
         for line in head[begin..].split(|byte| *byte == b'\n').map(|line| line.trim_ascii_end()) {
             let field = line.split(|byte| *byte == b':').next().unwrap_or_default();
@@ -173,13 +178,13 @@
         false
     }
 
-    /// The time since the first byte of the request that is coming in.
+    /// The time since the first byte of the current request.
     pub fn request_age(&self) -> Duration {
         self.registry.clock.now().saturating_duration_since(self.state.since.get())
     }
 
-    /// Ready once the connection is to close. Guards against closing it on a request that came between the registry's
-    /// choice and this task's turn.
+    /// Completes when the connection has to be closed. Ignores a request to close if a client's request was received
+    /// after the registry selected the connection.
     pub async fn close_requested(&self) {
         loop {
             self.state.close_requested.notified().await;
@@ -193,7 +198,7 @@
         &self.registry.clock
     }
 
-    /// Records bytes that were read, as far as they belong to a head; of those at most so many are kept.
+    /// Records received bytes if they belong to the head of a request; at most `max_head_bytes` of a head are kept.
     pub(super) fn record_read(&self, bytes: &[u8], max_head_bytes: usize) {
         let phase = self.phase();
         if phase == ConnectionPhase::Idle {
@@ -206,12 +211,12 @@
         }
     }
 
-    /// Records whether bytes of a response wait to be written.
+    /// Records whether bytes of a response are waiting to be written.
     pub(super) fn set_unwritten(&self, has_unwritten: bool) {
         self.state.has_unwritten.set(has_unwritten);
     }
 
-    /// Records when bytes were last written.
+    /// Records the time of a write that did not block.
     pub(super) fn record_write<T>(&self, written: &Poll<T>) {
         if written.is_ready() {
             self.state.last_write.set(self.registry.clock.now());
--- a/crates/brassport-proxy/src/downstream/service.rs
+++ b/crates/brassport-proxy/src/downstream/service.rs
@@ -1,4 +1,4 @@
-//! What a program does with its clients' requests.
+//! The interface by which a program handles the requests of its clients.
 
 use super::registry::{ConnectionRegistry, DownstreamConnection};
 use crate::body::ResponseBody;
@@ -11,35 +11,35 @@
 use std::os::fd::OwnedFd;
 use std::rc::Rc;
 
-/// A program's side of its clients' connections.
+/// Handles client connections and requests for a program.
 ///
-/// The phases of a request, in order: [`on_request`](DownstreamService::on_request),
+/// For each request, these methods are called in order: [`on_request`](DownstreamService::on_request),
 /// [`respond`](DownstreamService::respond), then either [`on_response`](DownstreamService::on_response) or, for a
-/// response that is forwarded as it arrives, [`on_stream_end`](DownstreamService::on_stream_end).
+/// streamed response, [`on_stream_end`](DownstreamService::on_stream_end).
 pub trait DownstreamService: 'static {
-    /// The clock of this program.
+    /// The type of the program's clock.
     type Clock: Clock;
-    /// The network of its clients.
+    /// The network on which clients connect.
     type Network: Network;
-    /// What is kept of a request from its head to the end of its response.
+    /// The program's data for a request, kept from its head to the end of its response.
     type RequestContext: 'static;
 
-    /// The clock of this program.
+    /// The program's clock.
     fn clock(&self) -> &Self::Clock;
 
-    /// The registry of its client connections.
+    /// The registry of the program's client connections.
     fn connections(&self) -> &Rc<ConnectionRegistry<Self::Clock>>;
 
-    /// The `Date` header of its responses.
+    /// The cache for the `Date` header of responses.
     fn date(&self) -> &DateHeader;
 
-    /// The head of a request has come.
+    /// Called when the head of a request has been received.
     fn on_request(&self, request: &Request<Incoming>) -> Self::RequestContext;
 
-    /// The response to a request.
+    /// Returns the response to a request.
     ///
     /// # Errors
-    /// The response, where its connection must not be used again.
+    /// The error is also a response; its connection is closed after it.
     fn respond(
         &self,
         request: Request<Incoming>,
@@ -47,31 +47,31 @@
         context: &Self::RequestContext,
     ) -> impl Future<Output = Result<Response<ResponseBody>, Response<ResponseBody>>>;
 
-    /// The response to a request on a connection that was accepted while all others were busy; in place of
-    /// [`respond`](DownstreamService::respond).
+    /// The response to a request on a connection that was accepted when all other descriptors were in use. Replaces
+    /// [`respond`](DownstreamService::respond) for that request.
     fn overload_response(&self) -> Response<ResponseBody>;
 
-    /// A request has its response, all of it in memory.
+    /// Called when a request has a response that is completely buffered.
     fn on_response(context: &Self::RequestContext, status: StatusCode);
 
-    /// A response that was forwarded as it arrived has ended, completely or not.
+    /// Called when a streamed response has ended. `is_complete` is false if it was truncated.
     fn on_stream_end(context: &Self::RequestContext, is_complete: bool);
 
-    /// Closes an idle connection to a backend, for its descriptor; false if there is none.
+    /// Closes an idle connection to a backend to free its descriptor. Returns false if there is none.
     fn evict_idle(&self) -> bool;
 
-    /// Whether it still serves; if not, each response closes its connection.
+    /// Whether the program is in normal operation. If not, each response closes its connection.
     fn is_serving(&self) -> bool;
 
-    /// Ready once no client is accepted any more and idle connections are to close.
+    /// Completes when no more clients are accepted and idle connections have to be closed.
     fn closing(&self) -> impl Future<Output = ()>;
 
-    /// Whether clients are accepted now. Until they are they wait in the queue of the listening socket.
+    /// Whether clients are currently accepted. Otherwise they wait in the listen queue.
     fn is_accepting(&self) -> bool {
         true
     }
 
-    /// Ready while clients are accepted, or, with `false`, while they are not.
+    /// Completes when clients are accepted (`accepts` is true) or when they are not (`accepts` is false).
     fn until_accepting(&self, accepts: bool) -> impl Future<Output = ()> {
         async move {
             if !accepts {
@@ -80,17 +80,18 @@
         }
     }
 
-    /// Whether another process has taken this one's place, and takes its client connections.
+    /// Whether another process has replaced this one and takes over its client connections.
     fn is_handed_over(&self) -> bool {
         false
     }
 
-    /// Ready once another process has taken this one's place.
+    /// Completes when another process has replaced this one.
     fn handed_over(&self) -> impl Future<Output = ()> {
         pending()
     }
 
-    /// Passes a client connection to that process, with what was read from it and how many requests it has had.
+    /// Passes a client connection to the process that replaced this one, with the bytes that were read but not processed
+    /// and the number of requests on the connection.
     fn hand_over(&self, socket: OwnedFd, buffered: Bytes, request_count: u32) {
         let _ = (socket, buffered, request_count);
     }
--- a/crates/brassport-proxy/src/downstream/stream.rs
+++ b/crates/brassport-proxy/src/downstream/stream.rs
@@ -1,4 +1,4 @@
-//! A client's socket that records reads and writes as phases of its connection.
+//! A wrapper of a client's socket that records reads and writes in the state of its connection.
 
 use super::registry::DownstreamConnection;
 use crate::clock::Clock;
@@ -11,34 +11,34 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 
-/// Most bytes of a head that are kept as they came.
+/// Maximum number of raw bytes kept of a head.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// How long what a client is still sending is read, so that it finds the response it was given before.
+/// Maximum time to keep reading from a client after the final response, so that the client can receive the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Bytes that are read at once while lingering.
+/// Size of the read buffer while lingering.
 const LINGER_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A client's socket. It records the first byte after a response, the bytes of heads, and when the client takes bytes.
+/// A client's socket. It records the first byte after a response, the raw bytes of heads, and the progress of writes.
 pub struct MeteredStream<C: Clock, S> {
     stream: S,
-    /// What another process has read from it, which is read first.
+    /// Bytes that another process has read from the socket; they are returned before new ones are read.
     buffered: Bytes,
     connection: Rc<DownstreamConnection<C>>,
 }
 
 impl<C: Clock, S: AsyncRead + AsyncWrite + Unpin> MeteredStream<C, S> {
-    /// A socket of this connection, from which `buffered` was read already.
+    /// Wraps the socket of a connection. `buffered` are bytes that were already read from it.
     pub fn new(stream: S, buffered: Bytes, connection: Rc<DownstreamConnection<C>>) -> MeteredStream<C, S> {
         MeteredStream { stream, buffered, connection }
     }
 
-    /// The socket itself.
+    /// Returns the wrapped socket.
     pub fn into_stream(self) -> S {
         self.stream
     }
 
-    /// Ends the sending, then reads what still comes until the client ends too, for 2 s at most. Guards against a
-    /// response that is lost: closing a socket with bytes unread resets the connection.
+    /// Shuts down the sending direction, then reads and discards data until the client closes the connection, for at
+    /// most 2 s. Closing a socket with unread bytes would reset the connection, and the client could lose the response.
     pub async fn linger(mut self) {
         let clock = self.connection.clock().clone();
         let drain = async {
@@ -47,7 +47,7 @@
             while self.stream.read(&mut bytes).await? > 0 {}
             Ok::<_, io::Error>(())
         };
-        // Only the end matters, however it comes.
+        // The result is irrelevant: the connection is closed in any case.
         let _ = clock.timeout(LINGER_TIMEOUT, drain).await;
     }
 }
@@ -104,7 +104,7 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // hyper flushes once nothing is left to be written.
+        // hyper flushes when it has no more bytes to write.
         let flushed = Pin::new(&mut self.stream).poll_flush(context);
         self.connection.set_unwritten(flushed.is_pending());
         flushed
