--- a/crates/brassport-proxy/src/clock.rs
+++ b/crates/brassport-proxy/src/clock.rs
@@ -1,54 +1,55 @@
-//! The seam to time: the monotonic clock, the wall clock and the timers.
+//! The abstraction of time: the monotonic clock, the wall clock and the timers.
 //!
-//! Everything in this crate reads a [`Clock`] and never the system's time, so that the same code runs against the
-//! system's clock ([`SystemClock`]) and against a simulated one.
+//! All code in this crate reads time through a [`Clock`], so that it runs both on the system clock ([`SystemClock`])
+//! and on a simulated one.
 
 use std::future::Future;
 use std::pin::pin;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A source of time. Clones are handles of one clock.
+/// A source of time. Clones are handles of the same clock.
 ///
-/// An implementation must keep:
-/// - [`now`](Clock::now) never goes back, whatever the wall clock does;
-/// - a sleep ends at its instant or later, never sooner; one whose instant is past is ready when polled.
+/// An implementation must guarantee:
+/// - [`now`](Clock::now) never decreases, even if the wall clock is changed;
+/// - a sleep never completes before its instant; a sleep whose instant has passed is ready at its first poll.
 pub trait Clock: Clone + 'static {
-    /// A timer that is running.
+    /// A running timer.
     type Sleep: Future<Output = ()>;
 
-    /// The monotonic clock.
+    /// The current time of the monotonic clock.
     fn now(&self) -> Instant;
 
-    /// Ready once `at` has come.
+    /// Completes at `at`.
     fn sleep_until(&self, at: Instant) -> Self::Sleep;
 
-    /// The wall clock, as the time since 1970-01-01 UTC. It may be set, in either direction.
+    /// The wall-clock time since 1970-01-01 UTC. It may jump in either direction when the clock is set.
     fn unix_time(&self) -> Duration;
 
-    /// Ready after so long.
+    /// Completes after `time`.
     fn sleep(&self, time: Duration) -> Self::Sleep {
         self.sleep_until(self.now() + time)
     }
 
-    /// The output of `work`, or `None` if it is not ready by `at`. Work that is ready in the same instant wins.
+    /// Returns the output of `work`, or `None` if it is not ready by `at`. If both are ready at the same poll, the
+    /// output is returned.
     fn timeout_at<F: Future>(&self, at: Instant, work: F) -> impl Future<Output = Option<F::Output>> {
         async move {
-            let (mut work, mut late) = (pin!(work), pin!(self.sleep_until(at)));
+            let (mut work, mut timeout) = (pin!(work), pin!(self.sleep_until(at)));
             tokio::select! {
                 biased;
                 output = &mut work => Some(output),
-                () = &mut late => None,
+                () = &mut timeout => None,
             }
         }
     }
 
-    /// As [`timeout_at`](Clock::timeout_at), for a length of time from now.
+    /// Like [`timeout_at`](Clock::timeout_at), with a duration from now.
     fn timeout<F: Future>(&self, time: Duration, work: F) -> impl Future<Output = Option<F::Output>> {
         self.timeout_at(self.now() + time, work)
     }
 }
 
-/// The system's clock, with the timers of the tokio runtime that it is used in (granularity: 1 ms, rounded up).
+/// The system clock, with the timers of the current tokio runtime (granularity 1 ms, rounded up).
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SystemClock;
 
--- a/crates/brassport-proxy/src/hooks.rs
+++ b/crates/brassport-proxy/src/hooks.rs
@@ -1,83 +1,87 @@
-//! The named phases of a request, for a host that observes them or limits attempts. A host without hooks pays one test
-//! for `None` at each phase.
+//! Callbacks at the phases of a request, for a host that observes requests or limits attempts. Without hooks, each
+//! phase costs a single check for `None`.
 //!
-//! In their order: [`may_serve`](RequestHooks::may_serve) and [`plan_override`](RequestHooks::plan_override) before admission,
-//! [`on_admitted`](RequestHooks::on_admitted), [`before_attempt`](RequestHooks::before_attempt) and
-//! [`may_send`](RequestHooks::may_send) before each attempt, [`on_attempt_end`](RequestHooks::on_attempt_end),
-//! [`on_request_end`](RequestHooks::on_request_end) at the response, [`on_request_removed`](RequestHooks::on_request_removed) at the end of all.
+//! In the order of the phases:
+//! - before admission: [`may_serve`](RequestHooks::may_serve) and [`plan_override`](RequestHooks::plan_override);
+//! - at admission: [`on_admitted`](RequestHooks::on_admitted);
+//! - for each attempt: [`before_attempt`](RequestHooks::before_attempt), [`may_send`](RequestHooks::may_send) and
+//!   [`on_attempt_end`](RequestHooks::on_attempt_end);
+//! - at the response: [`on_request_end`](RequestHooks::on_request_end);
+//! - after the response and the last attempt: [`on_request_removed`](RequestHooks::on_request_removed).
 
 use brassport_policy::{AttemptEnd, CustomerId, Millis, Request, RequestId};
 use std::future::Future;
 use std::pin::Pin;
 
-/// How a request ended for its client.
+/// How a request ended from the client's point of view.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RequestEnd {
-    /// With a backend's response.
+    /// The client got a backend's response.
     Served,
-    /// Rejected, with advice to wait so many milliseconds; 0: no advice.
+    /// Rejected without having run. The value is the suggested retry delay in milliseconds; 0 means no suggestion.
     Rejected(Millis),
-    /// Failed: nothing is promised about its effect.
+    /// Failed: the request may or may not have run.
     Failed,
-    /// Its client left before there was a response.
+    /// The client disconnected before there was a response.
     ClientLeft,
 }
 
-/// Work that an attempt waits for.
+/// Work that must complete before an attempt is sent.
 pub type AttemptDelay = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Calls at the phases of a request. Every method is called on the dispatcher's thread with its state borrowed: it must
-/// return at once and must not call the dispatcher. Nothing here chooses a backend, a retry or a rejection; the policy
-/// does.
+/// Callbacks at the phases of a request. They are called on the dispatcher's thread while its state is borrowed, so
+/// they must return immediately and must not call the dispatcher. Backends and retries are always selected by the
+/// policy, not by hooks.
 pub trait RequestHooks {
-    /// Whether this gateway instance may act now: called before admission, and again before the first byte of each
-    /// attempt.
+    /// Checks whether this gateway instance may currently serve requests. Called before admission, and again before the
+    /// first byte of each attempt.
     ///
     /// # Errors
-    /// It may not; how many milliseconds clients are to wait.
+    /// The instance may not serve. The error is the suggested retry delay for clients, in milliseconds.
     fn may_serve(&self) -> Result<(), Millis> {
         Ok(())
     }
 
-    /// Before admission: the plan of this customer, by index, if the host has a better one than the request names.
+    /// The index of the plan to use for this customer in place of the plan named by the request; `None` to use the
+    /// request's plan. Called before admission.
     fn plan_override(&self, customer: CustomerId) -> Option<usize> {
         let _ = customer;
         None
     }
 
-    /// A request was admitted to the policy; `name` is its client's name for it.
+    /// A request was admitted to the policy. `name` is the request id chosen by the client, or a generated one.
     fn on_admitted(&self, name: &str, request: &Request) {
         let _ = (name, request);
     }
 
-    /// The policy chose a backend for an attempt. The attempt is sent once the returned work is done, if by then its
-    /// backend still takes requests and its client still waits; the work must end within a bound of its own.
+    /// The policy selected a backend for an attempt. The attempt is sent after the returned work has completed, provided
+    /// that the backend still accepts requests and the client still waits. The work must limit its own duration.
     fn before_attempt(&self, request: RequestId, backend: &str) -> Option<AttemptDelay> {
         let _ = (request, backend);
         None
     }
 
-    /// Right before the first byte of an attempt, the last call before it: whether the host's limits have room for it.
-    /// Without room a first attempt is the request's rejection; a further one is not made.
+    /// Checks the host's limits immediately before the first byte of an attempt. If the limits do not allow it, a first
+    /// attempt is not sent and its request is rejected; a later attempt is skipped.
     ///
     /// # Errors
-    /// They have none; how many milliseconds clients are to wait.
+    /// The attempt exceeds a limit. The error is the suggested retry delay for clients, in milliseconds.
     fn may_send(&self, request: RequestId, attempt: u8) -> Result<(), Millis> {
         let _ = (request, attempt);
         Ok(())
     }
 
-    /// An attempt ended.
+    /// An attempt to this backend ended.
     fn on_attempt_end(&self, backend: &str, end: &AttemptEnd) {
         let _ = (backend, end);
     }
 
-    /// A request has its one response, or nobody waits for it any more.
+    /// A request has its response, or its client has disconnected.
     fn on_request_end(&self, request: RequestId, end: RequestEnd) {
         let _ = (request, end);
     }
 
-    /// A request is answered and none of its attempts is in flight.
+    /// A request has ended and none of its attempts is in flight any more.
     fn on_request_removed(&self, request: RequestId) {
         let _ = request;
     }
--- a/crates/brassport-proxy/src/log.rs
+++ b/crates/brassport-proxy/src/log.rs
@@ -1,7 +1,7 @@
-//! The log, on standard error once [`start_stderr_writer`] was called, else nowhere.
+//! Log lines on standard error. Lines are discarded until [`start_stderr_writer`] has been called.
 //!
-//! Guards against a reader that is slow or has closed its end: a thread of its own writes, and lines that it can't
-//! write in time, or that come too fast, are dropped.
+//! A dedicated thread writes the lines, so that a slow or closed reader of standard error never blocks the proxy. Lines
+//! that exceed the queue or the rate limit are dropped.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{sync_channel, SyncSender};
@@ -9,19 +9,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Lines that may wait for the writer; more are dropped.
+/// Maximum number of lines queued for the writer thread; further lines are dropped.
 const MAX_PENDING_LINES: usize = 32;
-/// Lines that are written within a second; more are dropped, so that a fault that repeats does not fill a disk.
+/// Maximum number of lines written per second. Further lines are dropped, so that a recurring error does not fill the
+/// disk.
 const MAX_LINES_PER_S: u32 = 20;
 
 static WRITER: OnceLock<Option<SyncSender<String>>> = OnceLock::new();
 
-/// Starts the writer. A host that wants no thread beside its own leaves this out.
+/// Starts the writer thread. A host that must not run additional threads does not call this.
 pub fn start_stderr_writer() {
     WRITER.get_or_init(start);
 }
 
-/// Writes one line, if there is room for it.
+/// Queues one line for the writer thread. The line is dropped if the queue is full.
 pub fn write_line(text: String) {
     if let Some(Some(writer)) = WRITER.get() {
         let _ = writer.try_send(text);
@@ -31,10 +32,10 @@
 fn start() -> Option<SyncSender<String>> {
     let (sender, lines) = sync_channel::<String>(MAX_PENDING_LINES);
     let write = move || {
-        let (mut since, mut written) = (Instant::now(), 0);
+        let (mut second_start, mut written) = (Instant::now(), 0);
         for line in lines {
-            if since.elapsed() >= Duration::from_secs(1) {
-                (since, written) = (Instant::now(), 0);
+            if second_start.elapsed() >= Duration::from_secs(1) {
+                (second_start, written) = (Instant::now(), 0);
             }
             written += 1;
             if written <= MAX_LINES_PER_S {
--- a/crates/brassport-proxy/src/mutants.rs
+++ b/crates/brassport-proxy/src/mutants.rs
@@ -1,10 +1,11 @@
-//! Deliberate faults of the proxy and its programs, to show that the simulation's oracle can fail. Compiled only with
-//! the feature `mutants`, which no released program has; without it `mutant!` is the constant `false`.
+//! Deliberate faults (mutants) in the proxy and its programs, used to verify that the simulation's checks detect them.
+//! Compiled only with the feature `mutants`, which is never part of a release build. Without the feature, `mutant!` is
+//! the constant `false`.
 
 #[cfg(feature = "mutants")]
 use std::cell::Cell;
 
-/// Whether a mutant is active.
+/// Whether this mutant is active on the current thread.
 #[cfg(feature = "mutants")]
 #[macro_export]
 macro_rules! mutant {
@@ -12,7 +13,7 @@
         $crate::mutants::active() == Some($crate::mutants::Mutant::$which)
     };
 }
-/// Whether a mutant is active: never in this build.
+/// Whether this mutant is active. Always false without the feature `mutants`.
 #[cfg(not(feature = "mutants"))]
 #[macro_export]
 macro_rules! mutant {
@@ -26,61 +27,62 @@
 #[cfg(feature = "mutants")]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// A reset is reported to the policy as a connection that was never established: an unsafe request is retried.
+    /// A reset connection is reported to the policy as never established, so that an unsafe request is retried.
     RetryAfterReset,
-    /// An error of a backend is taken as a promise that the request never ran.
+    /// A backend's error response is treated as proof that the request never ran.
     ErrorNeverRan,
-    /// What failed is answered as rejected.
+    /// A failed request is reported to its client as rejected, although it may have run.
     RefuseAfterMayHaveRun,
-    /// A membership list is applied 700 ms after it came.
+    /// A membership list is applied 700 ms after it was received.
     DrainLate,
     /// A membership list of an older revision is applied.
     StaleListTaken,
     /// Responses are written twice.
     AnswerTwice,
-    /// The client's deadline is forgotten.
+    /// The client's deadline is ignored.
     ForgetDeadline,
-    /// Clients are accepted without a descriptor to spare.
+    /// Clients are accepted when no file descriptor is available.
     IgnoreDescriptorLimit,
-    /// The reserve of descriptors for attempts is not kept.
+    /// No file descriptors are reserved for attempts.
     IgnoreReserve,
-    /// A request whose client left while an attempt was in flight stays in flight.
+    /// A request whose client disconnected during an attempt is never removed.
     LeakInFlight,
-    /// A connection to a backend that is not established keeps its descriptor.
+    /// A failed attempt to connect to a backend does not release its descriptor.
     LeakDescriptor,
     /// The memory reserved for a body is not released.
     LeakBody,
-    /// A response whose body is incomplete is forwarded, and its connection returned to the pool.
+    /// An incomplete response is forwarded, and its connection is returned to the pool.
     ReleaseHalfRead,
-    /// A request that was answered while its attempt connected is sent all the same.
+    /// An attempt is sent although its request was answered while the connection was being established.
     SendBehindAnswer,
-    /// An attempt that timed out keeps its connection.
+    /// An attempt that timed out keeps its connection open.
     KeepTimedOutAttempt,
-    /// Backends that are warming up are taken for warm ones.
+    /// Backends in slow start are treated as fully warmed up.
     ColdIgnored,
-    /// Each gateway instance uses the complete rate limit rather than its share.
+    /// Each gateway instance uses the full rate limit instead of its share.
     CeilingUnshared,
-    /// At the end of a planned restart connections are closed whatever is in flight on them.
+    /// At the end of a planned restart, connections are closed without waiting for responses in flight.
     CloseWithoutAnswer,
-    /// What is in flight at the end of a planned restart is not failed.
+    /// At the end of a planned restart, requests in flight are not failed.
     NoFailAtEnd,
-    /// The timer's task never waits.
+    /// The timer task polls in a busy loop.
     Spin,
-    /// A figure of the meter that cannot be read is a panic.
+    /// An unreadable meter value causes a panic.
     PanicOnMeter,
-    /// Requests for a backend that moved are sent to its old address.
+    /// Requests are sent to the previous address of a backend whose address changed.
     KeepOldAddress,
-    /// 503 and 504 are taken as a promise that the request never ran, whether or not the backend says so.
+    /// A 503 or 504 is treated as proof that the request never ran, even if the backend does not say so.
     TrustPlain503,
-    /// A backend that operators disabled is still used.
+    /// A backend that operators have disabled is still used.
     IgnoreBan,
-    /// Another agent's lists are compared with the revisions of the one before it: a drain may be missed.
+    /// The revisions of one discovery agent are compared with those of the previous agent, so that a drain may be
+    /// missed.
     RevisionsOfAnother,
 }
 
 #[cfg(feature = "mutants")]
 impl Mutant {
-    /// All of them.
+    /// All mutants.
     pub const ALL: [Mutant; 25] = [
         Mutant::RetryAfterReset,
         Mutant::ErrorNeverRan,
@@ -115,13 +117,13 @@
     static ACTIVE: Cell<Option<Mutant>> = const { Cell::new(None) };
 }
 
-/// Activates a mutant on this thread, or none.
+/// Sets the active mutant of the current thread; `None` deactivates it.
 #[cfg(feature = "mutants")]
 pub fn activate(mutant: Option<Mutant>) {
     ACTIVE.set(mutant);
 }
 
-/// The active one.
+/// The active mutant of the current thread.
 #[cfg(feature = "mutants")]
 pub fn active() -> Option<Mutant> {
     ACTIVE.get()
--- a/crates/brassport-proxy/src/network.rs
+++ b/crates/brassport-proxy/src/network.rs
@@ -1,7 +1,7 @@
-//! The seam to the network: listen, connect, streams that read, write, close and reset, and datagrams.
+//! The abstraction of the network: listening and connecting TCP sockets, streams and datagrams.
 //!
-//! Production uses [`Tcp`], which is `tokio::net` and nothing else: the code is compiled against its types, so
-//! the seam costs no call per byte.
+//! Production uses [`Tcp`], a thin wrapper of `tokio::net`. The code is generic over the network, so there is no dynamic
+//! dispatch on reads and writes.
 
 use std::future::Future;
 use std::io;
@@ -10,41 +10,42 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 
-/// Connections that wait to be accepted: the figure of std and tokio.
+/// Maximum number of connections in the listen queue; the default of std and tokio.
 const BACKLOG: u32 = 1024;
 
-/// A network of sockets. Clones are handles of one network.
+/// A network of sockets. Clones are handles of the same network.
 ///
-/// An implementation must keep, as TCP does:
-/// - bytes arrive in order and unchanged, or not at all;
-/// - a stream that is dropped is closed at once, and reset if it held bytes that nobody had read;
-/// - `poll_shutdown` ends the sending and leaves the reading as it is.
+/// An implementation must provide the guarantees of TCP:
+/// - bytes are delivered in order and unmodified, or not at all;
+/// - dropping a stream closes it immediately, and resets it if received bytes have not been read;
+/// - `poll_shutdown` closes the sending direction only.
 pub trait Network: Clone + 'static {
-    /// One connection.
+    /// A TCP connection.
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
-    /// A socket that listens.
+    /// A listening TCP socket.
     type Listener: Listener<Stream = Self::Stream>;
-    /// A socket for datagrams.
+    /// A UDP socket.
     type Datagrams: Datagrams;
 
-    /// Listens on this address only.
+    /// Binds a socket to this address and listens on it. Fails if another process already listens on the address.
     fn listen(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>>;
 
-    /// As [`listen`](Network::listen), beside another process of this user that does the same.
+    /// Listens on an address with `SO_REUSEPORT`, so that several processes of the same user can listen on it.
     fn listen_reuse_port(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>> {
         self.listen(at)
     }
 
-    /// A handle of the listening socket, for another process. Connections that wait in its queue stay there.
+    /// Duplicates the descriptor of a listening socket, to pass it to another process. Connections in the listen queue
+    /// are kept.
     ///
     /// # Errors
-    /// This network's sockets cannot be passed to another process, or the system refuses to duplicate it.
+    /// The sockets of this network cannot be passed to another process, or the system call fails.
     fn duplicate_listener(listener: &Self::Listener) -> io::Result<OwnedFd> {
         let _ = listener;
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    /// Adopts a listening socket of another process.
+    /// Creates a listener from a descriptor that was passed by another process.
     ///
     /// # Errors
     /// As [`duplicate_listener`](Network::duplicate_listener).
@@ -53,7 +54,7 @@
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    /// Releases a connection, for another process.
+    /// Converts a connection into its descriptor, to pass it to another process.
     ///
     /// # Errors
     /// As [`duplicate_listener`](Network::duplicate_listener).
@@ -62,7 +63,7 @@
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    /// Adopts a connection of another process.
+    /// Creates a connection from a descriptor that was passed by another process.
     ///
     /// # Errors
     /// As [`duplicate_listener`](Network::duplicate_listener).
@@ -71,33 +72,33 @@
         Err(io::ErrorKind::Unsupported.into())
     }
 
-    /// Opens a connection. It may never be ready: the caller sets the time-out.
+    /// Opens a connection. The future may never complete; the caller has to apply a timeout.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 
-    /// Opens a socket for datagrams at this address. With port 0 the host chooses one, which must be hard to guess.
+    /// Opens a UDP socket on this address. Port 0 selects a free port, which must be hard to guess.
     fn datagrams(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Datagrams>>;
 }
 
-/// A socket for datagrams, as UDP has: each arrives complete, or not at all, perhaps twice, in any order, from anybody.
+/// A UDP socket. Datagrams may be lost, duplicated or reordered, and the source address may be forged.
 pub trait Datagrams: 'static {
-    /// Sends one.
+    /// Sends one datagram.
     fn send_to(&self, bytes: &[u8], to: SocketAddr) -> impl Future<Output = io::Result<()>>;
 
-    /// The next one that came: its length, and where it says that it comes from. What does not fit the buffer is
-    /// lost. Dropping the future before it is ready loses none.
+    /// Receives the next datagram; returns its length and its claimed source address. Bytes beyond the buffer are
+    /// discarded. Cancel safe: dropping the future loses no datagram.
     fn recv_from(&self, buffer: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
 }
 
-/// A socket that listens. Connections wait in its backlog until they are accepted.
+/// A listening socket. Incoming connections wait in its queue until they are accepted.
 pub trait Listener: 'static {
-    /// One connection.
+    /// An accepted connection.
     type Stream;
 
-    /// The next connection. Dropping the future before it is ready loses none.
+    /// Accepts the next connection. Cancel safe: dropping the future loses no connection.
     fn accept(&self) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
-/// TCP of the system, without Nagle's delay, and UDP.
+/// The TCP and UDP sockets of the operating system, with `TCP_NODELAY` set on connections.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Tcp;
 
@@ -113,7 +114,7 @@
     async fn listen_reuse_port(&self, at: SocketAddr) -> io::Result<TcpListener> {
         let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         socket.set_reuseaddr(true)?;
-        // Without it one process alone can listen here, as everywhere.
+        // Best effort: if it fails, only one process can listen on the address.
         let _ = socket.set_reuseport(true);
         socket.bind(at)?;
         socket.listen(BACKLOG)
@@ -161,7 +162,7 @@
 
     async fn accept(&self) -> io::Result<TcpStream> {
         let (stream, _) = TcpListener::accept(self).await?;
-        // A connection that has ended already reports it when it is read.
+        // Fails if the connection has already been closed; the error is then reported by the next read.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
--- a/crates/brassport-proxy/src/protocol.rs
+++ b/crates/brassport-proxy/src/protocol.rs
@@ -1,48 +1,49 @@
-//! The seam to a program's protocol: what its attempts say to a backend, how it classifies responses, and who observes
-//! its attempts.
+//! The interface to a program's upstream protocol: the headers it adds to an attempt, its classification of responses,
+//! and the observer of its attempts.
 
 use brassport_policy::Outcome;
 use hyper::header::HeaderMap;
 use hyper::http::response::Parts;
 use std::time::Duration;
 
-/// What a program writes to a backend and reads from its responses, where the two programs differ.
+/// The parts of the protocol with backends that differ between the programs.
 pub trait UpstreamProtocol: 'static {
-    /// Adds an attempt's own headers to a request: how long the client still waits, and which backend is meant. Called
-    /// once for each attempt, right before its first byte.
+    /// Adds the headers that are specific to an attempt: the client's remaining time and the selected backend. Called
+    /// once per attempt, immediately before its first byte.
     fn add_attempt_headers(&self, headers: &mut HeaderMap, time_left: Duration, backend: &str);
 
-    /// Classifies the head of the response to a request with these headers. Called once for each attempt that has a
-    /// response; the verdict decides the attempt's outcome, and whether its connection returns to the pool.
+    /// Classifies the head of the response to a request with these headers. Called once for each attempt that gets a
+    /// response. The result determines the outcome of the attempt and whether its connection returns to the pool.
     fn classify(&self, request: &HeaderMap, response: &Parts) -> ResponseClassification;
 }
 
-/// What the head of a response says of its attempt.
+/// The classification of a response by its head.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ResponseClassification {
-    /// The attempt's outcome, if its body comes completely.
+    /// The outcome of the attempt, provided that the body is received completely.
     pub outcome: Outcome,
-    /// The customer's use in the meter's last period, as a share of its rate: 1.0 is all of it.
+    /// The customer's usage in the last metering period as a fraction of its rate limit (1.0 is the full rate); `None`
+    /// if the response does not report it.
     pub quota_used: Option<f64>,
-    /// Whether the response may be forwarded to the client, if it comes completely.
+    /// Whether the response may be forwarded to the client, provided that it is received completely.
     pub is_for_client: bool,
-    /// Whether the connection may serve another request.
+    /// Whether the connection may be used for another request.
     pub is_reusable: bool,
-    /// For how long the backend keeps the connection open while it is idle, if the response says so.
+    /// The backend's idle timeout for the connection; `None` if the response does not announce one.
     pub idle_timeout: Option<Duration>,
 }
 
-/// Who counts the attempts.
+/// Observes attempts, for metrics.
 pub trait AttemptObserver {
-    /// An attempt was written, or turned out not to have been.
+    /// An attempt was written, or a reported one turned out not to have been written.
     fn on_attempt(&self, event: AttemptEvent);
 }
 
-/// What became of the bytes of an attempt's request.
+/// Whether the request of an attempt was written to a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEvent {
-    /// All of the request was written to a backend.
+    /// A complete request was, or is about to be, written to a backend.
     Written,
-    /// Nothing of a request reported as written before had been.
+    /// Corrects an earlier [`Written`](AttemptEvent::Written): no byte of the request was sent.
     NotWritten,
 }
--- a/crates/brassport-proxy/src/shutdown.rs
+++ b/crates/brassport-proxy/src/shutdown.rs
@@ -1,24 +1,24 @@
-//! How far a graceful shutdown has come, for every task that has to know.
+//! The phase of a graceful shutdown, shared by all tasks.
 //!
-//! The program advances the phase; [`serve`](crate::downstream::serve) and the client connections follow it. It closes
-//! nothing itself.
+//! The program advances the phase; [`serve`](crate::downstream::serve) and the client connections react to it. This
+//! module closes no connections itself.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// How far a shutdown has come.
+/// The phases of a shutdown, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Clients are served.
+    /// Normal operation.
     Serving,
-    /// Clients are still accepted; each response closes its connection.
+    /// New connections are still accepted; each response closes its connection.
     Draining,
-    /// No more clients are accepted, and idle connections are closed.
+    /// No new connections are accepted, and idle connections are closed.
     Closing,
 }
 
-/// The phase that the program is in. Waiting tasks are woken in the order in which they began to wait: a
-/// `tokio::sync::watch` wakes them in an order drawn by chance, which no simulation could replay.
+/// The current phase of the program. Waiting tasks are woken in the order in which they began to wait, so that a
+/// simulation can be replayed; `tokio::sync::watch` is not used because it wakes tasks in random order.
 #[derive(Debug)]
 pub struct Shutdown {
     phase: Cell<Phase>,
@@ -32,18 +32,18 @@
 }
 
 impl Shutdown {
-    /// The phase now.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Advances to a phase; never back.
+    /// Advances to a phase. An earlier phase than the current one is ignored.
     pub fn advance(&self, phase: Phase) {
         self.phase.set(self.phase.get().max(phase));
         self.changed.notify_waiters();
     }
 
-    /// Ready once the phase is [`Phase::Closing`].
+    /// Completes when the phase is [`Phase::Closing`].
     pub async fn closing(&self) {
         loop {
             let changed = self.changed.notified();
