--- a/crates/brassport-proxy/src/upstream/attempt.rs
+++ b/crates/brassport-proxy/src/upstream/attempt.rs
@@ -1,13 +1,13 @@
-//! One attempt of a request at one backend, from taking a connection to returning or closing it.
+//! One attempt of a request at one backend, from acquiring a connection to releasing or closing it.
 //!
-//! The steps, in order: [`acquire`](Exchange::acquire) a connection, [`take_request`](Exchange::take_request) if it is
-//! still wanted, [`send`](Exchange::send) it, [`receive`](Exchange::receive) the response,
-//! [`release`](Exchange::release) the connection. Whichever step fails says which [`Outcome`] that is.
+//! The steps in order: [`acquire`](Exchange::acquire) a connection, [`take_request`](Exchange::take_request) if the
+//! request still has to be sent, [`send`](Exchange::send) it, [`receive`](Exchange::receive) the response,
+//! [`release`](Exchange::release) the connection. A step that fails returns the [`Outcome`] of the attempt.
 
 use super::connection::ConnectionError;
 use super::pool::{PooledConnection, UpstreamPool};
 use super::request::UpstreamRequest;
-use super::response::{self, Forwarding, ReceivedBody};
+use super::response::{self, ReceiveMode, ReceivedBody};
 use crate::body::{ResponseBody, StreamedBody, UpstreamBody};
 use crate::clock::Clock;
 use crate::deadline::ResettableDeadline;
@@ -24,35 +24,37 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// What an attempt sends, where, and until when.
+/// The request, the backend and the deadline of an attempt.
 pub struct AttemptTarget<'a> {
-    /// The backend that the policy chose.
+    /// The backend that the policy selected.
     pub backend: ServerId,
-    /// The request.
+    /// The request to send.
     pub request: &'a UpstreamRequest,
     /// When the attempt times out.
     pub deadline: &'a ResettableDeadline,
 }
 
-/// Who started an attempt.
+/// The caller's side of an attempt.
 pub trait AttemptOwner {
-    /// Whether the request is still to be sent: called once, right before its first byte.
+    /// Whether the request still has to be sent. Called once, immediately before its first byte.
     fn may_send(&self) -> bool;
 
-    /// Takes a long response whose first bytes have come. Called once at most; from here on neither deadline nor
-    /// cancellation ends the attempt: its end is the client's business and the backend's.
+    /// Receives a long response after its first bytes have arrived. Called at most once. After this call, neither the
+    /// deadline nor cancellation ends the attempt; it ends when the client or the backend ends the transfer, or by the
+    /// stall timeout.
     fn forward(&self, response: Response<ResponseBody>);
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub struct AttemptResult {
-    /// The outcome, for the policy.
+    /// The outcome that is reported to the policy.
     pub outcome: Outcome,
-    /// The customer's use in the meter's last period, as a share of its rate, if the response reports it.
+    /// The customer's usage in the last metering period as a fraction of its rate limit; `None` if the response does
+    /// not report it.
     pub quota_used: Option<f64>,
-    /// The response, if it is one for the client and has not been forwarded yet.
+    /// The response; `None` if it is not for the client or was already passed to [`AttemptOwner::forward`].
     pub response: Option<Response<ResponseBody>>,
-    /// When the first bytes of a long response came.
+    /// When streaming of a long response began; `None` if the response was not streamed.
     pub streaming_since: Option<Instant>,
 }
 
@@ -63,8 +65,8 @@
 }
 
 impl<C: Clock, N: Network> UpstreamPool<C, N> {
-    /// Executes one attempt. It is over, and its socket closed or idle again, when this is ready. `cancelled` calls it
-    /// off.
+    /// Executes one attempt. When this completes, the attempt has ended and its connection is closed or back in the
+    /// pool. The attempt is cancelled when `cancelled` completes.
     pub async fn attempt(
         &self,
         target: AttemptTarget<'_>,
@@ -77,11 +79,11 @@
         let running = exchange.run();
         #[cfg(not(feature = "mutants"))]
         let mut running = std::pin::pin!(running);
-        // On the heap, for the mutant that keeps it.
+        // Boxed for the mutant `KeepTimedOutAttempt`, which leaks it.
         #[cfg(feature = "mutants")]
         let mut running = Box::pin(running);
-        // The exchange owns the connection: whichever branch ends first, the exchange is dropped, and the socket
-        // closed, before this returns and the policy is notified.
+        // The exchange owns the connection. If another branch completes first, the exchange is dropped and its socket
+        // closed before this function returns and the policy is notified.
         let ended = tokio::select! {
             biased;
             _ = cancelled => Outcome::Cancelled,
@@ -104,16 +106,16 @@
     }
 }
 
-/// How far an exchange has come, for the attempt that may end it from outside.
+/// The progress of an exchange, which determines the outcome if it times out or is cancelled.
 #[derive(Default)]
 struct Progress {
     /// Whether bytes of the request may have been written.
     is_written: Cell<bool>,
-    /// When a response began that is forwarded as it arrives.
+    /// When streaming of the response began; `None` before that.
     streaming_since: Cell<Option<Instant>>,
 }
 
-/// The steps of an attempt.
+/// Executes the steps of an attempt.
 struct Exchange<'a, C, N: Network, O> {
     pool: &'a UpstreamPool<C, N>,
     target: AttemptTarget<'a>,
@@ -131,38 +133,38 @@
         let mut pooled = self.acquire(address).await?;
         let request = self.take_request(address)?;
         let (head, body) = self.send(&mut pooled, request).await?.into_parts();
-        let verdict = self.pool.protocol.classify(&self.target.request.headers, &head);
-        let (result, is_complete) = self.receive(&mut pooled, verdict, head, body).await?;
+        let classification = self.pool.protocol.classify(&self.target.request.headers, &head);
+        let (result, is_complete) = self.receive(&mut pooled, classification, head, body).await?;
         if is_complete {
-            self.release(address, pooled, verdict).await;
+            self.release(address, pooled, classification).await;
         }
         Ok(result)
     }
 
-    /// A connection to the backend, idle or new.
+    /// Acquires a connection to the backend, an idle one from the pool or a new one.
     async fn acquire(&self, address: SocketAddr) -> Result<PooledConnection<N::Stream>, Outcome> {
-        let began = self.pool.clock.now();
+        let start = self.pool.clock.now();
         let pooled = self.pool.acquire(self.target.backend, address).await.ok_or(Outcome::NoConnection)?;
-        // Guards against a standstill of the program in which a drain was announced: what came meanwhile is handled
-        // first.
-        if self.pool.clock.now().saturating_duration_since(began) > self.pool.connect_timeout() {
+        // Taking longer than the connect timeout means that the process was suspended. A drain of the backend may have
+        // been announced in the meantime, so pending events are processed first.
+        if self.pool.clock.now().saturating_duration_since(start) > self.pool.connect_timeout() {
             tokio::task::yield_now().await;
         }
         Ok(pooled)
     }
 
-    /// The request, if it is still to be sent to this address.
+    /// Returns the request, provided that it still has to be sent to this address.
     fn take_request(&self, address: SocketAddr) -> Result<Request<UpstreamBody>, Outcome> {
         let AttemptTarget { backend, request, deadline } = &self.target;
-        // Guards against sending to a backend that began to drain, terminated or moved while the connection was
-        // established, and against sending for a request that was answered meanwhile.
+        // While the connection was being established, the backend may have begun to drain, terminated or changed its
+        // address, and the request may have been answered.
         let is_ready = self.pool.ready_address(*backend) == Some(address);
         if !is_ready || !(self.owner.may_send() || mutant!(SendBehindAnswer)) {
             return Err(Outcome::Moot);
         }
         let time_left = deadline.at().saturating_duration_since(self.pool.clock.now());
         let name = self.pool.backend_name(*backend);
-        // A body that was streamed to one backend can't be sent to a second one.
+        // A streamed body cannot be sent to a second backend.
         request.for_attempt(time_left, &*self.pool.protocol, &name).ok_or(Outcome::Moot)
     }
 
@@ -173,7 +175,7 @@
         request: Request<UpstreamBody>,
     ) -> Result<Response<Incoming>, Outcome> {
         self.progress.is_written.set(true);
-        // An upload counts once it is complete.
+        // An upload is counted when it is complete.
         let is_counted = self.target.request.is_complete();
         if is_counted {
             self.pool.observer.on_attempt(AttemptEvent::Written);
@@ -188,22 +190,24 @@
         })
     }
 
-    /// Reads the response, or forwards it as it arrives. Returns with the result whether all of the response came.
+    /// Reads the response, or streams it to the client. Returns the result, and whether the response was received
+    /// completely.
     async fn receive(
         &self,
         pooled: &mut PooledConnection<N::Stream>,
-        verdict: ResponseClassification,
+        classification: ResponseClassification,
         head: Parts,
         body: Incoming,
     ) -> Result<(AttemptResult, bool), Outcome> {
-        let serves = verdict.is_for_client && head.status.is_success();
-        let forwarding = if serves { Forwarding::WhileArriving } else { Forwarding::OnceComplete };
-        let received = response::receive(&self.pool.clock, &mut pooled.connection, forwarding, body).await;
-        let mut result = AttemptResult { quota_used: verdict.quota_used, ..verdict.outcome.into() };
+        let may_stream = classification.is_for_client && head.status.is_success();
+        let mode = if may_stream { ReceiveMode::MayStream } else { ReceiveMode::Buffer };
+        let received = response::receive(&self.pool.clock, &mut pooled.connection, mode, body).await;
+        let mut result =
+            AttemptResult { quota_used: classification.quota_used, ..classification.outcome.into() };
         match received.map_err(|_| reset())? {
             ReceivedBody::Complete(bytes) => {
                 let response = || Response::from_parts(head, Full::new(bytes).into());
-                result.response = verdict.is_for_client.then(response);
+                result.response = classification.is_for_client.then(response);
                 Ok((result, true))
             }
             ReceivedBody::Partial { first, rest } => {
@@ -228,24 +232,25 @@
         response::forward(&self.pool.clock, &mut pooled.connection, first, rest, sender).await
     }
 
-    /// Returns the connection to the pool if it may serve another request; else it is closed here.
+    /// Returns the connection to the pool if it can be used for another request; otherwise closes it.
     async fn release(
         &self,
         address: SocketAddr,
         mut pooled: PooledConnection<N::Stream>,
-        verdict: ResponseClassification,
+        classification: ResponseClassification,
     ) {
-        // Behind a request that is still being uploaded no other one can be sent.
-        let may_be_idle = verdict.is_reusable && self.pool.keeps_idle() && self.target.request.is_complete();
+        // A connection on which a request is still being uploaded cannot be used for another one.
+        let may_be_idle =
+            classification.is_reusable && self.pool.keeps_idle() && self.target.request.is_complete();
         if may_be_idle && pooled.connection.is_reusable().await {
             pooled.idle_since = self.pool.clock.now();
-            pooled.idle_timeout = verdict.idle_timeout.or(pooled.idle_timeout);
+            pooled.idle_timeout = classification.idle_timeout.or(pooled.idle_timeout);
             self.pool.release(self.target.backend, address, pooled);
         }
     }
 }
 
-/// The outcome of a connection that broke after the backend may have begun to run the request.
+/// The outcome of an attempt whose connection was lost after the backend may have begun to run the request.
 fn reset() -> Outcome {
     if mutant!(RetryAfterReset) {
         Outcome::NoConnection
--- a/crates/brassport-proxy/src/upstream/connection.rs
+++ b/crates/brassport-proxy/src/upstream/connection.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 connection to a peer. Whoever owns it drives it: it has no task of its own, so dropping it has closed
-//! the socket.
+//! One HTTP/1.1 connection to a server. It is polled by its owner's calls and has no background task, so dropping it
+//! closes the socket immediately.
 
 use crate::body::UpstreamBody;
 use crate::mutants::mutant;
@@ -17,21 +17,22 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Most bytes of a response's head.
-const HEAD_LIMIT: usize = 16 * 1024;
+/// Maximum size of a response's head.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Why an exchange brought no complete response. Its source is upstream.
+/// Why an exchange returned no complete response. The cause is upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionError {
     /// No byte of the request was written.
     Unsent,
-    /// The connection broke, or the response is not HTTP, after some of the request may have been written.
+    /// The connection was lost, or the response is invalid or too long, after part of the request may have been
+    /// written.
     Interrupted,
 }
 
 impl ConnectionError {
-    /// Whether the request can't have run, so that sending it again is safe whatever its effect. A backend can't run a
-    /// request of which it has not got the last byte.
+    /// Whether the request cannot have run, so that retrying it is safe even if it is not idempotent. A backend cannot
+    /// run a request before it has received the last byte.
     pub fn is_retryable(self, request_was_complete: bool) -> bool {
         match self {
             ConnectionError::Unsent => true,
@@ -44,26 +45,26 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             ConnectionError::Unsent => "the request was not sent",
-            ConnectionError::Interrupted => "the connection broke before the response was complete",
+            ConnectionError::Interrupted => "no complete response was received on the connection",
         })
     }
 }
 
 impl std::error::Error for ConnectionError {}
 
-/// The part of hyper that has to be polled.
+/// hyper's connection future, which must be polled to make progress.
 type Driver<S> = http1::Connection<TokioIo<TrackedStream<S>>, UpstreamBody>;
 
-/// A connection to a peer, for one request at a time.
+/// A connection to a server, for one request at a time.
 pub struct UpstreamConnection<S: AsyncRead + AsyncWrite + Unpin + 'static> {
     sender: SendRequest<UpstreamBody>,
-    /// `None` once the connection has ended.
+    /// `None` after the connection has ended.
     driver: Option<Driver<S>>,
-    /// Whether bytes wait that the peer had no room for.
+    /// Whether the last write is blocked because the peer's receive buffer is full.
     has_unwritten: Rc<Cell<bool>>,
 }
 
-/// A stream that records whether its peer took all that was written.
+/// A stream that records whether its last write is blocked.
 struct TrackedStream<S> {
     stream: S,
     has_unwritten: Rc<Cell<bool>>,
@@ -119,24 +120,24 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin + 'static> UpstreamConnection<S> {
-    /// A connection over a stream that was just established.
+    /// Creates a connection over a newly established stream.
     ///
     /// # Errors
-    /// hyper refuses the handshake.
+    /// The HTTP client cannot be initialized.
     pub async fn handshake(stream: S) -> io::Result<UpstreamConnection<S>> {
-        // Guards the memory against heads that do not end.
+        // Limits the memory used by an endless head.
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(HEAD_LIMIT);
+        builder.max_buf_size(MAX_HEAD_BYTES);
         let has_unwritten = Rc::new(Cell::new(false));
         let tracked = TrackedStream { stream, has_unwritten: has_unwritten.clone() };
         let (sender, driver) = builder.handshake(TokioIo::new(tracked)).await.map_err(io::Error::other)?;
         Ok(UpstreamConnection { sender, driver: Some(driver), has_unwritten })
     }
 
-    /// Sends one request and waits for its complete response, of `max_bytes` at most.
+    /// Sends one request and waits for its complete response, whose body may have at most `max_bytes`.
     ///
     /// # Errors
-    /// There is no complete response; whether some of the request may have been written.
+    /// No complete response was received. The error says whether part of the request may have been written.
     pub async fn exchange(
         &mut self,
         request: Request<impl Into<UpstreamBody>>,
@@ -146,10 +147,10 @@
         Ok(Response::from_parts(head, self.collect(body, max_bytes).await?))
     }
 
-    /// The complete body of a response that has begun, of `max_bytes` at most.
+    /// Reads the complete body of a response, of at most `max_bytes`.
     ///
     /// # Errors
-    /// The body was cut short, or is longer.
+    /// The body was truncated, or is longer than `max_bytes`.
     pub async fn collect(&mut self, body: Incoming, max_bytes: usize) -> Result<Bytes, ConnectionError> {
         let driver = &mut self.driver;
         if body.size_hint().lower() > max_bytes as u64 {
@@ -163,7 +164,7 @@
                 _ => Ok(Bytes::new()),
             };
         }
-        // Guards against serving a body that was cut short: an error of the body is a broken connection.
+        // Any error of the body is reported, so that a truncated body is never served.
         Ok(collected.await.map_err(|_| ConnectionError::Interrupted)?.to_bytes())
     }
 
@@ -177,7 +178,7 @@
     ) -> Result<Response<Incoming>, ConnectionError> {
         let UpstreamConnection { sender, driver, .. } = self;
         let request = request.map(Into::into);
-        // hyper hands a request back only if it never began to write it.
+        // hyper returns the request in the error only if it has not begun to write it.
         let response = sender.try_send_request(request);
         drive(driver, response).await.map_err(|mut error| match error.take_message() {
             Some(_) => ConnectionError::Unsent,
@@ -185,10 +186,10 @@
         })
     }
 
-    /// The complete body of a response that has begun, of `max_bytes` at most; `None` if it is longer.
+    /// Reads the complete body of a response, of at most `max_bytes`. Returns `None` if it is longer.
     ///
     /// # Errors
-    /// The body was cut short.
+    /// The body was truncated.
     pub async fn read_to_end(
         &mut self,
         body: Incoming,
@@ -201,10 +202,10 @@
         }
     }
 
-    /// The next bytes of a body that has begun; `None` at its end. Trailers are dropped.
+    /// Reads the next bytes of a body; `None` at its end. Trailers are dropped.
     ///
     /// # Errors
-    /// The body was cut short.
+    /// The body was truncated.
     pub async fn next_chunk(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, ConnectionError> {
         loop {
             match drive_eagerly(&mut self.driver, body.frame()).await {
@@ -219,9 +220,9 @@
         }
     }
 
-    /// Whether the connection is alive and can take another request. Guards against sending into a connection that the
-    /// peer has closed while it was idle: polling it sees the end that has come in meanwhile. Nor is one reusable on which
-    /// the rest of an earlier request is still to be written: a peer may respond before it has read all of it.
+    /// Whether the connection is open and can be used for another request. Polls the connection, which detects that the
+    /// peer has closed it while it was idle. A connection is also not reusable while part of an earlier request is
+    /// still unwritten, as a peer may respond before it has read the complete request.
     pub async fn is_reusable(&mut self) -> bool {
         poll_fn(|context| {
             if let Some(driver) = &mut self.driver {
@@ -236,14 +237,14 @@
     }
 }
 
-/// As [`drive`], reading all that has come before other tasks run: hyper returns a body in steps, and between two of
-/// them this task would wait behind the others. Guards a membership update that came first against being applied after
-/// requests that came later.
+/// Like [`drive`], but polls repeatedly to read all received data before other tasks run. hyper returns a body in
+/// several steps, and without this the task would wait behind other tasks between two steps. A membership update would
+/// then be applied after requests that were received later.
 async fn drive_eagerly<S: AsyncRead + AsyncWrite + Unpin + 'static, T>(
     driver: &mut Option<Driver<S>>,
     work: impl Future<Output = T>,
 ) -> T {
-    /// A bound, so that a peer that sends without end does not keep the other tasks waiting.
+    /// Limits the polls, so that a peer that sends continuously does not starve other tasks.
     const MAX_POLLS: u32 = 4;
     let mut work = pin!(drive(driver, work));
     poll_fn(|context| {
@@ -252,7 +253,7 @@
     .await
 }
 
-/// Waits for `work`, for which the connection has to be driven.
+/// Polls the connection while waiting for `work`.
 async fn drive<S: AsyncRead + AsyncWrite + Unpin + 'static, T>(
     driver: &mut Option<Driver<S>>,
     work: impl Future<Output = T>,
--- a/crates/brassport-proxy/src/upstream/mod.rs
+++ b/crates/brassport-proxy/src/upstream/mod.rs
@@ -1,15 +1,15 @@
 //! The upstream side: the pool of connections to backends, and the attempts that are sent on them.
 //!
-//! What this layer adds to a request: the attempt's own headers (by [`crate::protocol`]), a connection that has proved
-//! alive, time-outs on connecting, on a stalled transfer and at the request's deadline, and the response's classification.
-//! What it requires of the layer below, [`crate::network`]: a stream that is closed when it is dropped.
+//! This layer adds the headers of an attempt (see [`crate::protocol`]), checks that a pooled connection is alive,
+//! applies timeouts to connecting, to stalled transfers and to the request's deadline, and classifies the response. It
+//! requires from the layer below, [`crate::network`], streams that are closed when they are dropped.
 //!
-//! Ownership: [`UpstreamPool`] owns idle connections. An attempt takes one out, or opens one, and owns it until it
-//! returns it or drops it, both before [`UpstreamPool::attempt`] is ready. There are no tasks here; the program runs
+//! Ownership: [`UpstreamPool`] owns the idle connections. An attempt takes one from the pool or opens a new one, and
+//! returns or closes it before [`UpstreamPool::attempt`] completes. This module spawns no tasks; the program runs
 //! [`UpstreamPool::sweep`].
 //!
-//! Errors: a [`ConnectionError`] has its source upstream; [`ConnectionError::is_retryable`] says whether the request
-//! may be sent again. An attempt itself reports an [`brassport_policy::Outcome`], by which the policy decides.
+//! Errors: a [`ConnectionError`] has its cause upstream; [`ConnectionError::is_retryable`] says whether the request can
+//! safely be retried. An attempt reports a [`brassport_policy::Outcome`], on which the policy bases its decisions.
 
 mod attempt;
 mod connection;
--- a/crates/brassport-proxy/src/upstream/pool.rs
+++ b/crates/brassport-proxy/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The backends of a program, and the idle connections to them.
+//! The backends of a program and the pool of idle connections to them.
 
 use super::connection::UpstreamConnection;
 use crate::clock::Clock;
@@ -15,33 +15,33 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Part of a backend's idle time-out after which its connection is closed: backends may close theirs earlier than they
-/// say, and a request that crosses such a close is lost.
-const IDLE_PART: f64 = 0.5;
-/// Time between two sweeps of the idle connections.
+/// An idle connection is closed after this fraction of the backend's idle timeout. Backends may close connections
+/// earlier than announced, and a request sent at the moment of such a close is lost.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.5;
+/// Interval between two sweeps of the idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A connection that an attempt uses, or that is idle. It owns its descriptor's permit: dropping it closes the socket
-/// first and gives the permit back then.
+/// A connection that is idle or in use by an attempt. It owns its descriptor permit: dropping it first closes the
+/// socket and then releases the permit.
 pub(super) struct PooledConnection<S: AsyncRead + AsyncWrite + Unpin + 'static> {
     pub(super) connection: UpstreamConnection<S>,
-    /// Since when it has been idle.
+    /// When the connection was established or last used.
     pub(super) idle_since: Instant,
-    /// For how long its backend keeps it open, if a response on it said so.
+    /// The idle timeout that the backend announced on this connection; `None` if it announced none.
     pub(super) idle_timeout: Option<Duration>,
     _descriptor: OwnedSemaphorePermit,
 }
 
 struct Backend<S: AsyncRead + AsyncWrite + Unpin + 'static> {
     name: Rc<str>,
-    /// `None`: it is listed without an address.
+    /// `None` if the backend is listed without an address.
     address: Option<SocketAddr>,
     is_ready: bool,
-    /// In the order of their last use.
+    /// The idle connections, the least recently used first.
     idle: Vec<PooledConnection<S>>,
 }
 
-/// The backends of a program with the idle connections to them; its attempts are sent from here.
+/// The backends of a program with their idle connections. Executes attempts.
 pub struct UpstreamPool<C, N: Network> {
     pub(super) clock: C,
     network: N,
@@ -49,15 +49,15 @@
     descriptors: Arc<Semaphore>,
     connect_timeout: Cell<Duration>,
     max_idle: Cell<Duration>,
-    /// False while another process takes this one's place: that one keeps idle connections.
+    /// Whether connections are kept idle for reuse; false while another process replaces this one.
     keeps_idle: Cell<bool>,
     pub(super) observer: Rc<dyn AttemptObserver>,
     pub(super) protocol: Rc<dyn UpstreamProtocol>,
 }
 
 impl<C: Clock, N: Network> UpstreamPool<C, N> {
-    /// A pool without backends. `descriptors` is shared with whatever else opens sockets; `idle_timeout` is for how long
-    /// backends keep an idle connection open if they do not say.
+    /// Creates a pool without backends. `descriptors` is shared with the other users of sockets. `idle_timeout` is the
+    /// idle timeout of backends that do not announce one.
     pub fn new(
         clock: C,
         network: N,
@@ -73,25 +73,25 @@
             backends: RefCell::default(),
             descriptors,
             connect_timeout: Cell::new(connect_timeout),
-            max_idle: Cell::new(idle_timeout.mul_f64(IDLE_PART)),
+            max_idle: Cell::new(idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION)),
             keeps_idle: Cell::new(true),
             observer,
             protocol,
         }
     }
 
-    /// Sets other time-outs, for what begins from now on.
+    /// Sets the timeouts for subsequent connection attempts and idle checks.
     pub fn set_timeouts(&self, connect_timeout: Duration, idle_timeout: Duration) {
         self.connect_timeout.set(connect_timeout);
-        self.max_idle.set(idle_timeout.mul_f64(IDLE_PART));
+        self.max_idle.set(idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION));
     }
 
-    /// Adds or updates a backend: its name, its address and whether it takes new requests.
+    /// Adds or updates a backend: its name, its address and whether it accepts new requests.
     pub fn upsert(&self, id: ServerId, name: &str, address: SocketAddr, is_ready: bool) {
         self.update(id, name, Some(address), is_ready);
     }
 
-    /// Adds or updates a backend that is listed without an address.
+    /// Adds or updates a backend that is listed without an address; it gets no requests.
     pub fn upsert_unreachable(&self, id: ServerId, name: &str) {
         self.update(id, name, None, false);
     }
@@ -111,29 +111,29 @@
         (backend.address, backend.is_ready) = (address, is_ready);
     }
 
-    /// Removes the backends for which `keep` is false, and closes their idle connections.
+    /// Removes the backends for which `keep` returns false, and closes their idle connections.
     pub fn retain(&self, keep: impl Fn(ServerId) -> bool) {
         self.backends.borrow_mut().retain(|id, _| keep(*id));
     }
 
-    /// Whether any backend takes new requests.
+    /// Whether any backend accepts new requests.
     pub fn any_ready(&self) -> bool {
         self.backends.borrow().values().any(|backend| backend.is_ready)
     }
 
-    /// What a backend is called; empty for one that is not listed.
+    /// The name of a backend; empty if it is not listed.
     pub fn backend_name(&self, id: ServerId) -> Rc<str> {
         self.backends.borrow().get(&id).map_or_else(|| Rc::from(""), |backend| backend.name.clone())
     }
 
-    /// The address of a backend that takes new requests.
+    /// The address of a backend; `None` if it does not accept new requests or has no address.
     pub(super) fn ready_address(&self, id: ServerId) -> Option<SocketAddr> {
         self.backends.borrow().get(&id).filter(|backend| backend.is_ready)?.address
     }
 }
 
 impl<C: Clock, N: Network> UpstreamPool<C, N> {
-    /// Closes all idle connections, and keeps none from now on, or keeps them again.
+    /// Sets whether connections are kept idle for reuse, and closes all idle connections.
     pub fn set_keep_idle(&self, keep: bool) {
         self.keeps_idle.set(keep);
         self.backends.borrow_mut().values_mut().for_each(|backend| backend.idle.clear());
@@ -143,7 +143,8 @@
         self.keeps_idle.get()
     }
 
-    /// Closes the connection that has been idle for the longest time, for its descriptor; false if there is none.
+    /// Closes the connection that has been idle for the longest time to free its descriptor. Returns false if there is
+    /// none.
     pub fn evict_idle(&self) -> bool {
         let mut backends = self.backends.borrow_mut();
         let with_idle = backends.values_mut().filter(|backend| !backend.idle.is_empty());
@@ -152,18 +153,18 @@
         true
     }
 
-    /// Closes, once a second and without end, connections that have been idle for too long or that the other side has
-    /// closed. The program spawns it, and drops it with its other tasks.
+    /// Closes connections that have been idle for too long or that the backend has closed, once per second. Never
+    /// completes; the program spawns it and aborts it with its other tasks.
     pub async fn sweep(&self) {
         loop {
             self.clock.sleep(SWEEP_INTERVAL).await;
-            // Taken out while they are polled: an attempt that begins meanwhile must not use them.
+            // Removed from the pool while they are polled, so that a new attempt cannot take them.
             let take = |(id, backend): (&ServerId, &mut Backend<N::Stream>)| {
                 (*id, backend.address, std::mem::take(&mut backend.idle))
             };
             let taken: Vec<_> = self.backends.borrow_mut().iter_mut().map(take).collect();
             for (id, address, idle) in taken {
-                // Without an address there are no idle connections.
+                // A backend without an address has no idle connections.
                 let Some(address) = address else { continue };
                 for mut pooled in idle {
                     if self.may_stay_idle(&pooled) && pooled.connection.is_reusable().await {
@@ -174,19 +175,22 @@
         }
     }
 
-    /// Whether a connection has not been idle for too long.
+    /// Whether a connection is still within its idle timeout.
     fn may_stay_idle(&self, pooled: &PooledConnection<N::Stream>) -> bool {
         let idle = self.clock.now().saturating_duration_since(pooled.idle_since);
         let max_idle = self.max_idle.get();
-        idle < pooled.idle_timeout.map_or(max_idle, |timeout| max_idle.min(timeout.mul_f64(IDLE_PART)))
+        idle < pooled
+            .idle_timeout
+            .map_or(max_idle, |timeout| max_idle.min(timeout.mul_f64(IDLE_TIMEOUT_FRACTION)))
     }
 
-    /// The time-out on establishing a connection.
+    /// The timeout for establishing a connection.
     pub(super) fn connect_timeout(&self) -> Duration {
         self.connect_timeout.get()
     }
 
-    /// A connection for an attempt: an idle one, or else a new one. `None` if none can be established.
+    /// Returns a connection for an attempt: an idle one if available, otherwise a new one. `None` if no connection can
+    /// be established.
     pub(super) async fn acquire(
         &self,
         id: ServerId,
@@ -198,7 +202,7 @@
         }
     }
 
-    /// The idle connection used last that is still alive.
+    /// Takes the most recently used idle connection that is still open.
     async fn take_idle(&self, id: ServerId) -> Option<PooledConnection<N::Stream>> {
         loop {
             let mut pooled = self.backends.borrow_mut().get_mut(&id)?.idle.pop()?;
@@ -210,7 +214,7 @@
 
     async fn connect(&self, address: SocketAddr) -> Option<PooledConnection<N::Stream>> {
         let descriptor = self.acquire_descriptor()?;
-        // Guards against a machine that is partitioned off: connections to it are never established.
+        // The timeout handles an unreachable machine, to which a connection would never be established.
         let open = async { UpstreamConnection::handshake(self.network.connect(address).await?).await };
         let opened = self.clock.timeout(self.connect_timeout.get(), open).await.and_then(Result::ok);
         if mutant!(LeakDescriptor) && opened.is_none() {
@@ -226,7 +230,7 @@
         })
     }
 
-    /// A descriptor for a new connection, of an idle one if none is free.
+    /// Acquires a descriptor permit for a new connection, closing idle connections if none is available.
     fn acquire_descriptor(&self) -> Option<OwnedSemaphorePermit> {
         loop {
             match self.descriptors.clone().try_acquire_owned() {
@@ -237,11 +241,13 @@
         }
     }
 
-    /// Puts a connection back as idle; closes it if its backend was removed, moved or takes no requests any more.
+    /// Returns a connection to the pool. Closes it if its backend was removed, has a new address or no longer accepts
+    /// requests.
     pub(super) fn release(&self, id: ServerId, address: SocketAddr, pooled: PooledConnection<N::Stream>) {
         let mut backends = self.backends.borrow_mut();
         let backend = backends.get_mut(&id);
-        if let Some(backend) = backend.filter(|one| one.is_ready && one.address == Some(address)) {
+        if let Some(backend) = backend.filter(|backend| backend.is_ready && backend.address == Some(address))
+        {
             backend.idle.push(pooled);
         }
     }
--- a/crates/brassport-proxy/src/upstream/request.rs
+++ b/crates/brassport-proxy/src/upstream/request.rs
@@ -1,4 +1,4 @@
-//! A client's request as it is sent to a backend.
+//! A client's request in the form in which it is sent to backends.
 
 use crate::body::upload::UploadProgress;
 use crate::body::UpstreamBody;
@@ -12,38 +12,38 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A client's request as it is forwarded to a backend. All attempts of a request share it.
+/// A client's request as it is forwarded to backends. It is shared by all attempts of the request.
 pub struct UpstreamRequest {
-    /// The client's method.
+    /// The method of the client's request.
     pub method: Method,
-    /// The target, in origin form.
+    /// The request target in origin form.
     pub uri: Uri,
-    /// The headers that are forwarded, without those of an attempt.
+    /// The forwarded headers, without the headers that are added per attempt.
     pub headers: HeaderMap,
-    /// The body.
+    /// The body of the request.
     pub body: RequestBody,
 }
 
 /// The body of a request.
 pub enum RequestBody {
-    /// All of it is in memory: it can be sent again.
+    /// The body is buffered completely, so the request can be retried.
     Complete(Bytes),
-    /// It arrives while it is forwarded: it is sent once.
+    /// The body is streamed while it is being received, so it can be sent only once.
     Streaming(StreamingUpload),
 }
 
-/// A body that arrives while it is forwarded.
+/// A body that is streamed to a backend while it is being received.
 pub struct StreamingUpload {
-    /// The body, until an attempt takes it.
+    /// The body; `None` after an attempt has taken it.
     pub body: RefCell<Option<UpstreamBody>>,
-    /// How far it has come.
+    /// The progress of the upload.
     pub progress: Rc<UploadProgress>,
-    /// How long its client waits once all of it has come.
+    /// How long the client waits for the response after the upload is complete.
     pub client_timeout: Duration,
 }
 
 impl UpstreamRequest {
-    /// Whether all of it has been forwarded, or is in memory. Before that no backend can have run it.
+    /// Whether the body is buffered or has been forwarded completely. Before that, no backend can have run the request.
     pub fn is_complete(&self) -> bool {
         match &self.body {
             RequestBody::Complete(_) => true,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// When its last byte was forwarded, if it is one that is forwarded as it arrives.
+    /// When the last byte of a streamed body was forwarded; `None` for a buffered or incomplete body.
     pub fn upload_completed_at(&self) -> Option<Instant> {
         match &self.body {
             RequestBody::Complete(_) => None,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Ready once its upload has stalled; never for a request that is in memory.
+    /// Completes when the upload has stalled; never for a buffered body.
     pub(super) async fn stalled(&self, clock: &impl Clock) {
         match &self.body {
             RequestBody::Complete(_) => std::future::pending().await,
@@ -67,8 +67,9 @@
         }
     }
 
-    /// The request for one attempt at this backend, with so much time left; `None` if its body has been taken by an
-    /// earlier attempt and is not in memory. An upload's client waits for its own time-out, which begins later.
+    /// Builds the request for one attempt at this backend. `time_left` is the remaining time until the deadline; for a
+    /// streamed body the client's full timeout is used instead, as it starts only when the upload is complete. Returns
+    /// `None` if the body is streamed and an earlier attempt has taken it.
     pub fn for_attempt(
         &self,
         time_left: Duration,
--- a/crates/brassport-proxy/src/upstream/response.rs
+++ b/crates/brassport-proxy/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a response: completely if it is short, else forwarded as it arrives.
+//! Reads the body of a response: a short one is buffered, a long one is streamed to the client.
 
 use super::connection::{ConnectionError, UpstreamConnection};
 use crate::body::{BodySender, MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
@@ -7,46 +7,46 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// How long a response of unknown length is held back to see whether it is short: one that breaks off before it is
-/// forwarded can still be retried.
+/// How long a response of unknown length is buffered before it is streamed. A request whose response breaks off before
+/// any of it was forwarded can still be retried.
 const BUFFER_TIMEOUT: Duration = Duration::from_millis(50);
-/// How long either side of a response that has begun may stall.
+/// Maximum time without progress of a streamed response, on either side.
 const STALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Whether a response may be forwarded before all of it has come.
+/// Whether a response may be forwarded before it is complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Forwarding {
-    /// It serves the client: once it is known to be long it is forwarded as it arrives.
-    WhileArriving,
-    /// It may yet be replaced by that of another attempt: it is read completely.
-    OnceComplete,
+pub(super) enum ReceiveMode {
+    /// The response is final: a long one is streamed to the client.
+    MayStream,
+    /// The response may be replaced by that of another attempt, so it is always buffered.
+    Buffer,
 }
 
-/// The body of a response, as far as it was read.
+/// The part of a response's body that has been read.
 pub(super) enum ReceivedBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// The first bytes of a long one, and the rest, which is still to come.
+    /// The first bytes of a long body, and the unread remainder.
     Partial { first: Bytes, rest: Incoming },
 }
 
-/// Reads the body of a response until it is complete or known to be long.
+/// Reads the body of a response until it is complete or known to exceed the buffer limit.
 ///
 /// # Errors
-/// It was cut short, or is longer than any body may be.
+/// The body was truncated, or exceeds the limit of buffered bodies or of all bodies.
 pub(super) async fn receive<S: AsyncRead + AsyncWrite + Unpin + 'static>(
     clock: &impl Clock,
     connection: &mut UpstreamConnection<S>,
-    forwarding: Forwarding,
+    mode: ReceiveMode,
     body: Incoming,
 ) -> Result<ReceivedBody, ConnectionError> {
     let hint = body.size_hint();
     let is_short = hint.upper().is_some_and(|most| most <= MAX_BUFFERED_BYTES as u64);
-    if forwarding == Forwarding::OnceComplete || is_short {
+    if mode == ReceiveMode::Buffer || is_short {
         return connection.collect(body, MAX_BUFFERED_BYTES).await.map(ReceivedBody::Complete);
     }
     match hint.exact() {
-        // Guards against a length that makes no sense.
+        // An implausible length is treated as a broken response.
         Some(length) if length > MAX_BODY_BYTES => Err(ConnectionError::Interrupted),
         Some(_) => Ok(ReceivedBody::Partial { first: Bytes::new(), rest: body }),
         None => receive_unknown_length(clock, connection, body).await,
@@ -63,7 +63,7 @@
     while first.len() <= MAX_BUFFERED_BYTES {
         let next = match clock.timeout_at(until, connection.next_chunk(&mut body)).await {
             Some(next) => next?,
-            // With nothing to forward there is nothing to gain.
+            // Nothing has been received that could be forwarded, so streaming would have no benefit yet.
             None if first.is_empty() => connection.next_chunk(&mut body).await?,
             None => break,
         };
@@ -75,9 +75,8 @@
     Ok(ReceivedBody::Partial { first: first.into(), rest: body })
 }
 
-/// Forwards a response as it arrives, for as long as its client takes it. Returns whether all of it came, and its
-/// connection may be used again. Otherwise `sender` is dropped unfinished, and the client sees that the response is
-/// incomplete.
+/// Streams a response to the client. Returns whether the response was forwarded completely, so that its connection can
+/// be reused. Otherwise `sender` is dropped without `finish`, and the client detects that the response is incomplete.
 pub(super) async fn forward<S: AsyncRead + AsyncWrite + Unpin + 'static>(
     clock: &impl Clock,
     connection: &mut UpstreamConnection<S>,
@@ -87,7 +86,7 @@
 ) -> bool {
     let mut next = Some(first);
     while let Some(bytes) = next {
-        // Guards against a client that takes nothing and keeps a backend's connection.
+        // A client that does not read must not hold a backend's connection indefinitely.
         if clock.timeout(STALL_TIMEOUT, sender.send(bytes)).await != Some(true) {
             return false;
         }
@@ -98,7 +97,7 @@
                 Some(Ok(next)) => next,
                 Some(Err(_)) | None => return false,
             },
-            // Guards against a backend that works on, and says nothing meanwhile, for a client that has left.
+            // Detects a disconnected client while the backend sends nothing, so that the backend stops working.
             () = sender.closed() => return false,
         };
     }
