--- a/crates/brassport-proxy/src/dispatch/attempt.rs
+++ b/crates/brassport-proxy/src/dispatch/attempt.rs
@@ -41,9 +41,9 @@
         self.finish(sent_at, backend_name.as_deref(), result);
     }
 
-    /// Waits for the work that the hooks request before the attempt. Returns the name of the backend, or `None` if there
-    /// are no hooks. Whether the backend still accepts requests and the client still waits is checked afterwards, before
-    /// the first byte.
+    /// Waits for the work that the hooks request before the attempt. Returns the name of the backend, or `None` if
+    /// there are no hooks. Whether the backend still accepts requests and the client still waits is checked afterwards,
+    /// before the first byte.
     async fn before_attempt(&self) -> Option<Rc<str>> {
         let (name, wait) = {
             let state = self.dispatcher.state.borrow();
@@ -160,7 +160,8 @@
 impl<C: Clock, N: Network> AttemptOwner for AttemptTask<C, N> {
     fn may_send(&self) -> bool {
         // The permission to serve may have expired since admission, while the process was suspended or partitioned from
-        // the network. If there were earlier attempts, they may have run, so the request fails instead of being rejected.
+        // the network. If there were earlier attempts, they may have run, so the request fails instead of being
+        // rejected.
         if let Err(wait_ms) = self.dispatcher.may_serve() {
             let is_first = self.number == 0;
             let outcome = if is_first { RequestOutcome::Rejected(wait_ms) } else { RequestOutcome::Failed };
--- a/crates/brassport-proxy/src/dispatch/dispatcher.rs
+++ b/crates/brassport-proxy/src/dispatch/dispatcher.rs
@@ -213,7 +213,8 @@
         self.state.borrow().requests.hooks()?.plan_override(customer)
     }
 
-    /// The policy's limit on attempts in flight, and the fraction of the quota-admitted load that fits into it (0 to 1).
+    /// The policy's limit on attempts in flight, and the fraction of the quota-admitted load that fits into it (0 to
+    /// 1).
     pub fn capacity(&self) -> (f64, f64) {
         self.inspect(Gateway::room)
     }
--- a/crates/brassport-proxy/src/downstream/phase.rs
+++ b/crates/brassport-proxy/src/downstream/phase.rs
@@ -9,8 +9,8 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Maximum idle time after a response.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Maximum idle time while there are many connections. In the eviction order, a connection that has been idle for longer
-/// counts as unused.
+/// Maximum idle time while there are many connections. In the eviction order, a connection that has been idle for
+/// longer counts as unused.
 pub(super) const REDUCED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum idle time of a connection with a single request while there are many connections. No connection is closed
 /// for being idle sooner than this, as its client may not have received the complete response yet.
--- a/crates/brassport-proxy/src/downstream/registry.rs
+++ b/crates/brassport-proxy/src/downstream/registry.rs
@@ -30,9 +30,9 @@
     min_time: Duration,
 }
 
-/// The rules by which connections are closed to free descriptors, in order of preference. Many clients that send a single
-/// request and keep the connection open would otherwise use the descriptors that new clients need. Such a client can
-/// reconnect immediately.
+/// The rules by which connections are closed to free descriptors, in order of preference. A crowd of clients that send a
+/// single request, keep the connection open and reconnect at once when it is closed would otherwise use up the
+/// descriptors that new clients need.
 const EVICTION_ORDER: [EvictionRule; 6] = [
     // The final response was sent.
     EvictionRule { phase: ConnectionPhase::Final, max_requests: u32::MAX, min_time: SILENT_AFTER },
@@ -74,7 +74,8 @@
         connections.values().filter(|state| state.phase.get() == ConnectionPhase::Closing).count()
     }
 
-    /// Closes the connection that its client is least likely to use again. Returns false if no connection may be closed.
+    /// Closes the connection that its client is least likely to use again. Returns false if no connection may be
+    /// closed.
     pub fn close_least_useful(&self) -> bool {
         let selected = EVICTION_ORDER.iter().find_map(|rule| self.longest_matching(rule));
         if let Some(state) = &selected {
@@ -153,8 +154,8 @@
         self.state.request_count.get()
     }
 
-    /// Whether neither a request nor a response is in flight, so that the bytes read so far are the complete state of the
-    /// connection.
+    /// Whether neither a request nor a response is in flight, so that the bytes read so far are the complete state of
+    /// the connection.
     pub fn is_between_requests(&self) -> bool {
         self.phase().is_before_request() && !self.state.has_unwritten.get()
     }
--- a/crates/brassport-proxy/src/downstream/service.rs
+++ b/crates/brassport-proxy/src/downstream/service.rs
@@ -90,8 +90,8 @@
         pending()
     }
 
-    /// Passes a client connection to the process that replaced this one, with the bytes that were read but not processed
-    /// and the number of requests on the connection.
+    /// Passes a client connection to the process that replaced this one, with the bytes that were read but not
+    /// processed and the number of requests on the connection.
     fn hand_over(&self, socket: OwnedFd, buffered: Bytes, request_count: u32) {
         let _ = (socket, buffered, request_count);
     }
--- a/crates/brassport-proxy/src/hooks.rs
+++ b/crates/brassport-proxy/src/hooks.rs
@@ -54,8 +54,9 @@
         let _ = (name, request);
     }
 
-    /// The policy selected a backend for an attempt. The attempt is sent after the returned work has completed, provided
-    /// that the backend still accepts requests and the client still waits. The work must limit its own duration.
+    /// The policy selected a backend for an attempt. The attempt is sent after the returned work has completed,
+    /// provided that the backend still accepts requests and the client still waits. The work must limit its own
+    /// duration.
     fn before_attempt(&self, request: RequestId, backend: &str) -> Option<AttemptDelay> {
         let _ = (request, backend);
         None
--- a/crates/brassport-proxy/src/network.rs
+++ b/crates/brassport-proxy/src/network.rs
@@ -1,7 +1,7 @@
 //! The abstraction of the network: listening and connecting TCP sockets, streams and datagrams.
 //!
-//! Production uses [`Tcp`], a thin wrapper of `tokio::net`. The code is generic over the network, so there is no dynamic
-//! dispatch on reads and writes.
+//! Production uses [`Tcp`], a thin wrapper of `tokio::net`. The code is generic over the network, so there is no
+//! dynamic dispatch on reads and writes.
 
 use std::future::Future;
 use std::io;
