--- a/crates/brassport-proxy/tests/it/body.rs
+++ b/crates/brassport-proxy/tests/it/body.rs
@@ -1,4 +1,4 @@
-//! A response that is forwarded while it arrives: what its client and its writer see of each other's end.
+//! A streamed response body: how the reader detects the end of the writer, and the writer that of the reader.
 
 use brassport_proxy::body::{BodyError, ResponseBody, StreamedBody, MAX_PENDING_CHUNKS};
 use http_body_util::BodyExt;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::task::Poll;
 
-/// Reads a body to its end: its bytes, and whether they are all.
+/// Reads a body to its end. Returns its bytes and whether the body was complete.
 async fn read(mut body: StreamedBody, ended: &Rc<Cell<Option<bool>>>) -> (Vec<u8>, bool) {
     let ended = ended.clone();
     body.on_end(move |is_complete| ended.set(Some(is_complete)));
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn a_response_whose_writer_is_dropped_half_way_is_incomplete_whether_or_not_its_length_is_known() {
+async fn a_body_is_incomplete_if_its_writer_is_dropped_before_the_end() {
     for length in [None, Some(10)] {
         let ended = Rc::default();
         let (sender, body) = StreamedBody::new(length);
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn a_response_ends_at_its_length_or_where_its_writer_finishes_it() {
+async fn a_body_is_complete_at_its_declared_length_or_when_the_writer_finishes_it() {
     for length in [None, Some(10)] {
         let ended = Rc::default();
         let (sender, body) = StreamedBody::new(length);
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn a_reader_that_is_dropped_is_reported_to_the_writer_and_counts_as_an_incomplete_end() {
+async fn dropping_the_reader_fails_the_writer_and_ends_the_body_as_incomplete() {
     let (sender, mut body) = StreamedBody::new(Some(10));
     let ended = Rc::new(Cell::new(None));
     let reported = ended.clone();
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test]
-async fn a_writer_waits_for_a_client_that_reads_nothing() {
+async fn a_writer_blocks_when_the_client_does_not_read() {
     let (sender, _body) = StreamedBody::new(None);
     let mut written = 0;
     loop {
--- a/crates/brassport-proxy/tests/it/client_left.rs
+++ b/crates/brassport-proxy/tests/it/client_left.rs
@@ -1,4 +1,4 @@
-//! What backends see once the client that they work for has left.
+//! What happens to attempts and backend connections when the client disconnects.
 
 use crate::common::{bounded, TestProxy};
 use brassport_policy::Effect;
@@ -9,34 +9,34 @@
 use std::pin::Pin;
 use std::task::Poll;
 
-/// No response at all.
-const SILENCE: &str = "";
-/// The first bytes of a response that is forwarded as it arrives, with no more after them.
-const LONG: &str = "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nthe first bytes";
+/// The backend sends no response.
+const NO_RESPONSE: &str = "";
+/// The first bytes of a long response; the backend sends no more.
+const PARTIAL_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nthe first bytes";
 
 #[tokio::test]
-async fn an_idempotent_attempt_is_cancelled_when_its_client_leaves() {
+async fn an_attempt_of_an_idempotent_request_is_cancelled_when_its_client_disconnects() {
     bounded(async {
-        let proxy = TestProxy::new(Effect::Free, &[SILENCE; 2]).await;
+        let proxy = TestProxy::new(Effect::Free, &[NO_RESPONSE; 2]).await;
         let pending = proxy.admit(HeaderMap::new());
         proxy.script.requests_received(1).await;
         drop(pending);
         proxy.script.connections_closed(1).await;
         assert_eq!(proxy.dispatcher.in_flight(), 0);
-        assert_eq!(proxy.script.heads.borrow().len(), 1, "nobody waits for a further attempt");
-        assert_eq!(*proxy.released.borrow(), [7], "the customer of the attempt, once");
+        assert_eq!(proxy.script.heads.borrow().len(), 1, "there must be no second attempt");
+        assert_eq!(*proxy.ended_attempts.borrow(), [7], "one attempt of customer 7 has ended");
     })
     .await;
 }
 
 #[tokio::test]
-async fn an_attempt_with_an_effect_runs_on_when_its_client_leaves() {
+async fn an_attempt_of_a_non_idempotent_request_continues_when_its_client_disconnects() {
     bounded(async {
-        let proxy = TestProxy::new(Effect::Once, &[SILENCE; 2]).await;
+        let proxy = TestProxy::new(Effect::Once, &[NO_RESPONSE; 2]).await;
         let pending = proxy.admit(HeaderMap::new());
         proxy.script.requests_received(1).await;
         drop(pending);
-        // Whatever the dispatcher does at once has been done when another request has come.
+        // When a second request has reached a backend, the dispatcher has processed the disconnect of the first client.
         let other = proxy.admit(HeaderMap::new());
         proxy.script.requests_received(2).await;
         assert_eq!((proxy.script.closed.get(), proxy.dispatcher.in_flight()), (0, 2));
@@ -46,19 +46,19 @@
 }
 
 #[tokio::test]
-async fn a_streamed_response_ends_when_its_client_leaves_though_its_backend_stalls() {
+async fn a_streamed_response_ends_when_its_client_disconnects_even_if_its_backend_stalls() {
     bounded(async {
-        let proxy = TestProxy::new(Effect::Free, &[LONG]).await;
+        let proxy = TestProxy::new(Effect::Free, &[PARTIAL_RESPONSE]).await;
         let RequestOutcome::Served(mut response) = proxy.request(HeaderMap::new()).await else {
-            panic!("not served")
+            panic!("the request was not served")
         };
-        let first = response.body_mut().frame().await.expect("some of it").expect("it is sound");
-        assert_eq!(&first.into_data().expect("bytes")[..], b"the first bytes");
+        let first = response.body_mut().frame().await.expect("a first frame").expect("no body error");
+        assert_eq!(&first.into_data().expect("a data frame")[..], b"the first bytes");
         let more = poll_fn(|context| {
             let body = Pin::new(response.body_mut());
             Poll::Ready(hyper::body::Body::poll_frame(body, context).is_ready())
         });
-        assert!(!more.await, "nothing more has come");
+        assert!(!more.await, "the body must be pending after its first bytes");
         drop(response);
         proxy.script.connections_closed(1).await;
         assert_eq!(proxy.dispatcher.in_flight(), 0);
--- a/crates/brassport-proxy/tests/it/common/mod.rs
+++ b/crates/brassport-proxy/tests/it/common/mod.rs
@@ -1,4 +1,4 @@
-//! A dispatcher before scripted backends, on loopback.
+//! A dispatcher with scripted backends on the loopback interface.
 
 use brassport_policy::{
     Class, Effect, Event, Lifecycle, ListKind, Outcome, Plan, Request, ServerEntry, Settings,
@@ -23,24 +23,26 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::task::{spawn_local, LocalSet};
 
-/// How long clients wait: no test runs into it.
+/// The timeout of requests; longer than [`TEST_TIMEOUT`], so that no test reaches it.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a test may take: less than any time-out of the proxy's.
+/// The maximum duration of a test; shorter than the stall timeouts of the proxy, so that no test passes by them.
 const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Every response is one for the client, unless the request has `forward-nothing`. `once` and `keep` in a response's
-/// headers describe its connection.
-pub struct ForwardsAll;
+/// A protocol in which every response may be forwarded, unless the request has the header `forward-nothing`. The
+/// response header `once` forbids reusing the connection; `keep` announces its idle timeout in milliseconds.
+pub struct TestProtocol;
 
-impl UpstreamProtocol for ForwardsAll {
+impl UpstreamProtocol for TestProtocol {
     fn add_attempt_headers(&self, headers: &mut HeaderMap, _: Duration, backend: &str) {
         headers.insert("host", HeaderValue::from_str(backend).expect("a name"));
     }
 
     fn classify(&self, request: &HeaderMap, response: &Parts) -> ResponseClassification {
         let outcome = if response.status == StatusCode::OK { Outcome::Ok } else { Outcome::Error };
-        let timeout_ms =
-            response.headers.get("keep").map(|ms| ms.to_str().expect("text").parse().expect("a number"));
+        let timeout_ms = response
+            .headers
+            .get("keep")
+            .map(|ms| ms.to_str().expect("an ASCII value").parse().expect("a number"));
         ResponseClassification {
             outcome,
             quota_used: None,
@@ -51,11 +53,11 @@
     }
 }
 
-/// Attempts that were written.
+/// Counts the attempts that were written.
 #[derive(Default)]
-pub struct Counts(pub Cell<i32>);
+pub struct AttemptCount(pub Cell<i32>);
 
-impl AttemptObserver for Counts {
+impl AttemptObserver for AttemptCount {
     fn on_attempt(&self, event: AttemptEvent) {
         match event {
             AttemptEvent::Written => self.0.set(self.0.get() + 1),
@@ -64,14 +66,15 @@
     }
 }
 
-/// Backends that give the responses of one script in their order, whichever of them is called.
+/// Backends that send the scripted responses in order, regardless of which backend receives a request.
 #[derive(Default)]
 pub struct Script {
     pub responses: RefCell<Vec<&'static str>>,
+    /// The number of accepted connections.
     pub connections: Cell<u32>,
-    /// The heads of the requests that came.
+    /// The heads of the received requests, in lower case.
     pub heads: RefCell<Vec<String>>,
-    /// Connections that the proxy has closed.
+    /// The number of connections that the proxy has closed.
     pub closed: Cell<u32>,
     changed: Notify,
 }
@@ -105,27 +108,27 @@
         address
     }
 
-    /// Waits until so many requests have come.
-    pub async fn requests_received(&self, requests: usize) {
-        while self.heads.borrow().len() < requests {
+    /// Waits until at least `count` requests have been received.
+    pub async fn requests_received(&self, count: usize) {
+        while self.heads.borrow().len() < count {
             self.changed.notified().await;
         }
     }
 
-    /// Waits until the proxy has closed so many connections.
-    pub async fn connections_closed(&self, connections: u32) {
-        while self.closed.get() < connections {
+    /// Waits until the proxy has closed at least `count` connections.
+    pub async fn connections_closed(&self, count: u32) {
+        while self.closed.get() < count {
             self.changed.notified().await;
         }
     }
 }
 
-/// A class of requests with this effect.
+/// A request class with this effect.
 pub fn class(effect: Effect) -> Class {
     Class { worth: 1.0, aim: 5000.0, deadline: 10_000.0, late_share: 0.5, effect }
 }
 
-/// A request of the only class and plan, as a program hands it in.
+/// A request of the only class and plan, in the form in which programs pass it to the dispatcher.
 pub fn policy_request() -> Request {
     Request {
         id: 0,
@@ -140,20 +143,20 @@
     }
 }
 
-/// A dispatcher before backends at these addresses, which are called n1, n2 and so on. Its timers run.
-pub fn dispatcher_before(
+/// Creates a dispatcher with backends `n1`, `n2` etc. at these addresses, and runs its timers.
+pub fn dispatcher_with_backends(
     addresses: &[SocketAddr],
     settings: Settings,
-    counts: Rc<Counts>,
+    written: Rc<AttemptCount>,
     on_attempt_end: impl Fn(u64) + 'static,
 ) -> Rc<Dispatcher<SystemClock, Tcp>> {
     let (long, descriptors) = (Duration::from_secs(60), Arc::new(Semaphore::new(16)));
-    let pool = UpstreamPool::new(SystemClock, Tcp, descriptors, long, long, counts, Rc::new(ForwardsAll));
+    let pool = UpstreamPool::new(SystemClock, Tcp, descriptors, long, long, written, Rc::new(TestProtocol));
     let pool = Rc::new(pool);
     let on_attempt_end = Box::new(on_attempt_end);
     let options = DispatcherOptions { meter: None, hooks: None, on_attempt_end, inherited_clock: None };
     let dispatcher = Dispatcher::new(SystemClock, settings, 1, options, pool.clone());
-    let dispatcher = dispatcher.expect("settings that hold");
+    let dispatcher = dispatcher.expect("valid settings");
     let mut entries = Vec::new();
     for (id, address) in (1..).zip(addresses) {
         pool.upsert(id, &format!("n{id}"), *address, true);
@@ -165,54 +168,56 @@
     dispatcher
 }
 
-/// A dispatcher before two scripted backends, and what they and its observers have seen.
+/// A dispatcher with two scripted backends.
 pub struct TestProxy {
     pub dispatcher: Rc<Dispatcher<SystemClock, Tcp>>,
     pub script: Rc<Script>,
-    pub counts: Rc<Counts>,
-    pub released: Rc<RefCell<Vec<u64>>>,
+    /// The attempts that were written.
+    pub written: Rc<AttemptCount>,
+    /// The customer of each attempt that has ended.
+    pub ended_attempts: Rc<RefCell<Vec<u64>>>,
 }
 
 impl TestProxy {
     pub async fn new(effect: Effect, responses: &[&'static str]) -> TestProxy {
         let script = Rc::new(Script { responses: RefCell::new(responses.to_vec()), ..Script::default() });
-        let (counts, released) = (Rc::new(Counts::default()), Rc::new(RefCell::new(Vec::new())));
+        let (written, ended_attempts) = (Rc::new(AttemptCount::default()), Rc::new(RefCell::new(Vec::new())));
         let (classes, plans) = (vec![class(effect)], vec![Plan::default()]);
         let settings = Settings { classes, plans, max_attempts: 2, may_cancel: true, ..Settings::default() };
         let addresses = [script.clone().backend().await, script.clone().backend().await];
-        let recorded = released.clone();
-        let on_attempt_end = move |customer| recorded.borrow_mut().push(customer);
-        let dispatcher = dispatcher_before(&addresses, settings, counts.clone(), on_attempt_end);
-        TestProxy { dispatcher, script, counts, released }
+        let ended = ended_attempts.clone();
+        let on_attempt_end = move |customer| ended.borrow_mut().push(customer);
+        let dispatcher = dispatcher_with_backends(&addresses, settings, written.clone(), on_attempt_end);
+        TestProxy { dispatcher, script, written, ended_attempts }
     }
 
-    /// Admits a request; dropped, its client has left.
+    /// Admits a request. Dropping the returned value simulates a client that disconnects.
     pub fn admit(&self, headers: HeaderMap) -> PendingRequest<SystemClock, Tcp> {
         let (method, uri, body) =
             (Method::POST, Uri::from_static("/job"), RequestBody::Complete(Bytes::new()));
         let message = UpstreamRequest { method, uri, headers, body };
         let id = self.dispatcher.generate_id();
         let pending = self.dispatcher.admit(policy_request(), id, message, CLIENT_TIMEOUT);
-        pending.expect("a name of its own")
+        pending.expect("a unique name")
     }
 
-    /// The outcome of one request.
+    /// Admits a request and waits for its outcome.
     pub async fn request(&self, headers: HeaderMap) -> RequestOutcome {
         self.admit(headers).outcome().await
     }
 
-    /// The status of the response to a request that is served.
+    /// Sends a request that has to be served, and returns the status of its response.
     pub async fn served(&self) -> StatusCode {
         match self.request(HeaderMap::new()).await {
             RequestOutcome::Served(response) => response.status(),
-            RequestOutcome::Rejected(_) => panic!("rejected"),
-            RequestOutcome::Failed => panic!("failed"),
+            RequestOutcome::Rejected(_) => panic!("the request was rejected"),
+            RequestOutcome::Failed => panic!("the request failed"),
         }
     }
 }
 
-/// Runs a test with a bound on its time.
+/// Runs a test with a timeout.
 pub async fn bounded(test: impl Future<Output = ()>) {
     let test = tokio::time::timeout(TEST_TIMEOUT, test);
-    LocalSet::new().run_until(test).await.expect("it ends");
+    LocalSet::new().run_until(test).await.expect("the test must end before its timeout");
 }
--- a/crates/brassport-proxy/tests/it/data_rate.rs
+++ b/crates/brassport-proxy/tests/it/data_rate.rs
@@ -1,11 +1,11 @@
-//! How slow a client may be that sends a body.
+//! The minimum data rate of request bodies.
 
 use brassport_proxy::body::data_rate::{DataRateMonitor, GRACE_PERIOD, MAX_READ_TIMEOUT, MIN_BYTES_PER_S};
 use proptest::prelude::*;
 use std::time::Duration;
 
 #[test]
-fn a_body_of_the_promised_rate_comes_completely_after_a_slow_head() {
+fn a_body_of_64_kb_per_second_is_accepted_after_a_slow_head() {
     let mut data_rate = DataRateMonitor::new(Duration::from_secs(2));
     for _ in 0..500 {
         assert!(data_rate.read_timeout() > Duration::from_millis(100), "{data_rate:?}");
@@ -14,14 +14,14 @@
 }
 
 #[test]
-fn a_client_that_sends_nothing_is_waited_for_two_and_a_half_seconds() {
+fn a_client_that_sends_nothing_times_out_after_the_grace_period_of_2500_ms() {
     assert_eq!(DataRateMonitor::new(Duration::ZERO).read_timeout(), GRACE_PERIOD);
     assert_eq!(DataRateMonitor::new(GRACE_PERIOD).read_timeout(), Duration::ZERO);
     assert_eq!(GRACE_PERIOD, Duration::from_millis(2500));
 }
 
 #[test]
-fn bytes_that_came_fast_earn_no_endless_wait() {
+fn the_read_timeout_is_limited_after_a_fast_transfer() {
     let mut data_rate = DataRateMonitor::new(Duration::ZERO);
     data_rate.record(Duration::from_millis(10), 32 << 20);
     assert_eq!(data_rate.read_timeout(), MAX_READ_TIMEOUT);
@@ -29,7 +29,7 @@
 
 proptest! {
     #[test]
-    fn no_body_is_waited_for_longer_than_its_bytes_account_for(
+    fn the_total_wait_never_exceeds_the_grace_period_plus_the_time_for_the_received_bytes(
         steps in prop::collection::vec((0u64..4_000, 0usize..100_000), 1..60),
     ) {
         let mut data_rate = DataRateMonitor::new(Duration::ZERO);
--- a/crates/brassport-proxy/tests/it/dispatch.rs
+++ b/crates/brassport-proxy/tests/it/dispatch.rs
@@ -1,4 +1,4 @@
-//! A dispatcher before scripted backends: which responses reach the client, and which connections are reused.
+//! A dispatcher with scripted backends: which responses are forwarded to the client, and which connections are reused.
 
 use crate::common::{bounded, TestProxy};
 use brassport_policy::Effect;
@@ -11,12 +11,12 @@
 const ERROR: &str = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 5\r\n\r\nfault";
 
 #[tokio::test]
-async fn the_error_response_of_the_last_attempt_is_forwarded_if_it_may_be() {
+async fn the_error_response_of_the_last_attempt_is_forwarded_if_the_protocol_allows_it() {
     bounded(async {
         let proxy = TestProxy::new(Effect::Once, &[ERROR, ERROR]).await;
         assert_eq!(proxy.served().await, StatusCode::INTERNAL_SERVER_ERROR);
-        assert_eq!((proxy.counts.0.get(), proxy.dispatcher.in_flight()), (1, 0));
-        assert_eq!(*proxy.released.borrow(), [7], "the customer of the attempt, once");
+        assert_eq!((proxy.written.0.get(), proxy.dispatcher.in_flight()), (1, 0));
+        assert_eq!(*proxy.ended_attempts.borrow(), [7], "one attempt of customer 7 has ended");
         let mut headers = HeaderMap::new();
         headers.insert("forward-nothing", HeaderValue::from_static("1"));
         assert!(matches!(proxy.request(headers).await, RequestOutcome::Failed));
@@ -25,40 +25,43 @@
 }
 
 #[tokio::test]
-async fn a_successful_response_replaces_an_error_response_that_may_be_forwarded() {
+async fn a_successful_retry_replaces_an_error_response() {
     bounded(async {
         let proxy = TestProxy::new(Effect::Free, &[ERROR, OK]).await;
         assert_eq!(proxy.served().await, StatusCode::OK);
-        assert_eq!((proxy.counts.0.get(), proxy.dispatcher.in_flight()), (2, 0));
-        assert!(proxy.script.heads.borrow().iter().all(|head| head.contains("host: n")), "each is addressed");
+        assert_eq!((proxy.written.0.get(), proxy.dispatcher.in_flight()), (2, 0));
+        assert!(
+            proxy.script.heads.borrow().iter().all(|head| head.contains("host: n")),
+            "each attempt must have the header of its backend"
+        );
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_connection_is_reused_only_if_its_response_allows_it_and_for_half_of_the_announced_idle_time() {
-    const ONCE: &str = "HTTP/1.1 200 OK\r\nOnce: 1\r\nContent-Length: 0\r\n\r\n";
-    const SHORT: &str = "HTTP/1.1 200 OK\r\nKeep: 2000\r\nContent-Length: 0\r\n\r\n";
+async fn a_connection_is_reused_only_if_its_response_allows_it_and_for_half_of_the_announced_idle_timeout() {
+    const NOT_REUSABLE: &str = "HTTP/1.1 200 OK\r\nOnce: 1\r\nContent-Length: 0\r\n\r\n";
+    const IDLE_TIMEOUT_2_S: &str = "HTTP/1.1 200 OK\r\nKeep: 2000\r\nContent-Length: 0\r\n\r\n";
     bounded(async {
-        let proxy = TestProxy::new(Effect::Free, &[ONCE; 3]).await;
+        let proxy = TestProxy::new(Effect::Free, &[NOT_REUSABLE; 3]).await;
         for connections in 1..=3 {
             assert_eq!(proxy.served().await, StatusCode::OK);
-            assert_eq!(proxy.script.connections.get(), connections, "none is reused");
+            assert_eq!(proxy.script.connections.get(), connections, "no connection may be reused");
         }
         let proxy = TestProxy::new(Effect::Free, &[OK; 8]).await;
         for _ in 0..8 {
             assert_eq!(proxy.served().await, StatusCode::OK);
         }
-        assert!(proxy.script.connections.get() <= 2, "one to each backend");
-        let proxy = TestProxy::new(Effect::Free, &[SHORT; 8]).await;
+        assert!(proxy.script.connections.get() <= 2, "at most one connection per backend");
+        let proxy = TestProxy::new(Effect::Free, &[IDLE_TIMEOUT_2_S; 8]).await;
         for _ in 0..4 {
             assert_eq!(proxy.served().await, StatusCode::OK);
         }
         let before = proxy.script.connections.get();
-        assert!(before <= 2, "one to each backend");
+        assert!(before <= 2, "at most one connection per backend");
         tokio::time::sleep(Duration::from_millis(1050)).await;
         assert_eq!(proxy.served().await, StatusCode::OK);
-        assert_eq!(proxy.script.connections.get(), before + 1, "those are too old");
+        assert_eq!(proxy.script.connections.get(), before + 1, "the idle connections have expired");
     })
     .await;
 }
--- a/crates/brassport-proxy/tests/it/golden/downstream.rs
+++ b/crates/brassport-proxy/tests/it/golden/downstream.rs
@@ -1,6 +1,6 @@
-//! What clients are sent.
+//! The bytes of responses sent to clients.
 
-use super::{lines, plain, GOLDEN};
+use super::{lines, printable, GOLDEN};
 use crate::common::bounded;
 use brassport_proxy::body::{ResponseBody, StreamedBody};
 use brassport_proxy::clock::{Clock, SystemClock};
@@ -23,7 +23,7 @@
 use tokio::sync::{mpsc, Semaphore};
 use tokio::task::spawn_local;
 
-/// The system's clock, on whose wall it is always the same second.
+/// The system clock with a constant wall-clock time.
 #[derive(Clone, Copy)]
 struct FixedWallClock;
 
@@ -43,15 +43,15 @@
     }
 }
 
-/// Gives each path a response of its own.
+/// A service that selects the response by the path of the request.
 struct TestService {
     connections: Rc<ConnectionRegistry<FixedWallClock>>,
     date: DateHeader,
-    serves: Cell<bool>,
+    is_serving: Cell<bool>,
 }
 
-/// Waits of rejections, in milliseconds.
-const WAITS: [f64; 9] = [0.0, -1.0, f64::NAN, 0.4, 0.5, 1.0, 500.0, 1234.5678, 86_400_000.0];
+/// Retry delays of rejections, in milliseconds.
+const WAITS_MS: [f64; 9] = [0.0, -1.0, f64::NAN, 0.4, 0.5, 1.0, 500.0, 1234.5678, 86_400_000.0];
 
 const STATUSES: [StatusCode; 8] = [
     StatusCode::OK,
@@ -105,8 +105,8 @@
             "text" => Ok(plain_text(STATUSES[number], "a line of text")),
             "last" => Err(plain_text(STATUSES[number], "a line of text")),
             "empty" => Ok(plain_text(STATUSES[number], "")),
-            "wait" => Ok(retry_later(StatusCode::TOO_MANY_REQUESTS, WAITS[number])),
-            "out" => Err(retry_later(StatusCode::SERVICE_UNAVAILABLE, WAITS[number])),
+            "wait" => Ok(retry_later(StatusCode::TOO_MANY_REQUESTS, WAITS_MS[number])),
+            "out" => Err(retry_later(StatusCode::SERVICE_UNAVAILABLE, WAITS_MS[number])),
             "long" => Ok(streamed(Some(10), &["hello", "world"])),
             "endless" => Ok(streamed(None, &["hello", "world!"])),
             "dated" => {
@@ -128,41 +128,42 @@
         false
     }
     fn is_serving(&self) -> bool {
-        self.serves.get()
+        self.is_serving.get()
     }
     fn closing(&self) -> impl Future<Output = ()> {
         pending()
     }
 }
 
-/// A service with so many descriptors free, of so many in all.
-async fn start_service(descriptors: usize, total: usize) -> (Rc<TestService>, SocketAddr) {
+/// Starts a service with `free` available descriptors out of `total`.
+async fn start_service(free: usize, total: usize) -> (Rc<TestService>, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
     let connections = Rc::new(ConnectionRegistry::new(FixedWallClock));
-    let service = Rc::new(TestService { connections, date: DateHeader::default(), serves: Cell::new(true) });
+    let service =
+        Rc::new(TestService { connections, date: DateHeader::default(), is_serving: Cell::new(true) });
     let (_, adopted) = mpsc::unbounded_channel();
-    let descriptors = Arc::new(Semaphore::new(descriptors));
+    let descriptors = Arc::new(Semaphore::new(free));
     spawn_local(serve(Rc::new(listener), service.clone(), descriptors, total, adopted));
     (service, at)
 }
 
-/// The complete response to a request, which must be such that the connection closes after it: a client that ends its
-/// sending before it has its response may be taken for one that left.
+/// Sends a request and returns all bytes of the response. The request must cause the service to close the connection
+/// after the response, as a client that shuts down its sending direction earlier may be treated as disconnected.
 async fn exchange(at: SocketAddr, request: &[u8]) -> String {
-    let mut stream = TcpStream::connect(at).await.expect("it listens");
-    stream.write_all(request).await.expect("written");
+    let mut stream = TcpStream::connect(at).await.expect("the service listens");
+    stream.write_all(request).await.expect("the request is written");
     let mut response = Vec::new();
-    // One that rejects a request before it has come may end by a reset.
+    // If the service rejects a request before it has read all of it, the connection may end with a reset.
     let _ = stream.read_to_end(&mut response).await;
-    plain(&response)
+    printable(&response)
 }
 
 fn request_to(path: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: desk\r\nConnection: close\r\n\r\n").into_bytes()
 }
 
-/// Requests by their case's name, as they are written.
+/// The raw bytes of requests, with the names of their cases.
 const RAW_REQUESTS: [(&str, &[u8]); 11] = [
             ("kept open, two calls", b"GET /text/0 HTTP/1.1\r\nHost: d\r\n\r\nGET /wait/6 HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n"),
             ("nothing behind the last", b"GET /last/1 HTTP/1.1\r\nHost: d\r\n\r\nGET /text/0 HTTP/1.1\r\nHost: d\r\n\r\n"),
@@ -186,13 +187,13 @@
             ("a length that is none", b"POST / HTTP/1.1\r\nHost: d\r\nContent-Length: x\r\n\r\n"),
 ];
 
-/// The paths of all responses.
+/// The paths of all responses of the service.
 fn paths() -> Vec<String> {
     let mut paths = Vec::new();
     for number in 0..STATUSES.len() {
         paths.extend(["text", "last", "empty"].map(|kind| format!("/{kind}/{number}")));
     }
-    for number in 0..WAITS.len() {
+    for number in 0..WAITS_MS.len() {
         paths.extend(["wait", "out"].map(|kind| format!("/{kind}/{number}")));
     }
     paths.extend(["/long/", "/endless/", "/dated/", "/"].map(String::from));
@@ -200,7 +201,7 @@
 }
 
 #[tokio::test]
-async fn responses_to_clients_keep_their_bytes() {
+async fn the_bytes_of_responses_to_clients_are_unchanged() {
     bounded(async {
         let (service, at) = start_service(64, 64).await;
         let mut cases = Vec::new();
@@ -212,7 +213,7 @@
         }
         let long = format!("GET / HTTP/1.1\r\nX-Long: {}\r\n\r\n", "x".repeat(16 * 1024));
         cases.push(("a long head".into(), exchange(at, long.as_bytes()).await));
-        service.serves.set(false);
+        service.is_serving.set(false);
         for path in ["/text/0", "/long/", "/endless/"] {
             let request = format!("GET {path} HTTP/1.1\r\nHost: d\r\n\r\n");
             cases.push((format!("{path} of one that leaves"), exchange(at, request.as_bytes()).await));
@@ -223,9 +224,9 @@
 }
 
 #[tokio::test]
-async fn the_response_to_a_client_in_a_crowd_keeps_its_bytes() {
+async fn the_bytes_of_the_overload_response_are_unchanged() {
     bounded(async {
-        // The only descriptor that is free is kept for attempts.
+        // The only available descriptor is reserved for attempts.
         let (_service, at) = start_service(1, 4).await;
         let request = b"GET /text/0 HTTP/1.1\r\nHost: d\r\n\r\n";
         GOLDEN
--- a/crates/brassport-proxy/tests/it/golden/mod.rs
+++ b/crates/brassport-proxy/tests/it/golden/mod.rs
@@ -1,6 +1,6 @@
-//! Golden bytes: what this package writes to clients and backends by itself must not change by a byte. Each case goes
-//! over a socket or is built in code, and is compared with a fixture in `tests/golden`. `GOLDEN_WRITE=1` writes the
-//! fixtures anew, and fails.
+//! Golden tests: the bytes that this package writes to clients and backends must not change. Each case is sent over a
+//! socket or built in code, and is compared with a fixture in `tests/golden`. With `GOLDEN_WRITE=1` the fixtures are
+//! rewritten and the tests fail.
 
 mod downstream;
 mod upstream;
@@ -13,30 +13,30 @@
 
 const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
 
-/// One line for each case.
+/// Formats the cases as fixture text, one line per case.
 fn lines(cases: &[(String, String)]) -> String {
     cases.iter().map(|(name, value)| format!("{name}: {value}\n")).collect()
 }
 
-/// Bytes as printable text.
-fn plain(bytes: &[u8]) -> String {
+/// Escapes bytes as printable text.
+fn printable(bytes: &[u8]) -> String {
     bytes.escape_ascii().to_string()
 }
 
 #[test]
-fn dates_keep_their_bytes() {
+fn the_format_of_dates_is_unchanged() {
     let date = DateHeader::default();
     let seconds =
         [0.0, 0.999, 1.0, 784_111_777.0, 951_782_400.0, 1_709_164_799.9, 4_102_444_800.0, 253_402_300_799.0];
     let cases = seconds.map(|second| {
         let value = date.value(Duration::from_secs_f64(second));
-        (second.to_string(), plain(value.as_bytes()))
+        (second.to_string(), printable(value.as_bytes()))
     });
     GOLDEN.same_text("dates.txt", &lines(&cases));
 }
 
 #[test]
-fn forwarded_headers_keep_their_bytes() {
+fn the_filter_of_forwarded_headers_is_unchanged() {
     let all = [
         ("host", "a"),
         ("connection", "keep-alive, X-Hop , x-kept,, bad name"),
@@ -71,7 +71,7 @@
     ];
     let written = cases.map(|(name, headers)| {
         let headers: Vec<_> =
-            headers.iter().map(|(name, value)| format!("{name}={}", plain(value.as_bytes()))).collect();
+            headers.iter().map(|(name, value)| format!("{name}={}", printable(value.as_bytes()))).collect();
         (name.to_string(), headers.join(" | "))
     });
     GOLDEN.same_text("headers.txt", &lines(&written));
--- a/crates/brassport-proxy/tests/it/golden/upstream.rs
+++ b/crates/brassport-proxy/tests/it/golden/upstream.rs
@@ -1,7 +1,7 @@
-//! What backends are sent.
+//! The bytes of requests sent to backends.
 
-use super::{lines, plain, GOLDEN};
-use crate::common::{bounded, class, dispatcher_before, policy_request, Counts};
+use super::{lines, printable, GOLDEN};
+use crate::common::{bounded, class, dispatcher_with_backends, policy_request, AttemptCount};
 use brassport_policy::{Effect, Plan, Settings};
 use brassport_proxy::clock::SystemClock;
 use brassport_proxy::dispatch::{Dispatcher, RequestOutcome};
@@ -17,7 +17,7 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Reads one request after another from one connection, reports each and responds to it.
+/// Serves one connection at a time: reports each received request and responds to it.
 async fn backend(listener: TcpListener, received: mpsc::UnboundedSender<Vec<u8>>) {
     loop {
         let (mut stream, _) = listener.accept().await.expect("a connection");
@@ -26,8 +26,8 @@
             request.push(byte);
             let Some(end) = request.windows(4).position(|part| part == b"\r\n\r\n") else { continue };
             let (head, body) = request.split_at(end + 4);
-            // Bodies here end with a stop.
-            let has_body = plain(head).to_ascii_lowercase().contains("content-length: ");
+            // All request bodies in this test end with a full stop.
+            let has_body = printable(head).to_ascii_lowercase().contains("content-length: ");
             if has_body && !body.ends_with(b".") {
                 continue;
             }
@@ -39,7 +39,7 @@
     }
 }
 
-/// A client's request with some headers.
+/// A client's request with a custom header and two cookie headers.
 fn message(method: Method, uri: &'static str, body: &'static str) -> UpstreamRequest {
     let mut headers = HeaderMap::new();
     headers.insert("x-one", HeaderValue::from_static("1"));
@@ -49,11 +49,11 @@
     UpstreamRequest { method, uri: Uri::from_static(uri), headers, body }
 }
 
-/// What its client gets for a request, as the fixture writes it.
+/// Dispatches a request and returns its outcome as text for the fixture.
 async fn outcome(dispatcher: &Rc<Dispatcher<SystemClock, Tcp>>, message: UpstreamRequest) -> String {
     let timeout = Duration::from_secs(60);
     let pending = dispatcher.admit(policy_request(), dispatcher.generate_id(), message, timeout);
-    match pending.expect("a name of its own").outcome().await {
+    match pending.expect("a unique name").outcome().await {
         RequestOutcome::Served(response) => response.status().to_string(),
         RequestOutcome::Rejected(wait_ms) => format!("refused for {wait_ms}"),
         RequestOutcome::Failed => "failed".to_string(),
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn requests_to_backends_keep_their_bytes() {
+async fn the_bytes_of_requests_to_backends_are_unchanged() {
     bounded(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -69,8 +69,8 @@
         spawn_local(backend(listener, report));
         let (classes, plans) = (vec![class(Effect::Once)], vec![Plan::default()]);
         let settings = Settings { classes, plans, ..Settings::default() };
-        let counts = Rc::new(Counts::default());
-        let dispatcher = dispatcher_before(&[address], settings, counts, |_| ());
+        let written = Rc::new(AttemptCount::default());
+        let dispatcher = dispatcher_with_backends(&[address], settings, written, |_| ());
         let mut cases = Vec::new();
         for (name, method, uri, body) in [
             ("get", Method::GET, "/", ""),
@@ -83,7 +83,7 @@
         ] {
             let outcome = outcome(&dispatcher, message(method, uri, body)).await;
             let request = received.recv().await.expect("a request");
-            cases.push((name.to_string(), format!("{} -> {outcome}", plain(&request))));
+            cases.push((name.to_string(), format!("{} -> {outcome}", printable(&request))));
         }
         GOLDEN.same_text("requests.txt", &lines(&cases));
     })
--- a/crates/brassport-proxy/tests/it/main.rs
+++ b/crates/brassport-proxy/tests/it/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the request path: each module stands for one part of the package, `common` is a dispatcher before scripted
-//! backends.
+//! Integration tests of the request path. Each module covers one part of the package; `common` provides a dispatcher
+//! with scripted backends.
 
 mod body;
 mod client_left;
--- a/crates/brassport-proxy/tests/it/upstream_connection.rs
+++ b/crates/brassport-proxy/tests/it/upstream_connection.rs
@@ -1,5 +1,4 @@
-//! One connection to a faulty backend: which response is whose, what counts as complete, and which connection is never
-//! reused.
+//! A connection to a faulty backend: which responses are complete, and which connections must not be reused.
 
 use brassport_proxy::body::UpstreamBody;
 use brassport_proxy::upstream::{ConnectionError, UpstreamConnection};
@@ -13,7 +12,7 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// What a backend does with its side of the connection, one step after another; after the last it is silent.
+/// One action of a backend on its side of the connection. After the last step, the backend sends nothing.
 #[derive(Clone, Copy)]
 enum Step {
     Sends(&'static str),
@@ -21,17 +20,17 @@
     Closes,
 }
 
-/// A backend that executes its steps once it has read so many bytes, and reads no more bytes than it has room for.
+/// A backend that executes its steps after it has read `starts_after` bytes, and reads at most `max_bytes`.
 struct Backend {
     steps: VecDeque<Step>,
-    after: usize,
-    room: usize,
+    starts_after: usize,
+    max_bytes: usize,
     read: usize,
 }
 
 impl Backend {
-    fn new(after: usize, room: usize, steps: &[Step]) -> Backend {
-        Backend { steps: steps.iter().copied().collect(), after, room, read: 0 }
+    fn new(starts_after: usize, max_bytes: usize, steps: &[Step]) -> Backend {
+        Backend { steps: steps.iter().copied().collect(), starts_after, max_bytes, read: 0 }
     }
 }
 
@@ -41,10 +40,10 @@
         _: &mut Context<'_>,
         to: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.read < self.after {
+        if self.read < self.starts_after {
             return Poll::Pending;
         }
-        // A connection that was closed stays so.
+        // A closed connection stays closed.
         if let Some(Step::Closes) = self.steps.front() {
             return Poll::Ready(Ok(()));
         }
@@ -61,7 +60,7 @@
 
 impl AsyncWrite for Backend {
     fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let taken = bytes.len().min(self.room - self.read);
+        let taken = bytes.len().min(self.max_bytes - self.read);
         self.read += taken;
         match taken {
             0 => Poll::Pending,
@@ -76,7 +75,7 @@
     }
 }
 
-/// Runs to its end what never has to wait for anybody else.
+/// Runs a future that only polls this module's backend, which needs no wakeups.
 fn run<T>(work: impl Future<Output = T>) -> T {
     let mut work = Box::pin(work);
     let waker = futures_util::task::noop_waker();
@@ -85,22 +84,26 @@
         Poll::Ready(ended) => Some(ended),
         Poll::Pending => None,
     });
-    ended.expect("it ends")
+    ended.expect("the future completes within 1000 polls")
 }
 
-fn request(body: usize) -> Request<UpstreamBody> {
-    let body = Full::new(Bytes::from(vec![b'x'; body]));
-    Request::post("/").header("host", "b").body(body.into()).expect("a request")
+/// A request with a body of this many bytes.
+fn request(body_bytes: usize) -> Request<UpstreamBody> {
+    let body = Full::new(Bytes::from(vec![b'x'; body_bytes]));
+    Request::post("/").header("host", "b").body(body.into()).expect("a valid request")
 }
 
-const ROOM: usize = 1 << 20;
+/// A limit that the backend never reaches.
+const UNLIMITED: usize = 1 << 20;
 const COMPLETE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello";
 
 #[test]
 fn a_connection_is_reusable_after_a_complete_response() {
     run(async {
         let mut connection =
-            UpstreamConnection::handshake(Backend::new(1, ROOM, &[Step::Sends(COMPLETE)])).await.unwrap();
+            UpstreamConnection::handshake(Backend::new(1, UNLIMITED, &[Step::Sends(COMPLETE)]))
+                .await
+                .unwrap();
         let response = connection.exchange(request(3), 100).await.unwrap();
         assert_eq!(&response.body()[..], b"hello");
         assert!(connection.is_reusable().await);
@@ -113,9 +116,9 @@
         let surplus =
             "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\n!";
         let mut connection =
-            UpstreamConnection::handshake(Backend::new(1, ROOM, &[Step::Sends(surplus)])).await.unwrap();
+            UpstreamConnection::handshake(Backend::new(1, UNLIMITED, &[Step::Sends(surplus)])).await.unwrap();
         let response = connection.exchange(request(3), 100).await.unwrap();
-        assert_eq!(&response.body()[..], b"hello", "the first response is complete");
+        assert_eq!(&response.body()[..], b"hello", "the first response must be complete");
         assert!(!connection.is_reusable().await);
     });
 }
@@ -124,16 +127,16 @@
 fn a_connection_with_an_unsolicited_response_while_idle_is_not_reusable() {
     run(async {
         let steps = [Step::Sends(COMPLETE), Step::Sends(COMPLETE)];
-        let mut connection = UpstreamConnection::handshake(Backend::new(1, ROOM, &steps)).await.unwrap();
+        let mut connection = UpstreamConnection::handshake(Backend::new(1, UNLIMITED, &steps)).await.unwrap();
         connection.exchange(request(3), 100).await.unwrap();
         assert!(!connection.is_reusable().await);
     });
 }
 
-/// The backend responds to a long request before it has read all of it, and reads on: the rest has still to be written
-/// on the connection, so nothing else may be.
+/// The backend responds to a long request before it has read all of it. The remainder of the request is still
+/// unwritten, so no other request may be sent on the connection.
 #[test]
-fn a_connection_with_the_rest_of_a_request_unwritten_is_not_reusable() {
+fn a_connection_with_an_incompletely_written_request_is_not_reusable() {
     run(async {
         let early = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nearly";
         let mut connection =
@@ -148,7 +151,7 @@
 fn a_response_without_length_is_complete_at_the_end_of_its_connection() {
     run(async {
         let steps = [Step::Sends("HTTP/1.1 200 OK\r\n\r\nall of "), Step::Sends("it"), Step::Closes];
-        let mut connection = UpstreamConnection::handshake(Backend::new(1, ROOM, &steps)).await.unwrap();
+        let mut connection = UpstreamConnection::handshake(Backend::new(1, UNLIMITED, &steps)).await.unwrap();
         let response = connection.exchange(request(3), 100).await.unwrap();
         assert_eq!(&response.body()[..], b"all of it");
         assert!(!connection.is_reusable().await);
@@ -159,7 +162,7 @@
 fn a_response_without_length_is_incomplete_after_a_reset() {
     run(async {
         let steps = [Step::Sends("HTTP/1.1 200 OK\r\n\r\nall of "), Step::Resets];
-        let mut connection = UpstreamConnection::handshake(Backend::new(1, ROOM, &steps)).await.unwrap();
+        let mut connection = UpstreamConnection::handshake(Backend::new(1, UNLIMITED, &steps)).await.unwrap();
         assert_eq!(connection.exchange(request(3), 100).await.unwrap_err(), ConnectionError::Interrupted);
         assert!(!connection.is_reusable().await);
     });
@@ -169,17 +172,17 @@
 fn a_request_that_was_written_and_reset_is_never_reported_as_unsent() {
     run(async {
         let mut connection =
-            UpstreamConnection::handshake(Backend::new(1, ROOM, &[Step::Resets])).await.unwrap();
+            UpstreamConnection::handshake(Backend::new(1, UNLIMITED, &[Step::Resets])).await.unwrap();
         assert_eq!(connection.exchange(request(3), 100).await.unwrap_err(), ConnectionError::Interrupted);
         assert!(!connection.is_reusable().await);
     });
 }
 
 #[test]
-fn a_request_on_a_connection_that_was_closed_before_is_reported_as_unsent() {
+fn a_request_on_a_closed_connection_is_reported_as_unsent() {
     run(async {
         let mut connection =
-            UpstreamConnection::handshake(Backend::new(0, ROOM, &[Step::Closes])).await.unwrap();
+            UpstreamConnection::handshake(Backend::new(0, UNLIMITED, &[Step::Closes])).await.unwrap();
         assert!(!connection.is_reusable().await);
         assert_eq!(connection.exchange(request(3), 100).await.unwrap_err(), ConnectionError::Unsent);
     });
--- a/crates/brassport-proxy/tests/it/upstream_request.rs
+++ b/crates/brassport-proxy/tests/it/upstream_request.rs
@@ -1,4 +1,4 @@
-//! A client's request as its attempts send it.
+//! Building the request of an attempt from a client's request.
 
 use brassport_proxy::body::UpstreamBody;
 use brassport_proxy::protocol::{ResponseClassification, UpstreamProtocol};
@@ -12,29 +12,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Writes the time left and the backend's name.
-struct Deadline;
+/// A protocol that writes the remaining time and the name of the backend into `x-deadline`.
+struct DeadlineProtocol;
 
-impl UpstreamProtocol for Deadline {
+impl UpstreamProtocol for DeadlineProtocol {
     fn add_attempt_headers(&self, headers: &mut HeaderMap, time_left: Duration, backend: &str) {
         let text = format!("{}u for {backend}", time_left.as_micros());
-        headers.insert("x-deadline", HeaderValue::from_str(&text).expect("a header's value"));
+        headers.insert("x-deadline", HeaderValue::from_str(&text).expect("a valid header value"));
     }
 
     fn classify(&self, _: &HeaderMap, _: &Parts) -> ResponseClassification {
-        unreachable!("nothing is answered")
+        unreachable!("the test has no responses")
     }
 }
 
 #[test]
-fn a_body_that_is_forwarded_as_it_arrives_is_sent_once() {
-    let body = RefCell::new(Some(UpstreamBody::Complete(Full::new(Bytes::from_static(b"the first of it")))));
+fn a_streamed_body_is_sent_only_once() {
+    let body = RefCell::new(Some(UpstreamBody::Complete(Full::new(Bytes::from_static(b"the first bytes")))));
     let upload =
         StreamingUpload { body, progress: Rc::default(), client_timeout: Duration::from_millis(480) };
     let (method, uri, headers) = (Method::POST, Uri::from_static("/job"), HeaderMap::new());
     let request = UpstreamRequest { method, uri, headers, body: RequestBody::Streaming(upload) };
-    let first = request.for_attempt(Duration::from_secs(9), &Deadline, "n7").expect("it is in memory");
-    assert_eq!(first.headers()["x-deadline"], "480000u for n7", "its client's time begins later");
-    assert!(request.for_attempt(Duration::from_secs(9), &Deadline, "n7").is_none());
+    let first =
+        request.for_attempt(Duration::from_secs(9), &DeadlineProtocol, "n7").expect("the body is unused");
+    assert_eq!(first.headers()["x-deadline"], "480000u for n7", "the client timeout starts after the upload");
+    assert!(request.for_attempt(Duration::from_secs(9), &DeadlineProtocol, "n7").is_none());
     assert!(!request.is_complete());
 }
