--- a/crates/brassport-data-plane/src/data_plane.rs
+++ b/crates/brassport-data-plane/src/data_plane.rs
@@ -1,9 +1,9 @@
-//! The data plane of one node: its services, its replica of the configuration, and its life cycle.
+//! The data plane of one node: its services, its replica of the configuration, and its shutdown.
 
 use crate::active_configuration::ActiveConfiguration;
 use crate::endpoints::EndpointList;
 use crate::policy_settings::{during_shutdown, NodeContext, PolicySettings};
-use crate::service::{PolicyStart, Resources, Service};
+use crate::service::{InitialPolicy, Resources, Service};
 use crate::tenant_quotas::TenantQuotas;
 use brassport_config_store::configuration::Configuration;
 use brassport_config_store::consensus::ReplicatedState;
@@ -18,33 +18,35 @@
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// Parts of the retry budget that nodes use: requests and retries fall into windows differently at each of them.
+/// The fraction of the budgeted retry ratio that nodes use. The rest is a margin, as requests and retries fall into
+/// different windows on each node.
 const USED_RETRY_RATIO: f64 = 0.75;
+/// The fraction of the budgeted retry burst that nodes use, with a margin for the same reason.
 const USED_RETRY_BURST: f64 = 0.6;
 
-/// What a data plane is started with.
+/// The options of a data plane.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// This node's zone.
+    /// The zone of this node.
     pub zone: String,
-    /// All zones; the policy knows them by their index here.
+    /// All zones. The policy identifies a zone by its index in this list.
     pub zones: Vec<String>,
-    /// File descriptors for clients and backends.
+    /// The number of file descriptors for clients and backends together.
     pub descriptors: usize,
-    /// How soon requests to a draining backend must stop, in milliseconds.
+    /// The time in milliseconds within which a node must stop sending requests to a draining backend.
     pub drain_ms: f64,
     /// The retry budget of the cluster.
     pub retry_budget: RetryBudget,
-    /// Of the policies' random choices.
+    /// The seed of the policies' random number generators.
     pub seed: u64,
 }
 
-/// How many retries all nodes together may make of a service's requests.
+/// The maximum number of retries that all nodes together may send for the requests of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries beyond that within a window.
+    /// Additional retries within a window.
     pub burst: f64,
 }
 
@@ -55,21 +57,21 @@
     services: RefCell<BTreeMap<String, Rc<Service<C, N>>>>,
     configuration: RefCell<Rc<ActiveConfiguration>>,
     state: RefCell<Option<Arc<ReplicatedState>>>,
-    /// Backends of services that no configuration has yet: a backend may be started before its configuration is sent.
+    /// Backends of services that are not configured yet, by id. A backend may start before its service is configured.
     unassigned: RefCell<BTreeMap<String, Backend>>,
-    /// Where this node stands among all, from 0 up to 1.
+    /// The position of this node on the ring of nodes: at least 0, less than 1.
     ring_position: Cell<f64>,
     is_shutting_down: Cell<bool>,
 }
 
-/// Which of the nodes is at this position of the ring.
+/// The index of the node at this position on the ring.
 fn ordinal(ring_position: f64, state: &ReplicatedState) -> u32 {
     (ring_position * f64::from(state.quota_shares)) as u32
 }
 
-/// Construction, and what is read of it.
+/// Constructor and accessors.
 impl<C: Clock, N: Network> DataPlane<C, N> {
-    /// A data plane without a configuration: every request is rejected until one is applied.
+    /// Creates a data plane without a configuration. Every request is rejected until a configuration is applied.
     pub fn new(clock: C, network: N, options: Options) -> Rc<DataPlane<C, N>> {
         let descriptors = Arc::new(Semaphore::new(options.descriptors));
         let quotas = TenantQuotas::new(clock.clone());
@@ -85,22 +87,22 @@
         })
     }
 
-    /// Whether a request may be served: there is a configuration, and a backend.
+    /// Whether requests can be served: there is a configuration and at least one ready backend.
     pub fn is_ready(&self) -> bool {
         self.version() > 0 && self.services.borrow().values().any(|service| service.is_ready())
     }
 
-    /// The version of the configuration in force; 0 before there is one.
+    /// The version of the active configuration; 0 if there is none yet.
     pub fn version(&self) -> u32 {
         self.state.borrow().as_ref().map_or(0, |state| state.version())
     }
 
-    /// Requests that await their response or the end of an attempt.
+    /// The number of requests that await their response or the end of an attempt.
     pub fn in_flight(&self) -> usize {
         self.services.borrow().values().map(|service| service.policy.in_flight()).sum()
     }
 
-    /// Counters and figures of all services, as lines of the Prometheus text format.
+    /// The metrics of all services in the Prometheus text format.
     pub fn metrics(&self) -> String {
         let mut text = String::new();
         for (name, service) in self.services.borrow().iter() {
@@ -113,17 +115,18 @@
         self.services.borrow().get(name).cloned()
     }
 
-    /// The configuration as requests read it.
+    /// The active configuration, as requests read it.
     pub(crate) fn configuration(&self) -> Rc<ActiveConfiguration> {
         self.configuration.borrow().clone()
     }
 
-    /// Closes an idle connection to a backend, for its descriptor; false if there is none.
+    /// Closes an idle connection to a backend to free its descriptor. Returns false if there is none.
     pub(crate) fn close_idle_connection(&self) -> bool {
         self.services.borrow().values().any(|service| service.close_idle_connection())
     }
 
-    /// Copied out, as what is done to a service may come back here.
+    /// Returns a copy of the list, so that `services` is not borrowed while a service is being used: a service may call
+    /// back into the data plane.
     fn all_services(&self) -> Vec<Rc<Service<C, N>>> {
         self.services.borrow().values().cloned().collect()
     }
@@ -134,9 +137,9 @@
     }
 }
 
-/// The configuration.
+/// Configuration updates.
 impl<C: Clock, N: Network> DataPlane<C, N> {
-    /// Sets where this node stands on the ring of nodes, from 0 up to 1.
+    /// Sets the position of this node on the ring of nodes: at least 0, less than 1.
     pub fn set_ring_position(self: &Rc<Self>, position: f64) {
         let before = self.ring_position.replace(position);
         let state = self.state.borrow().clone();
@@ -145,7 +148,8 @@
         }
     }
 
-    /// Applies a state of the replicated log. An older one than the present is ignored: a node never goes back.
+    /// Applies a state of the replicated log. A state that is not newer than the current one is ignored, so that a node
+    /// never returns to an older configuration.
     pub fn apply_state(self: &Rc<Self>, state: &Arc<ReplicatedState>) {
         let before = self.state.borrow().clone();
         if before.as_ref().is_some_and(|before| before.index >= state.index) {
@@ -168,7 +172,7 @@
         self.update_services(state);
     }
 
-    /// Opens services that are new, and hands the others the settings that follow from a state and this node's position.
+    /// Opens new services, and updates the settings of existing ones from a state and the position of this node.
     fn update_services(self: &Rc<Self>, state: &Arc<ReplicatedState>) {
         let configuration = state.document.configuration();
         let node = self.node_context(state);
@@ -199,10 +203,10 @@
         let mut tables = PolicySettings::default();
         let settings = tables.derive(name, configuration, node);
         let seed = self.options.seed ^ u64::from(fnv1a_32(name));
-        match Service::open(&self.resources, PolicyStart { tables, settings, seed }) {
+        match Service::open(&self.resources, InitialPolicy { tables, settings, seed }) {
             Ok(service) => drop(self.services.borrow_mut().insert(name.to_owned(), service)),
-            // The check of configurations lets no such figure pass.
-            Err(error) => return log::error!("service not opened service={name} error=\"{error}\""),
+            // Not expected: the validation of configurations rejects such values.
+            Err(error) => return log::error!("cannot open service service={name} error=\"{error}\""),
         }
         let unassigned = self.unassigned.take();
         let (assigned, others) = unassigned.into_iter().partition(|(_, backend)| backend.service == name);
@@ -212,9 +216,9 @@
     }
 }
 
-/// Backends, quotas, and the end.
+/// Backends, quotas and shutdown.
 impl<C: Clock, N: Network> DataPlane<C, N> {
-    /// Applies what the control plane reports of a backend.
+    /// Applies the control plane's report of a backend.
     pub fn update_backend(&self, backend: &Backend) {
         match self.service(&backend.service) {
             Some(service) => self.update_endpoints(&service, |endpoints| endpoints.update(backend)),
@@ -227,7 +231,7 @@
         }
     }
 
-    /// Removes a backend that the control plane has not heard of for long.
+    /// Removes a backend whose record has expired in the control plane.
     pub fn expire_backend(&self, id: &str) {
         self.unassigned.borrow_mut().remove(id);
         for service in self.all_services() {
@@ -235,7 +239,7 @@
         }
     }
 
-    /// Removes backends at whose address another one has responded; to be called at each tick.
+    /// Removes backends at whose address another backend has responded. To be called at each tick.
     pub fn remove_displaced_backends(&self) {
         for service in self.all_services() {
             service.remove_displaced_backends(|zone| self.zone_index(zone));
@@ -246,22 +250,22 @@
         service.update_endpoints(update, |zone| self.zone_index(zone));
     }
 
-    /// Whether some tenant has little quota left here, so that usage is to be reported without delay.
+    /// Whether a tenant has little quota left on this node, so that usage has to be reported without delay.
     pub fn is_quota_urgent(&self) -> bool {
         self.resources.quotas.is_urgent()
     }
 
-    /// The next report of usage to the quota's lender, and its number.
+    /// Creates the next usage report to the quota lender. Returns the number of the report and its entries.
     pub fn report_usage(&self) -> (u32, Vec<UsageReport>) {
         self.resources.quotas.report_usage()
     }
 
-    /// Applies the lender's grants upon the report of this number.
+    /// Applies the grants of the quota lender in response to the report with this number.
     pub fn apply_grants(&self, term: Term, number: u32, grants: &[QuotaGrant]) {
         self.resources.quotas.apply_grants(term, number, grants);
     }
 
-    /// The process ends soon: an attempt that a backend works at is completed, and not replaced by another.
+    /// Begins the shutdown: attempts in progress are completed and no longer replaced by attempts at other backends.
     pub fn begin_shutdown(&self) {
         self.is_shutting_down.set(true);
         for service in self.all_services() {
@@ -269,7 +273,7 @@
         }
     }
 
-    /// Fails the requests that are in flight, as the process has to end.
+    /// Fails the requests in flight, as the process is about to exit.
     pub fn fail_in_flight(&self) {
         self.services.borrow().values().for_each(|service| service.policy.fail_all());
     }
--- a/crates/brassport-data-plane/src/endpoints.rs
+++ b/crates/brassport-data-plane/src/endpoints.rs
@@ -1,5 +1,5 @@
-//! The endpoint list of one service: the backends as the control plane last reported them, and which changes the policy
-//! and the connections have yet to be notified of. No I/O.
+//! The endpoint list of one service: the backends as last reported by the control plane, and the changes of which the
+//! policy and the connection pool have not been notified yet. No I/O.
 
 use brassport_control_plane::backends::{Backend, BackendState};
 use brassport_policy::{Lifecycle, ServerId};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The backends of one service by id.
+/// The backends of one service, by id.
 #[derive(Debug, Default)]
 pub struct EndpointList {
     endpoints: BTreeMap<String, Endpoint>,
@@ -17,50 +17,51 @@
 struct Endpoint {
     server: ServerId,
     backend: Backend,
-    notified: Option<Notified>,
-    /// Another incarnation responds at its address.
+    /// The state in the last notification; `None` before the first one.
+    notified: Option<NotifiedState>,
+    /// Whether another incarnation has responded at the address of the backend.
     is_displaced: bool,
 }
 
-/// What was notified of an endpoint last.
+/// The state of an endpoint that was last notified.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Notified {
+struct NotifiedState {
     lifecycle: Lifecycle,
     address: SocketAddr,
 }
 
-/// Whether an endpoint was notified of before.
+/// The kind of an endpoint change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Novelty {
-    /// This is the first change of it.
-    New,
-    /// It changes.
-    Existing,
+pub enum ChangeKind {
+    /// The first notification of the endpoint.
+    Added,
+    /// A change of an endpoint that was notified before.
+    Updated,
 }
 
 /// A change of one endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointChange {
-    /// Its number for the policy.
+    /// The id of the endpoint in the policy.
     pub server: ServerId,
-    /// The backend.
+    /// The backend as reported by the control plane.
     pub backend: Backend,
-    /// Where it listens.
+    /// The address on which the backend listens.
     pub address: SocketAddr,
-    /// Its state for the policy.
+    /// The state of the endpoint for the policy.
     pub lifecycle: Lifecycle,
-    /// Whether it is new.
-    pub novelty: Novelty,
+    /// Whether the endpoint is new.
+    pub kind: ChangeKind,
 }
 
 impl EndpointList {
-    /// Adds or replaces a backend; one that has terminated and was never listed is passed over.
+    /// Adds or updates a backend. A terminated backend that is not listed is ignored.
     pub fn update(&mut self, backend: &Backend) {
         if let Some(endpoint) = self.endpoints.get_mut(&backend.id) {
             endpoint.backend = backend.clone();
         } else if backend.state != BackendState::Terminated {
             let endpoint = Endpoint {
-                server: self.free_number(&backend.id),
+                server: self.unused_server_id(&backend.id),
                 backend: backend.clone(),
                 notified: None,
                 is_displaced: false,
@@ -69,33 +70,37 @@
         }
     }
 
-    /// Marks a backend as terminated, as the control plane has lost it.
+    /// Marks a backend as terminated because its record has expired in the control plane.
     pub fn expire(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.backend.state = BackendState::Terminated;
         }
     }
 
-    /// Marks a backend whose address another incarnation has, whatever the control plane reports of it from now on.
+    /// Marks a backend as displaced: another incarnation has its address. Later reports of the control plane do not
+    /// change this.
     pub fn mark_displaced(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.is_displaced = true;
         }
     }
 
-    /// The changes since the last call. Endpoints that have terminated are forgotten with it; a displaced one stays, as
-    /// its late heartbeats would bring it back.
+    /// Returns the changes since the last call, and removes endpoints that have terminated. Displaced endpoints are
+    /// kept, as delayed heartbeats would otherwise add them again.
     pub fn take_changes(&mut self) -> Vec<EndpointChange> {
         let heartbeats = self.heartbeats();
-        let changes = self.endpoints.values_mut().filter_map(|one| one.take_change(heartbeats)).collect();
-        self.endpoints.retain(|_, one| one.is_displaced || !one.is_removed());
+        let changes =
+            self.endpoints.values_mut().filter_map(|endpoint| endpoint.take_change(heartbeats)).collect();
+        self.endpoints.retain(|_, endpoint| endpoint.is_displaced || !endpoint.is_removed());
         changes
     }
 
-    /// With most backends unresponsive it is the heartbeats that do not come through.
+    /// Missing heartbeats are distrusted if more backends are unresponsive than ready: it is then more likely that the
+    /// heartbeats are being lost than that the backends have failed.
     fn heartbeats(&self) -> Heartbeats {
         let count = |state| {
-            self.endpoints.values().filter(|one| one.backend.state == state && !one.is_displaced).count()
+            let is_counted = |endpoint: &&Endpoint| endpoint.backend.state == state && !endpoint.is_displaced;
+            self.endpoints.values().filter(is_counted).count()
         };
         if count(BackendState::Unresponsive) <= count(BackendState::Ready) {
             Heartbeats::Trusted
@@ -104,17 +109,18 @@
         }
     }
 
-    /// The same at every node unless two ids have the same hash.
-    fn free_number(&self, id: &str) -> ServerId {
-        let mut number = fnv1a_32(id);
-        while self.endpoints.values().any(|other| other.server == number) {
-            number = number.wrapping_add(1);
+    /// An unused server id, derived from the hash of the backend's id. It is the same on every node unless hashes
+    /// collide.
+    fn unused_server_id(&self, id: &str) -> ServerId {
+        let mut server_id = fnv1a_32(id);
+        while self.endpoints.values().any(|other| other.server == server_id) {
+            server_id = server_id.wrapping_add(1);
         }
-        number
+        server_id
     }
 }
 
-/// Whether missing heartbeats say something of a backend.
+/// Whether missing heartbeats are taken as a failure of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Heartbeats {
     Trusted,
@@ -125,13 +131,13 @@
     fn take_change(&mut self, heartbeats: Heartbeats) -> Option<EndpointChange> {
         let address = SocketAddr::from(self.backend.address);
         let lifecycle = self.lifecycle(heartbeats);
-        let before = self.notified.replace(Notified { lifecycle, address });
+        let before = self.notified.replace(NotifiedState { lifecycle, address });
         (before != self.notified).then(|| EndpointChange {
             server: self.server,
             backend: self.backend.clone(),
             address,
             lifecycle,
-            novelty: if before.is_none() { Novelty::New } else { Novelty::Existing },
+            kind: if before.is_none() { ChangeKind::Added } else { ChangeKind::Updated },
         })
     }
 
--- a/crates/brassport-data-plane/src/service.rs
+++ b/crates/brassport-data-plane/src/service.rs
@@ -1,7 +1,7 @@
-//! One service: its instance of the policy with the connections to its backends.
+//! One service: its instance of the policy and the connections to its backends.
 
 use crate::backend_protocol::BackendProtocol;
-use crate::endpoints::{EndpointChange, EndpointList, Novelty};
+use crate::endpoints::{ChangeKind, EndpointChange, EndpointList};
 use crate::hooks::ServiceHooks;
 use crate::metrics::RequestCounters;
 use crate::policy_settings::{PolicySettings, MAX_SLOW_START_MS};
@@ -19,43 +19,43 @@
 use tokio::sync::Semaphore;
 use tokio::task::spawn_local;
 
-/// A connection that is not established by then is not going to be: the machine is down or cut off.
+/// A machine to which no connection is established within this time is taken to be down or unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Backends that announce nothing keep an idle connection about that long.
+/// The assumed idle timeout of backends that do not announce one.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The gateway's attempts are counted at their ends, by the hooks.
-struct NoAttemptCounts;
+/// An observer that does nothing: the hooks count attempts when they end.
+struct NoopObserver;
 
-impl AttemptObserver for NoAttemptCounts {
+impl AttemptObserver for NoopObserver {
     fn on_attempt(&self, _: AttemptEvent) {}
 }
 
-/// What services share.
+/// The resources shared by all services.
 pub(crate) struct Resources<C: Clock, N: Network> {
     pub(crate) clock: C,
     pub(crate) network: N,
     pub(crate) quotas: Rc<TenantQuotas<C>>,
-    /// File descriptors for clients and backends.
+    /// The file descriptors for clients and backends together.
     pub(crate) descriptors: Arc<Semaphore>,
 }
 
-/// What the policy of a service starts with.
-pub(crate) struct PolicyStart {
-    /// The tables that `settings` were derived from.
+/// The initial settings of a service's policy.
+pub(crate) struct InitialPolicy {
+    /// The tables from which `settings` were derived.
     pub(crate) tables: PolicySettings,
     pub(crate) settings: Settings,
-    /// Of its random choices.
+    /// The seed of the policy's random number generator.
     pub(crate) seed: u64,
 }
 
-/// A service.
+/// A service with its policy, backends and metrics.
 pub(crate) struct Service<C: Clock, N: Network> {
-    /// The policy's host.
+    /// The dispatcher, which owns the policy.
     pub(crate) policy: Rc<Dispatcher<C, N>>,
     pub(crate) policy_settings: RefCell<PolicySettings>,
     backends: Rc<UpstreamPool<C, N>>,
-    /// Those that the policy has.
+    /// The current settings of the policy.
     settings: RefCell<Settings>,
     protocol: Rc<BackendProtocol>,
     counters: Rc<RequestCounters>,
@@ -63,29 +63,29 @@
 }
 
 impl<C: Clock, N: Network> Service<C, N> {
-    /// Opens a service without backends, and spawns the tasks of its timers and idle connections.
+    /// Opens a service without backends, and spawns the tasks for its timers and idle connections.
     ///
     /// # Errors
-    /// The policy does not take these settings.
+    /// The policy rejects a setting.
     pub(crate) fn open(
         resources: &Resources<C, N>,
-        start: PolicyStart,
+        initial: InitialPolicy,
     ) -> Result<Rc<Service<C, N>>, InvalidSetting> {
-        let PolicyStart { tables, settings, seed } = start;
+        let InitialPolicy { tables, settings, seed } = initial;
         let protocol = Rc::new(BackendProtocol::default());
-        let backends = Rc::new(open_backends(resources, protocol.clone()));
+        let backends = Rc::new(new_pool(resources, protocol.clone()));
         let counters = Rc::new(RequestCounters::default());
-        let host = DispatcherOptions {
+        let options = DispatcherOptions {
             meter: Some(Box::new(UsageMeter::new(resources.quotas.clone(), &settings))),
             hooks: Some(Rc::new(ServiceHooks::new(resources.quotas.clone(), counters.clone()))),
             on_attempt_end: Box::new(|_| {}),
             inherited_clock: None,
         };
         let policy =
-            Dispatcher::new(resources.clock.clone(), settings.clone(), seed, host, backends.clone())?;
+            Dispatcher::new(resources.clock.clone(), settings.clone(), seed, options, backends.clone())?;
         spawn_local(policy.clone().run_timers());
-        let sweeping = backends.clone();
-        spawn_local(async move { sweeping.sweep().await });
+        let swept_pool = backends.clone();
+        spawn_local(async move { swept_pool.sweep().await });
         Ok(Rc::new(Service {
             policy,
             policy_settings: RefCell::new(tables),
@@ -97,17 +97,17 @@
         }))
     }
 
-    /// Whether some backend takes requests.
+    /// Whether any backend accepts requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.backends.any_ready()
     }
 
-    /// The settings that the policy has.
+    /// The current settings of the policy.
     pub(crate) fn settings(&self) -> Settings {
         self.settings.borrow().clone()
     }
 
-    /// Hands other settings to the policy.
+    /// Applies settings to the policy if they have changed.
     pub(crate) fn set_settings(&self, settings: Settings) {
         if *self.settings.borrow() != settings {
             self.settings.replace(settings.clone());
@@ -115,19 +115,20 @@
         }
     }
 
-    /// Closes the connection to a backend that has been idle longest, for its descriptor; false if there is none.
+    /// Closes the connection that has been idle for the longest time to free its descriptor. Returns false if there is
+    /// none.
     pub(crate) fn close_idle_connection(&self) -> bool {
         self.backends.evict_idle()
     }
 
-    /// Appends the counters as lines of the Prometheus text format.
+    /// Appends the metrics of the service in the Prometheus text format.
     pub(crate) fn write_metrics(&self, name: &str, text: &mut String) {
         let now = self.policy.clock().now();
         let figures = self.policy.inspect(|policy| policy.figures(now));
         self.counters.write(name, &figures, text);
     }
 
-    /// Changes the endpoint list, and notifies the policy and the connections of what follows.
+    /// Updates the endpoint list, and notifies the connection pool and the policy of the changes.
     pub(crate) fn update_endpoints(
         &self,
         update: impl FnOnce(&mut EndpointList),
@@ -150,7 +151,7 @@
         self.policy.handle(Event::Servers { kind: ListKind::Delta, entries });
     }
 
-    /// Removes backends at whose address another one has responded since the last call.
+    /// Removes backends at whose address another backend has responded since the last call.
     pub(crate) fn remove_displaced_backends(&self, zone_index: impl Fn(&str) -> u16) {
         let displaced = self.protocol.take_displaced();
         if !displaced.is_empty() {
@@ -171,7 +172,7 @@
     }
 }
 
-fn open_backends<C: Clock, N: Network>(
+fn new_pool<C: Clock, N: Network>(
     resources: &Resources<C, N>,
     protocol: Rc<BackendProtocol>,
 ) -> UpstreamPool<C, N> {
@@ -181,15 +182,15 @@
         resources.descriptors.clone(),
         CONNECT_TIMEOUT,
         DEFAULT_IDLE_TIMEOUT,
-        Rc::new(NoAttemptCounts),
+        Rc::new(NoopObserver),
         protocol,
     )
 }
 
-/// A change as a line of the policy's server list.
+/// Converts a change into an entry of the policy's server list.
 fn server_entry(change: &EndpointChange, now: Millis, zone: u16) -> ServerEntry {
     let warmup_left_ms = f64::from(change.backend.warmup_left_ms).min(MAX_SLOW_START_MS);
-    let is_warming_up = change.novelty == Novelty::New && warmup_left_ms > 0.0;
+    let is_warming_up = change.kind == ChangeKind::Added && warmup_left_ms > 0.0;
     ServerEntry {
         id: change.server,
         zone,
--- a/crates/brassport-data-plane/tests/it/endpoints.rs
+++ b/crates/brassport-data-plane/tests/it/endpoints.rs
@@ -1,7 +1,7 @@
-//! The endpoint list: which changes of a service's backends the policy is notified of.
+//! The endpoint list: the changes of a service's backends of which the policy is notified.
 
 use brassport_control_plane::backends::{Backend, BackendState};
-use brassport_data_plane::endpoints::{EndpointChange, EndpointList, Novelty};
+use brassport_data_plane::endpoints::{ChangeKind, EndpointChange, EndpointList};
 use brassport_policy::Lifecycle;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// A list of these backends, whose changes were taken.
+/// A list of these backends without pending changes.
 fn list(backends: &[(&str, BackendState)]) -> EndpointList {
     let mut list = EndpointList::default();
     backends.iter().for_each(|(id, state)| list.update(&backend(id, *state)));
@@ -37,24 +37,24 @@
     let mut list = EndpointList::default();
     list.update(&backend("i-1", BackendState::Ready));
     let changes = list.take_changes();
-    assert_eq!((changes.len(), changes[0].novelty), (1, Novelty::New));
+    assert_eq!((changes.len(), changes[0].kind), (1, ChangeKind::Added));
     list.update(&Backend { call_count: 2, ..backend("i-1", BackendState::Ready) });
-    assert!(list.take_changes().is_empty(), "a heartbeat changes nothing");
+    assert!(list.take_changes().is_empty(), "a heartbeat is not a change");
     list.update(&backend("i-1", BackendState::Draining));
     let changes = list.take_changes();
     assert_eq!(lifecycles(&changes), [("i-1", Lifecycle::Draining)]);
-    assert_eq!(changes[0].novelty, Novelty::Existing);
+    assert_eq!(changes[0].kind, ChangeKind::Updated);
 }
 
 #[test]
-fn a_terminated_backend_is_forgotten_and_new_when_it_comes_back() {
+fn a_terminated_backend_is_removed_and_counts_as_added_when_it_reappears() {
     let mut list = list(&[("i-1", BackendState::Ready)]);
     list.update(&backend("i-1", BackendState::Terminated));
     assert_eq!(lifecycles(&list.take_changes()), [("i-1", Lifecycle::Gone)]);
     list.update(&backend("i-1", BackendState::Terminated));
-    assert!(list.take_changes().is_empty(), "it was never listed");
+    assert!(list.take_changes().is_empty(), "a terminated backend that is not listed must be ignored");
     list.update(&backend("i-1", BackendState::Ready));
-    assert_eq!(list.take_changes()[0].novelty, Novelty::New);
+    assert_eq!(list.take_changes()[0].kind, ChangeKind::Added);
 }
 
 #[test]
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_displaced_backend_stays_removed_whatever_its_late_heartbeats_say() {
+fn late_heartbeats_do_not_restore_a_displaced_backend() {
     let mut list = list(&[("i-1", BackendState::Ready)]);
     list.mark_displaced("i-1");
     assert_eq!(lifecycles(&list.take_changes()), [("i-1", Lifecycle::Gone)]);
@@ -83,22 +83,22 @@
 }
 
 #[test]
-fn missing_heartbeats_are_distrusted_once_most_backends_miss_them() {
+fn missing_heartbeats_are_ignored_while_most_backends_miss_them() {
     let ready = BackendState::Ready;
     let mut list = list(&[("i-1", ready), ("i-2", ready), ("i-3", ready)]);
     list.update(&backend("i-2", BackendState::Unresponsive));
     assert_eq!(lifecycles(&list.take_changes()), [("i-2", Lifecycle::Draining)]);
     list.update(&backend("i-3", BackendState::Unresponsive));
-    assert_eq!(lifecycles(&list.take_changes()), [("i-2", Lifecycle::Ready)], "both are served again");
+    assert_eq!(lifecycles(&list.take_changes()), [("i-2", Lifecycle::Ready)], "both must be ready again");
 }
 
 #[test]
-fn ids_with_the_same_hash_have_different_numbers() {
-    // A number is the id's FNV-1a hash in 32 bits: these two collide.
+fn backends_whose_ids_have_the_same_hash_get_different_server_ids() {
+    // A server id is the 32-bit FNV-1a hash of the backend's id. The hashes of these two ids collide.
     let mut list = EndpointList::default();
     list.update(&backend("costarring", BackendState::Ready));
     list.update(&backend("liquid", BackendState::Ready));
-    let numbers: Vec<u32> = list.take_changes().iter().map(|change| change.server).collect();
-    assert_eq!(numbers.len(), 2);
-    assert_eq!(numbers[1], numbers[0].wrapping_add(1));
+    let server_ids: Vec<u32> = list.take_changes().iter().map(|change| change.server).collect();
+    assert_eq!(server_ids.len(), 2);
+    assert_eq!(server_ids[1], server_ids[0].wrapping_add(1));
 }
