--- a/crates/brassport-data-plane/src/hooks.rs
+++ b/crates/brassport-data-plane/src/hooks.rs
@@ -1,4 +1,4 @@
-//! What one service's policy host reports of its requests: they are counted, and attempts take from the tenant's quota.
+//! The request hooks of one service: they count requests and attempts, and charge attempts to the tenant's quota.
 
 use crate::metrics::RequestCounters;
 use crate::tenant_quotas::{tenant_of, TenantQuotas, NO_TENANT};
@@ -14,11 +14,11 @@
 #[derive(Debug)]
 struct InFlight {
     tenant: TenantId,
-    /// When its client left without a response, in the quotas' time.
+    /// When the client disconnected without a response, in the time of [`TenantQuotas::now`]; `None` if it did not.
     client_left_ms: Option<brassport_quota::Millis>,
 }
 
-/// The hooks of one service's policy host.
+/// The hooks for the dispatcher of one service.
 #[derive(Debug)]
 pub(crate) struct ServiceHooks<C> {
     quotas: Rc<TenantQuotas<C>>,
@@ -27,7 +27,7 @@
 }
 
 impl<C: Clock> ServiceHooks<C> {
-    /// Hooks that take from these quotas and count here.
+    /// Creates hooks that charge to these quotas and increment these counters.
     pub(crate) fn new(quotas: Rc<TenantQuotas<C>>, counters: Rc<RequestCounters>) -> ServiceHooks<C> {
         ServiceHooks { quotas, counters, in_flight: RefCell::default() }
     }
@@ -40,29 +40,30 @@
     }
 
     fn may_send(&self, request: RequestId, attempt: u8) -> Result<(), Millis> {
-        let tenant = self.in_flight.borrow().get(&request).map_or(NO_TENANT, |one| one.tenant);
+        let tenant = self.in_flight.borrow().get(&request).map_or(NO_TENANT, |in_flight| in_flight.tenant);
         if attempt > 0 {
-            // The policy has given up the attempt before for this one: rejecting it now would lose the request.
-            self.quotas.force_take(tenant);
+            // The policy has abandoned the previous attempt in favor of this one. Skipping it would fail the request.
+            self.quotas.force_acquire(tenant);
             return Ok(());
         }
-        self.quotas.take(tenant).map_err(|wait_ms| {
+        self.quotas.try_acquire(tenant).map_err(|wait_ms| {
             self.counters.quota_exhausted.increment();
             wait_ms as Millis
         })
     }
 
     fn on_attempt_end(&self, _: &str, end: &AttemptEnd) {
-        let client_left_ms = self.in_flight.borrow().get(&end.request).and_then(|one| one.client_left_ms);
-        let since_ms = client_left_ms.map(|at| self.quotas.now().saturating_sub(at));
-        self.counters.record_attempt(end.outcome, since_ms);
+        let client_left_ms =
+            self.in_flight.borrow().get(&end.request).and_then(|in_flight| in_flight.client_left_ms);
+        let since_client_left_ms = client_left_ms.map(|at| self.quotas.now().saturating_sub(at));
+        self.counters.record_attempt(end.outcome, since_client_left_ms);
     }
 
-    fn on_request_end(&self, request: RequestId, verdict: RequestEnd) {
-        self.counters.record_verdict(verdict);
-        if verdict == RequestEnd::ClientLeft {
-            if let Some(one) = self.in_flight.borrow_mut().get_mut(&request) {
-                one.client_left_ms = Some(self.quotas.now());
+    fn on_request_end(&self, request: RequestId, end: RequestEnd) {
+        self.counters.record_request(end);
+        if end == RequestEnd::ClientLeft {
+            if let Some(in_flight) = self.in_flight.borrow_mut().get_mut(&request) {
+                in_flight.client_left_ms = Some(self.quotas.now());
             }
         }
     }
--- a/crates/brassport-data-plane/src/metrics.rs
+++ b/crates/brassport-data-plane/src/metrics.rs
@@ -1,14 +1,14 @@
-//! Counters of one service's requests and attempts at this node, and their text for operators.
+//! Counters of the requests and attempts of one service on this node, in the Prometheus text format.
 //!
-//! The labels and names are public: `brassport_requests_total{service, verdict}`,
-//! `brassport_attempts_total{service, outcome}`, and a line `brassport_NAME{service}` for each other figure.
+//! Metric and label names are a public interface: `brassport_requests_total{service, verdict}`,
+//! `brassport_attempts_total{service, outcome}`, and `brassport_NAME{service}` for each other metric.
 
 use brassport_policy::{Figures, Outcome};
 use brassport_proxy::hooks::RequestEnd;
 use std::cell::Cell;
 use std::fmt::Write;
 
-/// An attempt that runs for longer than this after its client has left, in milliseconds, counts as abandoned.
+/// An attempt that ends more than this many milliseconds after its client disconnected counts as abandoned.
 pub const ABANDONED_AFTER_MS: u64 = 500;
 
 /// A counter that only increases.
@@ -16,41 +16,41 @@
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Adds one.
+    /// Increments the counter by one.
     pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// The count so far.
+    /// The current value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// Counters of one service.
+/// The counters of one service.
 #[derive(Debug, Default)]
 pub struct RequestCounters {
-    /// Requests with a backend's response.
+    /// Requests that were served with a backend's response.
     pub served: Counter,
-    /// Requests that the policy or a quota rejected.
+    /// Requests that were rejected by the policy or a quota.
     pub rejected: Counter,
-    /// Requests that ended without a backend's response.
+    /// Requests that failed without a backend's response.
     pub failed: Counter,
-    /// Requests whose clients left before they had a response.
+    /// Requests whose client disconnected before there was a response.
     pub client_left: Counter,
-    /// First attempts that found their tenant's quota exhausted.
+    /// First attempts that were not sent because the tenant's quota was exhausted.
     pub quota_exhausted: Counter,
-    /// Attempts that ended, by their outcome.
+    /// Ended attempts by outcome, in the order of [`OUTCOMES`].
     outcomes: [Counter; OUTCOMES.len()],
-    /// Attempts in flight when their client left that were cancelled or never sent.
+    /// Attempts whose client disconnected and that were then cancelled or never sent.
     pub cancelled_after_client_left: Counter,
-    /// Attempts in flight when their client left that ended by themselves.
+    /// Attempts whose client disconnected and that ended without being cancelled.
     pub completed_after_client_left: Counter,
-    /// Of `completed_after_client_left`: those that ended more than [`ABANDONED_AFTER_MS`] after it.
+    /// The attempts of `completed_after_client_left` that ended more than [`ABANDONED_AFTER_MS`] after the disconnect.
     pub abandoned: Counter,
 }
 
-/// All outcomes of attempts with their labels, in the order of the page.
+/// All outcomes of attempts with their metric labels, in the order of the metrics page.
 const OUTCOMES: [(Outcome, &str); 8] = [
     (Outcome::Ok, "ok"),
     (Outcome::Error, "error"),
@@ -63,9 +63,9 @@
 ];
 
 impl RequestCounters {
-    /// A request has its response, or its client has left.
-    pub fn record_verdict(&self, verdict: RequestEnd) {
-        match verdict {
+    /// Counts a request that has ended for its client.
+    pub fn record_request(&self, end: RequestEnd) {
+        match end {
             RequestEnd::Served => &self.served,
             RequestEnd::Rejected(_) => &self.rejected,
             RequestEnd::Failed => &self.failed,
@@ -74,7 +74,8 @@
         .increment();
     }
 
-    /// An attempt ended; if its client had left, so many milliseconds before.
+    /// Counts an attempt that has ended. `since_client_left_ms` is the time since its client disconnected; `None` if
+    /// the client is still connected.
     pub fn record_attempt(&self, outcome: Outcome, since_client_left_ms: Option<u64>) {
         for ((listed, _), counter) in OUTCOMES.iter().zip(&self.outcomes) {
             if *listed == outcome {
@@ -84,16 +85,16 @@
         match (outcome, since_client_left_ms) {
             (_, None) => {}
             (Outcome::Cancelled | Outcome::Moot, Some(_)) => self.cancelled_after_client_left.increment(),
-            (_, Some(since)) => {
+            (_, Some(since_ms)) => {
                 self.completed_after_client_left.increment();
-                if since > ABANDONED_AFTER_MS {
+                if since_ms > ABANDONED_AFTER_MS {
                     self.abandoned.increment();
                 }
             }
         }
     }
 
-    /// Appends the counters, and the policy's figures, as lines of the Prometheus text format.
+    /// Appends the counters and the policy's figures to `text` in the Prometheus text format.
     pub fn write(&self, service: &str, figures: &Figures, text: &mut String) {
         let verdicts = [
             ("served", &self.served),
@@ -116,7 +117,7 @@
         let _ = writeln!(text, "brassport_room_part{{service=\"{service}\"}} {:.3}", figures.room_part);
     }
 
-    /// The figures without labels of their own, by name.
+    /// The metrics that have only the label `service`, by name.
     fn totals(&self, figures: &Figures) -> [(&'static str, u64); 10] {
         [
             ("attempts_called_off_after_client_left_total", self.cancelled_after_client_left.get()),
--- a/crates/brassport-data-plane/src/tenant_quotas.rs
+++ b/crates/brassport-data-plane/src/tenant_quotas.rs
@@ -1,5 +1,5 @@
-//! What tenants may send through this node: the rate limits of the configuration, and the grants of the quota's lender.
-//! A tenant's quota is taken before each attempt, behind the policy's admission of its request.
+//! The rate limits of tenants on this node: the limits of the configuration and the grants of the quota lender. Each
+//! attempt is charged to its tenant's quota before it is sent, after the policy has admitted the request.
 
 use brassport_policy::{CustomerId, Millis, Settings};
 use brassport_proxy::clock::Clock;
@@ -11,10 +11,11 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Requests without a tenant; they have no limit.
+/// The tenant id of requests without a tenant, which have no limit.
 pub const NO_TENANT: TenantId = TenantId::NONE;
 
-/// From this part of its rate on, a tenant is taken to be at its limit: readings lag by a period.
+/// The fraction of its rate limit from which a tenant counts as being at its limit. It is below 1 because readings lag
+/// by one metering period.
 const NEAR_LIMIT: f64 = 0.8;
 
 /// The quotas of all tenants at this node.
@@ -28,7 +29,7 @@
 }
 
 impl<C: Clock> TenantQuotas<C> {
-    /// No limits, no grants, and one share.
+    /// Creates quotas without limits or grants, and with a single share.
     pub fn new(clock: C) -> Rc<TenantQuotas<C>> {
         let start = clock.now();
         Rc::new(TenantQuotas {
@@ -40,30 +41,30 @@
         })
     }
 
-    /// Milliseconds since the start.
+    /// The time in milliseconds since these quotas were created.
     pub fn now(&self) -> brassport_quota::Millis {
         self.clock.now().saturating_duration_since(self.start).as_millis() as brassport_quota::Millis
     }
 
-    /// Replaces the limits, and the number of equal shares that they are cut into.
+    /// Replaces the limits and the number of equal shares into which each limit is divided.
     pub fn set_limits(&self, limits: HashMap<TenantId, RateLimit>, shares: u32) {
         self.limits.replace(limits);
         self.shares.set(shares.max(1));
     }
 
-    /// The number of shares; 1 at the least.
+    /// The number of shares; at least 1.
     pub fn shares(&self) -> u32 {
         self.shares.get()
     }
 
-    /// Counts a request that came, whatever becomes of it.
+    /// Counts an incoming request, regardless of its outcome.
     pub fn record_offered(&self, tenant: TenantId) {
         if tenant != NO_TENANT {
             self.borrower.borrow_mut().count_offered(self.now(), tenant);
         }
     }
 
-    /// Whether a tenant sends about all that it may, so that a rejection is for its limit.
+    /// Whether a tenant is at or near its limit, so that a rejection is attributed to the limit.
     pub fn is_exhausted(&self, tenant: TenantId) -> bool {
         let (limit, now) = (self.limit(tenant), self.now());
         let borrower = self.borrower.borrow();
@@ -73,17 +74,17 @@
         limit.rate_per_s > 0.0 && (is_near || borrower.rejected_recently(now, tenant))
     }
 
-    /// Whether some tenant has little left here: its usage is to be reported without delay.
+    /// Whether a tenant has little quota left on this node, so that usage has to be reported without delay.
     pub fn is_urgent(&self) -> bool {
         self.borrower.borrow().is_urgent()
     }
 
-    /// The next report to the lender, and its number.
+    /// Creates the next usage report to the quota lender. Returns the number of the report and its entries.
     pub fn report_usage(&self) -> (u32, Vec<UsageReport>) {
         self.borrower.borrow_mut().report(self.now())
     }
 
-    /// Applies the lender's grants upon the report of this number.
+    /// Applies the grants of the quota lender in response to the report with this number.
     pub fn apply_grants(&self, term: Term, number: u32, grants: &[QuotaGrant]) {
         self.borrower.borrow_mut().apply_grants(self.now(), term, number, grants);
     }
@@ -92,18 +93,18 @@
         self.limits.borrow().get(&tenant).copied().unwrap_or(RateLimit { rate_per_s: 0.0, burst: 0.0 })
     }
 
-    /// Takes one attempt of a tenant's quota, also where nothing is left: those that come next make up for it.
-    pub(crate) fn force_take(&self, tenant: TenantId) {
+    /// Charges one attempt to a tenant's quota even if it is exhausted; later attempts compensate for the overdraft.
+    pub(crate) fn force_acquire(&self, tenant: TenantId) {
         if tenant != NO_TENANT {
             self.borrower.borrow_mut().overdraw(self.now(), tenant);
         }
     }
 
-    /// Takes one attempt of a tenant's quota.
+    /// Charges one attempt to a tenant's quota.
     ///
     /// # Errors
-    /// Nothing is left; in how many milliseconds there may be.
-    pub(crate) fn take(&self, tenant: TenantId) -> Result<(), brassport_quota::Millis> {
+    /// The quota is exhausted. The error is the suggested retry delay in milliseconds.
+    pub(crate) fn try_acquire(&self, tenant: TenantId) -> Result<(), brassport_quota::Millis> {
         if tenant == NO_TENANT {
             return Ok(());
         }
@@ -112,16 +113,16 @@
     }
 }
 
-/// The tenant that a customer of the policy stands for.
+/// The tenant with this customer id in the policy.
 pub(crate) fn tenant_of(customer: CustomerId) -> TenantId {
     u32::try_from(customer).map_or(NO_TENANT, TenantId)
 }
 
-/// The policy's meter: the tenants' usage over all nodes, as the lender reports it.
+/// The usage meter of the policy: the usage of tenants over all nodes, as reported by the quota lender.
 #[derive(Debug)]
 pub(crate) struct UsageMeter<C> {
     quotas: Rc<TenantQuotas<C>>,
-    /// Of each plan, by index; 0 is no limit.
+    /// The rate limit of each plan, by index; 0 means no limit.
     rates_per_s: Vec<f64>,
 }
 
@@ -136,7 +137,7 @@
 }
 
 impl<C: Clock> dispatch::UsageMeter for UsageMeter<C> {
-    /// The quota counts where it is taken.
+    /// Does nothing: usage is recorded when the quota is charged.
     fn record(&mut self, _: Millis, _: CustomerId, _: f64) {}
 
     fn reading(&mut self, _: Millis, customer: CustomerId, plan: usize) -> Option<f64> {
--- a/crates/brassport-data-plane/tests/it/metrics.rs
+++ b/crates/brassport-data-plane/tests/it/metrics.rs
@@ -1,11 +1,12 @@
-//! The metrics page, line by line, against the fixture `metrics`.
+//! The lines of the metrics page, compared with the fixture `metrics`.
 
 use crate::GOLDEN;
 use brassport_data_plane::metrics::{RequestCounters, ABANDONED_AFTER_MS};
 use brassport_policy::{Figures, Outcome};
 use brassport_proxy::hooks::RequestEnd;
 
-/// The name of an outcome; one that is new does not compile here until it is in [`OUTCOMES`] too.
+/// The name of an outcome in the fixture. The match is exhaustive, so that a new outcome does not compile until it is
+/// added here; it must then be added to [`OUTCOMES`] too.
 fn name_of(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
@@ -58,13 +59,12 @@
     text
 }
 
-/// Counters of which each has another count, so that no two can change places.
-fn counters_with_distinct_counts() -> RequestCounters {
+/// Counters with distinct values, so that the test detects swapped metrics.
+fn counters_with_distinct_values() -> RequestCounters {
     let counters = RequestCounters::default();
-    let verdicts =
-        [RequestEnd::Served, RequestEnd::Rejected(0.0), RequestEnd::Failed, RequestEnd::ClientLeft];
-    for (times, verdict) in (11..).zip(verdicts) {
-        (0..times).for_each(|_| counters.record_verdict(verdict));
+    let ends = [RequestEnd::Served, RequestEnd::Rejected(0.0), RequestEnd::Failed, RequestEnd::ClientLeft];
+    for (times, end) in (11..).zip(ends) {
+        (0..times).for_each(|_| counters.record_request(end));
     }
     for (times, outcome) in (21..).zip(OUTCOMES) {
         (0..times).for_each(|_| counters.record_attempt(outcome, None));
@@ -77,22 +77,21 @@
     counters
 }
 
-/// The lines that one attempt changes.
-fn lines_of_one(outcome: Outcome) -> String {
+/// The lines of the page that are changed by a single attempt with this outcome.
+fn lines_of_one_attempt(outcome: Outcome) -> String {
     let counters = RequestCounters::default();
     counters.record_attempt(outcome, Some(0));
-    let counted = |line: &&str| line.ends_with(" 1");
-    let lines: Vec<String> =
-        page(&counters, &NO_FIGURES).lines().filter(counted).map(str::to_owned).collect();
+    let is_one = |line: &&str| line.ends_with(" 1");
+    let lines: Vec<String> = page(&counters, &NO_FIGURES).lines().filter(is_one).map(str::to_owned).collect();
     lines.join("\n")
 }
 
 #[test]
-fn the_metrics_page_has_pinned_lines() {
+fn the_lines_of_the_metrics_page_are_unchanged() {
     let mut cases = vec![("nothing yet".to_owned(), page(&RequestCounters::default(), &NO_FIGURES))];
-    cases.push(("all counts".to_owned(), page(&counters_with_distinct_counts(), &FIGURES)));
+    cases.push(("all counts".to_owned(), page(&counters_with_distinct_values(), &FIGURES)));
     for outcome in OUTCOMES {
-        cases.push((format!("one {}", name_of(outcome)), lines_of_one(outcome)));
+        cases.push((format!("one {}", name_of(outcome)), lines_of_one_attempt(outcome)));
     }
     GOLDEN.same_lines("metrics", &cases);
 }
