--- a/crates/brassport-data-plane/src/active_configuration.rs
+++ b/crates/brassport-data-plane/src/active_configuration.rs
@@ -1,15 +1,15 @@
-//! What a request reads of the operator's configuration, built once for each version.
+//! The operator's configuration in the form in which requests read it; built once per version.
 
 use brassport_config_store::configuration::{Configuration, RouteTable};
 
 /// A configuration, indexed for lookups.
 #[derive(Debug)]
 pub(crate) struct ActiveConfiguration {
-    /// Routes by host and path, tenants by key.
+    /// The index of routes by host and path and of tenants by key.
     pub(crate) routes: RouteTable,
-    /// The largest body of a request.
+    /// Maximum size of a request body.
     pub(crate) max_body_bytes: u64,
-    /// Whether a route that is not public needs a tenant's key.
+    /// Whether requests to non-public routes need a tenant's key.
     pub(crate) requires_key: bool,
 }
 
--- a/crates/brassport-data-plane/src/backend_protocol.rs
+++ b/crates/brassport-data-plane/src/backend_protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol of the gateway's backends: the headers of an attempt, and what the head of a response says of it.
+//! The protocol between the gateway and its backends: the headers of attempts and the classification of responses.
 
 use brassport_policy::Outcome;
 use brassport_proxy::protocol::{ResponseClassification, UpstreamProtocol};
@@ -8,44 +8,45 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-/// The client's name for its request; every response carries it back.
+/// The request id chosen by the client. Every response of a backend must repeat it.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-try-id");
-/// How many milliseconds the client still waits.
+/// The client's remaining time in milliseconds.
 pub const TIME_LEFT_MS: HeaderName = HeaderName::from_static("x-time-left-ms");
-/// The backend that is addressed: any other responds with 421.
+/// The id of the selected backend; a backend with another id responds with 421.
 pub const EXPECTED_BACKEND: HeaderName = HeaderName::from_static("x-expect-server");
-/// The tenant, as the gateway has authenticated it.
+/// The name of the authenticated tenant.
 pub const TENANT: HeaderName = HeaderName::from_static("x-customer");
-/// The backend has not run the request.
+/// Set in a response if the backend has not run the request.
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
-/// The backend's signature of a response that it made.
-const SEAL: HeaderName = HeaderName::from_static("x-server-seal");
+/// The signature that a backend adds to its responses.
+const SIGNATURE: HeaderName = HeaderName::from_static("x-server-seal");
 
-/// The protocol, with what it has learned of a service's backends.
+/// The protocol of the backends of one service. Collects the ids of displaced backends.
 #[derive(Debug, Default)]
 pub struct BackendProtocol {
-    /// Ids of backends whose address another one has.
+    /// Ids of backends at whose address another backend has responded.
     displaced: RefCell<Vec<String>>,
 }
 
 impl BackendProtocol {
-    /// Ids of backends in whose place another one responded, since the last call.
+    /// Returns the ids of backends at whose address another backend has responded since the last call.
     pub fn take_displaced(&self) -> Vec<String> {
         self.displaced.take()
     }
 
-    /// The address is another incarnation's: the one that was addressed has terminated, and nothing ran.
-    fn misdirected(&self, request: &HeaderMap, verdict: Verdict) -> ResponseClassification {
+    /// Handles a 421: another incarnation has the address. The expected backend has terminated, so the request has not
+    /// run.
+    fn misdirected(&self, request: &HeaderMap, response: TrustedResponse) -> ResponseClassification {
         let backend = request.get(EXPECTED_BACKEND).and_then(|id| id.to_str().ok());
         self.displaced.borrow_mut().extend(backend.map(str::to_owned));
-        verdict.withhold(Outcome::NoConnection)
+        response.withhold(Outcome::NoConnection)
     }
 }
 
 impl UpstreamProtocol for BackendProtocol {
-    fn add_attempt_headers(&self, headers: &mut HeaderMap, left: Duration, backend: &str) {
-        if let Ok(left) = HeaderValue::from_str(&left.as_millis().to_string()) {
-            headers.insert(TIME_LEFT_MS, left);
+    fn add_attempt_headers(&self, headers: &mut HeaderMap, time_left: Duration, backend: &str) {
+        if let Ok(time_left_ms) = HeaderValue::from_str(&time_left.as_millis().to_string()) {
+            headers.insert(TIME_LEFT_MS, time_left_ms);
         }
         if let Ok(backend) = HeaderValue::from_str(backend) {
             headers.insert(EXPECTED_BACKEND, backend);
@@ -53,56 +54,61 @@
     }
 
     fn classify(&self, request: &HeaderMap, response: &Parts) -> ResponseClassification {
-        // Guards against the late response to another request in the place of this one's.
+        // A different id means that this is a late response to another request.
         if response.headers.get(REQUEST_ID) != request.get(REQUEST_ID) {
             return untrusted();
         }
-        let verdict = Verdict { keep_alive: keep_alive(&response.headers) };
+        let trusted = TrustedResponse { idle_timeout: announced_idle_timeout(&response.headers) };
         match response.status {
-            StatusCode::MISDIRECTED_REQUEST => self.misdirected(request, verdict),
-            _ if response.headers.contains_key(NOT_RUN) => verdict.withhold(Outcome::Full),
-            // Guards against bytes that are not the backend's: a backend seals its responses, and no coding is requested of it.
+            StatusCode::MISDIRECTED_REQUEST => self.misdirected(request, trusted),
+            _ if response.headers.contains_key(NOT_RUN) => trusted.withhold(Outcome::Full),
+            // A successful response must be the backend's own: signed, and without a content coding, as none was
+            // requested.
             status if status.is_success() => {
-                if response.headers.contains_key(SEAL) && !response.headers.contains_key(CONTENT_ENCODING) {
-                    verdict.forward(Outcome::Ok)
+                if response.headers.contains_key(SIGNATURE)
+                    && !response.headers.contains_key(CONTENT_ENCODING)
+                {
+                    trusted.forward(Outcome::Ok)
                 } else {
                     untrusted()
                 }
             }
-            // To a client these promise that nothing ran; a backend that doesn't say so promises nothing.
+            // Clients take these statuses as a guarantee that the request has not run. Without the header `x-not-run`
+            // the backend gives no such guarantee, so the response is not forwarded.
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT => {
-                verdict.withhold(Outcome::Error)
+                trusted.withhold(Outcome::Error)
             }
-            status if status.is_server_error() => verdict.forward(Outcome::Error),
-            _ => verdict.forward(Outcome::Ok),
+            status if status.is_server_error() => trusted.forward(Outcome::Error),
+            _ => trusted.forward(Outcome::Ok),
         }
     }
 }
 
-/// The judgement of a response that is this request's; its connection is reusable.
-struct Verdict {
-    keep_alive: Option<Duration>,
+/// A response that belongs to the request, so that its connection is reusable.
+struct TrustedResponse {
+    /// The idle timeout that the backend announces.
+    idle_timeout: Option<Duration>,
 }
 
-impl Verdict {
-    /// The response may go to the client.
+impl TrustedResponse {
+    /// Classifies the response as one that may be forwarded to the client.
     fn forward(self, outcome: Outcome) -> ResponseClassification {
         ResponseClassification {
             outcome,
             quota_used: None,
             is_for_client: true,
             is_reusable: true,
-            idle_timeout: self.keep_alive,
+            idle_timeout: self.idle_timeout,
         }
     }
 
-    /// The response says something to the gateway alone.
+    /// Classifies the response as one for the gateway only.
     fn withhold(self, outcome: Outcome) -> ResponseClassification {
         ResponseClassification { is_for_client: false, ..self.forward(outcome) }
     }
 }
 
-/// The judgement of a response of which nothing can be believed: the request may have run.
+/// The classification of a response that cannot be trusted: the request may have run, and the connection is closed.
 fn untrusted() -> ResponseClassification {
     ResponseClassification {
         outcome: Outcome::Reset,
@@ -113,8 +119,8 @@
     }
 }
 
-/// How long the backend keeps an idle connection, if it says so.
-fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+/// The idle timeout announced by the `Keep-Alive` header, if there is one.
+fn announced_idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
--- a/crates/brassport-data-plane/src/lib.rs
+++ b/crates/brassport-data-plane/src/lib.rs
@@ -1,18 +1,18 @@
-//! The gateway's data plane: requests by route, key and tenant, in front of the policy's decisions.
+//! The data plane of the gateway: authenticates and routes requests by host, path and tenant key, and serves them
+//! through the policy.
 //!
-//! For each service there is an instance of the policy with its host ([`brassport_proxy::dispatch::Dispatcher`]). What is the
-//! gateway's own stands at its seams:
+//! Each service has its own instance of the policy, run by a [`brassport_proxy::dispatch::Dispatcher`]. This package
+//! adds the parts that are specific to the gateway:
 //!
 //! - [`downstream`]: the phases of a request, from its head to the response;
-//! - [`backend_protocol`]: what an attempt tells a backend, and how the head of its response is judged;
-//! - [`tenant_quotas`]: what a tenant may send through this node;
-//! - [`policy_settings`]: the policy's settings of a service, derived from the operator's configuration;
-//! - [`endpoints`]: the backends of a service, as the control plane last reported them;
+//! - [`backend_protocol`]: the headers of attempts and the classification of backend responses;
+//! - [`tenant_quotas`]: the rate limits of tenants on this node;
+//! - [`policy_settings`]: the policy settings of a service, derived from the operator's configuration;
+//! - [`endpoints`]: the backends of a service, as last reported by the control plane;
 //! - [`metrics`]: counters for operators.
 //!
-//! A request reads this node's replica of the configuration and nothing else; it never waits for another process. Which
-//! backend it goes to, whether it is retried and whether it is rejected is the policy's to decide, not this package's; how
-//! bytes are moved is the proxy's.
+//! Requests read only this node's replica of the configuration and never wait for another process. Load balancing,
+//! retries and rejections are decided by the policy; connections and bodies are handled by `brassport-proxy`.
 //!
 //! ```
 //! use brassport_data_plane::{DataPlane, Options, RetryBudget};
@@ -27,7 +27,7 @@
 //!     seed: 1,
 //! };
 //! let data_plane = DataPlane::new(SystemClock, Tcp, options);
-//! // Until the control plane hands over a configuration and a backend, the node is not ready.
+//! // The node is not ready until the control plane has provided a configuration and a backend.
 //! assert!(!data_plane.is_ready());
 //! ```
 #![forbid(unsafe_code)]
--- a/crates/brassport-data-plane/src/policy_settings.rs
+++ b/crates/brassport-data-plane/src/policy_settings.rs
@@ -1,39 +1,45 @@
-//! The policy's settings of one service, derived from the operator's configuration.
+//! Derives the policy settings of a service from the operator's configuration.
 
 use brassport_config_store::configuration::{Configuration, Idempotency, Route, Tenant};
 use brassport_policy::{Class, Effect, Plan, Settings, Tuning};
 use std::collections::HashMap;
 
-/// The longest slow start of a backend, in milliseconds; it begins at half of the capacity.
+/// Maximum duration of a backend's slow start, in milliseconds.
 pub const MAX_SLOW_START_MS: f64 = 3_000.0;
+/// The fraction of its capacity with which a backend begins slow start.
 const SLOW_START_FROM: f64 = 0.5;
-/// Longest advice on waiting, in milliseconds.
+/// Maximum suggested retry delay.
 const MAX_RETRY_AFTER_MS: f64 = 1_000.0;
-/// Value of a class of the highest rank; each rank below has half of the one above.
+/// The value of a request of the highest rank (0). The value halves with each further rank.
 const HIGHEST_VALUE: f64 = 16.0;
-/// Part of the value that a response behind the latency target still has.
+/// The fraction of its value that a response after the latency target still has.
 const LATE_VALUE: f64 = 0.5;
-/// Ranks below this one are all alike: halving that often leaves nothing to tell apart.
+/// Ranks beyond this one are treated alike, as the difference between their values is negligible.
 const LOWEST_RANK: u32 = 20;
 
-/// A backend of another zone weighs so many times its wait: bytes between zones cost, and take time.
+/// The factor on the expected wait at backends of other zones, for the cost and the latency of traffic between zones.
 const CROSS_ZONE_WEIGHT: f64 = 3.0;
-/// A request may take about its latency target on an idle backend: only what took longer tells of a queue.
+/// The fraction of the latency target above which a response counts as late. Requests may take about their latency
+/// target on an idle backend, so only a longer time indicates queueing.
 const LATE_RESPONSE: f64 = 0.9;
-/// Part of what the quotas admit that a node has room for at its start: it can tell how many nodes there are.
+/// The fraction of the quota-admitted load that a node accepts at its start. It can be high because a node knows the
+/// number of nodes.
 const INITIAL_CAPACITY: f64 = 0.85;
-/// The gateway's classes cost one unit each, and tip over as the policy's documentation advises.
+/// The cost of a request in units, for all classes.
 const UNITS: f64 = 1.0;
+/// The overload factor at which a backend in slow start collapses, as recommended by the policy's documentation.
 const TIP_MULTIPLE: f64 = 2.0;
+/// How long that overload must last for a collapse, as recommended by the policy's documentation.
 const TIP_AFTER_MS: f64 = 1_000.0;
+/// The interval at which the policy can be called.
 const TICK_MS: f64 = 1.0;
 
-/// A priority that halves with each rank.
+/// A factor that is 1 for rank 0 and halves with each further rank.
 fn priority(rank: u32) -> f64 {
     0.5_f64.powi(rank.min(LOWEST_RANK) as i32)
 }
 
-/// What makes requests alike for the policy.
+/// The properties of a route that determine its class in the policy.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct ClassKey {
     idempotency: Idempotency,
@@ -66,8 +72,8 @@
     }
 }
 
-/// The classes of a service's requests. An index stays the same over all configurations of the process, as the policy
-/// has requests of it in flight.
+/// The classes of a service. The index of a class never changes during the life of the process, as the policy may have
+/// requests of the class in flight.
 #[derive(Debug, Default)]
 struct ClassTable(Vec<ClassKey>);
 
@@ -84,7 +90,8 @@
     }
 }
 
-/// The plans of tenants by index, which stays the same as a class's does; 0 is that of requests without a tenant.
+/// The plans of tenants. Like for classes, the index of a plan never changes. Index 0 is the plan of requests without a
+/// tenant.
 #[derive(Debug)]
 struct PlanTable {
     indexes: HashMap<String, usize>,
@@ -99,13 +106,14 @@
 }
 
 impl PlanTable {
-    /// A tenant that is removed keeps its index: none of its requests is authenticated any more.
+    /// Adds or updates the plan of a tenant. Plans of removed tenants are kept but unused, as their requests are no
+    /// longer authenticated.
     fn set(&mut self, tenant: &Tenant) {
         let index = *self.indexes.entry(tenant.name.clone()).or_insert(self.plans.len());
         self.plans.resize(self.plans.len().max(index + 1), Plan::default());
         self.plans[index] = Plan {
             rate: tenant.rate_per_s,
-            // The policy requires a burst where there is a rate.
+            // The policy requires a positive burst if there is a rate.
             burst: tenant.burst.max(1.0),
             price: priority(tenant.rank),
             ..Plan::default()
@@ -113,21 +121,21 @@
     }
 }
 
-/// What the settings take from the node.
+/// The properties of the node on which the settings depend.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeContext {
-    /// Nodes of the cluster.
+    /// The number of nodes in the cluster.
     pub nodes: u32,
-    /// Which of them this is, from 0 on.
+    /// The index of this node among all nodes, from 0.
     pub ordinal: u32,
-    /// The index of its zone.
+    /// The index of the node's zone.
     pub zone: u16,
-    /// How soon requests to a draining backend must stop, in milliseconds.
+    /// The time in milliseconds within which the node must stop sending requests to a draining backend.
     pub drain_ms: f64,
-    /// This node's part of the retry budget: retries for each request, and how many may be saved up. Together the nodes
-    /// keep the budget without a message from one to another.
+    /// Retries per request in this node's share of the retry budget. With these shares, all nodes together stay within
+    /// the budget without communication.
     pub retry_share: f64,
-    /// See `retry_share`.
+    /// The maximum number of unused retries that accumulate in this node's share of the retry budget.
     pub retries: f64,
 }
 
@@ -139,12 +147,12 @@
 }
 
 impl PolicySettings {
-    /// The settings of a service that follow from a configuration; the tables grow by what is new in it.
+    /// Derives the settings of a service from a configuration. New classes and plans are added to the tables.
     pub fn derive(&mut self, service: &str, configuration: &Configuration, node: NodeContext) -> Settings {
         let routes = || configuration.routes.iter().filter(|route| has_target(route, service));
         routes().for_each(|route| self.classes.add(route));
         configuration.tenants.values().for_each(|tenant| self.plans.set(tenant));
-        // The policy has one limit a service: the smallest of its routes, which none may exceed.
+        // The policy has a single limit per service. The minimum over the routes never exceeds the limit of any route.
         let max_attempts = routes().map(|route| route.max_attempts).min().unwrap_or(1);
         Settings {
             gateways: node.nodes.max(1),
@@ -169,12 +177,12 @@
         }
     }
 
-    /// The index of a route's class, if a configuration with it has been derived from.
+    /// The index of a route's class; `None` if no configuration with such a route has been processed.
     pub fn class(&self, route: &Route) -> Option<usize> {
         self.classes.index(route)
     }
 
-    /// The index of a tenant's plan; that of requests without a tenant for an unknown one.
+    /// The index of a tenant's plan. For an unknown tenant, this is the plan of requests without a tenant.
     pub fn plan(&self, tenant: &str) -> usize {
         self.plans.indexes.get(tenant).copied().unwrap_or(0)
     }
@@ -195,7 +203,7 @@
     }
 }
 
-/// The settings of a node that is shutting down: an attempt that a backend works at is completed, not replaced.
+/// The settings of a node that is shutting down: attempts in progress are not replaced by attempts at other backends.
 pub(crate) fn during_shutdown(settings: Settings) -> Settings {
     let tuning = Tuning { replaces_silent: false, ..settings.tuning };
     Settings { tuning, ..settings }
