--- a/crates/brassport-data-plane/tests/it/backend_protocol.rs
+++ b/crates/brassport-data-plane/tests/it/backend_protocol.rs
@@ -1,5 +1,6 @@
-//! The protocol of backends: the headers of an attempt, against the fixture `headers`, and the judgement of a response's head:
-//! which responses are the client's, which prove that nothing ran, and which connections can't be reused.
+//! The backend protocol: the headers of an attempt, compared with the fixture `headers`, and the classification of a
+//! response by its head: whether it may be forwarded to the client, whether the request has run, and whether the
+//! connection may be reused.
 
 use crate::GOLDEN;
 use brassport_data_plane::backend_protocol::{
@@ -28,34 +29,34 @@
     response.body(()).expect("a response").into_parts().0
 }
 
-fn judge(status: u16, headers: &[(&'static str, &'static str)]) -> ResponseClassification {
+fn classify(status: u16, headers: &[(&'static str, &'static str)]) -> ResponseClassification {
     BackendProtocol::default().classify(&request(), &response(status, headers))
 }
 
 const ID: (&str, &str) = ("x-try-id", "9c41");
-const SEAL: (&str, &str) = ("x-server-seal", "3e1b.07");
+const SIGNATURE: (&str, &str) = ("x-server-seal", "3e1b.07");
 const NOT_RUN: (&str, &str) = ("x-not-run", "1");
 
-#[test_case(200, &[ID, SEAL] => (Outcome::Ok, true, true); "a success with seal and id is forwarded")]
-#[test_case(404, &[ID, SEAL] => (Outcome::Ok, true, true); "a backend's 404 is forwarded")]
-#[test_case(500, &[ID, SEAL] => (Outcome::Error, true, true); "a 500 ran and is forwarded unless a retry does better")]
-#[test_case(504, &[ID] => (Outcome::Error, true, true); "a 504 at the deadline ran")]
-#[test_case(200, &[ID] => (Outcome::Reset, false, false); "a success without a seal is untrusted")]
-#[test_case(200, &[ID, SEAL, ("content-encoding", "gzip")] => (Outcome::Reset, false, false); "a coding that was not requested is untrusted")]
-#[test_case(200, &[("x-try-id", "77aa"), SEAL] => (Outcome::Reset, false, false); "the response to another request is untrusted")]
-#[test_case(200, &[SEAL] => (Outcome::Reset, false, false); "a response without an id is untrusted")]
-#[test_case(503, &[("x-try-id", "77aa"), NOT_RUN] => (Outcome::Reset, false, false); "another request's rejection is untrusted")]
-#[test_case(503, &[ID, NOT_RUN] => (Outcome::Full, false, true); "a 503 marked as not run never ran")]
-#[test_case(429, &[ID, NOT_RUN] => (Outcome::Full, false, true); "a 429 marked as not run never ran")]
-#[test_case(503, &[ID] => (Outcome::Error, false, true); "a plain 503 may have run and is not forwarded")]
-#[test_case(429, &[ID] => (Outcome::Error, false, true); "a plain 429 may have run and is not forwarded")]
-#[test_case(421, &[ID] => (Outcome::NoConnection, false, true); "a 421 of another incarnation never ran")]
-fn a_response_is_judged_by_its_head(
+#[test_case(200, &[ID, SIGNATURE] => (Outcome::Ok, true, true); "a signed success with the request's id is forwarded")]
+#[test_case(404, &[ID, SIGNATURE] => (Outcome::Ok, true, true); "a backend's 404 is forwarded")]
+#[test_case(500, &[ID, SIGNATURE] => (Outcome::Error, true, true); "a 500 is an error and may be forwarded")]
+#[test_case(504, &[ID] => (Outcome::Error, true, true); "a 504 is an error and may be forwarded")]
+#[test_case(200, &[ID] => (Outcome::Reset, false, false); "a success without a signature is untrusted")]
+#[test_case(200, &[ID, SIGNATURE, ("content-encoding", "gzip")] => (Outcome::Reset, false, false); "a content coding that was not requested is untrusted")]
+#[test_case(200, &[("x-try-id", "77aa"), SIGNATURE] => (Outcome::Reset, false, false); "the response to another request is untrusted")]
+#[test_case(200, &[SIGNATURE] => (Outcome::Reset, false, false); "a response without an id is untrusted")]
+#[test_case(503, &[("x-try-id", "77aa"), NOT_RUN] => (Outcome::Reset, false, false); "the rejection of another request is untrusted")]
+#[test_case(503, &[ID, NOT_RUN] => (Outcome::Full, false, true); "a 503 marked as not run did not run")]
+#[test_case(429, &[ID, NOT_RUN] => (Outcome::Full, false, true); "a 429 marked as not run did not run")]
+#[test_case(503, &[ID] => (Outcome::Error, false, true); "an unmarked 503 may have run and is not forwarded")]
+#[test_case(429, &[ID] => (Outcome::Error, false, true); "an unmarked 429 may have run and is not forwarded")]
+#[test_case(421, &[ID] => (Outcome::NoConnection, false, true); "a 421 of another incarnation did not run")]
+fn a_response_is_classified_by_its_head(
     status: u16,
     headers: &[(&'static str, &'static str)],
 ) -> (Outcome, bool, bool) {
-    let judged = judge(status, headers);
-    (judged.outcome, judged.is_for_client, judged.is_reusable)
+    let classification = classify(status, headers);
+    (classification.outcome, classification.is_for_client, classification.is_reusable)
 }
 
 #[test]
@@ -63,14 +64,14 @@
     let protocol = BackendProtocol::default();
     protocol.classify(&request(), &response(421, &[ID]));
     assert_eq!(protocol.take_displaced(), ["i-7f3a"]);
-    assert!(protocol.take_displaced().is_empty(), "they are reported once");
+    assert!(protocol.take_displaced().is_empty(), "a displaced backend must be reported only once");
 }
 
 #[test_case("timeout=5, max=100" => Some(Duration::from_secs(5)))]
 #[test_case("max=100,timeout=12" => Some(Duration::from_secs(12)))]
 #[test_case("timeout=soon" => None)]
 fn keep_alive_announces_the_idle_timeout(keep_alive: &'static str) -> Option<Duration> {
-    judge(200, &[ID, SEAL, ("keep-alive", keep_alive)]).idle_timeout
+    classify(200, &[ID, SIGNATURE, ("keep-alive", keep_alive)]).idle_timeout
 }
 
 #[test]
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn headers_have_pinned_names() {
+fn the_names_of_the_headers_are_unchanged() {
     let mut headers = HeaderMap::new();
     headers.insert("x-expect-server", HeaderValue::from_static("another"));
     BackendProtocol::default().add_attempt_headers(&mut headers, Duration::from_micros(1_499_900), "i-0001");
--- a/crates/brassport-data-plane/tests/it/downstream.rs
+++ b/crates/brassport-data-plane/tests/it/downstream.rs
@@ -1,7 +1,7 @@
-//! Requests through all phases over sockets: what clients get and what backends are sent, byte by byte, against the fixture
-//! `front`. Times that differ from run to run stand there as `#`.
+//! Requests through all phases over sockets. The bytes of the responses to clients and of the requests to backends are
+//! compared with the fixture `front`, in which times that differ between runs are replaced by `#`.
 
-use crate::sockets::{backend, exchange, request, steady, Sent};
+use crate::sockets::{exchange, normalize, request, run_backend, ReceivedRequests};
 use crate::GOLDEN;
 use brassport_config_store::consensus::{Entry, ReplicatedState, VoterId};
 use brassport_control_plane::backends::{Backend, BackendState};
@@ -25,38 +25,43 @@
   {"name":"silent","pathStart":"/silent/","giveUpS":0.5,"service":"search","tries":1},
   {"name":"none","pathStart":"/none/","giveUpS":0.2,"service":"none","public":true}]}]}"#;
 
+/// The names of the cases with the resulting texts.
 type Cases = Vec<(String, String)>;
 
-const KEY: &str = "Authorization: Bearer k1\r\nX-Try-Id: 9c41\r\nX-Time-Left-Ms: 4000\r\n";
+/// The headers of a client of the tenant `acme`, which has no rate limit.
+const ACME: &str = "Authorization: Bearer k1\r\nX-Try-Id: 9c41\r\nX-Time-Left-Ms: 4000\r\n";
+/// The headers of a client of the tenant `tight`, which has a very low rate limit.
 const TIGHT: &str = "Authorization: Bearer k2\r\nX-Time-Left-Ms: 400\r\n";
 
+/// The requests with the names of their cases.
 fn requests() -> Vec<(&'static str, String)> {
-    let own = format!("{KEY}X-Customer: spoof\r\nX-Expect-Server: spoof\r\nX-More: kept\r\nTE: trailers\r\n");
+    let forged =
+        format!("{ACME}X-Customer: spoof\r\nX-Expect-Server: spoof\r\nX-More: kept\r\nTE: trailers\r\n");
     let long = "x".repeat(65);
     [
-        ("served", request("GET /a?b=c", &own, "")),
-        ("served with a body", request("POST /a", KEY, "words")),
+        ("served", request("GET /a?b=c", &forged, "")),
+        ("served with a body", request("POST /a", ACME, "words")),
         ("public route", request("GET /open/a", "X-Try-Id: 9c42\r\n", "")),
-        ("a backend's 404", request("GET /404", KEY, "")),
-        ("a backend's 500", request("GET /500", KEY, "")),
+        ("a backend's 404", request("GET /404", ACME, "")),
+        ("a backend's 500", request("GET /500", ACME, "")),
         ("unknown key", request("GET /", "Authorization: Bearer no\r\n", "")),
         ("no key", request("GET /", "", "")),
-        ("unknown host", request("GET /", KEY, "").replace("shop", "other")),
-        ("header twice", request("GET /", &format!("{KEY}X-Try-Id: again\r\n"), "")),
-        ("too long", request("POST /a", KEY, &long)),
-        ("two lengths", request("POST /a", &format!("{KEY}Transfer-Encoding: chunked\r\n"), "0\r\n\r\n")),
+        ("unknown host", request("GET /", ACME, "").replace("shop", "other")),
+        ("header twice", request("GET /", &format!("{ACME}X-Try-Id: again\r\n"), "")),
+        ("too long", request("POST /a", ACME, &long)),
+        ("two lengths", request("POST /a", &format!("{ACME}Transfer-Encoding: chunked\r\n"), "0\r\n\r\n")),
         (
             "broken body",
-            request("POST /a", &format!("{KEY}Transfer-Encoding: chunked\r\n"), "").to_owned() + "zz\r\n",
+            request("POST /a", &format!("{ACME}Transfer-Encoding: chunked\r\n"), "").to_owned() + "zz\r\n",
         ),
         ("no backend", request("GET /none/", "", "")),
-        ("no answer of a backend", request("GET /silent/", KEY, "")),
+        ("no answer of a backend", request("GET /silent/", ACME, "")),
     ]
     .map(|(name, text)| (name, text.to_owned()))
     .to_vec()
 }
 
-fn open_data_plane() -> Rc<DataPlane<SystemClock, Tcp>> {
+fn new_data_plane() -> Rc<DataPlane<SystemClock, Tcp>> {
     let options = Options {
         zone: "a".to_owned(),
         zones: vec!["a".to_owned()],
@@ -72,7 +77,7 @@
     let mut state = ReplicatedState::genesis(vec![VoterId { ip: Ipv4Addr::LOCALHOST, disk: DiskId(1) }], 1);
     let body = Arc::new(CONFIGURATION.as_bytes().to_vec());
     state.apply(&Entry::Replace { base_version: 0, body });
-    assert_eq!(state.version(), 1, "the configuration is sound");
+    assert_eq!(state.version(), 1, "the configuration must be valid");
     state
 }
 
@@ -92,57 +97,57 @@
 }
 
 async fn listen() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
-    let at = listener.local_addr().expect("it has one");
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a free port");
+    let at = listener.local_addr().expect("an address");
     (listener, at)
 }
 
-/// The rejection before there is a configuration, whose advice is no figure that varies.
+/// The rejection by a node without a configuration. Its retry delay is constant, unlike those of the other cases.
 async fn unconfigured(at: SocketAddr) -> String {
-    let early = exchange(at, &request("GET /", "", "")).await;
-    let found = early.to_lowercase().contains("retry-after: 0.600");
-    assert!(found, "the advice before there is a configuration is 600 ms: {early}");
-    early
+    let response = exchange(at, &request("GET /", "", "")).await;
+    let found = response.to_lowercase().contains("retry-after: 0.600");
+    assert!(found, "an unconfigured node must suggest a retry delay of 600 ms: {response}");
+    response
 }
 
-/// The response to a tenant beyond its limit. Some requests are served first, as the rule has a slack.
+/// The response to a tenant beyond its limit. The first requests are served, as the limit has a tolerance.
 async fn beyond_the_limit(at: SocketAddr) -> String {
-    let mut over = String::new();
+    let mut response = String::new();
     for _ in 0..40 {
-        over = exchange(at, &request("GET /", TIGHT, "")).await;
-        if over.starts_with("HTTP/1.1 429") {
+        response = exchange(at, &request("GET /", TIGHT, "")).await;
+        if response.starts_with("HTTP/1.1 429") {
             break;
         }
     }
-    over
+    response
 }
 
-/// What clients got, and then what the backend was sent.
-async fn play() -> Cases {
-    let data_plane = open_data_plane();
+/// Runs all cases. Returns the responses to clients, followed by the requests that the backend received.
+async fn run_cases() -> Cases {
+    let data_plane = new_data_plane();
     let (listener, at) = listen().await;
     spawn_local(downstream::serve(listener, data_plane.clone(), Rc::new(Shutdown::default())));
     let port = [at.port()];
-    let mut cases = vec![("no configuration yet".to_owned(), steady(&unconfigured(at).await, &port))];
+    let mut cases = vec![("no configuration yet".to_owned(), normalize(&unconfigured(at).await, &port))];
     data_plane.apply_state(&Arc::new(configured_state()));
-    let (behind, backend_address) = listen().await;
-    let sent = Sent::default();
-    spawn_local(backend(behind, sent.clone()));
+    let (backend_listener, backend_address) = listen().await;
+    let received = ReceivedRequests::default();
+    spawn_local(run_backend(backend_listener, received.clone()));
     data_plane.update_backend(&backend_at(backend_address.port()));
     for (name, text) in requests() {
-        cases.push((name.to_owned(), steady(&exchange(at, &text).await, &port)));
+        cases.push((name.to_owned(), normalize(&exchange(at, &text).await, &port)));
     }
-    let attempts = sent.take();
-    cases.push(("beyond the tenant's limit".to_owned(), steady(&beyond_the_limit(at).await, &port)));
+    let attempts = received.take();
+    cases.push(("beyond the tenant's limit".to_owned(), normalize(&beyond_the_limit(at).await, &port)));
     for (number, text) in attempts.iter().enumerate() {
-        cases.push((format!("attempt {number}"), steady(text, &[backend_address.port()])));
+        cases.push((format!("attempt {number}"), normalize(text, &[backend_address.port()])));
     }
     cases
 }
 
 #[test]
-fn responses_and_attempts_have_pinned_bytes() {
+fn the_bytes_of_responses_and_attempts_are_unchanged() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let cases = LocalSet::new().block_on(&runtime, play());
+    let cases = LocalSet::new().block_on(&runtime, run_cases());
     GOLDEN.same_lines("front", &cases);
 }
--- a/crates/brassport-data-plane/tests/it/main.rs
+++ b/crates/brassport-data-plane/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! The data plane's tests, one binary: the protocol of backends, the endpoint list, the metrics page, and requests over
+//! Integration tests of the data plane: the backend protocol, the endpoint list, the metrics page, and requests over
 //! sockets.
 #![forbid(unsafe_code)]
 
