--- a/crates/brassport-data-plane/src/data_plane.rs
+++ b/crates/brassport-data-plane/src/data_plane.rs
@@ -255,12 +255,12 @@
         self.resources.quotas.is_urgent()
     }
 
-    /// Creates the next usage report to the quota lender. Returns the number of the report and its entries.
+    /// Creates the next usage report to the quota coordinator. Returns the number of the report and its entries.
     pub fn report_usage(&self) -> (u32, Vec<UsageReport>) {
         self.resources.quotas.report_usage()
     }
 
-    /// Applies the grants of the quota lender in response to the report with this number.
+    /// Applies the grants of the quota coordinator in response to the report with this number.
     pub fn apply_grants(&self, term: Term, number: u32, grants: &[QuotaGrant]) {
         self.resources.quotas.apply_grants(term, number, grants);
     }
--- a/crates/brassport-data-plane/src/tenant_quotas.rs
+++ b/crates/brassport-data-plane/src/tenant_quotas.rs
@@ -1,10 +1,10 @@
-//! The rate limits of tenants on this node: the limits of the configuration and the grants of the quota lender. Each
-//! attempt is charged to its tenant's quota before it is sent, after the policy has admitted the request.
+//! The rate limits of tenants on this node: the limits of the configuration and the grants of the quota coordinator.
+//! Each attempt is charged to its tenant's quota before it is sent, after the policy has admitted the request.
 
 use brassport_policy::{CustomerId, Millis, Settings};
 use brassport_proxy::clock::Clock;
 use brassport_proxy::dispatch;
-use brassport_quota::{Borrower, QuotaGrant, RateLimit, TenantId, UsageReport, METER_PERIOD_MS};
+use brassport_quota::{NodeQuotas, QuotaGrant, RateLimit, TenantId, UsageReport, METER_PERIOD_MS};
 use brassport_types::Term;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
 pub struct TenantQuotas<C> {
     clock: C,
     start: Instant,
-    borrower: RefCell<Borrower>,
+    node_quotas: RefCell<NodeQuotas>,
     limits: RefCell<HashMap<TenantId, RateLimit>>,
     shares: Cell<u32>,
 }
@@ -35,7 +35,7 @@
         Rc::new(TenantQuotas {
             clock,
             start,
-            borrower: RefCell::default(),
+            node_quotas: RefCell::default(),
             limits: RefCell::default(),
             shares: Cell::new(1),
         })
@@ -60,33 +60,33 @@
     /// Counts an incoming request, regardless of its outcome.
     pub fn record_offered(&self, tenant: TenantId) {
         if tenant != NO_TENANT {
-            self.borrower.borrow_mut().count_offered(self.now(), tenant);
+            self.node_quotas.borrow_mut().record_offered(self.now(), tenant);
         }
     }
 
     /// Whether a tenant is at or near its limit, so that a rejection is attributed to the limit.
     pub fn is_exhausted(&self, tenant: TenantId) -> bool {
         let (limit, now) = (self.limit(tenant), self.now());
-        let borrower = self.borrower.borrow();
-        let is_near = borrower
-            .reading(now, tenant)
+        let node_quotas = self.node_quotas.borrow();
+        let is_near = node_quotas
+            .meter_reading(now, tenant)
             .is_some_and(|sent| f64::from(sent) >= NEAR_LIMIT * limit.rate_per_s);
-        limit.rate_per_s > 0.0 && (is_near || borrower.rejected_recently(now, tenant))
+        limit.rate_per_s > 0.0 && (is_near || node_quotas.rejected_recently(now, tenant))
     }
 
     /// Whether a tenant has little quota left on this node, so that usage has to be reported without delay.
     pub fn is_urgent(&self) -> bool {
-        self.borrower.borrow().is_urgent()
+        self.node_quotas.borrow().is_report_urgent()
     }
 
-    /// Creates the next usage report to the quota lender. Returns the number of the report and its entries.
+    /// Creates the next usage report to the quota coordinator. Returns the number of the report and its entries.
     pub fn report_usage(&self) -> (u32, Vec<UsageReport>) {
-        self.borrower.borrow_mut().report(self.now())
+        self.node_quotas.borrow_mut().next_report(self.now())
     }
 
-    /// Applies the grants of the quota lender in response to the report with this number.
+    /// Applies the grants of the quota coordinator in response to the report with this number.
     pub fn apply_grants(&self, term: Term, number: u32, grants: &[QuotaGrant]) {
-        self.borrower.borrow_mut().apply_grants(self.now(), term, number, grants);
+        self.node_quotas.borrow_mut().apply_grants(self.now(), term, number, grants);
     }
 
     fn limit(&self, tenant: TenantId) -> RateLimit {
@@ -96,7 +96,7 @@
     /// Charges one attempt to a tenant's quota even if it is exhausted; later attempts compensate for the overdraft.
     pub(crate) fn force_acquire(&self, tenant: TenantId) {
         if tenant != NO_TENANT {
-            self.borrower.borrow_mut().overdraw(self.now(), tenant);
+            self.node_quotas.borrow_mut().force_acquire(self.now(), tenant);
         }
     }
 
@@ -109,7 +109,7 @@
             return Ok(());
         }
         let limit = self.limit(tenant);
-        self.borrower.borrow_mut().try_acquire(self.now(), tenant, limit, self.shares.get())
+        self.node_quotas.borrow_mut().try_acquire(self.now(), tenant, limit, self.shares.get())
     }
 }
 
@@ -118,7 +118,7 @@
     u32::try_from(customer).map_or(NO_TENANT, TenantId)
 }
 
-/// The usage meter of the policy: the usage of tenants over all nodes, as reported by the quota lender.
+/// The usage meter of the policy: the usage of tenants over all nodes, as reported by the quota coordinator.
 #[derive(Debug)]
 pub(crate) struct UsageMeter<C> {
     quotas: Rc<TenantQuotas<C>>,
@@ -142,7 +142,7 @@
 
     fn reading(&mut self, _: Millis, customer: CustomerId, plan: usize) -> Option<f64> {
         let rate = self.rates_per_s.get(plan).copied().filter(|rate| *rate > 0.0)?;
-        let sent = self.quotas.borrower.borrow().reading(self.quotas.now(), tenant_of(customer))?;
+        let sent = self.quotas.node_quotas.borrow().meter_reading(self.quotas.now(), tenant_of(customer))?;
         Some(f64::from(sent) / (rate * METER_PERIOD_MS as f64 / 1000.0))
     }
 
