--- a/crates/brassport-data-plane/src/backend_protocol.rs
+++ b/crates/brassport-data-plane/src/backend_protocol.rs
@@ -21,7 +21,8 @@
 /// The signature that a backend adds to its responses.
 const SIGNATURE: HeaderName = HeaderName::from_static("x-server-seal");
 
-/// The protocol of the backends of one service. Collects the ids of displaced backends.
+/// The protocol of the backends of one service. It also collects the ids of displaced backends, i.e. of those whose
+/// address has been taken over by another backend.
 #[derive(Debug, Default)]
 pub struct BackendProtocol {
     /// Ids of backends at whose address another backend has responded.
--- a/crates/brassport-data-plane/src/policy_settings.rs
+++ b/crates/brassport-data-plane/src/policy_settings.rs
@@ -27,15 +27,16 @@
 const INITIAL_CAPACITY: f64 = 0.85;
 /// The cost of a request in units, for all classes.
 const UNITS: f64 = 1.0;
-/// The overload factor at which a backend in slow start collapses, as recommended by the policy's documentation.
+/// The multiple of its current capacity at which a backend in slow start collapses, as recommended by the policy's
+/// documentation.
 const TIP_MULTIPLE: f64 = 2.0;
-/// How long that overload must last for a collapse, as recommended by the policy's documentation.
+/// How long the overload by `TIP_MULTIPLE` must last for a collapse, as recommended by the policy's documentation.
 const TIP_AFTER_MS: f64 = 1_000.0;
 /// The interval at which the policy can be called.
 const TICK_MS: f64 = 1.0;
 
 /// A factor that is 1 for rank 0 and halves with each further rank.
-fn priority(rank: u32) -> f64 {
+fn rank_factor(rank: u32) -> f64 {
     0.5_f64.powi(rank.min(LOWEST_RANK) as i32)
 }
 
@@ -60,7 +61,7 @@
 
     fn class(&self) -> Class {
         Class {
-            worth: HIGHEST_VALUE * priority(self.rank),
+            worth: HIGHEST_VALUE * rank_factor(self.rank),
             aim: self.latency_target_ms,
             deadline: self.timeout_ms.max(self.latency_target_ms),
             late_share: LATE_VALUE,
@@ -115,7 +116,7 @@
             rate: tenant.rate_per_s,
             // The policy requires a positive burst if there is a rate.
             burst: tenant.burst.max(1.0),
-            price: priority(tenant.rank),
+            price: rank_factor(tenant.rank),
             ..Plan::default()
         };
     }
@@ -139,7 +140,7 @@
     pub retries: f64,
 }
 
-/// The tables behind one service's settings.
+/// The classes and plans of one service, from which its settings are derived.
 #[derive(Debug, Default)]
 pub struct PolicySettings {
     classes: ClassTable,
--- a/crates/brassport-data-plane/src/tenant_quotas.rs
+++ b/crates/brassport-data-plane/src/tenant_quotas.rs
@@ -18,7 +18,7 @@
 /// by one metering period.
 const NEAR_LIMIT: f64 = 0.8;
 
-/// The quotas of all tenants at this node.
+/// The quotas of all tenants on this node.
 #[derive(Debug)]
 pub struct TenantQuotas<C> {
     clock: C,
--- a/crates/brassport-proxy/src/body/upload.rs
+++ b/crates/brassport-proxy/src/body/upload.rs
@@ -84,7 +84,7 @@
     progress: Rc<UploadProgress>,
 }
 
-// The only field that may not be `Unpin`, the timer, is boxed.
+// No field is pinned in place; the timer is boxed.
 impl<C: Clock> Unpin for Upload<C> {}
 
 impl<C: Clock> Upload<C> {
--- a/crates/brassport-proxy/src/dispatch/mod.rs
+++ b/crates/brassport-proxy/src/dispatch/mod.rs
@@ -9,7 +9,7 @@
 //!
 //! Tasks: a [`Dispatcher`] spawns one task for each attempt. The task ends with its attempt, also if the attempt was
 //! cancelled. A request is removed when it has its outcome and its last attempt has ended. Everything runs on one
-//! thread; the state is never borrowed across an await or while another event is being handled.
+//! thread; the state is never borrowed across an await, and events are never handled recursively.
 
 mod attempt;
 mod clock;
--- a/crates/brassport-proxy/src/downstream/accept.rs
+++ b/crates/brassport-proxy/src/downstream/accept.rs
@@ -32,7 +32,7 @@
 
 /// A client connection that was handed over by the process that this one replaced.
 pub struct AdoptedConnection<S> {
-    /// The connection.
+    /// The socket of the connection.
     pub stream: S,
     /// The bytes that the other process has read but not processed.
     pub buffered: Bytes,
@@ -167,7 +167,7 @@
 
     async fn adopt(&mut self, adopted: AdoptedConnection<Stream<S>>) {
         let AdoptedConnection { stream, buffered, request_count } = adopted;
-        // The total already includes the descriptor of this connection, so a permit becomes available soon.
+        // The descriptor was passed together with the connection, so a permit becomes available soon.
         let Ok(descriptor) = self.descriptors.acquire().await else { return };
         let client = Rc::new(self.service.connections().register());
         client.resume(request_count);
--- a/crates/brassport-proxy/src/downstream/phase.rs
+++ b/crates/brassport-proxy/src/downstream/phase.rs
@@ -5,7 +5,7 @@
 use tokio::sync::Notify;
 
 /// Maximum time to receive the head of a request, from the start of the connection or from the first byte of the
-/// request. It is below the 3 s within which such a connection must be ended.
+/// request. Clients are guaranteed that an incomplete request ends within 3 s, and this timeout is below that.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Maximum idle time after a response.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -15,7 +15,8 @@
 /// Maximum idle time of a connection with a single request while there are many connections. No connection is closed
 /// for being idle sooner than this, as its client may not have received the complete response yet.
 pub(super) const MIN_IDLE: Duration = Duration::from_millis(300);
-/// A new connection without data for this long is unlikely to send a request soon.
+/// A client that has sent nothing for this long, on a new connection or after the final response, is unlikely to send a
+/// request soon.
 pub(super) const SILENT_AFTER: Duration = Duration::from_millis(100);
 /// Maximum time during which a client reads none of the pending bytes of a response.
 const STALL_TIMEOUT: Duration = Duration::from_secs(15);
--- a/crates/brassport-proxy/src/downstream/registry.rs
+++ b/crates/brassport-proxy/src/downstream/registry.rs
@@ -30,8 +30,8 @@
     min_time: Duration,
 }
 
-/// The rules by which connections are closed to free descriptors, in order of preference. A crowd of clients that send a
-/// single request, keep the connection open and reconnect at once when it is closed would otherwise use up the
+/// The rules by which connections are closed to free descriptors, in order of preference. A crowd of clients that send
+/// a single request, keep the connection open and reconnect at once when it is closed would otherwise use up the
 /// descriptors that new clients need.
 const EVICTION_ORDER: [EvictionRule; 6] = [
     // The final response was sent.
--- a/crates/brassport-proxy/src/network.rs
+++ b/crates/brassport-proxy/src/network.rs
@@ -28,11 +28,11 @@
     type Datagrams: Datagrams;
 
     /// Binds a socket to this address and listens on it. Fails if another process already listens on the address.
-    fn listen(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>>;
+    fn listen(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>>;
 
     /// Listens on an address with `SO_REUSEPORT`, so that several processes of the same user can listen on it.
-    fn listen_reuse_port(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>> {
-        self.listen(at)
+    fn listen_reuse_port(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>> {
+        self.listen(address)
     }
 
     /// Duplicates the descriptor of a listening socket, to pass it to another process. Connections in the listen queue
@@ -73,16 +73,16 @@
     }
 
     /// Opens a connection. The future may never complete; the caller has to apply a timeout.
-    fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
+    fn connect(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 
     /// Opens a UDP socket on this address. Port 0 selects a free port, which must be hard to guess.
-    fn datagrams(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Datagrams>>;
+    fn datagrams(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Datagrams>>;
 }
 
 /// A UDP socket. Datagrams may be lost, duplicated or reordered, and the source address may be forged.
 pub trait Datagrams: 'static {
     /// Sends one datagram.
-    fn send_to(&self, bytes: &[u8], to: SocketAddr) -> impl Future<Output = io::Result<()>>;
+    fn send_to(&self, bytes: &[u8], address: SocketAddr) -> impl Future<Output = io::Result<()>>;
 
     /// Receives the next datagram; returns its length and its claimed source address. Bytes beyond the buffer are
     /// discarded. Cancel safe: dropping the future loses no datagram.
@@ -107,16 +107,16 @@
     type Listener = TcpListener;
     type Datagrams = UdpSocket;
 
-    async fn listen(&self, at: SocketAddr) -> io::Result<TcpListener> {
-        TcpListener::bind(at).await
+    async fn listen(&self, address: SocketAddr) -> io::Result<TcpListener> {
+        TcpListener::bind(address).await
     }
 
-    async fn listen_reuse_port(&self, at: SocketAddr) -> io::Result<TcpListener> {
-        let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    async fn listen_reuse_port(&self, address: SocketAddr) -> io::Result<TcpListener> {
+        let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         socket.set_reuseaddr(true)?;
         // Best effort: if it fails, only one process can listen on the address.
         let _ = socket.set_reuseport(true);
-        socket.bind(at)?;
+        socket.bind(address)?;
         socket.listen(BACKLOG)
     }
 
@@ -136,20 +136,20 @@
         TcpStream::from_std(std::net::TcpStream::from(socket))
     }
 
-    async fn connect(&self, to: SocketAddr) -> io::Result<TcpStream> {
-        let stream = TcpStream::connect(to).await?;
+    async fn connect(&self, address: SocketAddr) -> io::Result<TcpStream> {
+        let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(stream)
     }
 
-    async fn datagrams(&self, at: SocketAddr) -> io::Result<UdpSocket> {
-        UdpSocket::bind(at).await
+    async fn datagrams(&self, address: SocketAddr) -> io::Result<UdpSocket> {
+        UdpSocket::bind(address).await
     }
 }
 
 impl Datagrams for UdpSocket {
-    async fn send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
-        UdpSocket::send_to(self, bytes, to).await.map(drop)
+    async fn send_to(&self, bytes: &[u8], address: SocketAddr) -> io::Result<()> {
+        UdpSocket::send_to(self, bytes, address).await.map(drop)
     }
 
     async fn recv_from(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
