--- a/crates/brassport-data-plane/src/backend_protocol.rs
+++ b/crates/brassport-data-plane/src/backend_protocol.rs
@@ -62,7 +62,7 @@
         let trusted = TrustedResponse { idle_timeout: announced_idle_timeout(&response.headers) };
         match response.status {
             StatusCode::MISDIRECTED_REQUEST => self.misdirected(request, trusted),
-            _ if response.headers.contains_key(NOT_RUN) => trusted.withhold(Outcome::Full),
+            _ if response.headers.contains_key(NOT_RUN) => trusted.withhold(Outcome::Overloaded),
             // A successful response must be the backend's own: signed, and without a content coding, as none was
             // requested.
             status if status.is_success() => {
--- a/crates/brassport-data-plane/src/downstream/admission.rs
+++ b/crates/brassport-data-plane/src/downstream/admission.rs
@@ -59,9 +59,9 @@
             class: routed.class,
             units: 1.0,
             // The requests of a tenant are spread over all nodes.
-            spread: self.resources.quotas.shares(),
-            first: 0,
-            repeat: false,
+            customer_gateways: self.resources.quotas.shares(),
+            first_gateway: 0,
+            is_client_retry: false,
         }
     }
 }
--- a/crates/brassport-data-plane/src/policy_settings.rs
+++ b/crates/brassport-data-plane/src/policy_settings.rs
@@ -1,7 +1,7 @@
 //! Derives the policy settings of a service from the operator's configuration.
 
 use brassport_config_store::configuration::{Configuration, Idempotency, Route, Tenant};
-use brassport_policy::{Class, Effect, Plan, Settings, Tuning};
+use brassport_policy::{Class, Plan, RetrySafety, Settings, Tuning};
 use std::collections::HashMap;
 
 /// Maximum duration of a backend's slow start, in milliseconds.
@@ -61,13 +61,13 @@
 
     fn class(&self) -> Class {
         Class {
-            worth: HIGHEST_VALUE * rank_factor(self.rank),
-            aim: self.latency_target_ms,
+            value: HIGHEST_VALUE * rank_factor(self.rank),
+            latency_target: self.latency_target_ms,
             deadline: self.timeout_ms.max(self.latency_target_ms),
-            late_share: LATE_VALUE,
-            effect: match self.idempotency {
-                Idempotency::Safe => Effect::Free,
-                Idempotency::Unsafe => Effect::Once,
+            late_value_fraction: LATE_VALUE,
+            retry_safety: match self.idempotency {
+                Idempotency::Safe => RetrySafety::Idempotent,
+                Idempotency::Unsafe => RetrySafety::NonIdempotent,
             },
         }
     }
@@ -101,7 +101,7 @@
 
 impl Default for PlanTable {
     fn default() -> PlanTable {
-        let no_tenant = Plan { price: 1.0, ..Plan::default() };
+        let no_tenant = Plan { value_factor: 1.0, ..Plan::default() };
         PlanTable { indexes: HashMap::new(), plans: vec![no_tenant] }
     }
 }
@@ -116,7 +116,7 @@
             rate: tenant.rate_per_s,
             // The policy requires a positive burst if there is a rate.
             burst: tenant.burst.max(1.0),
-            price: rank_factor(tenant.rank),
+            value_factor: rank_factor(tenant.rank),
             ..Plan::default()
         };
     }
@@ -164,14 +164,14 @@
             max_units: UNITS,
             meter_period: brassport_quota::METER_PERIOD_MS as f64,
             max_attempts,
-            may_duplicate: false,
-            may_cancel: true,
+            allow_hedging: false,
+            allow_cancel: true,
             max_retry_after: MAX_RETRY_AFTER_MS,
             drain_grace: node.drain_ms,
-            cold_from: SLOW_START_FROM,
-            cold_for: MAX_SLOW_START_MS,
-            tip_multiple: TIP_MULTIPLE,
-            tip_after: TIP_AFTER_MS,
+            warm_up_start_fraction: SLOW_START_FROM,
+            warm_up_duration: MAX_SLOW_START_MS,
+            collapse_load: TIP_MULTIPLE,
+            collapse_after: TIP_AFTER_MS,
             tick: TICK_MS,
             list_on_request: false,
             tuning: tuning(node),
@@ -195,17 +195,17 @@
 
 fn tuning(node: NodeContext) -> Tuning {
     Tuning {
-        far: CROSS_ZONE_WEIGHT,
-        late: LATE_RESPONSE,
-        start: INITIAL_CAPACITY,
-        retry_share: node.retry_share,
-        retries: node.retries,
-        replaces_silent: true,
+        remote_zone_factor: CROSS_ZONE_WEIGHT,
+        late_after_fraction: LATE_RESPONSE,
+        initial_admitted_fraction: INITIAL_CAPACITY,
+        retry_ratio: node.retry_share,
+        max_retry_budget: node.retries,
+        replaces_hung: true,
     }
 }
 
 /// The settings of a node that is shutting down: attempts in progress are not replaced by attempts at other backends.
 pub(crate) fn during_shutdown(settings: Settings) -> Settings {
-    let tuning = Tuning { replaces_silent: false, ..settings.tuning };
+    let tuning = Tuning { replaces_hung: false, ..settings.tuning };
     Settings { tuning, ..settings }
 }
--- a/crates/brassport-policy/tests/it/golden/settings.rs
+++ b/crates/brassport-policy/tests/it/golden/settings.rs
@@ -1,12 +1,12 @@
 //! Settings of the wire, and the errors of settings that are missing, unreadable or out of range.
 
 use super::*;
-use brassport_policy::wire::settings;
+use brassport_policy::wire::parse_settings;
 
 #[test]
 fn valid_settings_decode_as_before() {
-    let read = settings(&settings_text()).expect("sound");
-    let plain = settings(
+    let read = parse_settings(&settings_text()).expect("sound");
+    let plain = parse_settings(
         &settings_text()
             .replace("registryMode=on_request", "registryMode=pushed")
             .replace("retryAfter=true\nbounds.maxRetryAfter=700.0", "retryAfter=false"),
@@ -36,7 +36,7 @@
         let without: Vec<_> = text.lines().filter(|other| *other != line).collect();
         let broken = text.replace(line, &format!("{key}=?"));
         for (how, text) in [("missing", without.join("\n")), ("unreadable", broken)] {
-            let error = settings(&text).expect_err(key);
+            let error = parse_settings(&text).expect_err(key);
             reported.push((format!("{key} {how}"), error.to_string()));
         }
     }
@@ -52,29 +52,31 @@
     |settings, value| settings.meter_period = value,
     |settings, value| settings.max_retry_after = value,
     |settings, value| settings.drain_grace = value,
-    |settings, value| settings.cold_from = value,
-    |settings, value| settings.cold_for = value,
-    |settings, value| settings.tip_multiple = value,
-    |settings, value| settings.tip_after = value,
+    |settings, value| settings.warm_up_start_fraction = value,
+    |settings, value| settings.warm_up_duration = value,
+    |settings, value| settings.collapse_load = value,
+    |settings, value| settings.collapse_after = value,
     |settings, value| settings.tick = value,
-    |settings, value| settings.tuning.far = value,
-    |settings, value| settings.tuning.late = value,
-    |settings, value| settings.tuning.start = value,
-    |settings, value| settings.tuning.retry_share = value,
-    |settings, value| settings.tuning.retries = value,
-    |settings, value| settings.classes[1].worth = value,
-    |settings, value| settings.classes[1].aim = value,
+    |settings, value| settings.tuning.remote_zone_factor = value,
+    |settings, value| settings.tuning.late_after_fraction = value,
+    |settings, value| settings.tuning.initial_admitted_fraction = value,
+    |settings, value| settings.tuning.retry_ratio = value,
+    |settings, value| settings.tuning.max_retry_budget = value,
+    |settings, value| settings.classes[1].value = value,
+    |settings, value| settings.classes[1].latency_target = value,
     |settings, value| settings.classes[1].deadline = value,
-    |settings, value| settings.classes[1].late_share = value,
-    |settings, value| settings.classes[1].effect = Effect::Keyed { scope: Scope::All, window: value },
+    |settings, value| settings.classes[1].late_value_fraction = value,
+    |settings, value| {
+        settings.classes[1].retry_safety = RetrySafety::Keyed { scope: Scope::All, window: value }
+    },
     |settings, value| settings.plans[1].rate = value,
     |settings, value| settings.plans[1].burst = value,
-    |settings, value| settings.plans[1].price = value,
-    |settings, value| settings.plans[1].over_worth = value,
-    |settings, value| settings.plans[1].over_cost = value,
-    |settings, value| settings.plans[1].ceiling_rate = value,
-    |settings, value| settings.plans[1].ceiling_burst = value,
-    |settings, value| settings.plans[1].ceiling_slack = value,
+    |settings, value| settings.plans[1].value_factor = value,
+    |settings, value| settings.plans[1].over_quota_value_fraction = value,
+    |settings, value| settings.plans[1].over_quota_cost_fraction = value,
+    |settings, value| settings.plans[1].hard_limit_rate = value,
+    |settings, value| settings.plans[1].hard_limit_burst = value,
+    |settings, value| settings.plans[1].hard_limit_slack = value,
     |settings, value| {
         settings.plans[1].rate = 0.0;
         settings.plans[1].burst = value;
--- a/crates/brassport-proxy/src/dispatch/dispatcher.rs
+++ b/crates/brassport-proxy/src/dispatch/dispatcher.rs
@@ -84,7 +84,7 @@
     ) -> Option<PendingRequest<C, N>> {
         request.id = self.state.borrow_mut().requests.reserve(&name)?;
         if mutant!(CeilingUnshared) {
-            request.spread = 1;
+            request.customer_gateways = 1;
         }
         request.expires_in = timeout.as_secs_f64() * 1000.0;
         let is_upload = !message.is_complete();
@@ -103,7 +103,7 @@
             let timeout = duration(in_flight.request.expires_in);
             in_flight.deadline.reset(self.clock.base().now() + timeout);
         }
-        self.handle(Event::Whole(id));
+        self.handle(Event::UploadComplete(id));
     }
 
     /// Passes an event to the policy and executes the resulting actions.
@@ -120,7 +120,7 @@
     fn execute(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
             Action::Send { request, server, expire_at } => self.send(state, request, server, expire_at),
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 state.requests.resolve(request, RequestOutcome::Rejected(retry_after));
             }
             Action::Fail(request) => {
@@ -134,9 +134,9 @@
                     in_flight.cancel_attempt(attempt);
                 }
             }
-            Action::Timer { at, token } => self.set_timer(state, at, token),
+            Action::SetTimer { at, token } => self.set_timer(state, at, token),
             // Programs subscribe to the server list at startup, regardless of this action.
-            Action::FollowServers => {}
+            Action::WatchServers => {}
             Action::Log(text) => log::write_line(text),
         }
     }
@@ -216,7 +216,7 @@
     /// The policy's limit on attempts in flight, and the fraction of the quota-admitted load that fits into it (0 to
     /// 1).
     pub fn capacity(&self) -> (f64, f64) {
-        self.inspect(Gateway::room)
+        self.inspect(Gateway::capacity)
     }
 
     /// Calls `read` with the policy. `read` must not call the dispatcher.
--- a/crates/brassport-proxy/src/upstream/attempt.rs
+++ b/crates/brassport-proxy/src/upstream/attempt.rs
@@ -100,7 +100,7 @@
         }
         match (progress.is_written.get() && request.is_complete(), ended) {
             (true, ended) => ended.into(),
-            (false, Outcome::Cancelled) => Outcome::Moot.into(),
+            (false, Outcome::Cancelled) => Outcome::NotSent.into(),
             (false, _) => Outcome::NoConnection.into(),
         }
     }
@@ -129,7 +129,7 @@
     }
 
     async fn steps(&self) -> Result<AttemptResult, Outcome> {
-        let address = self.pool.ready_address(self.target.backend).ok_or(Outcome::Moot)?;
+        let address = self.pool.ready_address(self.target.backend).ok_or(Outcome::NotSent)?;
         let mut pooled = self.acquire(address).await?;
         let request = self.take_request(address)?;
         let (head, body) = self.send(&mut pooled, request).await?.into_parts();
@@ -160,12 +160,12 @@
         // address, and the request may have been answered.
         let is_ready = self.pool.ready_address(*backend) == Some(address);
         if !is_ready || !(self.owner.may_send() || mutant!(SendBehindAnswer)) {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         let time_left = deadline.at().saturating_duration_since(self.pool.clock.now());
         let name = self.pool.backend_name(*backend);
         // A streamed body cannot be sent to a second backend.
-        request.for_attempt(time_left, &*self.pool.protocol, &name).ok_or(Outcome::Moot)
+        request.for_attempt(time_left, &*self.pool.protocol, &name).ok_or(Outcome::NotSent)
     }
 
     /// Sends the request and waits for the head of its response.
--- a/crates/brassport-proxy/tests/it/client_left.rs
+++ b/crates/brassport-proxy/tests/it/client_left.rs
@@ -1,7 +1,7 @@
 //! What happens to attempts and backend connections when the client disconnects.
 
 use crate::common::{bounded, TestProxy};
-use brassport_policy::Effect;
+use brassport_policy::RetrySafety;
 use brassport_proxy::dispatch::RequestOutcome;
 use http_body_util::BodyExt;
 use hyper::header::HeaderMap;
@@ -17,7 +17,7 @@
 #[tokio::test]
 async fn an_attempt_of_an_idempotent_request_is_cancelled_when_its_client_disconnects() {
     bounded(async {
-        let proxy = TestProxy::new(Effect::Free, &[NO_RESPONSE; 2]).await;
+        let proxy = TestProxy::new(RetrySafety::Idempotent, &[NO_RESPONSE; 2]).await;
         let pending = proxy.admit(HeaderMap::new());
         proxy.script.requests_received(1).await;
         drop(pending);
@@ -32,7 +32,7 @@
 #[tokio::test]
 async fn an_attempt_of_a_non_idempotent_request_continues_when_its_client_disconnects() {
     bounded(async {
-        let proxy = TestProxy::new(Effect::Once, &[NO_RESPONSE; 2]).await;
+        let proxy = TestProxy::new(RetrySafety::NonIdempotent, &[NO_RESPONSE; 2]).await;
         let pending = proxy.admit(HeaderMap::new());
         proxy.script.requests_received(1).await;
         drop(pending);
@@ -48,7 +48,7 @@
 #[tokio::test]
 async fn a_streamed_response_ends_when_its_client_disconnects_even_if_its_backend_stalls() {
     bounded(async {
-        let proxy = TestProxy::new(Effect::Free, &[PARTIAL_RESPONSE]).await;
+        let proxy = TestProxy::new(RetrySafety::Idempotent, &[PARTIAL_RESPONSE]).await;
         let RequestOutcome::Served(mut response) = proxy.request(HeaderMap::new()).await else {
             panic!("the request was not served")
         };
--- a/crates/brassport-proxy/tests/it/golden/upstream.rs
+++ b/crates/brassport-proxy/tests/it/golden/upstream.rs
@@ -2,7 +2,7 @@
 
 use super::{lines, printable, GOLDEN};
 use crate::common::{bounded, class, dispatcher_with_backends, policy_request, AttemptCount};
-use brassport_policy::{Effect, Plan, Settings};
+use brassport_policy::{Plan, RetrySafety, Settings};
 use brassport_proxy::clock::SystemClock;
 use brassport_proxy::dispatch::{Dispatcher, RequestOutcome};
 use brassport_proxy::network::Tcp;
@@ -67,7 +67,7 @@
         let address = listener.local_addr().expect("an address");
         let (report, mut received) = mpsc::unbounded_channel();
         spawn_local(backend(listener, report));
-        let (classes, plans) = (vec![class(Effect::Once)], vec![Plan::default()]);
+        let (classes, plans) = (vec![class(RetrySafety::NonIdempotent)], vec![Plan::default()]);
         let settings = Settings { classes, plans, ..Settings::default() };
         let written = Rc::new(AttemptCount::default());
         let dispatcher = dispatcher_with_backends(&[address], settings, written, |_| ());
