--- a/crates/brassport-policy/src/concurrency_limit.rs
+++ b/crates/brassport-policy/src/concurrency_limit.rs
@@ -91,8 +91,8 @@
 
     /// Fraction of the requests within quota that is admitted with `in_flight` attempts in flight.
     ///
-    /// Prevents that a surge is admitted before its late responses arrive. Above the limit the fraction falls
-    /// to 0 over two standard deviations of a Poisson count, so that random fluctuations do not cause
+    /// Prevents a surge from being admitted before its late responses arrive. Above the limit the fraction
+    /// falls to 0 over two standard deviations of a Poisson count, so that random fluctuations do not cause
     /// rejections at a small limit.
     pub fn admitted_fraction(&self, in_flight: f64) -> f64 {
         let slack = 2.0 * self.limit.sqrt() + 1.0;
--- a/crates/brassport-policy/tests/it/admission.rs
+++ b/crates/brassport-policy/tests/it/admission.rs
@@ -242,7 +242,7 @@
         let (id, _) = host.submit(1, 0, 0);
         host.end(id, 0, Outcome::Ok, Some(0.5));
     }
-    // Clients time is_sent after 4 s. With 2.9 s left the first attempt was 1.1 s ago, beyond the latency target
+    // Clients time out after 4 s. With 2.9 s left the first attempt was 1.1 s ago, beyond the latency target
     // of 1 s.
     assert!(is_rejected(&host.submit_retry(1, 0, 2900.0)));
     assert!(!is_rejected(&host.submit_retry(1, 0, 3900.0)));
