--- a/crates/brassport-peers/src/door.rs
+++ b/crates/brassport-peers/src/door.rs
@@ -7,7 +7,7 @@
 use crate::host::Clock;
 use crate::identity::Identity;
 use crate::record::{steady_ms, whole_lines, Record, RECORD_FILE};
-use brassport::hooks::{RequestHooks, Wait};
+use brassport::hooks::{AttemptDelay, RequestHooks};
 use brassport::log;
 use brassport::run::admin::{Call, Command};
 use brassport_fleet::clocks::Mark;
@@ -118,7 +118,7 @@
 }
 
 impl RequestHooks for InFleet {
-    fn may_act(&self) -> Result<(), f64> {
+    fn may_serve(&self) -> Result<(), f64> {
         if self.handle.may_act() {
             Ok(())
         } else {
@@ -126,7 +126,7 @@
         }
     }
 
-    fn admitted(&self, name: &str, request: &Request) {
+    fn on_admitted(&self, name: &str, request: &Request) {
         self.handle.admissions.fetch_add(1, Ordering::AcqRel);
         // A class that settings brought since is taken for one that must not run twice.
         if self.once.get(request.class).copied().unwrap_or(true) {
@@ -134,7 +134,7 @@
         }
     }
 
-    fn before_attempt(&self, request: RequestId, node: &str) -> Option<Wait> {
+    fn before_attempt(&self, request: RequestId, node: &str) -> Option<AttemptDelay> {
         if let Some(name) = self.open.borrow().get(&request) {
             let version = self.handle.acted.load(Ordering::Acquire);
             self.handle.add(What::Unsafe { request: name.clone(), node: node.into(), version });
@@ -142,7 +142,7 @@
         None
     }
 
-    fn departed(&self, request: RequestId) {
+    fn on_request_removed(&self, request: RequestId) {
         self.open.borrow_mut().remove(&request);
     }
 }
@@ -259,7 +259,7 @@
                     let before = self.shared.borrow().version();
                     let taken = self.shared.borrow_mut().catch_up(catch);
                     if let Err(fault) = taken {
-                        log::line(format!("fleet: {}: {fault}", lines.current().address()));
+                        log::write_line(format!("fleet: {}: {fault}", lines.current().address()));
                         lines.turn();
                         self.back_off().await;
                     }
@@ -272,7 +272,7 @@
                     }
                 }
                 Err(problem) => {
-                    log::line(format!("fleet: no instance tells news: {problem}"));
+                    log::write_line(format!("fleet: no instance tells news: {problem}"));
                     self.back_off().await;
                 }
             }
@@ -322,7 +322,7 @@
         let lines = self.lines();
         let mut identity = self.agent.identity.clone();
         while let Err(problem) = self.enter(&lines, &mut identity).await {
-            log::line(format!("fleet: {} is not in the fleet yet: {problem}", self.agent.door));
+            log::write_line(format!("fleet: {} is not in the fleet yet: {problem}", self.agent.door));
             self.back_off().await;
         }
         let Agent { door, process, handle, length, .. } = &self.agent;
@@ -339,7 +339,7 @@
                     if !had_one {
                         identity.had_one = true;
                         if let Err(problem) = identity.write() {
-                            log::line(format!(
+                            log::write_line(format!(
                                 "fleet: {problem}; the next start of this door may have to wait"
                             ));
                         }
@@ -368,11 +368,11 @@
             if why != told {
                 told = why;
                 match why {
-                    Some(Why::Replaced) => log::line(format!(
+                    Some(Why::Replaced) => log::write_line(format!(
                         "fleet: another process goes by the name {door}: this one stops; was its directory copied? Give \
                          one of them another name with `follow`"
                     )),
-                    Some(why) => log::line(format!("fleet: {door} is given no right to act: {why:?}")),
+                    Some(why) => log::write_line(format!("fleet: {door} is given no right to act: {why:?}")),
                     None => {}
                 }
             }
@@ -428,7 +428,9 @@
             let part = record().part(from, SHIPPED);
             let text = part.unwrap_or_else(|problem| {
                 if !std::mem::replace(&mut told, true) {
-                    log::line(format!("fleet: its record cannot be shipped, and stays here: {problem}"));
+                    log::write_line(format!(
+                        "fleet: its record cannot be shipped, and stays here: {problem}"
+                    ));
                 }
                 String::new()
             });
--- a/crates/brassport/src/door.rs
+++ b/crates/brassport/src/door.rs
@@ -64,7 +64,7 @@
         let surroundings = dispatch::DispatcherOptions {
             meter: host.local_meter.map(|meter| Box::new(meter) as Box<dyn dispatch::UsageMeter>),
             hooks: host.hooks,
-            on_release: Box::new(move |customer| links.tell_successor(|| Told::Released(customer))),
+            on_attempt_end: Box::new(move |customer| links.tell_successor(|| Told::Released(customer))),
             inherited_clock: host.clock_before,
         };
         Ok(Rc::new(Door {
@@ -89,12 +89,12 @@
 
     /// Whether the host lets this door act now; if not, how long clients are to wait.
     pub fn may_act(&self) -> Result<(), Millis> {
-        self.dispatcher.may_act()
+        self.dispatcher.may_serve()
     }
 
     /// The plan that the host knows of this customer.
     pub fn plan_of(&self, customer: CustomerId) -> Option<usize> {
-        self.dispatcher.plan_of(customer)
+        self.dispatcher.plan_override(customer)
     }
 
     /// The module's limit on attempts out, and its room.
@@ -179,7 +179,7 @@
                 Told::Ban { node, boot_ms }
             }
             Call::Enable(node) => {
-                let at_ms = self.dispatcher.clock().unix().as_secs_f64() * 1000.0;
+                let at_ms = self.dispatcher.clock().unix_time().as_secs_f64() * 1000.0;
                 Told::CallBack { node, at_ms }
             }
         };
@@ -207,7 +207,7 @@
         if done.is_err() {
             return false;
         }
-        log::line(format!("backend {node} {word} by staff"));
+        log::write_line(format!("backend {node} {word} by staff"));
         if let Some(told) = self.told_of(node) {
             self.servers(ListKind::Delta, &[told]);
         }
