--- a/crates/brassport-policy/src/slow_start.rs
+++ b/crates/brassport-policy/src/slow_start.rs
@@ -81,7 +81,7 @@
             match self.consider_turn(id, due, selection) {
                 Considered::Taken => return Turn { server: Some(id), fallback: None },
                 Considered::Skipped => fallback = fallback.or(Some(id)),
-                Considered::NotYet => {}
+                Considered::NoTurn => {}
             }
         }
         Turn { server: None, fallback }
@@ -100,12 +100,12 @@
     /// Updates a server's turn credit, schedules its next turn, and returns whether it takes this one.
     fn consider_turn(&mut self, id: ServerId, due: f64, selection: &Selection) -> Considered {
         let (settings, now) = (selection.settings, selection.now);
-        let Some(server) = self.servers.get_mut(&id) else { return Considered::NotYet };
+        let Some(server) = self.servers.get_mut(&id) else { return Considered::NoTurn };
         let may_serve = server.may_serve(selection);
         let is_avoided = server.is_ejected(now) || (selection.tried)(id);
         // A queue entry that the server's state does not confirm is stale.
         let warm_up = server.warm_up.as_mut().filter(|warm_up| warm_up.due == due);
-        let Some(warm_up) = warm_up else { return Considered::NotYet };
+        let Some(warm_up) = warm_up else { return Considered::NoTurn };
         // The capacity increased since the last update: uses the mean of both values.
         let capacity_fraction = settings.slow_start_factor(now - warm_up.since);
         let fractions = warm_up.capacity_fraction + capacity_fraction;
@@ -125,7 +125,7 @@
         match (is_taken, has_turn && may_serve) {
             (true, _) => Considered::Taken,
             (false, true) => Considered::Skipped,
-            (false, false) => Considered::NotYet,
+            (false, false) => Considered::NoTurn,
         }
     }
 
@@ -187,5 +187,5 @@
     /// The server has a turn and may serve the request, but is ejected or was tried.
     Skipped,
     /// The server has no turn, or may not serve the request.
-    NotYet,
+    NoTurn,
 }
--- a/crates/brassport-policy/tests/it/admission.rs
+++ b/crates/brassport-policy/tests/it/admission.rs
@@ -26,9 +26,9 @@
 
 /// Submits a request every 25 ms for 30 s, of each class in turn. The meter sums usage over half seconds and
 /// reports it one period later. Returns the number of requests of each class that were sent in the last 20 s.
-fn offer_four_times_the_quota(classes: &[usize], spread: u32) -> Vec<f64> {
+fn offer_four_times_the_quota(classes: &[usize], customer_gateways: u32) -> Vec<f64> {
     let mut host = Host::new(settings(), &[server(1)]);
-    host.customer_gateways = spread;
+    host.customer_gateways = customer_gateways;
     let mut periods = [0.0; 62];
     let mut sent = vec![0.0; 3];
     for step in 0..1200 {
@@ -135,7 +135,7 @@
 }
 
 /// One of fifty gateways after requests of 400 customers whose offered load is `load` times their quota. The
-/// other gateways behave alike: readings report the fraction of the load that is admitted here.
+/// other gateways behave alike: readings report `load`, times the fraction that is admitted here.
 fn host_with_plan_usage(load: f64) -> Host {
     let mut host = one_of_fifty();
     let mut admitted_fraction = 1.0;
@@ -152,7 +152,7 @@
     for _ in 0..15 {
         let (request, actions) = host.submit(9_999, 3, 0);
         host.now += 200.0;
-        assert!(!sends(&actions).is_empty(), "few requests are in flight");
+        assert!(!sends(&actions).is_empty(), "rejected with few requests in flight");
         let (attempt, outcome, elapsed, finished, used) = (0, Outcome::Ok, 900.0, true, None);
         host.event(Event::AttemptEnd(AttemptEnd { request, attempt, outcome, elapsed, finished, used }));
     }
