--- a/crates/brassport-policy/tests/it/admission.rs
+++ b/crates/brassport-policy/tests/it/admission.rs
@@ -261,7 +261,7 @@
 #[test]
 fn a_surge_is_assumed_at_the_other_gateways_too() {
     // Without any reading: at the other gateways as many units are assumed beyond their share of the quota.
-    let sent = |spread: u32| {
+    let sent = |customer_gateways: u32| {
         let mut host = Host::new(settings(), &[server(1)]);
         let mut sent = 0;
         for id in 1..=40 {
@@ -272,7 +272,7 @@
                 plan: 0,
                 class: 0,
                 units: 1.0,
-                customer_gateways: spread,
+                customer_gateways,
                 first_gateway: 0,
                 expires_in: 4000.0,
                 is_client_retry: false,
@@ -385,7 +385,7 @@
     let (mut sent, mut offered) = (0, 0);
     for step in 0..1600u64 {
         host.now += 2083.0;
-        let (repeat, units, expires_in) = (step % 4 > 0, 1.0, 4000.0);
+        let (is_client_retry, units, expires_in) = (step % 4 > 0, 1.0, 4000.0);
         let request = Request {
             id: step,
             customer: 1,
@@ -395,13 +395,13 @@
             customer_gateways: 50,
             first_gateway: 0,
             expires_in,
-            is_client_retry: repeat,
+            is_client_retry,
         };
         let is_sent = !sends(&host.event(Event::Request(request))).is_empty();
         if is_sent {
             host.end(step, 0, Outcome::Ok, None);
         }
-        if step >= 800 && !repeat {
+        if step >= 800 && !is_client_retry {
             (sent, offered) = (sent + u32::from(is_sent), offered + 1);
         }
     }
--- a/crates/brassport-policy/tests/it/common/mod.rs
+++ b/crates/brassport-policy/tests/it/common/mod.rs
@@ -107,7 +107,7 @@
         plan: usize,
         class: usize,
         expires_in: Millis,
-        repeat: bool,
+        is_client_retry: bool,
         id: RequestId,
     ) -> Vec<Action> {
         let request = Request {
@@ -119,7 +119,7 @@
             customer_gateways: self.customer_gateways,
             first_gateway: 0,
             expires_in,
-            is_client_retry: repeat,
+            is_client_retry,
         };
         self.event(Event::Request(request))
     }
--- a/crates/brassport-policy/tests/it/golden/wire.rs
+++ b/crates/brassport-policy/tests/it/golden/wire.rs
@@ -35,13 +35,13 @@
 
 fn request_records() -> Vec<Case> {
     let (id, mut cases) = (ID, Vec::new());
-    for repeat in [false, true] {
+    for is_client_retry in [false, true] {
         let record = Record::new(18)
             .put(3, &id.to_be_bytes())
             .put(11, &2f32.to_be_bytes())
             .put(15, &1u32.to_be_bytes())
             .put(19, &12345u64.to_be_bytes())
-            .put(27, &[if repeat { 6 } else { 5 }])
+            .put(27, &[if is_client_retry { 6 } else { 5 }])
             .put(28, &1250.5f64.to_be_bytes())
             .put(36, &1f32.to_be_bytes())
             .put(40, &4u16.to_be_bytes())
@@ -55,10 +55,10 @@
             customer_gateways: 2,
             first_gateway: 1,
             expires_in: 1250.5,
-            is_client_retry: repeat,
+            is_client_retry,
         };
         let event = WireEvent::Event(Event::Request(request));
-        cases.push((format!("accept, repeat {repeat}"), frame_of(record), event));
+        cases.push((format!("accept, repeat {is_client_retry}"), frame_of(record), event));
     }
     cases
 }
--- a/crates/brassport-policy/tests/it/rules.rs
+++ b/crates/brassport-policy/tests/it/rules.rs
@@ -173,18 +173,18 @@
         let mut actions = Vec::new();
         gateway.handle(100.0, Event::Servers { kind: ListKind::Full, entries: fleet.clone() }, &mut actions);
         for id in 1..=5 {
-            let (customer, plan, class, units, spread) = (id, 3, 0, 1.0, 200);
-            let (expires_in, repeat) = (4000.0, false);
+            let (customer, plan, class, units, customer_gateways) = (id, 3, 0, 1.0, 200);
+            let (expires_in, is_client_retry) = (4000.0, false);
             let request = Request {
                 id,
                 customer,
                 plan,
                 class,
                 units,
-                customer_gateways: spread,
+                customer_gateways,
                 first_gateway: 0,
                 expires_in,
-                is_client_retry: repeat,
+                is_client_retry,
             };
             gateway.handle(100.0, Event::Request(request), &mut actions);
         }
