--- a/crates/brassport-data-plane/src/data_plane.rs
+++ b/crates/brassport-data-plane/src/data_plane.rs
@@ -194,8 +194,8 @@
             ordinal: ordinal(self.ring_position.get(), state),
             zone: self.zone_index(&self.options.zone),
             drain_ms: self.options.drain_ms,
-            retry_share: USED_RETRY_RATIO * ratio,
-            retries: (USED_RETRY_BURST * burst / f64::from(state.quota_shares.max(1))).max(1.0),
+            retry_ratio: USED_RETRY_RATIO * ratio,
+            max_retry_budget: (USED_RETRY_BURST * burst / f64::from(state.quota_shares.max(1))).max(1.0),
         }
     }
 
--- a/crates/brassport-data-plane/src/metrics.rs
+++ b/crates/brassport-data-plane/src/metrics.rs
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Appends the counters and the policy's figures to `text` in the Prometheus text format.
-    pub fn write(&self, service: &str, figures: &GatewayMetrics, text: &mut String) {
+    /// Appends the counters and the metrics of the policy to `text` in the Prometheus text format.
+    pub fn write(&self, service: &str, policy_metrics: &GatewayMetrics, text: &mut String) {
         let verdicts = [
             ("served", &self.served),
             ("refused", &self.rejected),
@@ -110,28 +110,34 @@
             let labels = format!("service=\"{service}\",outcome=\"{outcome}\"");
             let _ = writeln!(text, "brassport_attempts_total{{{labels}}} {}", counter.get());
         }
-        for (name, total) in self.totals(figures) {
+        for (name, total) in self.totals(policy_metrics) {
             let _ = writeln!(text, "brassport_{name}{{service=\"{service}\"}} {total}");
         }
-        let _ =
-            writeln!(text, "brassport_room_limit{{service=\"{service}\"}} {:.2}", figures.concurrency_limit);
-        let _ =
-            writeln!(text, "brassport_room_part{{service=\"{service}\"}} {:.3}", figures.admitted_fraction);
+        let _ = writeln!(
+            text,
+            "brassport_room_limit{{service=\"{service}\"}} {:.2}",
+            policy_metrics.concurrency_limit
+        );
+        let _ = writeln!(
+            text,
+            "brassport_room_part{{service=\"{service}\"}} {:.3}",
+            policy_metrics.admitted_fraction
+        );
     }
 
     /// The metrics that have only the label `service`, by name.
-    fn totals(&self, figures: &GatewayMetrics) -> [(&'static str, u64); 10] {
+    fn totals(&self, policy_metrics: &GatewayMetrics) -> [(&'static str, u64); 10] {
         [
             ("attempts_called_off_after_client_left_total", self.cancelled_after_client_left.get()),
             ("attempts_run_on_after_client_left_total", self.completed_after_client_left.get()),
             ("attempts_abandoned_total", self.abandoned.get()),
             ("refused_no_share_total", self.quota_exhausted.get()),
-            ("refused_no_room_total", figures.rejected_no_capacity),
-            ("refused_no_backend_total", figures.rejected_no_server),
-            ("backends_known", figures.servers as u64),
-            ("backends_ready", figures.ready as u64),
-            ("backends_ejected", figures.ejected as u64),
-            ("attempts_in_flight", figures.in_flight as u64),
+            ("refused_no_room_total", policy_metrics.rejected_no_capacity),
+            ("refused_no_backend_total", policy_metrics.rejected_no_server),
+            ("backends_known", policy_metrics.servers as u64),
+            ("backends_ready", policy_metrics.ready as u64),
+            ("backends_ejected", policy_metrics.ejected as u64),
+            ("attempts_in_flight", policy_metrics.in_flight as u64),
         ]
     }
 }
--- a/crates/brassport-data-plane/src/policy_settings.rs
+++ b/crates/brassport-data-plane/src/policy_settings.rs
@@ -7,32 +7,32 @@
 /// Maximum duration of a backend's slow start, in milliseconds.
 pub const MAX_SLOW_START_MS: f64 = 3_000.0;
 /// The fraction of its capacity with which a backend begins slow start.
-const SLOW_START_FROM: f64 = 0.5;
+const SLOW_START_FRACTION: f64 = 0.5;
 /// Maximum suggested retry delay.
 const MAX_RETRY_AFTER_MS: f64 = 1_000.0;
 /// The value of a request of the highest rank (0). The value halves with each further rank.
 const HIGHEST_VALUE: f64 = 16.0;
 /// The fraction of its value that a response after the latency target still has.
-const LATE_VALUE: f64 = 0.5;
+const LATE_VALUE_FRACTION: f64 = 0.5;
 /// Ranks beyond this one are treated alike, as the difference between their values is negligible.
 const LOWEST_RANK: u32 = 20;
 
 /// The factor on the expected wait at backends of other zones, for the cost and the latency of traffic between zones.
-const CROSS_ZONE_WEIGHT: f64 = 3.0;
+const REMOTE_ZONE_FACTOR: f64 = 3.0;
 /// The fraction of the latency target above which a response counts as late. Requests may take about their latency
 /// target on an idle backend, so only a longer time indicates queueing.
-const LATE_RESPONSE: f64 = 0.9;
+const LATE_AFTER_FRACTION: f64 = 0.9;
 /// The fraction of the quota-admitted load that a node accepts at its start. It can be high because a node knows the
 /// number of nodes.
-const INITIAL_CAPACITY: f64 = 0.85;
+const INITIAL_ADMITTED_FRACTION: f64 = 0.85;
 /// The cost of a request in units, for all classes.
-const UNITS: f64 = 1.0;
+const UNITS_PER_REQUEST: f64 = 1.0;
 /// The multiple of its current capacity at which a backend in slow start collapses, as recommended by the policy's
 /// documentation.
-const TIP_MULTIPLE: f64 = 2.0;
-/// How long the overload by `TIP_MULTIPLE` must last for a collapse, as recommended by the policy's documentation.
-const TIP_AFTER_MS: f64 = 1_000.0;
-/// The interval at which the policy can be called.
+const COLLAPSE_LOAD: f64 = 2.0;
+/// How long the overload by `COLLAPSE_LOAD` must last for a collapse, as recommended by the policy's documentation.
+const COLLAPSE_AFTER_MS: f64 = 1_000.0;
+/// The interval between two calls of the policy by the dispatcher.
 const TICK_MS: f64 = 1.0;
 
 /// A factor that is 1 for rank 0 and halves with each further rank.
@@ -64,7 +64,7 @@
             value: HIGHEST_VALUE * rank_factor(self.rank),
             latency_target: self.latency_target_ms,
             deadline: self.timeout_ms.max(self.latency_target_ms),
-            late_value_fraction: LATE_VALUE,
+            late_value_fraction: LATE_VALUE_FRACTION,
             retry_safety: match self.idempotency {
                 Idempotency::Safe => RetrySafety::Idempotent,
                 Idempotency::Unsafe => RetrySafety::NonIdempotent,
@@ -135,9 +135,9 @@
     pub drain_ms: f64,
     /// Retries per request in this node's share of the retry budget. With these shares, all nodes together stay within
     /// the budget without communication.
-    pub retry_share: f64,
+    pub retry_ratio: f64,
     /// The maximum number of unused retries that accumulate in this node's share of the retry budget.
-    pub retries: f64,
+    pub max_retry_budget: f64,
 }
 
 /// The classes and plans of one service, from which its settings are derived.
@@ -161,17 +161,17 @@
             zone: node.zone,
             classes: self.classes.0.iter().map(ClassKey::class).collect(),
             plans: self.plans.plans.clone(),
-            max_units: UNITS,
+            max_units: UNITS_PER_REQUEST,
             meter_period: brassport_quota::METER_PERIOD_MS as f64,
             max_attempts,
             allow_hedging: false,
             allow_cancel: true,
             max_retry_after: MAX_RETRY_AFTER_MS,
             drain_grace: node.drain_ms,
-            warm_up_start_fraction: SLOW_START_FROM,
+            warm_up_start_fraction: SLOW_START_FRACTION,
             warm_up_duration: MAX_SLOW_START_MS,
-            collapse_load: TIP_MULTIPLE,
-            collapse_after: TIP_AFTER_MS,
+            collapse_load: COLLAPSE_LOAD,
+            collapse_after: COLLAPSE_AFTER_MS,
             tick: TICK_MS,
             list_on_request: false,
             tuning: tuning(node),
@@ -195,11 +195,11 @@
 
 fn tuning(node: NodeContext) -> Tuning {
     Tuning {
-        remote_zone_factor: CROSS_ZONE_WEIGHT,
-        late_after_fraction: LATE_RESPONSE,
-        initial_admitted_fraction: INITIAL_CAPACITY,
-        retry_ratio: node.retry_share,
-        max_retry_budget: node.retries,
+        remote_zone_factor: REMOTE_ZONE_FACTOR,
+        late_after_fraction: LATE_AFTER_FRACTION,
+        initial_admitted_fraction: INITIAL_ADMITTED_FRACTION,
+        retry_ratio: node.retry_ratio,
+        max_retry_budget: node.max_retry_budget,
         replaces_hung: true,
     }
 }
--- a/crates/brassport-data-plane/src/service.rs
+++ b/crates/brassport-data-plane/src/service.rs
@@ -124,8 +124,8 @@
     /// Appends the metrics of the service in the Prometheus text format.
     pub(crate) fn write_metrics(&self, name: &str, text: &mut String) {
         let now = self.policy.clock().now();
-        let figures = self.policy.inspect(|policy| policy.metrics(now));
-        self.counters.write(name, &figures, text);
+        let policy_metrics = self.policy.inspect(|policy| policy.metrics(now));
+        self.counters.write(name, &policy_metrics, text);
     }
 
     /// Updates the endpoint list, and notifies the connection pool and the policy of the changes.
--- a/crates/brassport-data-plane/tests/it/backend_protocol.rs
+++ b/crates/brassport-data-plane/tests/it/backend_protocol.rs
@@ -26,7 +26,7 @@
     for (name, value) in headers {
         response = response.header(*name, *value);
     }
-    response.body(()).expect("a response").into_parts().0
+    response.body(()).expect("a valid response").into_parts().0
 }
 
 fn classify(status: u16, headers: &[(&'static str, &'static str)]) -> ResponseClassification {
@@ -87,8 +87,10 @@
     let mut headers = HeaderMap::new();
     headers.insert("x-expect-server", HeaderValue::from_static("another"));
     BackendProtocol::default().add_attempt_headers(&mut headers, Duration::from_micros(1_499_900), "i-0001");
-    let mut lines: Vec<String> =
-        headers.iter().map(|(name, value)| format!("{name}: {}", value.to_str().expect("text"))).collect();
+    let mut lines: Vec<String> = headers
+        .iter()
+        .map(|(name, value)| format!("{name}: {}", value.to_str().expect("an ASCII value")))
+        .collect();
     lines.sort();
     let cases = [
         ("try id", REQUEST_ID.to_string()),
--- a/crates/brassport-data-plane/tests/it/metrics.rs
+++ b/crates/brassport-data-plane/tests/it/metrics.rs
@@ -31,7 +31,7 @@
     Outcome::NotSent,
 ];
 
-const NO_FIGURES: GatewayMetrics = GatewayMetrics {
+const NO_POLICY_METRICS: GatewayMetrics = GatewayMetrics {
     servers: 0,
     ready: 0,
     ejected: 0,
@@ -42,7 +42,7 @@
     rejected_no_server: 0,
 };
 
-const FIGURES: GatewayMetrics = GatewayMetrics {
+const POLICY_METRICS: GatewayMetrics = GatewayMetrics {
     servers: 9,
     ready: 8,
     ejected: 7,
@@ -53,9 +53,9 @@
     rejected_no_server: 4,
 };
 
-fn page(counters: &RequestCounters, figures: &GatewayMetrics) -> String {
+fn page(counters: &RequestCounters, policy_metrics: &GatewayMetrics) -> String {
     let mut text = String::new();
-    counters.write("search", figures, &mut text);
+    counters.write("search", policy_metrics, &mut text);
     text
 }
 
@@ -82,14 +82,15 @@
     let counters = RequestCounters::default();
     counters.record_attempt(outcome, Some(0));
     let is_one = |line: &&str| line.ends_with(" 1");
-    let lines: Vec<String> = page(&counters, &NO_FIGURES).lines().filter(is_one).map(str::to_owned).collect();
+    let lines: Vec<String> =
+        page(&counters, &NO_POLICY_METRICS).lines().filter(is_one).map(str::to_owned).collect();
     lines.join("\n")
 }
 
 #[test]
 fn the_lines_of_the_metrics_page_are_unchanged() {
-    let mut cases = vec![("nothing yet".to_owned(), page(&RequestCounters::default(), &NO_FIGURES))];
-    cases.push(("all counts".to_owned(), page(&counters_with_distinct_values(), &FIGURES)));
+    let mut cases = vec![("nothing yet".to_owned(), page(&RequestCounters::default(), &NO_POLICY_METRICS))];
+    cases.push(("all counts".to_owned(), page(&counters_with_distinct_values(), &POLICY_METRICS)));
     for outcome in OUTCOMES {
         cases.push((format!("one {}", name_of(outcome)), lines_of_one_attempt(outcome)));
     }
--- a/crates/brassport-proxy/tests/it/body.rs
+++ b/crates/brassport-proxy/tests/it/body.rs
@@ -18,7 +18,7 @@
         match body.frame().await {
             None => return (all, true),
             Some(Err(BodyError)) => return (all, false),
-            Some(Ok(frame)) => all.extend_from_slice(&frame.into_data().expect("data")),
+            Some(Ok(frame)) => all.extend_from_slice(&frame.into_data().expect("a data frame")),
         }
     }
 }
--- a/crates/brassport-proxy/tests/it/common/mod.rs
+++ b/crates/brassport-proxy/tests/it/common/mod.rs
@@ -34,7 +34,7 @@
 
 impl UpstreamProtocol for TestProtocol {
     fn add_attempt_headers(&self, headers: &mut HeaderMap, _: Duration, backend: &str) {
-        headers.insert("host", HeaderValue::from_str(backend).expect("a name"));
+        headers.insert("host", HeaderValue::from_str(backend).expect("a valid header value"));
     }
 
     fn classify(&self, request: &HeaderMap, response: &Parts) -> ResponseClassification {
@@ -93,10 +93,10 @@
                     while let Ok(byte) = stream.read_u8().await {
                         head.push(byte);
                         if head.ends_with(b"\r\n\r\n") {
-                            let text = String::from_utf8(std::mem::take(&mut head)).expect("text");
+                            let text = String::from_utf8(std::mem::take(&mut head)).expect("valid UTF-8");
                             script.heads.borrow_mut().push(text.to_ascii_lowercase());
                             let response = script.responses.borrow_mut().remove(0);
-                            stream.write_all(response.as_bytes()).await.expect("written");
+                            stream.write_all(response.as_bytes()).await.expect("the response is written");
                             script.changed.notify_waiters();
                         }
                     }
--- a/crates/brassport-proxy/tests/it/golden/downstream.rs
+++ b/crates/brassport-proxy/tests/it/golden/downstream.rs
@@ -137,7 +137,7 @@
 
 /// Starts a service with `free` available descriptors out of `total`.
 async fn start_service(free: usize, total: usize) -> (Rc<TestService>, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let at = listener.local_addr().expect("an address");
     let connections = Rc::new(ConnectionRegistry::new(FixedWallClock));
     let service =
--- a/crates/brassport-proxy/tests/it/golden/upstream.rs
+++ b/crates/brassport-proxy/tests/it/golden/upstream.rs
@@ -34,7 +34,7 @@
             let body = if head.starts_with(b"HEAD ") { "" } else { "ok" };
             let _ = received.send(std::mem::take(&mut request));
             let response = format!("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{body}");
-            stream.write_all(response.as_bytes()).await.expect("written");
+            stream.write_all(response.as_bytes()).await.expect("the response is written");
         }
     }
 }
@@ -63,7 +63,7 @@
 #[tokio::test]
 async fn the_bytes_of_requests_to_backends_are_unchanged() {
     bounded(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let (report, mut received) = mpsc::unbounded_channel();
         spawn_local(backend(listener, report));
@@ -79,10 +79,10 @@
             ("post", Method::POST, "/job", "the body."),
             ("put", Method::PUT, "/job/7", "\u{fc}ber."),
             ("delete", Method::DELETE, "/job/7", ""),
-            ("a method of its own", Method::from_bytes(b"FETCH").expect("a method"), "/x", ""),
+            ("a method of its own", Method::from_bytes(b"FETCH").expect("a valid method"), "/x", ""),
         ] {
             let outcome = outcome(&dispatcher, message(method, uri, body)).await;
-            let request = received.recv().await.expect("a request");
+            let request = received.recv().await.expect("a received request");
             cases.push((name.to_string(), format!("{} -> {outcome}", printable(&request))));
         }
         GOLDEN.same_text("requests.txt", &lines(&cases));
