--- a/crates/brassport-gateway/src/node/build.rs
+++ b/crates/brassport-gateway/src/node/build.rs
@@ -1,4 +1,4 @@
-//! The construction of a node: links, store, planes and listeners, opened one after another.
+//! Construction of a node: opens its links, its store and its listeners, and creates the data plane and the control plane.
 
 use super::control_host::{ControlHost, Sender, Targets};
 use super::error::{StartError, StartStep};
@@ -6,7 +6,7 @@
 use super::shutdown::GracefulShutdown;
 use super::{Node, Options, SystemDataPlane};
 use crate::listeners::{self, PendingCall};
-use crate::settings::{ListenOn, Settings};
+use crate::settings::{ListenAddresses, Settings};
 use crate::store_thread::{StoreEvent, StoreHandle};
 use brassport_control_plane::{self as control_plane, ControlPlane};
 use brassport_data_plane::{self as data_plane, downstream, DataPlane, RetryBudget};
@@ -24,22 +24,30 @@
 use tokio::sync::mpsc::{self, UnboundedSender};
 use tokio::task::{spawn_local, JoinHandle};
 
-/// Descriptors that are reserved for links, callers and the store.
+/// The file descriptors reserved for links to other nodes, control calls and the store.
 const RESERVED_DESCRIPTORS: usize = 300;
-/// Descriptors that the request path has at the least, whatever the limit is.
+/// The minimum number of file descriptors for the request path, even if the process limit is lower.
 const MIN_DESCRIPTORS: usize = 64;
 
+/// Defaults of the tuning parameters `graceS`, `drainS`, `retryRatio` and `retryExtra`; see [`GracefulShutdown::new`],
+/// [`data_plane::Options`] and [`RetryBudget`].
+const DEFAULT_GRACE_S: f64 = 6.0;
+const DEFAULT_DRAIN_S: f64 = 2.0;
+const DEFAULT_RETRY_RATIO: f64 = 0.1;
+const DEFAULT_RETRY_BURST: f64 = 10.0;
+
 impl Node {
-    /// Opens all that a node owns. Listeners come last: nobody is accepted by a node that can't start.
+    /// Builds a node. Its listeners are opened last, so that a node that fails to start accepts no connections.
     pub(super) async fn build(options: Options) -> Result<Node, StartError> {
         let Options { settings, settings_file, metrics_port } = options;
         let signals = Signals::install()?;
         let start = Instant::now();
-        let identity = Identity::draw();
+        let identity = Identity::random();
         let (inbound, frames) = mpsc::unbounded_channel();
-        let links = Links::open(settings.ip, settings.port, settings.reached_at.clone(), inbound)
-            .await
-            .map_err(StartStep::Links.failed())?;
+        let links =
+            Links::open(settings.ip, settings.internal_port, settings.address_overrides.clone(), inbound)
+                .await
+                .map_err(StartStep::Links.failed())?;
         let (store_events, store_queue) = mpsc::unbounded_channel();
         let store = open_store(&settings, store_events);
         let data_plane = DataPlane::new(SystemClock, Tcp, data_plane_options(&settings, identity.seed));
@@ -56,7 +64,7 @@
         log::info!("node started node={} ip={}", settings.node, settings.ip);
         Ok(Node {
             inputs: Inputs::new(signals, Queues { store: store_queue, frames, calls }),
-            shutdown: GracefulShutdown::new(settings.bound("graceS", 6.0)),
+            shutdown: GracefulShutdown::new(settings.parameter("graceS", DEFAULT_GRACE_S)),
             settings,
             settings_file,
             control,
@@ -67,35 +75,37 @@
     }
 }
 
-/// What tells this run of the process from every other.
+/// Random values that distinguish this run of the process from all others.
 struct Identity {
     incarnation: Incarnation,
-    /// Of the planes' random choices.
+    /// The seed of the random choices of the data plane and the control plane.
     seed: u64,
 }
 
 impl Identity {
-    fn draw() -> Identity {
-        Identity { incarnation: Incarnation(unique_number()), seed: unique_number() }
+    fn random() -> Identity {
+        Identity { incarnation: Incarnation(unique_nonzero()), seed: unique_nonzero() }
     }
 }
 
-/// A number that no other run has had, whatever the wall clock says; never 0.
-fn unique_number() -> u64 {
+/// Returns a nonzero number that differs between runs of the process even if the wall clock is set back: it is a hash
+/// of the time and the process ID with a random key.
+fn unique_nonzero() -> u64 {
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    hasher.write_u128(unix.as_nanos());
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    hasher.write_u128(since_epoch.as_nanos());
     hasher.write_u32(std::process::id());
     hasher.finish() | 1
 }
 
-/// Only a machine of the core may vote; one without a data folder votes for as long as its process lives.
+/// Opens the store of the node. Only nodes of the core may vote; the vote of a node without a data folder is lost when its
+/// process ends.
 fn open_store(settings: &Settings, events: UnboundedSender<StoreEvent>) -> StoreHandle {
-    let new_disk = DiskId(unique_number());
+    let new_disk = DiskId(unique_nonzero());
     match (settings.is_core, settings.data_folder.clone()) {
         (true, Some(folder)) => StoreHandle::on_disk(folder, new_disk, events),
         (true, None) => StoreHandle::in_memory(new_disk, events),
-        (false, _) => StoreHandle::closed(events),
+        (false, _) => StoreHandle::disabled(events),
     }
 }
 
@@ -104,10 +114,10 @@
         zone: settings.zone.clone(),
         zones: settings.zones.clone(),
         descriptors: settings.open_files.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DESCRIPTORS),
-        drain_ms: settings.bound("drainS", 2.0) * 1000.0,
+        drain_ms: settings.parameter("drainS", DEFAULT_DRAIN_S) * 1000.0,
         retry_budget: RetryBudget {
-            ratio: settings.bound("retryRatio", 0.1),
-            burst: settings.bound("retryExtra", 10.0),
+            ratio: settings.parameter("retryRatio", DEFAULT_RETRY_RATIO),
+            burst: settings.parameter("retryExtra", DEFAULT_RETRY_BURST),
         },
         seed,
     }
@@ -130,51 +140,55 @@
         seed: identity.seed,
     };
     let mut control = ControlPlane::new(options, 0);
-    if let Some(at) = settings.listen_on.control {
-        control.set_control_port(at.port());
+    if let Some(address) = settings.listen_on.control {
+        control.set_control_port(address.port());
     }
     control
 }
 
-/// Opens listeners; each has a task.
+/// Opens the listeners, each served by a task of its own.
 struct Listeners<'a> {
     data_plane: &'a Rc<SystemDataPlane>,
     phase: &'a Rc<Shutdown>,
 }
 
 impl Listeners<'_> {
-    fn open_control(&self, at: ListenOn, calls: UnboundedSender<PendingCall>) -> Result<(), StartError> {
-        if let Some(listener) = bind(at.control, StartStep::ControlListener)? {
-            spawn_local(listeners::control(listener, calls));
+    fn open_control(
+        &self,
+        addresses: ListenAddresses,
+        calls: UnboundedSender<PendingCall>,
+    ) -> Result<(), StartError> {
+        if let Some(listener) = bind(addresses.control, StartStep::ControlListener)? {
+            spawn_local(listeners::serve_control(listener, calls));
         }
         Ok(())
     }
 
-    fn open_ready(&self, at: ListenOn) -> Result<(), StartError> {
-        if let Some(listener) = bind(at.ready, StartStep::ReadyListener)? {
+    fn open_ready(&self, addresses: ListenAddresses) -> Result<(), StartError> {
+        if let Some(listener) = bind(addresses.ready, StartStep::ReadyListener)? {
             let (data_plane, phase) = (self.data_plane.clone(), self.phase.clone());
             let is_ready = move || phase.phase() == Phase::Serving && data_plane.is_ready();
-            spawn_local(listeners::ready(listener, is_ready));
+            spawn_local(listeners::serve_ready(listener, is_ready));
         }
         Ok(())
     }
 
-    fn open_metrics(&self, at: Option<SocketAddrV4>) -> Result<(), StartError> {
-        if let Some(listener) = bind(at, StartStep::MetricsListener)? {
+    fn open_metrics(&self, address: Option<SocketAddrV4>) -> Result<(), StartError> {
+        if let Some(listener) = bind(address, StartStep::MetricsListener)? {
             let data_plane = self.data_plane.clone();
-            spawn_local(listeners::metrics(listener, move || data_plane.metrics()));
+            spawn_local(listeners::serve_metrics(listener, move || data_plane.metrics()));
         }
         Ok(())
     }
 
-    fn open_downstream(&self, at: ListenOn) -> Result<Option<JoinHandle<()>>, StartError> {
-        let listener = bind(at.downstream, StartStep::DownstreamListener)?;
+    fn open_downstream(&self, addresses: ListenAddresses) -> Result<Option<JoinHandle<()>>, StartError> {
+        let listener = bind(addresses.downstream, StartStep::DownstreamListener)?;
         Ok(listener.map(|listener| {
             spawn_local(downstream::serve(listener, self.data_plane.clone(), self.phase.clone()))
         }))
     }
 }
 
-fn bind(at: Option<SocketAddrV4>, step: StartStep) -> Result<Option<TcpListener>, StartError> {
-    at.map(listeners::bind).transpose().map_err(step.failed())
+fn bind(address: Option<SocketAddrV4>, step: StartStep) -> Result<Option<TcpListener>, StartError> {
+    address.map(listeners::bind).transpose().map_err(step.failed())
 }
