--- a/crates/brassport/tests/common/mod.rs
+++ b/crates/brassport/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! The built program against small scripted peers, over loopback.
-#![allow(dead_code, reason = "each test program uses its own part")]
+//! Helpers that run the built `brassport` program against scripted clients, backends and discovery servers, over
+//! loopback.
+#![allow(dead_code, reason = "each test binary uses a part of the helpers")]
 
 pub use brassport_process_harness::port::reserve;
 use serde_json::{json, Value};
@@ -13,26 +14,35 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nothing here takes that long unless it fails.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// The longest wait for any single event; a test that waits longer fails.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One message of HTTP: its first line, its headers (names in lower case) and its body.
+/// An HTTP/1.1 request or response.
 pub struct Message {
-    pub line: String,
+    /// The request line or the status line, without the line break.
+    pub start_line: String,
+    /// Header values by lower-case name; of several fields with one name, the last.
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
 
 impl Message {
+    /// The value of a header, empty if the header is absent. `name` is in lower case.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
+    /// The status code of a response.
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|word| word.parse().ok()).expect("a status")
+        self.start_line
+            .split(' ')
+            .nth(1)
+            .and_then(|code| code.parse().ok())
+            .expect("a status line with a status code")
     }
 }
 
-/// `None` when the other side has closed between two messages.
+/// Reads a message whose body is framed by `Content-Length`. `None` if the peer closed the connection before its
+/// first byte.
 pub fn read_message(stream: &TcpStream) -> io::Result<Option<Message>> {
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
@@ -48,13 +58,14 @@
         let Some((name, value)) = header.trim_end().split_once(':') else { break };
         headers.insert(name.to_ascii_lowercase(), value.trim().to_string());
     }
-    let length = headers.get("content-length").map_or(0, |length| length.parse().expect("a length"));
+    let length =
+        headers.get("content-length").map_or(0, |length| length.parse().expect("valid Content-Length"));
     let mut body = vec![0; length];
     reader.read_exact(&mut body)?;
-    Ok(Some(Message { line: line.trim_end().to_string(), headers, body }))
+    Ok(Some(Message { start_line: line.trim_end().to_string(), headers, body }))
 }
 
-/// The other side closes, in order or not, and sends nothing before that.
+/// Waits until the peer closes or resets the connection; panics if it sends a byte first.
 pub fn expect_close(mut stream: &TcpStream) {
     match stream.read(&mut [0]) {
         Ok(0) => {}
@@ -63,161 +74,176 @@
     }
 }
 
-/// A request that a scripted peer has read and not answered yet.
+/// A request that a [`ScriptedServer`] has read and not responded to yet.
 pub struct Exchange {
     pub request: Message,
     pub stream: TcpStream,
-    pub next: Sender<Exchange>,
+    /// Receives the next request of the same connection.
+    pub requests: Sender<Exchange>,
 }
 
 impl Exchange {
-    /// Answers and goes on reading from the connection.
-    pub fn answer(mut self, status: &str, headers: &str, body: &str) {
+    /// Sends a response and then reads the next request of the connection. Each line of `headers` ends with CRLF.
+    pub fn respond(mut self, status: &str, headers: &str, body: &str) {
         let length = body.len();
-        let answer = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
-        self.stream.write_all(answer.as_bytes()).expect("the answer goes out");
-        read_on(self.stream, self.next);
+        let response = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
+        self.stream.write_all(response.as_bytes()).expect("write the response");
+        spawn_request_reader(self.stream, self.requests);
     }
-    pub fn ok(self, body: &str) {
-        self.answer("200 OK", "", body);
+    pub fn respond_ok(self, body: &str) {
+        self.respond("200 OK", "", body);
     }
-    /// Writes this and closes.
-    pub fn break_off(mut self, bytes: &str) {
-        self.stream.write_all(bytes.as_bytes()).expect("the bytes go out");
-        self.stream.shutdown(Shutdown::Both).expect("the connection closes");
+    /// Writes raw bytes and closes the connection.
+    pub fn send_and_close(mut self, bytes: &str) {
+        self.stream.write_all(bytes.as_bytes()).expect("write to the socket");
+        self.stream.shutdown(Shutdown::Both).expect("shut down the connection");
     }
-    /// Waits until the other side has closed.
     pub fn wait_for_close(&mut self) {
         expect_close(&self.stream);
     }
 }
 
-pub fn read_on(stream: TcpStream, next: Sender<Exchange>) {
+/// Reads one request on a thread of its own and passes it on; a connection that is closed or broken is dropped.
+pub fn spawn_request_reader(stream: TcpStream, requests: Sender<Exchange>) {
     thread::spawn(move || {
         if let Ok(Some(request)) = read_message(&stream) {
-            // A test that has ended listens no more.
-            let _ = next.send(Exchange { request, stream, next: next.clone() });
+            // Fails only once the test has ended and dropped the receiver.
+            let _ = requests.send(Exchange { request, stream, requests: requests.clone() });
         }
     });
 }
 
-/// A peer that the test answers for: a backend, or discovery.
-pub struct Peer {
+/// A backend or a discovery agent whose responses the test writes.
+pub struct ScriptedServer {
     pub address: SocketAddr,
     pub exchanges: Receiver<Exchange>,
 }
 
-impl Peer {
-    pub fn start() -> Peer {
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
-        let address = listener.local_addr().expect("an address");
+impl ScriptedServer {
+    pub fn start() -> ScriptedServer {
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("bind a free port");
+        let address = listener.local_addr().expect("local address");
         let (sender, exchanges) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-                read_on(stream, sender.clone());
+                stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
+                spawn_request_reader(stream, sender.clone());
             }
         });
-        Peer { address, exchanges }
+        ScriptedServer { address, exchanges }
     }
-    pub fn next(&self) -> Exchange {
-        self.exchanges.recv_timeout(PATIENCE).expect("a request comes")
+    /// The next request on any connection.
+    pub fn next_request(&self) -> Exchange {
+        self.exchanges.recv_timeout(TEST_TIMEOUT).expect("receive a request")
     }
 }
 
-/// Discovery that tells the list it was given, and changes when the test says so.
-pub struct Discovery {
+/// A discovery agent that serves a fixed list, and the changes that the test pushes.
+pub struct DiscoveryServer {
     pub address: SocketAddr,
-    pub changes: Sender<Value>,
+    /// Updates to send as the responses to watch requests.
+    pub updates: Sender<Value>,
+    /// One entry for each watch request received.
     pub watches: Receiver<()>,
 }
 
-impl Discovery {
-    pub fn start(list: Value) -> Discovery {
-        let peer = Peer::start();
-        let address = peer.address;
-        let (changes, told) = channel::<Value>();
-        let (watching, watches) = channel();
+impl DiscoveryServer {
+    pub fn start(list: Value) -> DiscoveryServer {
+        let server = ScriptedServer::start();
+        let address = server.address;
+        let (updates, pending_updates) = channel::<Value>();
+        let (watch_received, watches) = channel();
         thread::spawn(move || {
-            let mut newest = list["rev"].clone();
-            while let Ok(call) = peer.exchanges.recv() {
-                if !call.request.line.contains("after=") {
-                    call.ok(&list.to_string());
+            let mut revision = list["rev"].clone();
+            while let Ok(exchange) = server.exchanges.recv() {
+                if !exchange.request.start_line.contains("after=") {
+                    exchange.respond_ok(&list.to_string());
                     continue;
                 }
-                let _ = watching.send(());
-                match told.recv_timeout(Duration::from_millis(500)) {
-                    Ok(change) => {
-                        newest = change["rev"].clone();
-                        call.ok(&change.to_string());
+                let _ = watch_received.send(());
+                match pending_updates.recv_timeout(Duration::from_millis(500)) {
+                    Ok(update) => {
+                        revision = update["rev"].clone();
+                        exchange.respond_ok(&update.to_string());
                     }
-                    Err(_) => call.ok(&json!({"rev": newest, "all": false, "targets": []}).to_string()),
+                    Err(_) => exchange
+                        .respond_ok(&json!({"rev": revision, "all": false, "targets": []}).to_string()),
                 }
             }
         });
-        Discovery { address, changes, watches }
+        DiscoveryServer { address, updates, watches }
     }
-    /// Tells a change, and waits for the watch that follows: the front door has taken the change in by then.
-    pub fn tell(&self, targets: Value) {
+    /// Sends an update and waits for the watch request that follows it, by which time the gateway has applied the
+    /// update.
+    pub fn push_update(&self, targets: Value) {
         self.wait_for_watch();
-        self.changes.send(json!({"rev": 2, "all": false, "targets": targets})).expect("discovery runs");
+        self.updates
+            .send(json!({"rev": 2, "all": false, "targets": targets}))
+            .expect("discovery server thread has ended");
         self.wait_for_watch();
         self.wait_for_watch();
     }
     pub fn wait_for_watch(&self) {
-        self.watches.recv_timeout(PATIENCE).expect("a watch comes");
+        self.watches.recv_timeout(TEST_TIMEOUT).expect("the gateway must send a watch request");
     }
 }
 
+/// One backend in the JSON format of the discovery agent.
 pub fn target(uid: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": address.to_string(), "az": "a", "model": "m", "pod_group": 0,
            "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-pub fn list(targets: &[Value]) -> Value {
+/// A complete list of backends, at revision 1, in the JSON format of the discovery agent.
+pub fn target_list(targets: &[Value]) -> Value {
     json!({"rev": 1, "all": true, "targets": targets})
 }
 
-/// A backend to which connections come up only once `open` is called: its backlog is full.
-pub struct Stuck {
+/// A backend whose accept queue is full, so that the gateway's connection stays in the SYN_SENT state until
+/// [`BlockedBackend::accept_and_read_to_end`].
+pub struct BlockedBackend {
     pub listener: TcpListener,
     pub address: SocketAddr,
-    pub _filling: TcpStream,
+    /// The connection that fills the accept queue.
+    pub _queued: TcpStream,
 }
 
-impl Stuck {
-    pub fn start() -> Stuck {
-        let socket =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-        socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).expect("a port");
-        socket.listen(0).expect("it listens");
+impl BlockedBackend {
+    pub fn start() -> BlockedBackend {
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+            .expect("create a socket");
+        socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).expect("bind a free port");
+        socket.listen(0).expect("listen");
         let listener = TcpListener::from(socket);
-        let address = listener.local_addr().expect("an address");
-        let filling = TcpStream::connect(address).expect("the backlog holds one");
-        Stuck { listener, address, _filling: filling }
+        let address = listener.local_addr().expect("local address");
+        let queued = TcpStream::connect(address).expect("connect to fill the backlog");
+        BlockedBackend { listener, address, _queued: queued }
     }
-    /// Waits until a connection is on its way that does not come up.
-    pub fn wait_for_connect(&self) {
-        let until = Instant::now() + PATIENCE;
-        let (a, port) = (u32::from_le_bytes([127, 0, 0, 1]), self.address.port());
-        let wanted = format!("{a:08X}:{port:04X} 02");
-        while !std::fs::read_to_string("/proc/net/tcp").expect("the system's sockets").contains(&wanted) {
-            assert!(Instant::now() < until, "no connection is attempted");
+    /// Waits until a connection to this backend is in the SYN_SENT state (02 in `/proc/net/tcp`).
+    pub fn wait_for_connect_attempt(&self) {
+        let until = Instant::now() + TEST_TIMEOUT;
+        let (ip, port) = (u32::from_le_bytes([127, 0, 0, 1]), self.address.port());
+        let remote_and_state = format!("{ip:08X}:{port:04X} 02");
+        while !std::fs::read_to_string("/proc/net/tcp")
+            .expect("read /proc/net/tcp")
+            .contains(&remote_and_state)
+        {
+            assert!(Instant::now() < until, "the gateway does not try to connect");
             thread::sleep(Duration::from_millis(5));
         }
     }
-    /// Lets the connection come up, and returns all that was written to it until it closed.
-    pub fn open(self) -> Vec<u8> {
-        let _filling = self.listener.accept().expect("the one that filled the backlog");
-        let (mut stream, _) = self.listener.accept().expect("the front door's");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    /// Lets the gateway's connection be established, and returns the bytes it receives until the gateway closes it.
+    pub fn accept_and_read_to_end(self) -> Vec<u8> {
+        let _queued = self.listener.accept().expect("accept the connection that filled the backlog");
+        let (mut stream, _) = self.listener.accept().expect("accept the gateway's connection");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
         let mut bytes = Vec::new();
-        stream.read_to_end(&mut bytes).expect("the front door closes the connection");
+        stream.read_to_end(&mut bytes).expect("read until the gateway closes the connection");
         bytes
     }
 }
 
-/// The configuration of a front door of its own, at a port of its own.
+/// A gateway's configuration with a reserved listening port. `known` is the list of backends to start with.
 pub fn config(discovery: SocketAddr, known: Value) -> Value {
     let class = |name, semantics| {
         json!({"name": name, "semantics": semantics, "group": "all", "dedupWindow": 5000.0, "worth": 1.0,
@@ -243,50 +269,51 @@
     })
 }
 
-/// The program. It is killed when the test ends.
-pub struct Front {
+/// A running `brassport` process, killed when dropped.
+pub struct Gateway {
     pub child: Child,
+    /// The address at which it accepts clients.
     pub address: SocketAddr,
-    /// The file of its configuration.
-    pub file: PathBuf,
+    pub config_path: PathBuf,
 }
 
-impl Front {
-    /// Starts the program and waits until it listens.
-    pub fn start(config: &Value) -> Front {
-        Front::start_with(config, Stdio::inherit())
+impl Gateway {
+    /// Starts the program and waits until it accepts connections and, if it has an admin listener, reports ready.
+    pub fn start(config: &Value) -> Gateway {
+        Gateway::start_with_stderr(config, Stdio::inherit())
     }
-    pub fn start_with(config: &Value, errors: Stdio) -> Front {
-        let address = config["listen"].as_str().expect("an address").parse().expect("an address");
-        let file = write_config(config);
-        let child = spawn(&file, config, errors);
-        let until = Instant::now() + PATIENCE;
+    pub fn start_with_stderr(config: &Value, stderr: Stdio) -> Gateway {
+        let address =
+            config["listen"].as_str().expect("valid socket address").parse().expect("valid socket address");
+        let config_path = write_config(config);
+        let child = spawn(&config_path, config, stderr);
+        let until = Instant::now() + TEST_TIMEOUT;
         while TcpStream::connect(address).is_err() {
-            assert!(Instant::now() < until, "the front door does not listen");
+            assert!(Instant::now() < until, "the gateway does not accept connections");
             thread::sleep(Duration::from_millis(5));
         }
         if let Some(admin) = config["admin_addr"].as_str() {
-            wait_for_ready(admin.parse().expect("an address"));
+            wait_for_ready(admin.parse().expect("valid socket address"));
         }
-        Front { child, address, file }
+        Gateway { child, address, config_path }
     }
-    /// One in front of these backends, known to it from its start, with discovery dead.
-    pub fn before(backends: &[SocketAddr]) -> Front {
+    /// Starts a gateway whose configuration lists these backends and whose discovery agent refuses connections.
+    pub fn with_backends(backends: &[SocketAddr]) -> Gateway {
         let targets: Vec<Value> = backends
             .iter()
             .enumerate()
-            .map(|(n, at)| target(&format!("s-0000000{n}"), *at, "ready"))
+            .map(|(n, address)| target(&format!("s-0000000{n}"), *address, "ready"))
             .collect();
-        Front::start(&config(reserve(), list(&targets)))
+        Gateway::start(&config(reserve(), target_list(&targets)))
     }
     pub fn client(&self) -> Client {
-        let stream = TcpStream::connect(self.address).expect("the front door accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        let stream = TcpStream::connect(self.address).expect("connect to the gateway");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
         Client { stream }
     }
-    /// Replaces the file under the running program, and signals that.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, text: &str) {
-        std::fs::write(&self.file, text).expect("the file is replaced");
+        std::fs::write(&self.config_path, text).expect("write the configuration file");
         self.signal("-HUP");
     }
     pub fn terminate(&self) {
@@ -294,104 +321,106 @@
     }
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").arg(name).arg(self.child.id().to_string()).status();
-        assert!(status.expect("kill runs").success());
+        assert!(status.expect("run kill").success());
     }
 }
 
-impl Drop for Front {
+impl Drop for Gateway {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// A call to the operators' listener, as they make it; its status and its text.
-pub fn operate(at: SocketAddr, method: &str, path: &str) -> (u16, String) {
-    let mut stream = TcpStream::connect(at).expect("the operators' listener accepts");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    write!(stream, "{method} {path} HTTP/1.1\r\nHost: door\r\n\r\n").expect("the call goes out");
-    let answer = read_message(&stream).expect("an answer").expect("the connection stays until then");
+/// Sends a request to the admin listener and returns the status code and the body.
+pub fn admin_request(admin: SocketAddr, method: &str, path: &str) -> (u16, String) {
+    let mut stream = TcpStream::connect(admin).expect("connect to the admin listener");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set the read timeout");
+    write!(stream, "{method} {path} HTTP/1.1\r\nHost: door\r\n\r\n").expect("write the admin request");
+    let response =
+        read_message(&stream).expect("read the response").expect("connection closed before the response");
     expect_close(&stream);
-    (answer.status(), String::from_utf8(answer.body).expect("text"))
+    (response.status(), String::from_utf8(response.body).expect("valid UTF-8"))
 }
 
-/// Waits until the process whose operators' listener this is serves.
+/// Waits until the process with this admin listener reports that it is ready.
 pub fn wait_for_ready(admin: SocketAddr) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
-        if TcpStream::connect(admin).is_ok() && operate(admin, "GET", "/-/ready").0 == 200 {
+        if TcpStream::connect(admin).is_ok() && admin_request(admin, "GET", "/-/ready").0 == 200 {
             return;
         }
-        assert!(Instant::now() < until, "it does not get ready");
+        assert!(Instant::now() < until, "the gateway does not become ready");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A configuration with an operators' listener, at a port that nobody else is given.
-pub fn with_operators(mut config: Value) -> (Value, SocketAddr) {
+/// Adds an admin listener with a reserved port to a configuration.
+pub fn with_admin_listener(mut config: Value) -> (Value, SocketAddr) {
     let admin = reserve();
     config["admin_addr"] = json!(admin.to_string());
     (config, admin)
 }
 
-/// One of the figures.
-pub fn figure(at: SocketAddr, name: &str) -> u64 {
-    let (status, text) = operate(at, "GET", "/-/metrics");
+/// The current value of a metric.
+pub fn metric(admin: SocketAddr, name: &str) -> u64 {
+    let (status, text) = admin_request(admin, "GET", "/-/metrics");
     assert_eq!(status, 200, "{text}");
     let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix('='));
-    line.unwrap_or_else(|| panic!("no {name} in\n{text}")).parse().expect("a number")
+    line.unwrap_or_else(|| panic!("no metric {name} in\n{text}")).parse().expect("valid number")
 }
 
-/// Waits until a figure has this value: counts may be half a second old.
-pub fn wait_for_figure(at: SocketAddr, name: &str, value: u64) {
-    let until = Instant::now() + PATIENCE;
+/// Waits until a metric has this value: the exported counts may lag by half a second.
+pub fn wait_for_metric(admin: SocketAddr, name: &str, value: u64) {
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
-        let now = figure(at, name);
-        if now == value {
+        let current = metric(admin, name);
+        if current == value {
             return;
         }
-        assert!(Instant::now() < until, "{name} stays at {now}, not {value}");
+        assert!(Instant::now() < until, "{name} stays at {current}, expected {value}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Writes a configuration to a file of its own.
+/// Writes a configuration to a new file.
 pub fn write_config(config: &Value) -> PathBuf {
     static COUNT: AtomicU8 = AtomicU8::new(0);
     let name = format!("config-{}-{}.json", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, config.to_string()).expect("the configuration is written");
+    std::fs::write(&path, config.to_string()).expect("write the configuration file");
     path
 }
 
-pub fn spawn(file: &Path, config: &Value, errors: Stdio) -> Child {
-    command(file, config).stderr(errors).spawn().expect("the program starts")
+pub fn spawn(config_path: &Path, config: &Value, stderr: Stdio) -> Child {
+    command(config_path, config).stderr(stderr).spawn().expect("start brassport")
 }
 
-/// The program as the platform starts it, with a folder of its own for temporary files.
-pub fn command(file: &Path, config: &Value) -> Command {
+/// The command that starts `brassport` as the platform does: settings by environment variables, and a `TMPDIR` of its
+/// own.
+pub fn command(config_path: &Path, config: &Value) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_brassport"));
     command
-        .env("BALANCER_CONFIG", file)
-        .env("BALANCER_LISTEN", config["listen"].as_str().expect("an address"))
-        .env("BALANCER_DISCOVERY", config["discovery"].as_str().expect("an address"))
-        .env("TMPDIR", temporary(file));
+        .env("BALANCER_CONFIG", config_path)
+        .env("BALANCER_LISTEN", config["listen"].as_str().expect("valid socket address"))
+        .env("BALANCER_DISCOVERY", config["discovery"].as_str().expect("valid socket address"))
+        .env("TMPDIR", temporary_dir(config_path));
     command
 }
 
-/// The folder for temporary files of whoever has this configuration.
-pub fn temporary(file: &Path) -> PathBuf {
-    let folder = file.with_extension("tmp");
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
+/// The `TMPDIR` of all processes started with this configuration file; created if it does not exist.
+pub fn temporary_dir(config_path: &Path) -> PathBuf {
+    let dir = config_path.with_extension("tmp");
+    std::fs::create_dir_all(&dir).expect("create the temporary directory");
+    dir
 }
 
 pub struct Client {
     pub stream: TcpStream,
 }
 
-/// The headers of a usual request, under an id of its own.
-pub fn headers() -> String {
+/// The headers that every valid request has, with a new request ID.
+pub fn request_headers() -> String {
     static COUNT: AtomicU32 = AtomicU32::new(1);
     let id = COUNT.fetch_add(1, Ordering::Relaxed);
     format!(
@@ -400,20 +429,23 @@
     )
 }
 
-pub fn id_of(request: &str) -> &str {
-    let (_, rest) = request.split_once("X-Request-Id: ").expect("an id");
-    rest.split_once("\r\n").expect("its end").0
+/// The `X-Request-Id` of a request's text.
+pub fn request_id(request: &str) -> &str {
+    let (_, rest) = request.split_once("X-Request-Id: ").expect("X-Request-Id header");
+    rest.split_once("\r\n").expect("end of the header line").0
 }
 
-pub fn get(path: &str) -> String {
-    let headers = headers();
+/// A valid GET request of the class `preview-fetch`; `path` follows the class in the URL.
+pub fn get_request(path: &str) -> String {
+    let headers = request_headers();
     format!(
         "GET /preview-fetch{path} HTTP/1.1\r\n{headers}X-Class: preview-fetch\r\nX-Deadline: 4000m\r\n\r\n"
     )
 }
 
-pub fn post(body: &str) -> String {
-    let (length, headers) = (body.len(), headers());
+/// A valid POST request of the class `job-submit`, which must not run twice.
+pub fn post_request(body: &str) -> String {
+    let (length, headers) = (body.len(), request_headers());
     format!(
         "POST /job-submit HTTP/1.1\r\n{headers}X-Class: job-submit\r\nX-Deadline: 4000m\r\n\
          Content-Length: {length}\r\n\r\n{body}"
@@ -422,26 +454,26 @@
 
 impl Client {
     pub fn send(&mut self, request: &str) -> &mut Client {
-        self.stream.write_all(request.as_bytes()).expect("the request goes out");
+        self.stream.write_all(request.as_bytes()).expect("write the request");
         self
     }
     pub fn expect_close(&mut self) {
         expect_close(&self.stream);
     }
-    pub fn read(&mut self) -> Message {
-        read_message(&self.stream).expect("an answer comes").expect("the connection stays until then")
+    pub fn read_response(&mut self) -> Message {
+        read_message(&self.stream).expect("read the response").expect("connection closed before the response")
     }
 }
 
-/// The next request that reaches one of the two, and which of them.
-pub fn next_of(peers: &[Peer; 2]) -> (Exchange, usize) {
-    let until = Instant::now() + PATIENCE;
+/// The next request that reaches either of two servers, and the index of that server.
+pub fn next_request_of(servers: &[ScriptedServer; 2]) -> (Exchange, usize) {
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
-        for (n, peer) in peers.iter().enumerate() {
-            if let Ok(exchange) = peer.exchanges.recv_timeout(Duration::from_millis(2)) {
+        for (n, server) in servers.iter().enumerate() {
+            if let Ok(exchange) = server.exchanges.recv_timeout(Duration::from_millis(2)) {
                 return (exchange, n);
             }
         }
-        assert!(Instant::now() < until, "no request comes");
+        assert!(Instant::now() < until, "no request reaches either server");
     }
 }
--- a/crates/brassport/tests/golden.rs
+++ b/crates/brassport/tests/golden.rs
@@ -34,7 +34,7 @@
 use tokio::net::UnixStream;
 use tokio::task::LocalSet;
 
-use common::{reserve, target, temporary, with_operators, Front};
+use common::{reserve, target, temporary_dir, with_admin_listener, Gateway};
 
 const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
 
@@ -50,7 +50,7 @@
 }
 
 fn write_json(value: &impl serde::Serialize) -> String {
-    serde_json::to_string(value).expect("JSON")
+    serde_json::to_string(value).expect("valid JSON")
 }
 
 // Upgrades.
@@ -139,10 +139,10 @@
     for name in ["s-0", "s-1", "s-2", "s-3"] {
         offer.bans.hear(name);
     }
-    offer.bans.disable("s-0", Some(5.5)).expect("known");
-    offer.bans.disable("s-1", None).expect("known");
-    offer.bans.disable("s-2", Some(6.0)).expect("known");
-    offer.bans.enable("s-2", 100.25).expect("known");
+    offer.bans.disable("s-0", Some(5.5)).expect("the backend is known");
+    offer.bans.disable("s-1", None).expect("the backend is known");
+    offer.bans.disable("s-2", Some(6.0)).expect("the backend is known");
+    offer.bans.enable("s-2", 100.25).expect("the backend is known");
     offer
 }
 
@@ -185,7 +185,7 @@
     let fixture = GOLDEN.same_text("handover-messages.txt", &lines(&cases));
     for (name, message) in messages() {
         let text = case(&fixture, &name);
-        let read: Message = serde_json::from_str(text).expect("sound");
+        let read: Message = serde_json::from_str(text).expect("decode the fixture");
         assert_eq!(read, message, "{name}");
         assert_eq!(write_json(&read), text, "{name}");
     }
@@ -203,7 +203,7 @@
         ),
     );
     for entry in entries() {
-        let listed: Listed = serde_json::from_str(case(&fixture, &entry.id)).expect("sound");
+        let listed: Listed = serde_json::from_str(case(&fixture, &entry.id)).expect("decode the fixture");
         assert_eq!(Entry::from(listed), Entry { note: String::new(), ..entry });
     }
 }
@@ -216,21 +216,21 @@
     offer.bans.hear("n2");
     offer.bans.hear("n1");
     note("two heard", &offer);
-    offer.bans.disable("n1", Some(5.5)).expect("known");
+    offer.bans.disable("n1", Some(5.5)).expect("the backend is known");
     note("one out", &offer);
-    offer.bans.disable("n2", None).expect("known");
+    offer.bans.disable("n2", None).expect("the backend is known");
     note("both out", &offer);
-    offer.bans.enable("n1", 100.0).expect("known");
+    offer.bans.enable("n1", 100.0).expect("the backend is known");
     note("one back", &offer);
-    offer.bans.enable("n2", 200.0).expect("known");
+    offer.bans.enable("n2", 200.0).expect("the backend is known");
     note("both back", &offer);
     let fixture = GOLDEN.same_text("bans.txt", &lines(&cases));
     for (name, text) in &cases {
         let mut offer = empty_offer();
-        offer.bans = serde_json::from_str(case(&fixture, name)).expect("sound");
+        offer.bans = serde_json::from_str(case(&fixture, name)).expect("decode the fixture");
         assert_eq!(write_json(&offer.bans), *text, "{name}");
     }
-    assert_eq!(offer.bans, serde_json::from_str(case(&fixture, "both back")).expect("sound"));
+    assert_eq!(offer.bans, serde_json::from_str(case(&fixture, "both back")).expect("decode the fixture"));
 }
 
 #[test]
@@ -241,34 +241,35 @@
     let mut other = settings();
     other.classes.truncate(2);
     other.plans.truncate(1);
-    let changed = first.changed(&fewer, &other).expect("few names");
+    let changed = first.changed(&fewer, &other).expect("names within the limit");
     let all = [("none", Terms::default()), ("first", first), ("changed", changed)];
     let cases = all.clone().map(|(name, terms)| (name.to_string(), write_json(&terms)));
     let fixture = GOLDEN.same_text("terms.txt", &lines(&cases));
     for (name, terms) in all {
-        let read: Terms = serde_json::from_str(case(&fixture, name)).expect("sound");
+        let read: Terms = serde_json::from_str(case(&fixture, name)).expect("decode the fixture");
         assert_eq!(read, terms, "{name}");
         assert_eq!(write_json(&read), case(&fixture, name), "{name}");
     }
 }
 
 fn on_one_thread<T>(work: impl std::future::Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build the runtime");
     LocalSet::new().block_on(&runtime, work)
 }
 
 /// One frame as it comes off the socket.
 async fn frame_from(stream: &mut UnixStream) -> Vec<u8> {
     let mut frame = vec![0; 5];
-    stream.read_exact(&mut frame).await.expect("a head");
+    stream.read_exact(&mut frame).await.expect("read the frame header");
     let length = u32::from_le_bytes([frame[0], frame[1], frame[2], frame[3]]) as usize;
     frame.resize(5 + length, 0);
-    stream.read_exact(&mut frame[5..]).await.expect("a message");
+    stream.read_exact(&mut frame[5..]).await.expect("read the frame body");
     frame
 }
 
 fn some_socket() -> OwnedFd {
-    TcpListener::bind("127.0.0.1:0").expect("a port").into()
+    TcpListener::bind("127.0.0.1:0").expect("bind a free port").into()
 }
 
 #[test]
@@ -278,7 +279,7 @@
         let mut written = Vec::new();
         for (name, message) in messages() {
             for with_socket in [false, true] {
-                let (one, mut other) = UnixStream::pair().expect("a pair");
+                let (one, mut other) = UnixStream::pair().expect("create a socket pair");
                 let link = Link::over(one);
                 link.sender().send(message.clone(), with_socket.then(some_socket));
                 let name = format!("{name}, socket {with_socket}");
@@ -288,14 +289,14 @@
         }
         let fixture = GOLDEN.same_text("handover-frames.hex", &lines(&cases));
         for (name, message, with_socket) in written {
-            let (mut one, other) = UnixStream::pair().expect("a pair");
+            let (mut one, other) = UnixStream::pair().expect("create a socket pair");
             let mut link = Link::over(other);
             let mut frame = unhex(case(&fixture, &name));
             assert_eq!(frame[4], u8::from(with_socket));
             // Plain bytes bring no socket.
             frame[4] = 0;
-            one.write_all(&frame).await.expect("written");
-            let (read, socket) = link.receive().await.expect("a message");
+            one.write_all(&frame).await.expect("write to the socket");
+            let (read, socket) = link.receive().await.expect("read a message");
             assert_eq!((read, socket.is_none()), (message, true), "{name}");
         }
     });
@@ -306,20 +307,20 @@
     on_one_thread(async {
         let path = std::env::temp_dir().join(format!("golden-handover-{}.sock", std::process::id()));
         let _ = std::fs::remove_file(&path);
-        let listener = tokio::net::UnixListener::bind(&path).expect("it listens");
+        let listener = tokio::net::UnixListener::bind(&path).expect("bind the handover socket");
         let old = async {
-            let (mut stream, _) = listener.accept().await.expect("a call");
+            let (mut stream, _) = listener.accept().await.expect("accept a connection");
             let asked = frame_from(&mut stream).await;
             let mut link = Link::over(stream);
             let offer = Offer { terms: Terms::new(names(), settings()), ..full_offer() };
             link.sender().send(Message::Offer(Box::new(offer)), Some(some_socket()));
-            let (took, _) = link.receive().await.expect("a word");
+            let (took, _) = link.receive().await.expect("read a message");
             link.sender().send(Message::Go, None);
             (hex(&asked), write_json(&took))
         };
         let ((asked, took), taken) = tokio::join!(old, take(&path, &SystemClock));
-        std::fs::remove_file(&path).expect("it was there");
-        assert_eq!(*taken.expect("the place").offer, full_offer());
+        std::fs::remove_file(&path).expect("remove the Unix socket");
+        assert_eq!(*taken.expect("take over from the old process").offer, full_offer());
         GOLDEN.same_text("handover-taker.txt", &lines(&[("asked".into(), asked), ("took".into(), took)]));
     });
 }
@@ -327,7 +328,7 @@
 #[test]
 fn where_a_process_listens_for_its_successor() {
     let at = |address: &str, folder: Option<&str>| {
-        let place = place(address.parse().expect("an address"), folder.map(PathBuf::from));
+        let place = place(address.parse().expect("valid socket address"), folder.map(PathBuf::from));
         (address.to_string(), place.map_or("nowhere".into(), |path| path.display().to_string()))
     };
     let cases = [
@@ -371,7 +372,7 @@
 
 #[test]
 fn how_each_status_counts() {
-    let ended = |status: u16| match Ended::from(StatusCode::from_u16(status).expect("a status")) {
+    let ended = |status: u16| match Ended::from(StatusCode::from_u16(status).expect("valid status code")) {
         Ended::Completed => "completed",
         Ended::Rejected => "rejected",
         Ended::Failed => "failed",
@@ -400,9 +401,9 @@
 }
 
 fn answered(at: SocketAddr, call: &[u8], ends: bool) -> String {
-    let mut stream = TcpStream::connect(at).expect("it listens");
-    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
-    stream.write_all(call).expect("written");
+    let mut stream = TcpStream::connect(at).expect("connect");
+    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("set the read timeout");
+    stream.write_all(call).expect("write to the socket");
     if ends {
         let _ = stream.shutdown(Shutdown::Write);
     }
@@ -412,7 +413,7 @@
     while let Ok(count @ 1..) = stream.read(&mut piece) {
         answer.extend_from_slice(&piece[..count]);
     }
-    without_date(&String::from_utf8(answer).expect("text")).escape_debug().to_string()
+    without_date(&String::from_utf8(answer).expect("valid UTF-8")).escape_debug().to_string()
 }
 
 /// Answers each call as its words ask for, and notes it.
@@ -440,7 +441,7 @@
 fn the_operators_answers() {
     let free = reserve();
     let out = Arc::new(AtomicBool::new(false));
-    let operators = admin::listen(free, out.clone()).expect("it listens");
+    let operators = admin::listen(free, out.clone()).expect("bind the admin listener");
     let ready = operators.ready.clone();
     let (heard, told) = std::sync::mpsc::channel();
     std::thread::spawn(move || data_path(operators, heard));
@@ -493,9 +494,9 @@
 
 #[test]
 fn operators_who_cannot_be_heard() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = taken.local_addr().expect("an address");
-    let error = admin::listen(at, Arc::default()).expect_err("it is taken");
+    let taken = TcpListener::bind("127.0.0.1:0").expect("bind a free port");
+    let at = taken.local_addr().expect("local address");
+    let error = admin::listen(at, Arc::default()).expect_err("the port must be in use");
     GOLDEN.same_text("admin-refused.txt", &(error.replace(&at.to_string(), "ADDRESS") + "\n"));
 }
 
@@ -617,7 +618,7 @@
     let text = text_of(&sample());
     let mut bare = sample();
     for name in ["listen", "admin_addr", "discovery"] {
-        bare.as_object_mut().expect("an object").remove(name);
+        bare.as_object_mut().expect("JSON object").remove(name);
     }
     let cases = [
         ("sample", parsed(&sample())),
@@ -638,7 +639,7 @@
     places(&sample(), "", &mut all);
     let mut cases = Vec::new();
     for place in &all {
-        let (above, name) = place.rsplit_once('/').expect("a pointer");
+        let (above, name) = place.rsplit_once('/').expect("JSON pointer");
         let mut config = sample();
         if let Some(map) = config.pointer_mut(above).and_then(Value::as_object_mut) {
             map.remove(name);
@@ -770,8 +771,10 @@
         texts.into_iter().map(|(name, text)| (name, format!("{text} -> {}", read(&text)))).collect();
     let fixture = GOLDEN.same_text("discovery-lists.txt", &lines(&cases));
     for line in fixture.lines() {
-        let (text, told) =
-            line.split_once(": ").and_then(|(_, rest)| rest.split_once(" -> ")).expect("a case");
+        let (text, told) = line
+            .split_once(": ")
+            .and_then(|(_, rest)| rest.split_once(" -> "))
+            .expect("a case of the fixture");
         assert_eq!(read(text), told);
     }
 }
@@ -789,8 +792,8 @@
 #[test]
 fn what_the_agent_is_asked() {
     on_one_thread(async {
-        let agent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = agent.local_addr().expect("an address");
+        let agent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("bind a free port");
+        let address = agent.local_addr().expect("local address");
         let notes = Notes::default();
         let watch = Watch {
             clock: SystemClock,
@@ -803,7 +806,7 @@
         };
         let (_moved, follows) = tokio::sync::watch::channel(address);
         tokio::task::spawn_local(watch.follow(follows));
-        let (mut stream, _) = agent.accept().await.expect("a call");
+        let (mut stream, _) = agent.accept().await.expect("accept a connection");
         let mut cases = Vec::new();
         for (number, list) in [
             r#"{"rev":7,"all":true,"targets":[]}"#,
@@ -815,12 +818,12 @@
         {
             let mut call = Vec::new();
             while !call.ends_with(b"\r\n\r\n") {
-                call.push(stream.read_u8().await.expect("more of the call"));
+                call.push(stream.read_u8().await.expect("read the request"));
             }
-            let call = String::from_utf8(call).expect("text").replace(&address.to_string(), "AGENT");
+            let call = String::from_utf8(call).expect("valid UTF-8").replace(&address.to_string(), "AGENT");
             cases.push((format!("call {number}"), call.escape_debug().to_string()));
             let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len());
-            stream.write_all(answer.as_bytes()).await.expect("written");
+            stream.write_all(answer.as_bytes()).await.expect("write to the socket");
         }
         let noted = notes.0.borrow().clone();
         cases.extend(noted.into_iter().enumerate().map(|(number, told)| (format!("report {number}"), told)));
@@ -832,17 +835,17 @@
 
 /// Takes one request after another, of any connection, answers each as the script says, and keeps its bytes.
 fn scripted(answers: &[&'static str]) -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a free port");
+    let address = listener.local_addr().expect("local address");
     let (heard, told) = std::sync::mpsc::channel();
     let answers = answers.to_vec();
     std::thread::spawn(move || {
         for answer in answers {
-            let (mut stream, _) = listener.accept().expect("a connection");
+            let (mut stream, _) = listener.accept().expect("accept a connection");
             let mut request = Vec::new();
             let mut byte = [0];
             loop {
-                stream.read_exact(&mut byte).expect("more of the request");
+                stream.read_exact(&mut byte).expect("read the request");
                 request.push(byte[0]);
                 let Some(end) = request.windows(4).position(|part| part == b"\r\n\r\n") else { continue };
                 // Bodies here end with a stop.
@@ -851,7 +854,7 @@
                 }
             }
             let _ = heard.send(request.escape_ascii().to_string());
-            stream.write_all(answer.as_bytes()).expect("written");
+            stream.write_all(answer.as_bytes()).expect("write to the socket");
         }
     });
     (address, told)
@@ -859,9 +862,8 @@
 
 /// Hides how long the client still waits, which is in microseconds.
 fn without_wait(request: &str) -> String {
-    let (before, rest) =
-        request.split_once("x-deadline: ").expect("an attempt says how long its client waits");
-    let (wait, behind) = rest.split_once("u\\r\\n").expect("microseconds");
+    let (before, rest) = request.split_once("x-deadline: ").expect("X-Deadline header of the attempt");
+    let (wait, behind) = rest.split_once("u\\r\\n").expect("deadline in microseconds");
     assert!(wait.bytes().all(|digit| digit.is_ascii_digit()), "{wait}");
     format!("{before}x-deadline: ...u\\r\\n{behind}")
 }
@@ -884,8 +886,8 @@
     const HEALTH: &[u8] = b"GET /healthz HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n";
     const FAULT: &str = "HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 5\r\n\r\nfault";
     let (node, heard) = scripted(&[DONE, DONE, ENDLESS, FAULT]);
-    let front = Front::before(&[node]);
-    let at = front.address;
+    let gateway = Gateway::with_backends(&[node]);
+    let at = gateway.address;
     let mut cases = Vec::new();
     let length = "Content-Length: 6\r\n";
     for (name, request) in [
@@ -895,7 +897,7 @@
         ("failed", call("POST /job-submit/8", length, "a job.")),
     ] {
         cases.push((name.to_string(), answered(at, request.as_bytes(), false)));
-        let request = heard.recv_timeout(Duration::from_secs(20)).expect("a request");
+        let request = heard.recv_timeout(Duration::from_secs(20)).expect("receive a request");
         cases.push((format!("{name}, to the node"), without_wait(&request)));
     }
     cases.push(("healthy".into(), answered(at, HEALTH, false)));
@@ -918,56 +920,58 @@
         let name = format!("{} for {}", wrong.escape_debug(), right);
         cases.push((name, answered(at, good.replace(right, wrong).as_bytes(), false)));
     }
-    drop(front);
+    drop(gateway);
     // No node takes anything.
-    let known = common::list(&[target("s-1", node, "draining")]);
-    let front = Front::start(&common::config(reserve(), known));
-    cases.push(("refused".into(), answered(front.address, good.as_bytes(), false)));
-    cases.push(("unhealthy".into(), answered(front.address, HEALTH, false)));
+    let known = common::target_list(&[target("s-1", node, "draining")]);
+    let gateway = Gateway::start(&common::config(reserve(), known));
+    cases.push(("refused".into(), answered(gateway.address, good.as_bytes(), false)));
+    cases.push(("unhealthy".into(), answered(gateway.address, HEALTH, false)));
     GOLDEN.same_text("front-door.txt", &lines(&cases));
 }
 
 /// Replaces what differs from run to run by nothing.
-fn settled(mut offer: Offer, front: &Front, file: &str) -> Offer {
+fn settled(mut offer: Offer, gateway: &Gateway, file: &str) -> Offer {
     assert!(offer.now_ms > 0.0 && offer.start_unix_ms > 1e12 && offer.descriptors > 0);
     assert_eq!(offer.file, file);
     (offer.now_ms, offer.start_unix_ms, offer.descriptors) = (0.0, 0.0, 0);
-    offer.file = format!("the file of {}", front.address.ip());
+    offer.file = format!("the file of {}", gateway.address.ip());
     // Its bytes are pinned where they are made; the names of nodes in it are made here.
-    let learned: Value = serde_json::from_str(&offer.learned).expect("JSON");
-    let nodes: BTreeSet<_> = learned["fleet"]["servers"].as_object().expect("nodes").keys().collect();
+    let learned: Value = serde_json::from_str(&offer.learned).expect("valid JSON");
+    let nodes: BTreeSet<_> =
+        learned["fleet"]["servers"].as_object().expect("JSON object of servers").keys().collect();
     offer.learned = format!("{nodes:?}");
     offer
 }
 
 #[test]
 fn what_the_program_offers_to_its_successor() {
-    let known = common::list(&[
+    let known = common::target_list(&[
         target("s-1", ([127, 0, 0, 1], 9).into(), "ready"),
         target("s-2", ([127, 0, 0, 1], 9).into(), "draining"),
     ]);
-    let (config, admin) = with_operators(common::config(reserve(), known));
-    let front = Front::start(&config);
-    assert_eq!(common::operate(admin, "PUT", "/-/backends/s-1/disable").0, 200);
-    let path = place(front.address, Some(temporary(&front.file))).expect("a place");
-    let file = std::fs::read_to_string(&front.file).expect("the file");
+    let (config, admin) = with_admin_listener(common::config(reserve(), known));
+    let gateway = Gateway::start(&config);
+    assert_eq!(common::admin_request(admin, "PUT", "/-/backends/s-1/disable").0, 200);
+    let path =
+        place(gateway.address, Some(temporary_dir(&gateway.config_path))).expect("handover socket path");
+    let file = std::fs::read_to_string(&gateway.config_path).expect("read the configuration file");
     on_one_thread(async {
-        let mut stream = UnixStream::connect(&path).await.expect("it listens");
+        let mut stream = UnixStream::connect(&path).await.expect("connect to the handover socket");
         let asked = br#"{"Ask":{"version":1}}"#;
         let mut frame = (asked.len() as u32).to_le_bytes().to_vec();
         frame.push(0);
         frame.extend_from_slice(asked);
-        stream.write_all(&frame).await.expect("written");
+        stream.write_all(&frame).await.expect("write to the socket");
         let offered = frame_from(&mut stream).await;
         assert_eq!(offered[4], 1, "it comes with a socket");
-        let offer = match serde_json::from_slice(&offered[5..]).expect("a message") {
+        let offer = match serde_json::from_slice(&offered[5..]).expect("decode the message") {
             Message::Offer(offer) => *offer,
             other => panic!("{other:?}"),
         };
         assert_eq!(write_json(&Message::Offer(Box::new(offer.clone()))).as_bytes(), &offered[5..]);
-        let offer = write_json(&settled(offer, &front, &file));
+        let offer = write_json(&settled(offer, &gateway, &file));
         let took = b"\x06\0\0\0\0\"Took\"";
-        stream.write_all(took).await.expect("written");
+        stream.write_all(took).await.expect("write to the socket");
         let go = hex(&frame_from(&mut stream).await);
         GOLDEN.same_text("handover-giver.txt", &lines(&[("offer".into(), offer), ("go".into(), go)]));
     });
--- a/crates/brassport/tests/hooks.rs
+++ b/crates/brassport/tests/hooks.rs
@@ -72,9 +72,9 @@
 
 #[tokio::test]
 async fn nothing_reaches_a_node_before_its_record_is_made() {
-    let node = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let node = TcpListener::bind("127.0.0.1:0").await.expect("bind a free port");
     let listen = reserve();
-    let config = config(listen, node.local_addr().expect("an address"));
+    let config = config(listen, node.local_addr().expect("local address"));
     let hooks = Rc::new(Holding::default());
     let held = hooks.clone();
     let test = async {
@@ -89,44 +89,44 @@
         tokio::task::yield_now().await;
         let head = "POST /job HTTP/1.1\r\nHost: d\r\nX-Request-Id: j\r\nCookie: client=0000000000000007\r\n\
                     Content-Length: 0\r\n\r\n";
-        let mut client = TcpStream::connect(listen).await.expect("the door is open");
-        client.write_all(head.as_bytes()).await.expect("sent");
+        let mut client = TcpStream::connect(listen).await.expect("connect to the gateway");
+        client.write_all(head.as_bytes()).await.expect("write to the socket");
         held.asked.notified().await;
         // A whole exchange with the door: time enough for an attempt that does not wait.
-        let mut other = TcpStream::connect(listen).await.expect("the door is open");
+        let mut other = TcpStream::connect(listen).await.expect("connect to the gateway");
         other
             .write_all(b"GET /healthz HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n")
             .await
-            .expect("sent");
-        other.read_to_end(&mut Vec::new()).await.expect("answered");
+            .expect("write to the socket");
+        other.read_to_end(&mut Vec::new()).await.expect("read the response");
         let early = tokio::time::timeout(Duration::from_millis(50), node.accept()).await;
         assert!(early.is_err(), "the node was asked before its record was made");
         held.go_on.notify_one();
-        let (mut stream, _) = node.accept().await.expect("now it is asked");
-        stream.read_exact(&mut [0; 4]).await.expect("the request comes");
+        let (mut stream, _) = node.accept().await.expect("accept the attempt's connection");
+        stream.read_exact(&mut [0; 4]).await.expect("read the request");
     };
     let bounded = LocalSet::new().run_until(tokio::time::timeout(Duration::from_secs(20), test)).await;
-    bounded.expect("it ends");
+    bounded.expect("the test must finish in time");
 }
 
 /// Sends a request and reads what comes until the door closes.
 async fn asked(listen: SocketAddr, name: &str) -> String {
-    let mut client = TcpStream::connect(listen).await.expect("the door is open");
+    let mut client = TcpStream::connect(listen).await.expect("connect to the gateway");
     let head = format!(
         "POST /job HTTP/1.1\r\nHost: d\r\nX-Request-Id: {name}\r\nCookie: client=0000000000000007\r\n\
          Connection: close\r\nContent-Length: 0\r\n\r\n"
     );
-    client.write_all(head.as_bytes()).await.expect("sent");
+    client.write_all(head.as_bytes()).await.expect("write to the socket");
     let mut answer = Vec::new();
-    client.read_to_end(&mut answer).await.expect("answered");
+    client.read_to_end(&mut answer).await.expect("read the response");
     String::from_utf8_lossy(&answer).into_owned()
 }
 
 #[tokio::test]
 async fn a_door_that_may_not_act_admits_nothing_and_writes_nothing_that_it_had_admitted() {
-    let node = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let node = TcpListener::bind("127.0.0.1:0").await.expect("bind a free port");
     let listen = reserve();
-    let config = config(listen, node.local_addr().expect("an address"));
+    let config = config(listen, node.local_addr().expect("local address"));
     let hooks = Rc::new(Holding::default());
     let host = hooks.clone();
     let test = async {
@@ -140,13 +140,13 @@
         host.is_out.set(true);
         host.go_on.notify_one();
         let wrote = async {
-            let (mut stream, _) = node.accept().await.expect("a connection may be made");
+            let (mut stream, _) = node.accept().await.expect("accept the attempt's connection");
             let mut bytes = Vec::new();
             let _ = stream.read_to_end(&mut bytes).await;
             bytes
         };
         let (answer, bytes) = tokio::join!(admitted, wrote);
-        let answer = answer.expect("it is answered");
+        let answer = answer.expect("client task panicked");
         assert!(answer.starts_with("HTTP/1.1 429") && answer.contains("retry-after"), "{answer}");
         assert_eq!(String::from_utf8_lossy(&bytes), "", "nothing was written");
         let answer = asked(listen, "after").await;
@@ -155,11 +155,11 @@
         let served = spawn_local(asked(listen, "again"));
         host.asked.notified().await;
         host.go_on.notify_one();
-        let (mut stream, _) = node.accept().await.expect("the node is asked");
-        stream.read_exact(&mut [0; 4]).await.expect("the request comes");
+        let (mut stream, _) = node.accept().await.expect("accept the attempt's connection");
+        stream.read_exact(&mut [0; 4]).await.expect("read the request");
         drop(stream);
-        assert!(served.await.expect("it is answered").starts_with("HTTP/1.1 504"), "it may have run");
+        assert!(served.await.expect("client task panicked").starts_with("HTTP/1.1 504"), "it may have run");
     };
     let bounded = LocalSet::new().run_until(tokio::time::timeout(Duration::from_secs(20), test)).await;
-    bounded.expect("it ends");
+    bounded.expect("the test must finish in time");
 }
--- a/crates/brassport/tests/settings.rs
+++ b/crates/brassport/tests/settings.rs
@@ -1,42 +1,44 @@
-//! What a file must hold for any of it to count.
+//! Validation of configuration files: a truncated or incomplete file, or one with an invalid value, is rejected as a
+//! whole.
 
 mod common;
 
 use brassport::config::{parse, First};
-use common::{config, list, reserve};
+use common::{config, reserve, target_list};
 use serde_json::{json, Value};
 
-fn is_taken(text: &str) -> bool {
+fn is_valid(text: &str) -> bool {
     parse(text, First::File, |_| None).is_ok()
 }
 
-fn usual() -> Value {
-    let mut config = config(reserve(), list(&[]));
+/// A valid configuration whose plan has a hard rate limit.
+fn valid_config() -> Value {
+    let mut config = config(reserve(), target_list(&[]));
     config["settings"]["plans"][0]["neverOverRate"] = json!(3.0);
     config
 }
 
 #[test]
-fn a_file_cut_off_anywhere_is_turned_down() {
-    let text = usual().to_string();
-    assert!(is_taken(&text));
+fn a_file_truncated_at_any_byte_is_rejected() {
+    let text = valid_config().to_string();
+    assert!(is_valid(&text));
     for end in 0..text.len() {
-        assert!(!is_taken(&text[..end]), "cut off at {end}: {}", &text[..end]);
+        assert!(!is_valid(&text[..end]), "truncated at {end}: {}", &text[..end]);
     }
 }
 
-/// All paths to keys below a value.
-fn paths(value: &Value, at: &str, all: &mut Vec<(String, String)>) {
+/// Collects all keys below a value, each with the JSON pointer of its object. `at` is the pointer of `value`.
+fn collect_keys(value: &Value, at: &str, all: &mut Vec<(String, String)>) {
     match value {
         Value::Object(fields) => {
             for (key, below) in fields {
                 all.push((at.to_string(), key.clone()));
-                paths(below, &format!("{at}/{key}"), all);
+                collect_keys(below, &format!("{at}/{key}"), all);
             }
         }
         Value::Array(values) => {
             for (n, below) in values.iter().enumerate() {
-                paths(below, &format!("{at}/{n}"), all);
+                collect_keys(below, &format!("{at}/{n}"), all);
             }
         }
         _ => {}
@@ -44,23 +46,23 @@
 }
 
 #[test]
-fn a_file_short_of_any_key_that_is_needed_is_turned_down() {
-    // Told to others, or by the environment too.
-    let unneeded = ["name", "counter", "cores", "stream"];
+fn a_file_without_any_of_the_required_keys_is_rejected() {
+    // Keys that other programs read, or that an environment variable may provide.
+    let optional = ["name", "counter", "cores", "stream"];
     let mut all = Vec::new();
-    paths(&usual(), "", &mut all);
+    collect_keys(&valid_config(), "", &mut all);
     assert!(all.len() > 50, "{all:?}");
     for (at, key) in all {
-        let mut config = usual();
-        config.pointer_mut(&at).and_then(Value::as_object_mut).expect("an object").remove(&key);
+        let mut config = valid_config();
+        config.pointer_mut(&at).and_then(Value::as_object_mut).expect("JSON object").remove(&key);
         let is_name = key == "name" && at.starts_with("/settings");
-        let is_needed = is_name || !unneeded.contains(&key.as_str());
-        assert_eq!(is_taken(&config.to_string()), !is_needed, "without {at}/{key}");
+        let is_required = is_name || !optional.contains(&key.as_str());
+        assert_eq!(is_valid(&config.to_string()), !is_required, "without {at}/{key}");
     }
 }
 
 #[test]
-fn figures_that_make_no_sense_are_turned_down() {
+fn values_out_of_range_or_of_the_wrong_type_are_rejected() {
     for at in [
         "classes/0/deadline",
         "classes/1/slo",
@@ -69,18 +71,19 @@
         "bounds/connectTimeout",
     ] {
         for (value, why) in [
-            ("0", "nought"),
+            ("0", "zero"),
             ("-1.5", "negative"),
-            ("NaN", "no number"),
+            ("NaN", "not a number"),
             ("1e400", "infinite"),
             ("1e300", "huge"),
-            ("\"5\"", "text"),
-            ("null", "nothing"),
+            ("\"5\"", "a string"),
+            ("null", "null"),
         ] {
-            let mut config = usual();
-            *config.pointer_mut(&format!("/settings/{at}")).expect("it is there") = json!("HERE");
-            let text = config.to_string().replace("\"HERE\"", value);
-            assert!(!is_taken(&text), "{at} {why}");
+            let mut config = valid_config();
+            *config.pointer_mut(&format!("/settings/{at}")).expect("path exists in the configuration") =
+                json!("PLACEHOLDER");
+            let text = config.to_string().replace("\"PLACEHOLDER\"", value);
+            assert!(!is_valid(&text), "{at} {why}");
         }
     }
     for (at, value) in [
@@ -90,8 +93,8 @@
         ("classes/0/semantics", json!("twice")),
         ("plans/0/name", json!("")),
     ] {
-        let mut config = usual();
-        *config.pointer_mut(&format!("/settings/{at}")).expect("it is there") = value;
-        assert!(!is_taken(&config.to_string()), "{at}");
+        let mut config = valid_config();
+        *config.pointer_mut(&format!("/settings/{at}")).expect("path exists in the configuration") = value;
+        assert!(!is_valid(&config.to_string()), "{at}");
     }
 }
