--- a/crates/brassport/tests/hooks.rs
+++ b/crates/brassport/tests/hooks.rs
@@ -1,4 +1,5 @@
-//! What a host that looks on may hold back.
+//! The request hooks of an embedding program: they can delay an attempt until its record is written, and stop the
+//! gateway from serving.
 
 use brassport::clock::SystemClock;
 use brassport::config::{Assumed, Config, Names, Origin};
@@ -17,16 +18,20 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::task::{spawn_local, LocalSet};
 
+/// Holds every attempt until the test lets it go, and denies serving when the test says so.
 #[derive(Default)]
-struct Holding {
-    asked: Notify,
-    go_on: Rc<Notify>,
-    is_out: Cell<bool>,
+struct TestHooks {
+    /// Notified when an attempt is about to be sent.
+    attempt_held: Notify,
+    /// Lets the held attempt go.
+    resume: Rc<Notify>,
+    /// Whether `may_serve` denies serving, with a retry after 1 s.
+    is_denied: Cell<bool>,
 }
 
-impl RequestHooks for Holding {
+impl RequestHooks for TestHooks {
     fn may_serve(&self) -> Result<(), f64> {
-        if self.is_out.get() {
+        if self.is_denied.get() {
             Err(1000.0)
         } else {
             Ok(())
@@ -34,29 +39,29 @@
     }
 
     fn before_attempt(&self, _: RequestId, _: &str) -> Option<AttemptDelay> {
-        self.asked.notify_one();
-        let go_on = self.go_on.clone();
-        Some(Box::pin(async move { go_on.notified().await }))
+        self.attempt_held.notify_one();
+        let resume = self.resume.clone();
+        Some(Box::pin(async move { resume.notified().await }))
     }
 }
 
-fn config(listen: SocketAddr, node: SocketAddr) -> Config {
-    let effect = RetrySafety::NonIdempotent;
+/// A configuration with one backend and one class, whose requests must not run twice.
+fn config(listen: SocketAddr, backend: SocketAddr) -> Config {
     let class = Class {
         value: 1.0,
         latency_target: 5000.0,
         deadline: 10_000.0,
         late_value_fraction: 0.5,
-        retry_safety: effect,
+        retry_safety: RetrySafety::NonIdempotent,
     };
-    let node = Report::whole(vec![Entry::ready("a", node)]);
+    let report = Report::whole(vec![Entry::ready("a", backend)]);
     let (classes, plans) = (vec![class], vec![Plan::default()]);
     Config {
         listen,
         admin: None,
         text: String::new(),
         discovery: None,
-        sources: vec![Origin { source: Source::authority("list"), begin: Some(node), feed: None }],
+        sources: vec![Origin { source: Source::authority("list"), begin: Some(report), feed: None }],
         seed: 1,
         sockets: 128,
         memory: 1 << 24,
@@ -71,12 +76,12 @@
 }
 
 #[tokio::test]
-async fn nothing_reaches_a_node_before_its_record_is_made() {
-    let node = TcpListener::bind("127.0.0.1:0").await.expect("bind a free port");
+async fn an_attempt_is_not_sent_before_the_hook_releases_it() {
+    let backend = TcpListener::bind("127.0.0.1:0").await.expect("bind a free port");
     let listen = reserve();
-    let config = config(listen, node.local_addr().expect("local address"));
-    let hooks = Rc::new(Holding::default());
-    let held = hooks.clone();
+    let config = config(listen, backend.local_addr().expect("local address"));
+    let hooks = Rc::new(TestHooks::default());
+    let control_hooks = hooks.clone();
     let test = async {
         let (_controls, control) = mpsc::unbounded_channel();
         spawn_local(front_door_with(
@@ -91,74 +96,77 @@
                     Content-Length: 0\r\n\r\n";
         let mut client = TcpStream::connect(listen).await.expect("connect to the gateway");
         client.write_all(head.as_bytes()).await.expect("write to the socket");
-        held.asked.notified().await;
-        // A whole exchange with the door: time enough for an attempt that does not wait.
+        control_hooks.attempt_held.notified().await;
+        // A complete exchange with the gateway gives an attempt that is not held the time to be sent.
         let mut other = TcpStream::connect(listen).await.expect("connect to the gateway");
         other
             .write_all(b"GET /healthz HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n")
             .await
             .expect("write to the socket");
         other.read_to_end(&mut Vec::new()).await.expect("read the response");
-        let early = tokio::time::timeout(Duration::from_millis(50), node.accept()).await;
-        assert!(early.is_err(), "the node was asked before its record was made");
-        held.go_on.notify_one();
-        let (mut stream, _) = node.accept().await.expect("accept the attempt's connection");
+        let early = tokio::time::timeout(Duration::from_millis(50), backend.accept()).await;
+        assert!(early.is_err(), "the attempt reached the backend before the hook released it");
+        control_hooks.resume.notify_one();
+        let (mut stream, _) = backend.accept().await.expect("accept the attempt's connection");
         stream.read_exact(&mut [0; 4]).await.expect("read the request");
     };
     let bounded = LocalSet::new().run_until(tokio::time::timeout(Duration::from_secs(20), test)).await;
     bounded.expect("the test must finish in time");
 }
 
-/// Sends a request and reads what comes until the door closes.
-async fn asked(listen: SocketAddr, name: &str) -> String {
+/// Sends a request with this ID and reads until the gateway closes the connection.
+async fn response_to(listen: SocketAddr, id: &str) -> String {
     let mut client = TcpStream::connect(listen).await.expect("connect to the gateway");
     let head = format!(
-        "POST /job HTTP/1.1\r\nHost: d\r\nX-Request-Id: {name}\r\nCookie: client=0000000000000007\r\n\
+        "POST /job HTTP/1.1\r\nHost: d\r\nX-Request-Id: {id}\r\nCookie: client=0000000000000007\r\n\
          Connection: close\r\nContent-Length: 0\r\n\r\n"
     );
     client.write_all(head.as_bytes()).await.expect("write to the socket");
-    let mut answer = Vec::new();
-    client.read_to_end(&mut answer).await.expect("read the response");
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    client.read_to_end(&mut response).await.expect("read the response");
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 #[tokio::test]
-async fn a_door_that_may_not_act_admits_nothing_and_writes_nothing_that_it_had_admitted() {
-    let node = TcpListener::bind("127.0.0.1:0").await.expect("bind a free port");
+async fn a_gateway_denied_serving_admits_no_request_and_sends_no_admitted_one() {
+    let backend = TcpListener::bind("127.0.0.1:0").await.expect("bind a free port");
     let listen = reserve();
-    let config = config(listen, node.local_addr().expect("local address"));
-    let hooks = Rc::new(Holding::default());
-    let host = hooks.clone();
+    let config = config(listen, backend.local_addr().expect("local address"));
+    let hooks = Rc::new(TestHooks::default());
+    let control_hooks = hooks.clone();
     let test = async {
         let (_controls, control) = mpsc::unbounded_channel();
         let surroundings = Surroundings { hooks: Some(hooks), ..Surroundings::default() };
         spawn_local(front_door_with(config, SystemClock, Tcp, control, surroundings));
         tokio::task::yield_now().await;
-        let admitted = spawn_local(asked(listen, "before"));
-        host.asked.notified().await;
-        // Admitted and given a node; its right to act ends before the first byte.
-        host.is_out.set(true);
-        host.go_on.notify_one();
-        let wrote = async {
-            let (mut stream, _) = node.accept().await.expect("accept the attempt's connection");
+        let admitted = spawn_local(response_to(listen, "before"));
+        control_hooks.attempt_held.notified().await;
+        // The request is admitted and assigned to the backend; serving is denied before its first byte is sent.
+        control_hooks.is_denied.set(true);
+        control_hooks.resume.notify_one();
+        let received = async {
+            let (mut stream, _) = backend.accept().await.expect("accept the attempt's connection");
             let mut bytes = Vec::new();
             let _ = stream.read_to_end(&mut bytes).await;
             bytes
         };
-        let (answer, bytes) = tokio::join!(admitted, wrote);
-        let answer = answer.expect("client task panicked");
-        assert!(answer.starts_with("HTTP/1.1 429") && answer.contains("retry-after"), "{answer}");
-        assert_eq!(String::from_utf8_lossy(&bytes), "", "nothing was written");
-        let answer = asked(listen, "after").await;
-        assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("retry-after"), "{answer}");
-        host.is_out.set(false);
-        let served = spawn_local(asked(listen, "again"));
-        host.asked.notified().await;
-        host.go_on.notify_one();
-        let (mut stream, _) = node.accept().await.expect("accept the attempt's connection");
+        let (response, bytes) = tokio::join!(admitted, received);
+        let response = response.expect("client task panicked");
+        assert!(response.starts_with("HTTP/1.1 429") && response.contains("retry-after"), "{response}");
+        assert_eq!(String::from_utf8_lossy(&bytes), "", "nothing must be sent to the backend");
+        let response = response_to(listen, "after").await;
+        assert!(response.starts_with("HTTP/1.1 503") && response.contains("retry-after"), "{response}");
+        control_hooks.is_denied.set(false);
+        let served = spawn_local(response_to(listen, "again"));
+        control_hooks.attempt_held.notified().await;
+        control_hooks.resume.notify_one();
+        let (mut stream, _) = backend.accept().await.expect("accept the attempt's connection");
         stream.read_exact(&mut [0; 4]).await.expect("read the request");
         drop(stream);
-        assert!(served.await.expect("client task panicked").starts_with("HTTP/1.1 504"), "it may have run");
+        assert!(
+            served.await.expect("client task panicked").starts_with("HTTP/1.1 504"),
+            "the request may have run"
+        );
     };
     let bounded = LocalSet::new().run_until(tokio::time::timeout(Duration::from_secs(20), test)).await;
     bounded.expect("the test must finish in time");
