--- a/crates/brassport/tests/golden.rs
+++ b/crates/brassport/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Golden bytes: what this crate writes and reads must not change by a byte. Each case is built in code, encoded and
-//! compared with a fixture in `tests/golden`; what can be decoded is decoded from the fixture and encoded again.
-//! `GOLDEN_WRITE=1` writes the fixtures anew, and fails.
+//! Golden tests: the formats that this crate writes and reads must not change by a byte. Each case is built in code,
+//! encoded and compared with a fixture in `tests/golden`; formats that can be decoded are decoded from the fixture and
+//! encoded again. With `GOLDEN_WRITE=1` the tests rewrite the fixtures, and fail.
 
 mod common;
 
@@ -38,12 +38,12 @@
 
 const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
 
-/// One line for each case.
+/// The text of a fixture with one line, `name: value`, for each case.
 fn lines(cases: &[(String, String)]) -> String {
     cases.iter().map(|(name, value)| format!("{name}: {value}\n")).collect()
 }
 
-/// What stands in a fixture behind the name.
+/// The value of the case `name` in a fixture.
 fn case<'a>(fixture: &'a str, name: &str) -> &'a str {
     let line = fixture.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
     line.unwrap_or_else(|| panic!("no case {name}"))
@@ -53,7 +53,7 @@
     serde_json::to_string(value).expect("valid JSON")
 }
 
-// Upgrades.
+// The handover protocol between the processes of an upgrade.
 
 const STATES: [State; 3] = [State::Ready, State::Draining, State::Gone];
 
@@ -102,7 +102,7 @@
         size: 1.25 * number as f64,
         boot_ms: 1_700_000_000_000.5,
         revision: 7,
-        note: "it is not told".into(),
+        note: "not handed over".into(),
         ..Entry { state, ..Entry::ready(&format!("s-{number}"), ([127, 0, 0, 1], 1).into()) }
     };
     STATES.into_iter().enumerate().map(entry).collect()
@@ -146,7 +146,8 @@
     offer
 }
 
-/// Each message; whoever adds one is made to add it here.
+/// Cases of every variant of [`Message`]. A new variant does not compile until it is numbered here, and the test then
+/// fails until it has a case.
 fn messages() -> Vec<(String, Message)> {
     let all = [
         ("ask", Message::Ask { version: VERSION }),
@@ -162,7 +163,7 @@
         ("ban of one not listed", Message::Ban { node: "s-1".into(), boot_ms: None }),
         ("call back", Message::CallBack { node: "s-1".into(), at_ms: 1_700_000_000_000.25 }),
     ];
-    let place = |message: &Message| match message {
+    let variant = |message: &Message| match message {
         Message::Ask { .. } => 0,
         Message::Offer(_) => 1,
         Message::Took => 2,
@@ -173,13 +174,13 @@
         Message::Ban { .. } => 7,
         Message::CallBack { .. } => 8,
     };
-    let places: BTreeSet<_> = all.iter().map(|(_, message)| place(message)).collect();
-    assert_eq!(places.len(), 9);
+    let variants: BTreeSet<_> = all.iter().map(|(_, message)| variant(message)).collect();
+    assert_eq!(variants.len(), 9);
     all.map(|(name, message)| (name.to_string(), message)).into()
 }
 
 #[test]
-fn messages_of_an_upgrade() {
+fn handover_messages() {
     let cases: Vec<_> =
         messages().iter().map(|(name, message)| (name.clone(), write_json(message))).collect();
     let fixture = GOLDEN.same_text("handover-messages.txt", &lines(&cases));
@@ -192,7 +193,7 @@
 }
 
 #[test]
-fn nodes_of_an_upgrade_are_read_as_they_were_told() {
+fn handover_of_listed_backends_preserves_all_fields_but_the_note() {
     let fixture = GOLDEN.same_text(
         "handover-listed.txt",
         &lines(
@@ -209,21 +210,21 @@
 }
 
 #[test]
-fn bans_as_an_upgrade_hands_them_over() {
+fn handover_of_bans() {
     let mut offer = empty_offer();
     let mut cases = vec![("none".to_string(), write_json(&offer.bans))];
-    let mut note = |name: &str, offer: &Offer| cases.push((name.to_string(), write_json(&offer.bans)));
+    let mut add_case = |name: &str, offer: &Offer| cases.push((name.to_string(), write_json(&offer.bans)));
     offer.bans.hear("n2");
     offer.bans.hear("n1");
-    note("two heard", &offer);
+    add_case("two heard", &offer);
     offer.bans.disable("n1", Some(5.5)).expect("the backend is known");
-    note("one out", &offer);
+    add_case("one out", &offer);
     offer.bans.disable("n2", None).expect("the backend is known");
-    note("both out", &offer);
+    add_case("both out", &offer);
     offer.bans.enable("n1", 100.0).expect("the backend is known");
-    note("one back", &offer);
+    add_case("one back", &offer);
     offer.bans.enable("n2", 200.0).expect("the backend is known");
-    note("both back", &offer);
+    add_case("both back", &offer);
     let fixture = GOLDEN.same_text("bans.txt", &lines(&cases));
     for (name, text) in &cases {
         let mut offer = empty_offer();
@@ -234,14 +235,14 @@
 }
 
 #[test]
-fn terms_as_an_upgrade_hands_them_over() {
+fn handover_of_names_and_settings() {
     let first = Terms::new(names(), settings());
-    let fewer =
+    let new_names =
         Names { classes: vec!["store".into(), "new".into()], plans: vec!["new".into()], zones: Vec::new() };
-    let mut other = settings();
-    other.classes.truncate(2);
-    other.plans.truncate(1);
-    let changed = first.changed(&fewer, &other).expect("names within the limit");
+    let mut new_settings = settings();
+    new_settings.classes.truncate(2);
+    new_settings.plans.truncate(1);
+    let changed = first.changed(&new_names, &new_settings).expect("names within the limit");
     let all = [("none", Terms::default()), ("first", first), ("changed", changed)];
     let cases = all.clone().map(|(name, terms)| (name.to_string(), write_json(&terms)));
     let fixture = GOLDEN.same_text("terms.txt", &lines(&cases));
@@ -252,14 +253,16 @@
     }
 }
 
-fn on_one_thread<T>(work: impl std::future::Future<Output = T>) -> T {
+/// Runs a future to completion on a current-thread runtime with a `LocalSet`.
+fn block_on_local<T>(future: impl std::future::Future<Output = T>) -> T {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build the runtime");
-    LocalSet::new().block_on(&runtime, work)
+    LocalSet::new().block_on(&runtime, future)
 }
 
-/// One frame as it comes off the socket.
-async fn frame_from(stream: &mut UnixStream) -> Vec<u8> {
+/// Reads one frame: the length of the body in 4 bytes, little-endian; a byte that is 1 if a socket is attached; the
+/// body.
+async fn read_frame(stream: &mut UnixStream) -> Vec<u8> {
     let mut frame = vec![0; 5];
     stream.read_exact(&mut frame).await.expect("read the frame header");
     let length = u32::from_le_bytes([frame[0], frame[1], frame[2], frame[3]]) as usize;
@@ -268,34 +271,34 @@
     frame
 }
 
-fn some_socket() -> OwnedFd {
+fn listening_socket() -> OwnedFd {
     TcpListener::bind("127.0.0.1:0").expect("bind a free port").into()
 }
 
 #[test]
-fn frames_of_an_upgrade_with_a_socket_and_without() {
-    on_one_thread(async {
+fn handover_frames_with_and_without_a_socket() {
+    block_on_local(async {
         let mut cases = Vec::new();
-        let mut written = Vec::new();
+        let mut sent = Vec::new();
         for (name, message) in messages() {
             for with_socket in [false, true] {
-                let (one, mut other) = UnixStream::pair().expect("create a socket pair");
-                let link = Link::over(one);
-                link.sender().send(message.clone(), with_socket.then(some_socket));
+                let (local, mut remote) = UnixStream::pair().expect("create a socket pair");
+                let link = Link::over(local);
+                link.sender().send(message.clone(), with_socket.then(listening_socket));
                 let name = format!("{name}, socket {with_socket}");
-                cases.push((name.clone(), hex(&frame_from(&mut other).await)));
-                written.push((name, message.clone(), with_socket));
+                cases.push((name.clone(), hex(&read_frame(&mut remote).await)));
+                sent.push((name, message.clone(), with_socket));
             }
         }
         let fixture = GOLDEN.same_text("handover-frames.hex", &lines(&cases));
-        for (name, message, with_socket) in written {
-            let (mut one, other) = UnixStream::pair().expect("create a socket pair");
-            let mut link = Link::over(other);
+        for (name, message, with_socket) in sent {
+            let (mut remote, local) = UnixStream::pair().expect("create a socket pair");
+            let mut link = Link::over(local);
             let mut frame = unhex(case(&fixture, &name));
             assert_eq!(frame[4], u8::from(with_socket));
-            // Plain bytes bring no socket.
+            // The fixture holds bytes alone: no socket is attached to this write.
             frame[4] = 0;
-            one.write_all(&frame).await.expect("write to the socket");
+            remote.write_all(&frame).await.expect("write to the socket");
             let (read, socket) = link.receive().await.expect("read a message");
             assert_eq!((read, socket.is_none()), (message, true), "{name}");
         }
@@ -303,33 +306,33 @@
 }
 
 #[test]
-fn what_a_new_process_says_to_the_old_one() {
-    on_one_thread(async {
+fn handover_frames_sent_by_the_new_process() {
+    block_on_local(async {
         let path = std::env::temp_dir().join(format!("golden-handover-{}.sock", std::process::id()));
         let _ = std::fs::remove_file(&path);
         let listener = tokio::net::UnixListener::bind(&path).expect("bind the handover socket");
-        let old = async {
+        let old_process = async {
             let (mut stream, _) = listener.accept().await.expect("accept a connection");
-            let asked = frame_from(&mut stream).await;
+            let ask = read_frame(&mut stream).await;
             let mut link = Link::over(stream);
             let offer = Offer { terms: Terms::new(names(), settings()), ..full_offer() };
-            link.sender().send(Message::Offer(Box::new(offer)), Some(some_socket()));
+            link.sender().send(Message::Offer(Box::new(offer)), Some(listening_socket()));
             let (took, _) = link.receive().await.expect("read a message");
             link.sender().send(Message::Go, None);
-            (hex(&asked), write_json(&took))
+            (hex(&ask), write_json(&took))
         };
-        let ((asked, took), taken) = tokio::join!(old, take(&path, &SystemClock));
+        let ((ask, took), taken) = tokio::join!(old_process, take(&path, &SystemClock));
         std::fs::remove_file(&path).expect("remove the Unix socket");
         assert_eq!(*taken.expect("take over from the old process").offer, full_offer());
-        GOLDEN.same_text("handover-taker.txt", &lines(&[("asked".into(), asked), ("took".into(), took)]));
+        GOLDEN.same_text("handover-taker.txt", &lines(&[("asked".into(), ask), ("took".into(), took)]));
     });
 }
 
 #[test]
-fn where_a_process_listens_for_its_successor() {
-    let at = |address: &str, folder: Option<&str>| {
-        let place = place(address.parse().expect("valid socket address"), folder.map(PathBuf::from));
-        (address.to_string(), place.map_or("nowhere".into(), |path| path.display().to_string()))
+fn path_of_the_handover_socket() {
+    let at = |address: &str, dir: Option<&str>| {
+        let path = place(address.parse().expect("valid socket address"), dir.map(PathBuf::from));
+        (address.to_string(), path.map_or("nowhere".into(), |path| path.display().to_string()))
     };
     let cases = [
         at("127.0.0.1:8080", Some("/run/door")),
@@ -340,10 +343,10 @@
     GOLDEN.same_text("handover-place.txt", &lines(&cases));
 }
 
-// The figures.
+// Metrics.
 
 #[test]
-fn the_page_of_figures() {
+fn text_of_the_metrics_page() {
     let figures = Figures::default();
     let mut page = format!("# nothing yet\n{}", figures.text(ListFigures::default()));
     figures.name_class("preview");
@@ -371,7 +374,7 @@
 }
 
 #[test]
-fn how_each_status_counts() {
+fn outcome_counted_for_each_status_code() {
     let ended = |status: u16| match Ended::from(StatusCode::from_u16(status).expect("valid status code")) {
         Ended::Completed => "completed",
         Ended::Rejected => "rejected",
@@ -384,42 +387,44 @@
     );
 }
 
-// The operators' listener.
+// The admin listener.
 
-/// Hides the moment of an answer.
-fn without_date(answer: &str) -> String {
-    let hidden = |line: &str| match line.strip_prefix("date: ") {
+/// Replaces the value of the `Date` header by `...`.
+fn without_date(response: &str) -> String {
+    let redacted = |line: &str| match line.strip_prefix("date: ") {
         Some(date) if date.len() == 31 && date.ends_with(" GMT\r\n") => "date: ...\r\n".to_string(),
         _ => line.to_string(),
     };
-    answer.split_inclusive('\n').map(hidden).collect()
+    response.split_inclusive('\n').map(redacted).collect()
 }
 
-/// The whole answer to some bytes of one who then says no more, in one line.
-fn asked(at: SocketAddr, call: &[u8]) -> String {
-    answered(at, call, true)
+/// Sends bytes, shuts down writing and returns the whole response, escaped to one line.
+fn response_after_shutdown(at: SocketAddr, request: &[u8]) -> String {
+    response_line(at, request, true)
 }
 
-fn answered(at: SocketAddr, call: &[u8], ends: bool) -> String {
+/// Sends bytes and returns the whole response, escaped to one line. `shut_down` tells whether to shut down writing.
+fn response_line(at: SocketAddr, request: &[u8], shut_down: bool) -> String {
     let mut stream = TcpStream::connect(at).expect("connect");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("set the read timeout");
-    stream.write_all(call).expect("write to the socket");
-    if ends {
+    stream.write_all(request).expect("write to the socket");
+    if shut_down {
         let _ = stream.shutdown(Shutdown::Write);
     }
-    let mut answer = Vec::new();
-    // One that turns a call away before it has come may end by a reset.
-    let mut piece = [0; 4096];
-    while let Ok(count @ 1..) = stream.read(&mut piece) {
-        answer.extend_from_slice(&piece[..count]);
+    let mut response = Vec::new();
+    // A server that rejects a request before reading all of it may reset the connection.
+    let mut buffer = [0; 4096];
+    while let Ok(count @ 1..) = stream.read(&mut buffer) {
+        response.extend_from_slice(&buffer[..count]);
     }
-    without_date(&String::from_utf8(answer).expect("valid UTF-8")).escape_debug().to_string()
+    without_date(&String::from_utf8(response).expect("valid UTF-8")).escape_debug().to_string()
 }
 
-/// Answers each call as its words ask for, and notes it.
-fn data_path(mut operators: Operators, heard: std::sync::mpsc::Sender<String>) {
+/// Replies to admin commands in the place of the data path, and records them. The backend `gone` is unknown; commands
+/// for the backend `silent` get no reply.
+fn data_path(mut operators: Operators, received: std::sync::mpsc::Sender<String>) {
     while let Some(command) = operators.commands.blocking_recv() {
-        let (noted, reply) = match command.call {
+        let (record, reply) = match command.call {
             Call::Metrics => ("figures".to_string(), Some(Reply::Figures("a=1\nb=2\n".into()))),
             Call::Disable(name) if name == "gone" => (format!("disable {name}"), Some(Reply::UnknownNode)),
             Call::Disable(name) if name == "silent" => (format!("disable {name}"), None),
@@ -430,7 +435,7 @@
         match reply {
             None | Some(Reply::Figures(_) | Reply::Done | Reply::UnknownNode) => {}
         }
-        let _ = heard.send(noted);
+        let _ = received.send(record);
         if let Some(reply) = reply {
             let _ = command.reply.send(reply);
         }
@@ -438,26 +443,26 @@
 }
 
 #[test]
-fn the_operators_answers() {
-    let free = reserve();
-    let out = Arc::new(AtomicBool::new(false));
-    let operators = admin::listen(free, out.clone()).expect("bind the admin listener");
+fn responses_of_the_admin_listener() {
+    let address = reserve();
+    let is_denied = Arc::new(AtomicBool::new(false));
+    let operators = admin::listen(address, is_denied.clone()).expect("bind the admin listener");
     let ready = operators.ready.clone();
-    let (heard, told) = std::sync::mpsc::channel();
-    std::thread::spawn(move || data_path(operators, heard));
+    let (received, commands) = std::sync::mpsc::channel();
+    std::thread::spawn(move || data_path(operators, received));
     let mut cases = Vec::new();
-    let mut ask = |name: &str, call: &[u8]| {
-        cases.push((name.to_string(), asked(free, call)));
-        told.try_iter().for_each(|call| cases.push((format!("{name}, heard"), call)));
+    let mut add_case = |name: &str, request: &[u8]| {
+        cases.push((name.to_string(), response_after_shutdown(address, request)));
+        commands.try_iter().for_each(|command| cases.push((format!("{name}, heard"), command)));
     };
     let head = |line: &str| format!("{line} HTTP/1.1\r\nHost: admin\r\n\r\n").into_bytes();
-    ask("not ready", &head("GET /-/ready"));
+    add_case("not ready", &head("GET /-/ready"));
     ready.store(true, Ordering::Relaxed);
-    ask("ready", &head("GET /-/ready"));
-    ask("ready by HTTP/1.0", b"GET /-/ready HTTP/1.0\r\n\r\n");
-    out.store(true, Ordering::Relaxed);
-    ask("kept from acting", &head("GET /-/ready"));
-    out.store(false, Ordering::Relaxed);
+    add_case("ready", &head("GET /-/ready"));
+    add_case("ready by HTTP/1.0", b"GET /-/ready HTTP/1.0\r\n\r\n");
+    is_denied.store(true, Ordering::Relaxed);
+    add_case("kept from acting", &head("GET /-/ready"));
+    is_denied.store(false, Ordering::Relaxed);
     for line in [
         "HEAD /-/ready",
         "POST /-/ready",
@@ -478,30 +483,34 @@
         "GET /",
         "OPTIONS *",
     ] {
-        ask(line, &head(line));
+        add_case(line, &head(line));
     }
-    ask("a short body", b"PUT /-/backends/s-1/disable HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhello");
-    ask(
+    add_case(
+        "a short body",
+        b"PUT /-/backends/s-1/disable HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhello",
+    );
+    add_case(
         "a broken body",
         b"PUT /-/backends/s-1/disable HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhello",
     );
     let long = "PUT /-/backends/s-1/disable HTTP/1.1\r\nHost: a\r\nContent-Length: 20000\r\n\r\n";
-    ask("a long body", format!("{long}{}", "x".repeat(20_000)).as_bytes());
-    ask("no HTTP", b"hello\r\n\r\n");
-    ask("another version", b"GET /-/ready HTTP/3.7\r\n\r\n");
+    add_case("a long body", format!("{long}{}", "x".repeat(20_000)).as_bytes());
+    add_case("no HTTP", b"hello\r\n\r\n");
+    add_case("another version", b"GET /-/ready HTTP/3.7\r\n\r\n");
     GOLDEN.same_text("admin.txt", &lines(&cases));
 }
 
 #[test]
-fn operators_who_cannot_be_heard() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("bind a free port");
-    let at = taken.local_addr().expect("local address");
+fn admin_address_in_use() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a free port");
+    let at = listener.local_addr().expect("local address");
     let error = admin::listen(at, Arc::default()).expect_err("the port must be in use");
     GOLDEN.same_text("admin-refused.txt", &(error.replace(&at.to_string(), "ADDRESS") + "\n"));
 }
 
-// Configurations.
+// Configuration.
 
+/// A valid configuration with every key and one class of each kind.
 fn sample() -> Value {
     let class = |name: &str, semantics: &str, group: &str| {
         json!({"name": name, "semantics": semantics, "group": group, "dedupWindow": 5000.0, "worth": 1.5,
@@ -531,43 +540,46 @@
     })
 }
 
-/// The same text whatever order maps have in this build.
+/// The JSON text with sorted keys: the order of `serde_json`'s maps depends on its features in this build.
 fn text_of(value: &Value) -> String {
     match value {
         Value::Object(map) => {
-            let mut all: Vec<_> = map.iter().collect();
-            all.sort_by_key(|(name, _)| *name);
-            let all: Vec<_> =
-                all.iter().map(|(name, value)| format!("{}:{}", write_json(name), text_of(value))).collect();
-            format!("{{{}}}", all.join(","))
+            let mut fields: Vec<_> = map.iter().collect();
+            fields.sort_by_key(|(name, _)| *name);
+            let fields: Vec<_> = fields
+                .iter()
+                .map(|(name, value)| format!("{}:{}", write_json(name), text_of(value)))
+                .collect();
+            format!("{{{}}}", fields.join(","))
         }
-        Value::Array(all) => format!("[{}]", all.iter().map(text_of).collect::<Vec<_>>().join(",")),
+        Value::Array(items) => format!("[{}]", items.iter().map(text_of).collect::<Vec<_>>().join(",")),
         other => other.to_string(),
     }
 }
 
-/// Every place in a configuration below its top, as a JSON pointer.
-fn places(value: &Value, at: &str, all: &mut Vec<String>) {
-    let mut below = |name: String, value: &Value| {
+/// Collects the JSON pointers of everything below `value`, whose own pointer is `at`.
+fn collect_pointers(value: &Value, at: &str, all: &mut Vec<String>) {
+    let mut visit = |name: String, value: &Value| {
         let at = format!("{at}/{name}");
         all.push(at.clone());
-        places(value, &at, all);
+        collect_pointers(value, &at, all);
     };
     match value {
         Value::Object(map) => {
             let mut map: Vec<_> = map.iter().collect();
             map.sort_by_key(|(name, _)| *name);
-            map.into_iter().for_each(|(name, value)| below(name.clone(), value));
+            map.into_iter().for_each(|(name, value)| visit(name.clone(), value));
         }
         Value::Array(list) => {
-            // The first of a list stands for all of it.
-            list.iter().take(1).for_each(|value| below("0".into(), value));
+            // The first element represents all elements of the array.
+            list.iter().take(1).for_each(|value| visit("0".into(), value));
         }
         _ => {}
     }
 }
 
-fn told(config: &Config) -> String {
+/// One line with everything in a parsed configuration.
+fn config_line(config: &Config) -> String {
     let known = config.known.is_some();
     format!(
         "listen {}, admin {:?}, discovery {:?}, {} sources, seed {:x}, sockets {}, memory {}, known {known}, names {}, \
@@ -589,66 +601,75 @@
     )
 }
 
+/// The result of parsing a configuration: an error message, or `taken: ` and the configuration.
 fn parsed_with(text: &str, first: First, environment: &[(&str, &str)]) -> String {
     let variable = |name: &str| {
         let found = environment.iter().find(|(other, _)| *other == name);
         found.map(|(_, value)| value.to_string())
     };
     config::parse(text, first, variable)
-        .map_or_else(|error| error, |config| format!("taken: {}", told(&config)))
+        .map_or_else(|error| error, |config| format!("taken: {}", config_line(&config)))
 }
 
 fn parsed(value: &Value) -> String {
     parsed_with(&text_of(value), First::Environment, &[])
 }
 
-fn with(place: &str, value: Value) -> Value {
+/// The sample configuration with another value at a JSON pointer.
+fn sample_with(pointer: &str, value: Value) -> Value {
     let mut config = sample();
-    *config.pointer_mut(place).unwrap_or_else(|| panic!("{place}")) = value;
+    *config.pointer_mut(pointer).unwrap_or_else(|| panic!("no {pointer} in the sample configuration")) =
+        value;
     config
 }
 
 #[test]
-fn configurations_that_are_taken() {
-    let both = [
+fn valid_configurations() {
+    let environment = [
         ("BALANCER_LISTEN", "10.0.0.1:1"),
         ("BALANCER_DISCOVERY", "10.0.0.1:2"),
         ("BALANCER_ADMIN_ADDR", "10.0.0.1:3"),
     ];
     let text = text_of(&sample());
-    let mut bare = sample();
+    let mut without_addresses = sample();
     for name in ["listen", "admin_addr", "discovery"] {
-        bare.as_object_mut().expect("JSON object").remove(name);
+        without_addresses.as_object_mut().expect("JSON object").remove(name);
     }
     let cases = [
         ("sample", parsed(&sample())),
-        ("environment first", parsed_with(&text, First::Environment, &both)),
-        ("file first", parsed_with(&text, First::File, &both)),
-        ("addresses by the environment", parsed_with(&text_of(&bare), First::File, &both)),
-        ("lists on request", parsed(&with("/settings/registryMode", json!("on_request")))),
-        ("no advice", parsed(&with("/settings/bounds/retryAfter", json!(false)))),
-        ("unknown fields", parsed(&with("/limits", json!({"memory_mb": 1, "sockets": 2, "cores": 3})))),
+        ("environment first", parsed_with(&text, First::Environment, &environment)),
+        ("file first", parsed_with(&text, First::File, &environment)),
+        (
+            "addresses by the environment",
+            parsed_with(&text_of(&without_addresses), First::File, &environment),
+        ),
+        ("lists on request", parsed(&sample_with("/settings/registryMode", json!("on_request")))),
+        ("no advice", parsed(&sample_with("/settings/bounds/retryAfter", json!(false)))),
+        (
+            "unknown fields",
+            parsed(&sample_with("/limits", json!({"memory_mb": 1, "sockets": 2, "cores": 3}))),
+        ),
     ];
-    assert!(cases.iter().all(|(_, told)| told.starts_with("taken: ")), "{cases:?}");
-    GOLDEN.same_text("config.txt", &lines(&cases.map(|(name, told)| (name.to_string(), told))));
+    assert!(cases.iter().all(|(_, result)| result.starts_with("taken: ")), "{cases:?}");
+    GOLDEN.same_text("config.txt", &lines(&cases.map(|(name, result)| (name.to_string(), result))));
 }
 
-/// What is said of a configuration in which one thing is missing, null or of another kind.
-fn misshapen() -> Vec<(String, String)> {
-    let mut all = Vec::new();
-    places(&sample(), "", &mut all);
+/// The results of parsing the sample configuration with one key missing, null or of another type.
+fn wrong_types() -> Vec<(String, String)> {
+    let mut pointers = Vec::new();
+    collect_pointers(&sample(), "", &mut pointers);
     let mut cases = Vec::new();
-    for place in &all {
-        let (above, name) = place.rsplit_once('/').expect("JSON pointer");
+    for pointer in &pointers {
+        let (parent, name) = pointer.rsplit_once('/').expect("JSON pointer");
         let mut config = sample();
-        if let Some(map) = config.pointer_mut(above).and_then(Value::as_object_mut) {
+        if let Some(map) = config.pointer_mut(parent).and_then(Value::as_object_mut) {
             map.remove(name);
-            cases.push((format!("without {place}"), parsed(&config)));
+            cases.push((format!("without {pointer}"), parsed(&config)));
         }
-        cases.push((format!("null {place}"), parsed(&with(place, Value::Null))));
-        cases.push((format!("a word {place}"), parsed(&with(place, json!("?")))));
-        cases.push((format!("a negative {place}"), parsed(&with(place, json!(-1)))));
-        cases.push((format!("a list {place}"), parsed(&with(place, json!([])))));
+        cases.push((format!("null {pointer}"), parsed(&sample_with(pointer, Value::Null))));
+        cases.push((format!("a word {pointer}"), parsed(&sample_with(pointer, json!("?")))));
+        cases.push((format!("a negative {pointer}"), parsed(&sample_with(pointer, json!(-1)))));
+        cases.push((format!("a list {pointer}"), parsed(&sample_with(pointer, json!([])))));
     }
     for (name, text) in [("nothing", ""), ("a list", "[]"), ("no JSON", "{"), ("null", "null")] {
         cases.push((name.to_string(), parsed_with(text, First::Environment, &[])));
@@ -656,35 +677,36 @@
     cases
 }
 
-/// Whether a line names a type of the source.
+/// Whether an error message contains the name of a Rust type.
 fn names_a_type(line: &str) -> bool {
     line.contains("struct ") || line.contains("enum ")
 }
 
 #[test]
-fn configurations_of_another_shape() {
-    let cases: Vec<_> = misshapen().into_iter().filter(|(_, told)| !names_a_type(told)).collect();
+fn configurations_with_missing_keys_or_wrong_types() {
+    let cases: Vec<_> = wrong_types().into_iter().filter(|(_, result)| !names_a_type(result)).collect();
     GOLDEN.same_text("config-misshapen.txt", &lines(&cases));
 }
 
-/// Lines for staff that name a type of the source: apart, as they alone may change with that name.
+/// Error messages that contain the name of a Rust type, in a fixture of their own: they alone may change when the type
+/// is renamed.
 #[test]
-fn configurations_of_another_shape_by_type() {
-    let cases: Vec<_> = misshapen().into_iter().filter(|(_, told)| names_a_type(told)).collect();
+fn configurations_with_wrong_types_reported_by_rust_type() {
+    let cases: Vec<_> = wrong_types().into_iter().filter(|(_, result)| names_a_type(result)).collect();
     GOLDEN.same_text("config-misshapen-by-type.txt", &lines(&cases));
 }
 
 #[test]
-fn configurations_that_make_no_sense() {
-    let bad = [("BALANCER_LISTEN", "nowhere"), ("BALANCER_ADMIN_ADDR", "1.2.3.4")];
+fn configurations_with_invalid_values() {
+    let invalid = [("BALANCER_LISTEN", "nowhere"), ("BALANCER_ADMIN_ADDR", "1.2.3.4")];
     let mut cases = vec![
-        ("environment".to_string(), parsed_with(&text_of(&sample()), First::Environment, &bad)),
-        ("environment, one".into(), parsed_with(&text_of(&sample()), First::Environment, &bad[1..])),
-        ("too great a number".into(), parsed(&with("/seed", json!("1ffffffffffffffff")))),
-        ("no number".into(), parsed(&with("/seed", json!("0x12")))),
+        ("environment".to_string(), parsed_with(&text_of(&sample()), First::Environment, &invalid)),
+        ("environment, one".into(), parsed_with(&text_of(&sample()), First::Environment, &invalid[1..])),
+        ("too great a number".into(), parsed(&sample_with("/seed", json!("1ffffffffffffffff")))),
+        ("no number".into(), parsed(&sample_with("/seed", json!("0x12")))),
     ];
     let plan = sample()["settings"]["plans"][0].clone();
-    for (place, value) in [
+    for (pointer, value) in [
         ("/settings/classes", json!([])),
         ("/settings/plans", json!([])),
         ("/settings/plans", json!([plan, plan])),
@@ -708,10 +730,13 @@
         ("/settings/classes/0/group", json!("Zone")),
         ("/limits/memory_mb", json!(1.5)),
     ] {
-        let told = parsed(&with(place, value.clone()));
-        cases.push((format!("{place} {}", text_of(&value).len()), format!("{} -> {told}", text_of(&value))));
+        let result = parsed(&sample_with(pointer, value.clone()));
+        cases.push((
+            format!("{pointer} {}", text_of(&value).len()),
+            format!("{} -> {result}", text_of(&value)),
+        ));
     }
-    assert!(cases.iter().all(|(_, told)| !told.contains("taken: ")), "{cases:?}");
+    assert!(cases.iter().all(|(_, result)| !result.contains("taken: ")), "{cases:?}");
     GOLDEN.same_text("config-senseless.txt", &lines(&cases));
 }
 
@@ -731,7 +756,7 @@
 }
 
 #[test]
-fn lists_are_read_as_they_were() {
+fn decoding_of_discovery_lists() {
     let target =
         |rest: &str| format!(r#"{{"rev":9,"all":false,"targets":[{{"uid":"s-1","endpoint":{rest}}}]}}"#);
     let mut texts = vec![
@@ -771,41 +796,41 @@
         texts.into_iter().map(|(name, text)| (name, format!("{text} -> {}", read(&text)))).collect();
     let fixture = GOLDEN.same_text("discovery-lists.txt", &lines(&cases));
     for line in fixture.lines() {
-        let (text, told) = line
+        let (text, result) = line
             .split_once(": ")
             .and_then(|(_, rest)| rest.split_once(" -> "))
             .expect("a case of the fixture");
-        assert_eq!(read(text), told);
+        assert_eq!(read(text), result);
     }
 }
 
-/// Keeps what it is told.
+/// Records the reports that a watch delivers.
 #[derive(Clone, Default)]
-struct Notes(Rc<RefCell<Vec<String>>>);
+struct RecordedReports(Rc<RefCell<Vec<String>>>);
 
-impl ListReader for Notes {
+impl ListReader for RecordedReports {
     fn take(&self, report: Report) {
         self.0.borrow_mut().push(report_line(&report));
     }
 }
 
 #[test]
-fn what_the_agent_is_asked() {
-    on_one_thread(async {
+fn requests_to_the_discovery_agent() {
+    block_on_local(async {
         let agent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("bind a free port");
         let address = agent.local_addr().expect("local address");
-        let notes = Notes::default();
+        let recorded = RecordedReports::default();
         let watch = Watch {
             clock: SystemClock,
             network: Tcp,
-            reader: notes.clone(),
+            reader: recorded.clone(),
             newest: Rc::new(Cell::new(None)),
             again: None,
             most: 1 << 20,
             complained: Cell::new(false),
         };
-        let (_moved, follows) = tokio::sync::watch::channel(address);
-        tokio::task::spawn_local(watch.follow(follows));
+        let (_address_sender, address_receiver) = tokio::sync::watch::channel(address);
+        tokio::task::spawn_local(watch.follow(address_receiver));
         let (mut stream, _) = agent.accept().await.expect("accept a connection");
         let mut cases = Vec::new();
         for (number, list) in [
@@ -816,31 +841,35 @@
         .into_iter()
         .enumerate()
         {
-            let mut call = Vec::new();
-            while !call.ends_with(b"\r\n\r\n") {
-                call.push(stream.read_u8().await.expect("read the request"));
+            let mut request = Vec::new();
+            while !request.ends_with(b"\r\n\r\n") {
+                request.push(stream.read_u8().await.expect("read the request"));
             }
-            let call = String::from_utf8(call).expect("valid UTF-8").replace(&address.to_string(), "AGENT");
-            cases.push((format!("call {number}"), call.escape_debug().to_string()));
-            let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len());
-            stream.write_all(answer.as_bytes()).await.expect("write to the socket");
+            let request =
+                String::from_utf8(request).expect("valid UTF-8").replace(&address.to_string(), "AGENT");
+            cases.push((format!("call {number}"), request.escape_debug().to_string()));
+            let response = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{list}", list.len());
+            stream.write_all(response.as_bytes()).await.expect("write to the socket");
         }
-        let noted = notes.0.borrow().clone();
-        cases.extend(noted.into_iter().enumerate().map(|(number, told)| (format!("report {number}"), told)));
+        let reports = recorded.0.borrow().clone();
+        cases.extend(
+            reports.into_iter().enumerate().map(|(number, report)| (format!("report {number}"), report)),
+        );
         GOLDEN.same_text("discovery-calls.txt", &lines(&cases));
     });
 }
 
-// The program on its sockets.
+// The built program on its sockets.
 
-/// Takes one request after another, of any connection, answers each as the script says, and keeps its bytes.
-fn scripted(answers: &[&'static str]) -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
+/// Starts a backend that accepts a connection for each of `responses`, reads one request and sends the response.
+/// Returns its address and the requests received, escaped to one line each.
+fn scripted_backend(responses: &[&'static str]) -> (SocketAddr, std::sync::mpsc::Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind a free port");
     let address = listener.local_addr().expect("local address");
-    let (heard, told) = std::sync::mpsc::channel();
-    let answers = answers.to_vec();
+    let (sender, requests) = std::sync::mpsc::channel();
+    let responses = responses.to_vec();
     std::thread::spawn(move || {
-        for answer in answers {
+        for response in responses {
             let (mut stream, _) = listener.accept().expect("accept a connection");
             let mut request = Vec::new();
             let mut byte = [0];
@@ -848,61 +877,66 @@
                 stream.read_exact(&mut byte).expect("read the request");
                 request.push(byte[0]);
                 let Some(end) = request.windows(4).position(|part| part == b"\r\n\r\n") else { continue };
-                // Bodies here end with a stop.
+                // A request other than GET ends with the full stop of its body.
                 if request.starts_with(b"GET ") || request[end + 4..].ends_with(b".") {
                     break;
                 }
             }
-            let _ = heard.send(request.escape_ascii().to_string());
-            stream.write_all(answer.as_bytes()).expect("write to the socket");
+            let _ = sender.send(request.escape_ascii().to_string());
+            stream.write_all(response.as_bytes()).expect("write to the socket");
         }
     });
-    (address, told)
+    (address, requests)
 }
 
-/// Hides how long the client still waits, which is in microseconds.
-fn without_wait(request: &str) -> String {
+/// Replaces the value of the `X-Deadline` header, the remaining time in microseconds, by `...`.
+fn without_deadline(request: &str) -> String {
     let (before, rest) = request.split_once("x-deadline: ").expect("X-Deadline header of the attempt");
-    let (wait, behind) = rest.split_once("u\\r\\n").expect("deadline in microseconds");
-    assert!(wait.bytes().all(|digit| digit.is_ascii_digit()), "{wait}");
-    format!("{before}x-deadline: ...u\\r\\n{behind}")
+    let (deadline, after) = rest.split_once("u\\r\\n").expect("deadline in microseconds");
+    assert!(deadline.bytes().all(|digit| digit.is_ascii_digit()), "{deadline}");
+    format!("{before}x-deadline: ...u\\r\\n{after}")
 }
 
-fn call(line: &str, more: &str, body: &str) -> String {
-    let class = line.split(['/', ' ', '?']).nth(2).unwrap_or_default();
+/// A request with all required headers. The class is the first segment of the path; each line of `extra_headers` ends
+/// with CRLF.
+fn request(request_line: &str, extra_headers: &str, body: &str) -> String {
+    let class = request_line.split(['/', ' ', '?']).nth(2).unwrap_or_default();
     format!(
-        "{line} HTTP/1.1\r\nHost: door\r\nConnection: close\r\nX-Request-Id: r-1\r\nX-Class: {class}\r\nPlan: starter\r\n\
+        "{request_line} HTTP/1.1\r\nHost: door\r\nConnection: close\r\nX-Request-Id: r-1\r\nX-Class: {class}\r\nPlan: starter\r\n\
          Cookie: client=00000000b4d65521\r\nQuota-Info: units=1,spread=1,first=0\r\nX-Deadline: 4000m\r\n\
-         {more}\r\n{body}"
+         {extra_headers}\r\n{body}"
     )
 }
 
 #[test]
-fn what_the_program_says_to_clients_and_nodes() {
+fn messages_to_clients_and_backends() {
     const DONE: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\nUsage-Percent: 40\r\nX-One: 1\r\n\
         Date: Sun, 06 Nov 1994 08:49:37 GMT\r\nContent-Length: 4\r\n\r\ndone";
-    const ENDLESS: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n\
+    const CHUNKED: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n\
         4\r\ndone\r\n0\r\n\r\n";
     const HEALTH: &[u8] = b"GET /healthz HTTP/1.1\r\nHost: d\r\nConnection: close\r\n\r\n";
-    const FAULT: &str = "HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 5\r\n\r\nfault";
-    let (node, heard) = scripted(&[DONE, DONE, ENDLESS, FAULT]);
-    let gateway = Gateway::with_backends(&[node]);
+    const SERVER_ERROR: &str = "HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 5\r\n\r\nfault";
+    let (backend, requests) = scripted_backend(&[DONE, DONE, CHUNKED, SERVER_ERROR]);
+    let gateway = Gateway::with_backends(&[backend]);
     let at = gateway.address;
     let mut cases = Vec::new();
     let length = "Content-Length: 6\r\n";
-    for (name, request) in [
-        ("served", call("GET /preview-fetch/7?a=b%20c", "X-Two: 2\r\nConnection: X-Hop\r\nX-Hop: 3\r\n", "")),
-        ("served with a body", call("POST /job-submit", length, "a job.")),
-        ("served without length", call("GET /preview-fetch", "", "")),
-        ("failed", call("POST /job-submit/8", length, "a job.")),
+    for (name, bytes) in [
+        (
+            "served",
+            request("GET /preview-fetch/7?a=b%20c", "X-Two: 2\r\nConnection: X-Hop\r\nX-Hop: 3\r\n", ""),
+        ),
+        ("served with a body", request("POST /job-submit", length, "a job.")),
+        ("served without length", request("GET /preview-fetch", "", "")),
+        ("failed", request("POST /job-submit/8", length, "a job.")),
     ] {
-        cases.push((name.to_string(), answered(at, request.as_bytes(), false)));
-        let request = heard.recv_timeout(Duration::from_secs(20)).expect("receive a request");
-        cases.push((format!("{name}, to the node"), without_wait(&request)));
+        cases.push((name.to_string(), response_line(at, bytes.as_bytes(), false)));
+        let request = requests.recv_timeout(Duration::from_secs(20)).expect("receive a request");
+        cases.push((format!("{name}, to the node"), without_deadline(&request)));
     }
-    cases.push(("healthy".into(), answered(at, HEALTH, false)));
-    let good = call("GET /preview-fetch", "", "");
-    for (right, wrong) in [
+    cases.push(("healthy".into(), response_line(at, HEALTH, false)));
+    let valid = request("GET /preview-fetch", "", "");
+    for (original, invalid) in [
         ("X-Request-Id: r-1", "X-Request-Id: r 1"),
         ("X-Class: preview-fetch", "X-Class: job-submit"),
         ("preview-fetch", "nothing"),
@@ -916,35 +950,35 @@
         ("Host: door", "Host: door\r\nContent-Length: 300000000"),
         ("HTTP/1.1", "HTTP"),
     ] {
-        assert!(good.contains(right), "{right}");
-        let name = format!("{} for {}", wrong.escape_debug(), right);
-        cases.push((name, answered(at, good.replace(right, wrong).as_bytes(), false)));
+        assert!(valid.contains(original), "{original}");
+        let name = format!("{} for {}", invalid.escape_debug(), original);
+        cases.push((name, response_line(at, valid.replace(original, invalid).as_bytes(), false)));
     }
     drop(gateway);
-    // No node takes anything.
-    let known = common::target_list(&[target("s-1", node, "draining")]);
+    // With its only backend draining, the gateway rejects all requests.
+    let known = common::target_list(&[target("s-1", backend, "draining")]);
     let gateway = Gateway::start(&common::config(reserve(), known));
-    cases.push(("refused".into(), answered(gateway.address, good.as_bytes(), false)));
-    cases.push(("unhealthy".into(), answered(gateway.address, HEALTH, false)));
+    cases.push(("refused".into(), response_line(gateway.address, valid.as_bytes(), false)));
+    cases.push(("unhealthy".into(), response_line(gateway.address, HEALTH, false)));
     GOLDEN.same_text("front-door.txt", &lines(&cases));
 }
 
-/// Replaces what differs from run to run by nothing.
-fn settled(mut offer: Offer, gateway: &Gateway, file: &str) -> Offer {
+/// Replaces the values that differ between runs by fixed ones.
+fn without_run_specific_values(mut offer: Offer, gateway: &Gateway, file: &str) -> Offer {
     assert!(offer.now_ms > 0.0 && offer.start_unix_ms > 1e12 && offer.descriptors > 0);
     assert_eq!(offer.file, file);
     (offer.now_ms, offer.start_unix_ms, offer.descriptors) = (0.0, 0.0, 0);
     offer.file = format!("the file of {}", gateway.address.ip());
-    // Its bytes are pinned where they are made; the names of nodes in it are made here.
+    // The format of the learned state is tested where it is defined; here, only the names of the backends count.
     let learned: Value = serde_json::from_str(&offer.learned).expect("valid JSON");
-    let nodes: BTreeSet<_> =
+    let backends: BTreeSet<_> =
         learned["fleet"]["servers"].as_object().expect("JSON object of servers").keys().collect();
-    offer.learned = format!("{nodes:?}");
+    offer.learned = format!("{backends:?}");
     offer
 }
 
 #[test]
-fn what_the_program_offers_to_its_successor() {
+fn handover_frames_sent_by_the_old_process() {
     let known = common::target_list(&[
         target("s-1", ([127, 0, 0, 1], 9).into(), "ready"),
         target("s-2", ([127, 0, 0, 1], 9).into(), "draining"),
@@ -955,24 +989,24 @@
     let path =
         place(gateway.address, Some(temporary_dir(&gateway.config_path))).expect("handover socket path");
     let file = std::fs::read_to_string(&gateway.config_path).expect("read the configuration file");
-    on_one_thread(async {
+    block_on_local(async {
         let mut stream = UnixStream::connect(&path).await.expect("connect to the handover socket");
-        let asked = br#"{"Ask":{"version":1}}"#;
-        let mut frame = (asked.len() as u32).to_le_bytes().to_vec();
+        let ask = br#"{"Ask":{"version":1}}"#;
+        let mut frame = (ask.len() as u32).to_le_bytes().to_vec();
         frame.push(0);
-        frame.extend_from_slice(asked);
+        frame.extend_from_slice(ask);
         stream.write_all(&frame).await.expect("write to the socket");
-        let offered = frame_from(&mut stream).await;
-        assert_eq!(offered[4], 1, "it comes with a socket");
+        let offered = read_frame(&mut stream).await;
+        assert_eq!(offered[4], 1, "the offer must carry the listening socket");
         let offer = match serde_json::from_slice(&offered[5..]).expect("decode the message") {
             Message::Offer(offer) => *offer,
             other => panic!("{other:?}"),
         };
         assert_eq!(write_json(&Message::Offer(Box::new(offer.clone()))).as_bytes(), &offered[5..]);
-        let offer = write_json(&settled(offer, &gateway, &file));
+        let offer = write_json(&without_run_specific_values(offer, &gateway, &file));
         let took = b"\x06\0\0\0\0\"Took\"";
         stream.write_all(took).await.expect("write to the socket");
-        let go = hex(&frame_from(&mut stream).await);
+        let go = hex(&read_frame(&mut stream).await);
         GOLDEN.same_text("handover-giver.txt", &lines(&[("offer".into(), offer), ("go".into(), go)]));
     });
 }
--- a/crates/brassport/tests/upgrade.rs
+++ b/crates/brassport/tests/upgrade.rs
@@ -361,7 +361,7 @@
                     }
                     break;
                 }
-                // The connection was closed without a response: the request is sent again, as the platform's clients do.
+                // Closed without a response: the request is sent again, as the platform's clients do.
                 _ => closed += 1,
             }
         }
