--- a/.ci/readability.py
+++ b/.ci/readability.py
@@ -1,12 +1,15 @@
 #!/usr/bin/env python3
-"""Counts what makes a package hard to read, one row a package: python3 .ci/readability.py [FOLDER OF THE REPOSITORY]
-
-names     declared names in src that carry a word withdrawn by docs/GLOSSARY.md (functions, types, fields, variants, constants)
-functions functions in src of more than 40 lines, signature and braces included
-files     files in src of more than 400 lines
-strings   results in src whose error is a String, a Cow, a &str or a boxed error
-tests     test attributes in src
-undoc     public items in src without a doc comment (functions, types, traits, constants, modules, fields, variants of enums)
+"""Prints readability metrics for each package: python3 .ci/readability.py [REPOSITORY]
+
+All columns count occurrences in the package's src folder; a lower count is better.
+
+names     declarations whose name contains a word of WITHDRAWN, which docs/GLOSSARY.md replaces by a term of the field
+          (functions, types, fields, variants, constants)
+functions functions longer than 40 lines, including signature and braces
+files     files longer than 400 lines
+strings   Result types whose error is a String, a Cow, a &'static str or a boxed error
+tests     test attributes (tests belong in the package's tests folder)
+undoc     public items without a doc comment (functions, types, traits, constants, inline modules, fields)
 """
 import pathlib
 import re
