--- a/crates/brassport/tests/golden.rs
+++ b/crates/brassport/tests/golden.rs
@@ -57,7 +57,7 @@
 
 const STATES: [State; 3] = [State::Ready, State::Draining, State::Gone];
 
-fn state_word(state: State) -> &'static str {
+fn state_name(state: State) -> &'static str {
     match state {
         State::Ready => "ready",
         State::Draining => "draining",
@@ -94,6 +94,7 @@
     }
 }
 
+/// One backend in each state.
 fn entries() -> Vec<Entry> {
     let entry = |(number, state): (usize, State)| Entry {
         address: (state != State::Gone).then(|| SocketAddr::from(([127, 0, 0, 1], 9000 + number as u16))),
@@ -611,6 +612,7 @@
         .map_or_else(|error| error, |config| format!("taken: {}", config_line(&config)))
 }
 
+/// As `parsed_with`, with the environment taking precedence and no variable set.
 fn parsed(value: &Value) -> String {
     parsed_with(&text_of(value), First::Environment, &[])
 }
@@ -744,7 +746,7 @@
 
 fn entry_line(entry: &Entry) -> String {
     let Entry { id, address, zone, group, size, boot_ms, state, revision, note } = entry;
-    let (address, state) = (address.map(|at| at.to_string()), state_word(*state));
+    let (address, state) = (address.map(|at| at.to_string()), state_name(*state));
     format!(
         "[{id} at {address:?}, zone '{zone}', group {group}, size {size}, boot {boot_ms}, {state}, rev {revision}, '{note}']"
     )
--- a/crates/brassport/tests/in_service.rs
+++ b/crates/brassport/tests/in_service.rs
@@ -103,8 +103,8 @@
 
 #[test]
 fn an_unusable_admin_address_fails_the_start_and_is_named() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("bind a free port");
-    let address = taken.local_addr().expect("local address").to_string();
+    let in_use = TcpListener::bind("127.0.0.1:0").expect("bind a free port");
+    let address = in_use.local_addr().expect("local address").to_string();
     for (value, message) in
         [(address.as_str(), "cannot listen on"), ("here", "'here' is no address with a port")]
     {
@@ -171,6 +171,7 @@
     drop(in_flight);
 }
 
+/// Sends a request and expects a 429, as no backend is available.
 fn expect_rejection(gateway: &Gateway) {
     let mut client = gateway.client();
     client.send(&get_request(""));
--- a/crates/brassport/tests/sizes.rs
+++ b/crates/brassport/tests/sizes.rs
@@ -71,22 +71,25 @@
         call.respond_ok(&full_list);
         call = agent.next_request();
     }
-    let mut seen = std::collections::BTreeSet::new();
+    let mut responding = std::collections::BTreeSet::new();
     let mut clients: Vec<Client> = (0..4).map(|_| gateway.client()).collect();
     for n in 0..requests {
         let client = &mut clients[n % 4];
         let response = client.send(&get_request("")).read_response();
         assert_eq!(response.status(), 200, "request {n} of {requests} with {count} backends");
-        seen.insert(String::from_utf8(response.body).expect("valid number"));
+        responding.insert(String::from_utf8(response.body).expect("valid number"));
     }
-    (seen.len(), proc_status_kb(&gateway, "VmHWM:"), open_descriptors(&gateway))
+    (responding.len(), proc_status_kb(&gateway, "VmHWM:"), open_descriptors(&gateway))
 }
 
 #[test]
 fn one_of_1024_gateways_serves_1024_backends_within_its_limits() {
-    let (seen, memory, descriptors) = run_requests(1024, 1024, 400);
-    println!("1,024 backends: {seen} answered, {memory} kB at the peak, {descriptors} descriptors");
-    assert!(seen > 1 && descriptors <= 256, "{seen} backends, {descriptors} descriptors");
+    let (responding, memory, descriptors) = run_requests(1024, 1024, 400);
+    println!("1,024 backends: {responding} responded, {memory} kB at the peak, {descriptors} descriptors");
+    assert!(
+        responding > 1 && descriptors <= 256,
+        "{responding} backends responded, {descriptors} descriptors"
+    );
     assert!(memory < 32 * 1024, "{memory} kB");
 }
 
@@ -118,9 +121,9 @@
 #[ignore = "a measurement: run with --ignored --nocapture, in release"]
 fn measure_by_size() {
     for (count, gateways) in [(9, 3), (200, 300), (600, 4), (1024, 1024)] {
-        let (seen, memory, descriptors) = run_requests(count, gateways, 800);
+        let (responding, memory, descriptors) = run_requests(count, gateways, 800);
         println!(
-            "{count} backends, {gateways} gateways: {seen} answered, {memory} kB, {descriptors} descriptors"
+            "{count} backends, {gateways} gateways: {responding} responded, {memory} kB, {descriptors} descriptors"
         );
     }
 }
