--- a/crates/brassport-appliance/src/last_known.rs
+++ b/crates/brassport-appliance/src/last_known.rs
@@ -2,7 +2,7 @@
 
 use crate::keeper::Job;
 use crate::sources::Known;
-use brassport::config::Origin;
+use brassport::config::SourceConfig;
 use brassport::Control;
 use brassport_membership::book::{Book, Entry, Hold, Moment, Report, Source, State};
 use brassport_state::known::{KnownList, KnownNode, Worth};
@@ -22,7 +22,7 @@
 const ADDRESS: char = '@';
 
 /// The advisory source that begins with what was last known, and what its sources may take from it.
-pub fn origin(known: &KnownList, now_ms: u64) -> (Origin, Known) {
+pub fn origin(known: &KnownList, now_ms: u64) -> (SourceConfig, Known) {
     let mut entries = Vec::new();
     let mut starts = Known::new();
     for (name, node) in known {
@@ -53,7 +53,7 @@
         }
     }
     let source = Source::advisory(NAME);
-    (Origin { source, begin: Some(Report::whole(entries)), feed: None }, starts)
+    (SourceConfig { source, initial_report: Some(Report::whole(entries)), feed: None }, starts)
 }
 
 /// What the book holds, as it is kept. Rows that no source has confirmed in this life keep the time that they had, and
@@ -120,7 +120,7 @@
             let next = (seen != Some(changes) || aged).then(|| (changes, kept(book, now, &before)));
             drop(reply.send(next));
         };
-        if controls.send(Control::Book(Box::new(look))).is_err() {
+        if controls.send(Control::InspectMembership(Box::new(look))).is_err() {
             return;
         }
         let Ok(Some((changes, next))) = looked.await else { continue };
@@ -156,7 +156,7 @@
     fn begun(known: &KnownList, now_ms: u64) -> Book {
         let (origin, _) = origin(known, now_ms);
         let mut book = Book::new(vec![origin.source, Source::authority("nomad"), Source::lists_only("dns")]);
-        book.take(at(now_ms - NOW), 0, origin.begin.expect("a list"));
+        book.take(at(now_ms - NOW), 0, origin.initial_report.expect("a list"));
         book
     }
 
--- a/crates/brassport-appliance/src/run.rs
+++ b/crates/brassport-appliance/src/run.rs
@@ -9,9 +9,9 @@
 use crate::site::{self, Site};
 use crate::Failure;
 use brassport::clock::SystemClock;
-use brassport::config::Origin;
+use brassport::config::SourceConfig;
 use brassport::network::Tcp;
-use brassport::{front_door_with, log, Control, Surroundings};
+use brassport::{log, run_gateway_with, Control, GatewayOptions};
 use brassport_membership::book::{self, Book, Entry, Report, Source, SourceNow};
 use brassport_state::files::Directory;
 use brassport_state::model::{Action, Lifecycle, Node, State};
@@ -151,8 +151,8 @@
             .event(format!("{unfinished} unsafe requests of an earlier life may have run; see `unfinished`"));
     }
     let seed = RandomState::new().build_hasher().finish();
-    let begin = Some(stored(&state));
-    let mut sources = vec![Origin { source: Source::as_told("stored"), begin, feed: None }];
+    let initial_report = Some(stored(&state));
+    let mut sources = vec![SourceConfig { source: Source::as_told("stored"), initial_report, feed: None }];
     let (reread, rereads) = watch::channel(0);
     // With nothing but the stored list, that list is all there is to know.
     let follows = !site.sources.is_empty();
@@ -192,7 +192,7 @@
                 match told {
                     Told::Stop { now } => {
                         on.event(if ending && now { "ends at once" } else { "ends in order" }.into());
-                        let how = if ending && now { Control::Hurry } else { Control::Terminate };
+                        let how = if ending && now { Control::StopNow } else { Control::Terminate };
                         ending = true;
                         if controls.send(how).is_err() {
                             return;
@@ -201,14 +201,14 @@
                     Told::News(news) => take_news(&on, news, &controls),
                     Told::Book(reply) => {
                         let look = move |book: &Book, now| drop(reply.send(BookNow::of(book, now)));
-                        let _ = controls.send(Control::Book(Box::new(look)));
+                        let _ = controls.send(Control::InspectMembership(Box::new(look)));
                     }
                     Told::Status(reply) => ask_status(&on, ending, reply, &controls),
                 }
             }
         });
-        let surroundings = Surroundings { hooks: Some(looker.clone()), ..Surroundings::default() };
-        front_door_with(config, SystemClock, Tcp, control, surroundings).await
+        let options = GatewayOptions { hooks: Some(looker.clone()), ..GatewayOptions::default() };
+        run_gateway_with(config, SystemClock, Tcp, control, options).await
     });
     // The socket goes first: whoever finds none knows that there is nobody to ask.
     let _ = fs::remove_file(&socket);
@@ -286,7 +286,7 @@
             *found.borrow_mut() =
                 Found { sources: book.sources(now), disputed: (disputed.len(), some), nodes: listed(book) };
         };
-        let _ = controls.send(Control::Book(Box::new(look)));
+        let _ = controls.send(Control::InspectMembership(Box::new(look)));
     }
     // A door that has ended drops the question, and the asker is told so.
     let _ = controls.send(Control::Inspect(Box::new(move |held| {
--- a/crates/brassport-appliance/src/serve.rs
+++ b/crates/brassport-appliance/src/serve.rs
@@ -9,7 +9,7 @@
 use crate::Failure;
 use brassport::clock::SystemClock;
 use brassport::network::Tcp;
-use brassport::{front_door, log, Control};
+use brassport::{log, run_gateway, Control};
 use brassport_state::files::Directory;
 use brassport_state::store::{Store, StoreError};
 use std::collections::hash_map::RandomState;
@@ -84,14 +84,14 @@
                         continue;
                     }
                 }
-                let how = if ending { Control::Hurry } else { Control::Terminate };
+                let how = if ending { Control::StopNow } else { Control::Terminate };
                 ending = true;
                 if controls.send(how).is_err() {
                     return;
                 }
             }
         });
-        front_door(config, SystemClock, Tcp, control).await
+        run_gateway(config, SystemClock, Tcp, control).await
     });
     ended.map_err(Failure::failed)
 }
--- a/crates/brassport-appliance/src/site.rs
+++ b/crates/brassport-appliance/src/site.rs
@@ -2,7 +2,7 @@
 
 use crate::last_known;
 use crate::sources::{Known, Reread, Written};
-use brassport::config::{Assumed, Config, Names, Origin};
+use brassport::config::{Config, Names, RequestDefaults, SourceConfig};
 use brassport_policy::{Class, Plan, RetrySafety, Scope, Settings};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -182,7 +182,7 @@
     ///
     /// # Errors
     /// A file that a source names has changed since it was checked.
-    pub fn origins(&self, seed: u64, known: &Known, reread: &Reread) -> Result<Vec<Origin>, String> {
+    pub fn origins(&self, seed: u64, known: &Known, reread: &Reread) -> Result<Vec<SourceConfig>, String> {
         let origin = |source: &Written| {
             source
                 .origin(seed, known, reread)
@@ -192,17 +192,17 @@
     }
 
     /// The front door's configuration, with the list of nodes that it starts with.
-    pub fn config(&self, seed: u64, sources: Vec<Origin>) -> Config {
+    pub fn config(&self, seed: u64, sources: Vec<SourceConfig>) -> Config {
         Config {
             admin: None,
             text: String::new(),
             listen: self.listen,
             discovery: None,
             sources,
-            known: None,
+            cached_list: None,
             seed,
-            sockets: self.sockets,
-            memory: self.memory_mb << 20,
+            max_descriptors: self.sockets,
+            memory_bytes: self.memory_mb << 20,
             names: Names {
                 classes: self.classes.clone(),
                 plans: self.plans.clone(),
@@ -212,7 +212,7 @@
             connect_timeout: Duration::from_millis(250),
             idle_timeout: Duration::from_secs(30),
             local_meter: true,
-            assumed: Some(Assumed { plan: self.default_plan }),
+            request_defaults: Some(RequestDefaults { plan: self.default_plan }),
         }
     }
 }
--- a/crates/brassport-appliance/src/sources/dns.rs
+++ b/crates/brassport-appliance/src/sources/dns.rs
@@ -2,7 +2,7 @@
 
 use super::Reread;
 use brassport::clock::SystemClock;
-use brassport::config::{Feed, Reader};
+use brassport::config::{Feed, ReportSink};
 use brassport::log;
 use brassport::network::Tcp;
 use brassport_dns::follower::Options;
@@ -161,7 +161,7 @@
         let mut seed = [0; 32];
         // Guards against forged answers: ids are drawn from this.
         getrandom::fill(&mut seed).map_err(|error| format!("the system gives no random numbers: {error}"))?;
-        Ok(Box::new(move |reader: Reader| {
+        Ok(Box::new(move |reader: ReportSink| {
             let host = Host {
                 reader: Box::new(move |report| reader(report)),
                 log: Box::new(move |line| log::line(format!("{name}: {line}"))),
--- a/crates/brassport-appliance/src/sources/mod.rs
+++ b/crates/brassport-appliance/src/sources/mod.rs
@@ -4,7 +4,7 @@
 mod dns;
 
 use brassport::clock::SystemClock;
-use brassport::config::{Feed, Origin, Reader};
+use brassport::config::{Feed, ReportSink, SourceConfig};
 use brassport::log;
 use brassport::network::Tcp;
 use brassport_addresses::AddressSet;
@@ -130,7 +130,7 @@
     ///
     /// # Errors
     /// As [`check`](Written::check).
-    pub fn origin(&self, seed: u64, known: &Known, reread: &Reread) -> Result<Origin, String> {
+    pub fn origin(&self, seed: u64, known: &Known, reread: &Reread) -> Result<SourceConfig, String> {
         let addresses = self.addresses()?;
         let source = match self {
             Written::Dns(_) => book::Source::lists_only(self.name()),
@@ -158,13 +158,13 @@
                 })
             }
         };
-        let feed: Feed = Box::new(move |reader: Reader| {
+        let feed: Feed = Box::new(move |reader: ReportSink| {
             feed(Rc::new(move |mut report: Report| {
                 report.shut_out(|at| addresses.check(at));
                 reader(report);
             }))
         });
-        Ok(Origin { source, begin: None, feed: Some(feed) })
+        Ok(SourceConfig { source, initial_report: None, feed: Some(feed) })
     }
 }
 
--- a/crates/brassport-peers/src/commands.rs
+++ b/crates/brassport-peers/src/commands.rs
@@ -2,7 +2,7 @@
 
 use crate::text::{audit_text, status_text, tasks_text, TaskView};
 use crate::{Asks, Begin, How, Verb};
-use brassport::config::{self, First};
+use brassport::config::{self, Precedence};
 use brassport_fleet::audit::{Audit, Question};
 use brassport_fleet::grants::Open;
 use brassport_fleet::shared::{Change, Done, Refusal, Shared, Slot, BAN, LEASE, SETTINGS};
@@ -228,7 +228,7 @@
 async fn publish(asks: &Asks, matter: &str, key: &str, body: Value, how: How) -> Result<ExitCode, String> {
     if matter == SETTINGS {
         let text = body.as_str().ok_or("settings are a front door's configuration as text: give @FILE")?;
-        config::parse(text, First::File, |name| std::env::var(name).ok())?;
+        config::parse(text, Precedence::File, |name| std::env::var(name).ok())?;
     }
     let id = how.id.clone().unwrap_or_else(|| format!("{:016x}", draw()));
     let change = Change::new(&id, &how.author, &how.reason, matter, key, body);
--- a/crates/brassport-peers/src/run.rs
+++ b/crates/brassport-peers/src/run.rs
@@ -2,10 +2,10 @@
 
 use crate::commands::{known, Asker};
 use brassport::clock::SystemClock;
-use brassport::config::{self, First};
+use brassport::config::{self, Precedence};
 use brassport::network::Tcp;
-use brassport::run::admin::{self, Operators};
-use brassport::{front_door_with, log, Control, Surroundings};
+use brassport::run::admin::{self, AdminHandle};
+use brassport::{log, run_gateway_with, Control, GatewayOptions};
 use brassport_fleet::shared::{Change, Done, Refusal};
 use brassport_peers::call::draw;
 use brassport_peers::door::{Agent, Handle, InFleet, ToDoor};
@@ -45,7 +45,7 @@
         Some(file) => {
             let text =
                 std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
-            Some(config::parse(&text, First::Environment, |name| std::env::var(name).ok())?)
+            Some(config::parse(&text, Precedence::Environment, |name| std::env::var(name).ok())?)
         }
     };
     let runtime = || {
@@ -98,9 +98,8 @@
         });
         let (commands, operators) = told_by_two(config.admin, stopped, for_door, controls)?;
         spawn_local(commands);
-        let surroundings =
-            Surroundings { hooks: Some(Rc::new(hooks)), operators: Some(operators), upgrades: None };
-        front_door_with(config, SystemClock, Tcp, control, surroundings).await
+        let options = GatewayOptions { hooks: Some(Rc::new(hooks)), admin: Some(operators), upgrades: None };
+        run_gateway_with(config, SystemClock, Tcp, control, options).await
     });
     ended.map(|()| ExitCode::SUCCESS)
 }
@@ -111,7 +110,7 @@
     stopped: Arc<AtomicBool>,
     mut for_door: mpsc::UnboundedReceiver<ToDoor>,
     controls: mpsc::UnboundedSender<Control>,
-) -> Result<(impl Future<Output = ()>, Operators), String> {
+) -> Result<(impl Future<Output = ()>, AdminHandle), String> {
     let (sender, commands) = mpsc::channel(64);
     let by_staff = admin.map(|at| admin::listen(at, stopped)).transpose()?;
     let ready = by_staff.as_ref().map_or_else(Arc::default, |staff| staff.ready.clone());
@@ -129,7 +128,7 @@
                     ToDoor::Command(command) => command,
                     // Ahead of the commands that come behind it: the door looks here first.
                     ToDoor::Settings(text) => {
-                        let read = config::parse(&text, First::Environment, |name| std::env::var(name).ok());
+                        let read = config::parse(&text, Precedence::Environment, |name| std::env::var(name).ok());
                         let _ = controls.send(Control::Reload(Box::new(read)));
                         continue;
                     }
@@ -142,7 +141,7 @@
             }
         }
     };
-    Ok((pass_on, Operators { commands, ready }))
+    Ok((pass_on, AdminHandle { commands, ready }))
 }
 
 /// The instance and the door's agent, until something fails; what did.
--- a/crates/brassport-sim/src/door.rs
+++ b/crates/brassport-sim/src/door.rs
@@ -4,8 +4,8 @@
 use crate::dns::Dns;
 use crate::kernel::{Host, Kernel};
 use crate::seams::{SimClock, SimNetwork};
-use brassport::config::{self, Origin};
-use brassport::{front_door, Control};
+use brassport::config::{self, SourceConfig};
+use brassport::{run_gateway, Control};
 use brassport_membership::book::Source;
 use std::cell::{Cell, RefCell};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -84,7 +84,7 @@
     /// # Errors
     /// What is wrong with the configuration.
     pub fn start(kernel: &Kernel, host: Host, wall: Rc<Cell<i64>>, text: &str) -> Result<Process, String> {
-        let config = config::parse(text, config::First::File, |_| None)?;
+        let config = config::parse(text, config::Precedence::File, |_| None)?;
         Ok(Process::door(kernel, host, wall, config))
     }
 
@@ -100,11 +100,12 @@
         api: &Api,
         seed: u64,
     ) -> Result<Process, String> {
-        let mut config = config::parse(text, config::First::File, |_| None)?;
+        let mut config = config::parse(text, config::Precedence::File, |_| None)?;
         config.discovery = None;
         let clock = SimClock::new(kernel.clone(), host, wall.clone());
         let feed = Some(api.feed(kernel, host, clock, seed));
-        config.sources = vec![Origin { source: Source::authority("nomad"), begin: None, feed }];
+        config.sources =
+            vec![SourceConfig { source: Source::authority("nomad"), initial_report: None, feed }];
         Ok(Process::door(kernel, host, wall, config))
     }
 
@@ -120,10 +121,10 @@
         dns: &Dns,
         seed: u64,
     ) -> Result<Process, String> {
-        let mut config = config::parse(text, config::First::File, |_| None)?;
+        let mut config = config::parse(text, config::Precedence::File, |_| None)?;
         let clock = SimClock::new(kernel.clone(), host, wall.clone());
         let feed = Some(dns.feed(kernel, host, clock, seed));
-        config.sources = vec![Origin { source: Source::lists_only("dns"), begin: None, feed }];
+        config.sources = vec![SourceConfig { source: Source::lists_only("dns"), initial_report: None, feed }];
         Ok(Process::door(kernel, host, wall, config))
     }
 
@@ -133,7 +134,7 @@
         let (controls, control) = mpsc::unbounded_channel();
         Process::with(controls, move |tasks, ended| {
             tasks.spawn_local(async move {
-                let result = front_door(config, clock, network, control).await;
+                let result = run_gateway(config, clock, network, control).await;
                 *ended.borrow_mut() = Some(result);
             });
         })
--- a/crates/brassport-sim/src/site/faults.rs
+++ b/crates/brassport-sim/src/site/faults.rs
@@ -66,7 +66,7 @@
                 self.doors[door].moved = 1 - self.doors[door].moved;
                 let text = self.door_config(door);
                 if let Some(process) = &self.doors[door].process {
-                    let config = config::parse(&text, config::First::File, |_| None);
+                    let config = config::parse(&text, config::Precedence::File, |_| None);
                     process.tell(Control::Reload(Box::new(config)));
                     self.oracle.judge.lists.door_moved(self.doors[door].host.door());
                 }
@@ -152,7 +152,7 @@
                     }
                 });
                 if let Some(process) = &self.doors[door].process {
-                    process.tell(Control::Operate(call, say));
+                    process.tell(Control::Admin(call, say));
                 }
                 if begins {
                     ends(self, for_ms);
--- a/crates/brassport/src/clients.rs
+++ b/crates/brassport/src/clients.rs
@@ -1,7 +1,7 @@
 //! The clients' side: reads requests, checks them and writes the answers.
 
 use crate::clock::Clock;
-use crate::config::Assumed;
+use crate::config::RequestDefaults;
 use crate::date::DateHeader;
 use crate::door::{Door, RequestOutcome};
 use crate::mutants::mutant;
@@ -48,7 +48,7 @@
     pub clock: C,
     pub door: Rc<Door<C, N>>,
     pub backends: Rc<UpstreamPool<C, N>>,
-    pub assumed: Option<Assumed>,
+    pub request_defaults: Option<RequestDefaults>,
     pub terms: RefCell<Rc<Terms>>,
     pub shutdown: Rc<Shutdown>,
     pub date: DateHeader,
@@ -264,7 +264,7 @@
 
 /// The request for the figures, if it is of a class.
 fn life<C: Clock, N: Network>(context: &Context<C, N>, request: &Request<Incoming>) -> Option<Life> {
-    let class = class_named(request.headers(), request.uri().path(), context.assumed.is_some())?;
+    let class = class_named(request.headers(), request.uri().path(), context.request_defaults.is_some())?;
     context.terms().class(class).map(|_| context.figures.request(class))
 }
 
@@ -303,15 +303,15 @@
         return Err("a header stands there twice");
     }
     let field = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim);
-    let assumed = context.assumed;
+    let defaults = context.request_defaults;
     let id = match field("x-request-id") {
         // A name of its own, that no client's can be: `~` is not in their alphabet.
-        None if assumed.is_some() && head.method == Method::GET => Some(context.door.generate_id()),
+        None if defaults.is_some() && head.method == Method::GET => Some(context.door.generate_id()),
         id => id.and_then(named),
     };
     let id = id.ok_or("X-Request-Id is missing or no id")?;
     let segment = head.uri.path().split('/').nth(1);
-    let class = class_named(&head.headers, head.uri.path(), assumed.is_some());
+    let class = class_named(&head.headers, head.uri.path(), defaults.is_some());
     if segment != class {
         return Err("the path does not begin with the class");
     }
@@ -322,19 +322,19 @@
         return Err("the method is not the class's");
     }
     let customer = field("cookie").and_then(customer).ok_or("the cookie names no client")?;
-    let plan = match (context.door.plan_of(customer), field("plan"), assumed) {
-        (Some(plan), _, _) | (None, None, Some(Assumed { plan })) => Some(plan),
+    let plan = match (context.door.plan_of(customer), field("plan"), defaults) {
+        (Some(plan), _, _) | (None, None, Some(RequestDefaults { plan })) => Some(plan),
         (None, name, _) => name.and_then(|name| terms.plan(name)),
     };
     let plan = plan.ok_or("Plan names no plan")?;
     let most = Duration::from_secs_f64(settings.classes[class].deadline / 1000.0);
     let patience = match field("x-deadline") {
-        None if assumed.is_some() => Some(most),
+        None if defaults.is_some() => Some(most),
         text => text.and_then(span),
     };
     let patience = patience.ok_or("X-Deadline is no length of time")?.min(most);
     let quota = match field("quota-info") {
-        None if assumed.is_some() => Some((1.0, 1, settings.ordinal)),
+        None if defaults.is_some() => Some((1.0, 1, settings.ordinal)),
         text => text.and_then(|text| quota(text, settings)),
     };
     let (units, spread, first) = quota.ok_or("Quota-Info makes no sense")?;
--- a/crates/brassport/src/config.rs
+++ b/crates/brassport/src/config.rs
@@ -19,13 +19,12 @@
     /// Where the platform's list of nodes is watched; the first source of nodes, if there is one.
     pub discovery: Option<SocketAddr>,
     /// Further sources of nodes.
-    pub sources: Vec<Origin>,
+    pub sources: Vec<SourceConfig>,
     pub seed: u64,
-    pub sockets: usize,
-    /// Bytes.
-    pub memory: usize,
+    pub max_descriptors: usize,
+    pub memory_bytes: usize,
     /// The list kept for discovery; it may be old.
-    pub known: Option<List>,
+    pub cached_list: Option<List>,
     pub names: Names,
     pub settings: Settings,
     pub connect_timeout: Duration,
@@ -33,29 +32,29 @@
     /// Whether this door's own count is the meter, as there is no other door and nodes tell no figure.
     pub local_meter: bool,
     /// What a request is taken to say where it says nothing, at a site without a platform round it.
-    pub assumed: Option<Assumed>,
+    pub request_defaults: Option<RequestDefaults>,
     /// The file's text, for a process that takes this one's place.
     pub text: String,
 }
 
 /// Takes what a source reports.
-pub type Reader = Rc<dyn Fn(Report)>;
+pub type ReportSink = Rc<dyn Fn(Report)>;
 /// What runs on the front door's thread to follow a source, for as long as the front door does.
-pub type Feed = Box<dyn FnOnce(Reader) -> Pin<Box<dyn Future<Output = ()>>>>;
+pub type Feed = Box<dyn FnOnce(ReportSink) -> Pin<Box<dyn Future<Output = ()>>>>;
 
 /// A source of nodes of the host's. It reports by its feed, or from another thread as
 /// [`Control::Report`](crate::Control).
-pub struct Origin {
+pub struct SourceConfig {
     pub source: Source,
     /// What it says at the start.
-    pub begin: Option<Report>,
+    pub initial_report: Option<Report>,
     pub feed: Option<Feed>,
 }
 
 /// Stands in for headers that a request lacks: its class is the path's first segment, its time the class's, its size
 /// one unit, its plan this one, and a request that is safe to repeat needs no id. What is there must make sense.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Assumed {
+pub struct RequestDefaults {
     /// By index.
     pub plan: usize,
 }
@@ -183,7 +182,7 @@
 
 /// Which of the environment and the file goes before the other in what both say.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum First {
+pub enum Precedence {
     /// At the start: the environment is as new as the file.
     Environment,
     /// When the file has been replaced under a running program, whose environment is of its start.
@@ -194,10 +193,10 @@
 ///
 /// # Errors
 /// One plain line on what is missing or makes no sense.
-pub fn read(first: First) -> Result<Config, String> {
+pub fn read(precedence: Precedence) -> Result<Config, String> {
     let path = env::var("BALANCER_CONFIG").map_err(|_| "BALANCER_CONFIG is not set".to_string())?;
     let text = fs::read_to_string(&path).map_err(|error| format!("cannot read {path}: {error}"))?;
-    parse(&text, first, |name| env::var(name).ok())
+    parse(&text, precedence, |name| env::var(name).ok())
 }
 
 /// An address that the environment tells, if it is one.
@@ -211,13 +210,13 @@
 /// As [`read`].
 pub fn parse(
     text: &str,
-    first: First,
+    precedence: Precedence,
     environment: impl Fn(&str) -> Option<String>,
 ) -> Result<Config, String> {
     let file: File = serde_json::from_str(text).map_err(|error| format!("configuration: {error}"))?;
     let given = |name: &str, written: Option<String>| {
         let said = environment(name);
-        let text = if first == First::File { written.or(said) } else { said.or(written) };
+        let text = if precedence == Precedence::File { written.or(said) } else { said.or(written) };
         let fault = |text| format!("{name}: '{text}' is no address with a port, as 127.0.0.1:8080");
         text.map(|text| text.parse::<SocketAddr>().map_err(|_| fault(text))).transpose()
     };
@@ -265,15 +264,15 @@
         discovery: Some(address("BALANCER_DISCOVERY", file.discovery)?),
         sources: Vec::new(),
         seed,
-        sockets: file.limits.sockets,
-        memory: file.limits.memory_mb.saturating_mul(1 << 20),
-        known: Some(file.known),
+        max_descriptors: file.limits.sockets,
+        memory_bytes: file.limits.memory_mb.saturating_mul(1 << 20),
+        cached_list: Some(file.known),
         names,
         settings,
         connect_timeout: time("bounds.connectTimeout", bounds.connect_timeout)?,
         idle_timeout: time("bounds.connIdle", bounds.conn_idle)?,
         local_meter: false,
-        assumed: None,
+        request_defaults: None,
         text: text.to_string(),
     })
 }
--- a/crates/brassport/src/door.rs
+++ b/crates/brassport/src/door.rs
@@ -61,14 +61,14 @@
         backends: Rc<UpstreamPool<C, N>>,
     ) -> Result<Rc<Door<C, N>>, InvalidSetting> {
         let links = host.links.clone();
-        let surroundings = dispatch::DispatcherOptions {
+        let options = dispatch::DispatcherOptions {
             meter: host.local_meter.map(|meter| Box::new(meter) as Box<dyn dispatch::UsageMeter>),
             hooks: host.hooks,
             on_release: Box::new(move |customer| links.tell_successor(|| Told::Released(customer))),
             inherited_clock: host.clock_before,
         };
         Ok(Rc::new(Door {
-            dispatcher: dispatch::Dispatcher::new(clock, settings, seed, surroundings, backends.clone())?,
+            dispatcher: dispatch::Dispatcher::new(clock, settings, seed, options, backends.clone())?,
             zones: RefCell::new(host.zones),
             backends,
             inner: RefCell::default(),
@@ -173,7 +173,7 @@
             self.inner.borrow_mut().bans.hear(node);
         }
         let ban = match call {
-            Call::Metrics => return Reply::Figures(figures.text(self.list_figures())),
+            Call::Metrics => return Reply::Metrics(figures.text(self.list_figures())),
             Call::Disable(node) | Call::Ban(node) => {
                 let boot_ms = self.told_of(&node).map(|told| told.boot_ms);
                 Told::Ban { node, boot_ms }
--- a/crates/brassport/src/main.rs
+++ b/crates/brassport/src/main.rs
@@ -2,10 +2,10 @@
 #![forbid(unsafe_code)]
 
 use brassport::clock::SystemClock;
-use brassport::config::{self, First};
+use brassport::config::{self, Precedence};
 use brassport::network::Tcp;
 use brassport::run::{admin, handover};
-use brassport::{front_door_with, log, Control, Surroundings, Upgrades};
+use brassport::{log, run_gateway_with, Control, GatewayOptions, Upgrades};
 use std::env;
 use std::ffi::OsString;
 use std::os::unix::process::CommandExt;
@@ -87,16 +87,16 @@
 }
 
 fn run() -> Result<(), String> {
-    let read = config::read(First::Environment);
+    let read = config::read(Precedence::Environment);
     let (listen, admin) = match &read {
         Ok(config) => (Some(config.listen), config.admin),
         // A process that serves may have a file that is sound, and the environment tells how to find it.
         Err(_) => (config::told("BALANCER_LISTEN"), config::told("BALANCER_ADMIN_ADDR")),
     };
     // Before anything else: a start that cannot serve its operators is none.
-    let operators = admin.map(|at| admin::listen(at, std::sync::Arc::default())).transpose()?;
+    let admin_handle = admin.map(|at| admin::listen(at, std::sync::Arc::default())).transpose()?;
     let folder = env::var_os("TMPDIR").map(PathBuf::from);
-    let place = operators.as_ref().and(listen).and_then(|listen| handover::place(listen, folder));
+    let place = admin_handle.as_ref().and(listen).and_then(|listen| handover::place(listen, folder));
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -110,7 +110,7 @@
                 let told = tokio::select! {
                     biased;
                     _ = terminate.recv() => Control::Terminate,
-                    _ = reload.recv() => Control::Reload(Box::new(config::read(First::File))),
+                    _ = reload.recv() => Control::Reload(Box::new(config::read(Precedence::File))),
                 };
                 if controls.send(told).is_err() {
                     return;
@@ -123,7 +123,8 @@
         };
         let config = match (read, &taken) {
             (Err(problem), Some(taken)) => {
-                let theirs = config::parse(&taken.offer.file, First::Environment, |name| env::var(name).ok());
+                let theirs =
+                    config::parse(&taken.offer.file, Precedence::Environment, |name| env::var(name).ok());
                 let config = theirs.map_err(|_| problem.clone())?;
                 log::line(format!("starts with the file of the process that serves: {problem}"));
                 config
@@ -131,7 +132,7 @@
             (read, _) => read?,
         };
         let upgrades = place.map(|at| Upgrades { at, taken });
-        let surroundings = Surroundings { operators, upgrades, ..Surroundings::default() };
-        front_door_with(config, SystemClock, Tcp, control, surroundings).await
+        let options = GatewayOptions { admin: admin_handle, upgrades, ..GatewayOptions::default() };
+        run_gateway_with(config, SystemClock, Tcp, control, options).await
     })
 }
--- a/crates/brassport/src/program.rs
+++ b/crates/brassport/src/program.rs
@@ -3,7 +3,7 @@
 
 use crate::clients::Context;
 use crate::clock::Clock;
-use crate::config::{Config, Names, Origin};
+use crate::config::{Config, Names, SourceConfig};
 use crate::date::DateHeader;
 use crate::discovery::{self, Watch};
 use crate::door::{Door, Host};
@@ -13,7 +13,7 @@
 use crate::members::{Members, Place};
 use crate::mutants::mutant;
 use crate::network::Network;
-use crate::run::admin::{self, Call, Command, Operators, Reply};
+use crate::run::admin::{self, AdminHandle, Call, Command, Reply};
 use crate::run::handover::links::{HandOver, Links};
 use crate::run::handover::{Heir, Office, Taken};
 use crate::run::metrics::Figures;
@@ -53,22 +53,22 @@
 const LEFT: Duration = Duration::from_millis(1000);
 
 /// Who looks at the book of nodes.
-pub type Look = Box<dyn FnOnce(&Book, Moment)>;
+pub type MembershipInspector = Box<dyn FnOnce(&Book, Moment)>;
 
 /// What a front door is told while it runs.
 pub enum Control {
     /// End in order, as on SIGTERM.
     Terminate,
     /// End at once: what is still in hand is failed, each with its answer.
-    Hurry,
+    StopNow,
     /// Say what is held now.
     Inspect(Box<dyn FnOnce(Inspection)>),
     /// What one of the host's own sources of nodes reports, by its place in [`Config::sources`].
     Report(usize, Report),
-    /// Look at the book of nodes.
-    Book(Look),
+    /// Passes the membership book and the current time to the callback.
+    InspectMembership(MembershipInspector),
     /// Carry out what staff ask, and say how it went.
-    Operate(Call, Box<dyn FnOnce(Reply)>),
+    Admin(Call, Box<dyn FnOnce(Reply)>),
     /// The configuration was read anew, as on SIGHUP, with what was wrong with it if it was.
     Reload(Box<Result<Config, String>>),
 }
@@ -81,11 +81,11 @@
 
 /// What a host brings beside clock and network.
 #[derive(Default)]
-pub struct Surroundings {
+pub struct GatewayOptions {
     /// Looks on at each request.
     pub hooks: Option<Rc<dyn RequestHooks>>,
     /// The operators' listener.
-    pub operators: Option<Operators>,
+    pub admin: Option<AdminHandle>,
     /// Where a process that takes this one's place asks for it, and the place that this one took.
     pub upgrades: Option<Upgrades>,
 }
@@ -104,15 +104,15 @@
 
 struct Inbox {
     control: mpsc::UnboundedReceiver<Control>,
-    operators: Option<Operators>,
+    admin: Option<AdminHandle>,
 }
 
 impl Inbox {
     /// The next that is told; `None` once the host tells no more.
     async fn next(&mut self) -> Option<Told> {
-        let operators = &mut self.operators;
+        let admin = &mut self.admin;
         let command = async {
-            if let Some(Operators { commands, .. }) = operators {
+            if let Some(AdminHandle { commands, .. }) = admin {
                 if let Some(command) = commands.recv().await {
                     return command;
                 }
@@ -127,7 +127,7 @@
     }
 
     fn ready(&self, is_ready: bool) {
-        if let Some(Operators { ready, .. }) = &self.operators {
+        if let Some(AdminHandle { ready, .. }) = &self.admin {
             ready.store(is_ready, Ordering::Relaxed);
         }
     }
@@ -178,31 +178,31 @@
 ///
 /// # Errors
 /// One plain line, if it cannot start.
-pub async fn front_door<C: Clock, N: Network>(
+pub async fn run_gateway<C: Clock, N: Network>(
     config: Config,
     clock: C,
     network: N,
     control: mpsc::UnboundedReceiver<Control>,
 ) -> Result<(), String> {
-    front_door_with(config, clock, network, control, Surroundings::default()).await
+    run_gateway_with(config, clock, network, control, GatewayOptions::default()).await
 }
 
-/// As [`front_door`], with more that the host brings.
+/// As [`run_gateway`], with more that the host brings.
 ///
 /// # Errors
-/// As [`front_door`].
-pub async fn front_door_with<C: Clock, N: Network>(
+/// As [`run_gateway`].
+pub async fn run_gateway_with<C: Clock, N: Network>(
     config: Config,
     clock: C,
     network: N,
     control: mpsc::UnboundedReceiver<Control>,
-    surroundings: Surroundings,
+    options: GatewayOptions,
 ) -> Result<(), String> {
-    let Surroundings { hooks, operators, upgrades } = surroundings;
-    let own = OWN_DESCRIPTORS + if operators.is_some() { admin::DESCRIPTORS } else { 0 };
-    let mut inbox = Inbox { control, operators };
-    let spare = config.sockets.checked_sub(own).filter(|spare| *spare > 0);
-    let spare = spare.ok_or_else(|| format!("limits.sockets: {} are too few", config.sockets))?;
+    let GatewayOptions { hooks, admin, upgrades } = options;
+    let own = OWN_DESCRIPTORS + if admin.is_some() { admin::DESCRIPTORS } else { 0 };
+    let mut inbox = Inbox { control, admin };
+    let spare = config.max_descriptors.checked_sub(own).filter(|spare| *spare > 0);
+    let spare = spare.ok_or_else(|| format!("limits.sockets: {} are too few", config.max_descriptors))?;
     let spare = spare.min(Semaphore::MAX_PERMITS);
     let spare = if mutant!(IgnoreDescriptorLimit) { 10 * spare } else { spare };
     let (at, taken) = upgrades.map_or((None, None), |upgrades| (Some(upgrades.at), upgrades.taken));
@@ -213,7 +213,7 @@
     // The rest is the other process's until that has ended.
     let lent = taken.as_ref().map_or(spare, |taken| taken.offer.descriptors.min(spare));
     let descriptors = Arc::new(Semaphore::new(lent));
-    let most_bodies = (config.memory / BODIES_PART).min(Semaphore::MAX_PERMITS);
+    let most_bodies = (config.memory_bytes / BODIES_PART).min(Semaphore::MAX_PERMITS);
     let listener = match (taken.as_ref().map(|taken| taken.listener.try_clone()), &at) {
         (Some(socket), _) => socket.and_then(|socket| network.adopt_listener(socket)),
         (None, Some(_)) => network.listen_beside(config.listen).await,
@@ -251,13 +251,13 @@
     let sources = platform.into_iter().chain(told).collect();
     let members = Rc::new(Members::new(clock.clone(), sources, door.clone()));
     let newest = Rc::new(Cell::new(taken.as_ref().and_then(|taken| taken.offer.newest)));
-    match (&taken, config.known) {
+    match (&taken, config.cached_list) {
         (Some(taken), _) => door.go_on((*taken.offer).clone()),
         (None, Some(known)) => door.servers(ListKind::Cached, &known.report().entries),
         (None, None) => {}
     }
-    for (place, Origin { begin, feed, .. }) in config.sources.into_iter().enumerate() {
-        if let Some(report) = begin {
+    for (place, SourceConfig { initial_report, feed, .. }) in config.sources.into_iter().enumerate() {
+        if let Some(report) = initial_report {
             members.take(first + place, report);
         }
         if let Some(feed) = feed {
@@ -277,7 +277,7 @@
             reader,
             newest: newest.clone(),
             again: (!terms.settings().list_on_request).then_some(again),
-            most: discovery::most_of_a_list(config.memory),
+            most: discovery::most_of_a_list(config.memory_bytes),
             complained: Cell::new(false),
         };
         spawn_local(watch.follow(seen));
@@ -291,7 +291,7 @@
         clock: clock.clone(),
         door: door.clone(),
         backends,
-        assumed: config.assumed,
+        request_defaults: config.request_defaults,
         terms: RefCell::new(Rc::new(terms)),
         shutdown: shutdown.clone(),
         date: DateHeader::default(),
@@ -318,8 +318,8 @@
         file: RefCell::new(config.text),
         descriptors: descriptors.clone(),
         own,
-        most: config.memory / HERITAGE_PART,
-        ready: inbox.operators.as_ref().map(|operators| operators.ready.clone()),
+        most: config.memory_bytes / HERITAGE_PART,
+        ready: inbox.admin.as_ref().map(|admin| admin.ready.clone()),
         newest,
     });
     let serve = serve(listener, context.clone(), descriptors.clone(), spare, adopted);
@@ -345,7 +345,7 @@
         };
         match control {
             Control::Terminate => return Some(End::InOrder),
-            Control::Hurry => return Some(End::Now),
+            Control::StopNow => return Some(End::Now),
             Control::Inspect(say) => say(Inspection {
                 in_flight: door.in_flight(),
                 limit: door.room().0,
@@ -355,8 +355,8 @@
                 body_bytes: most_bodies - context.bodies.available_permits(),
             }),
             Control::Report(place, report) => members.take(first + place, report),
-            Control::Book(look) => look(&members.book(), members.now()),
-            Control::Operate(call, say) => say(door.operate(call, &figures)),
+            Control::InspectMembership(look) => look(&members.book(), members.now()),
+            Control::Admin(call, say) => say(door.operate(call, &figures)),
             Control::Reload(config) => match (*config).and_then(|config| reload(config, &context)) {
                 Ok(config) => {
                     office.file.replace(config.text);
--- a/crates/brassport/src/run/admin.rs
+++ b/crates/brassport/src/run/admin.rs
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
     /// The figures, a line each.
-    Figures(String),
+    Metrics(String),
     /// It is so from now on.
     Done,
     /// There is no such node.
@@ -74,7 +74,7 @@
 
 /// The data path's side of the listener.
 #[derive(Debug)]
-pub struct Operators {
+pub struct AdminHandle {
     pub commands: mpsc::Receiver<Command>,
     /// Whether clients are served; the data path sets it.
     pub ready: Arc<AtomicBool>,
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 /// One plain line, if it cannot listen there.
-pub fn listen(at: SocketAddr, out: Arc<AtomicBool>) -> Result<Operators, String> {
+pub fn listen(at: SocketAddr, out: Arc<AtomicBool>) -> Result<AdminHandle, String> {
     let fault = |error| {
         format!(
             "BALANCER_ADMIN_ADDR or admin_addr: cannot listen on {at}: {error}; name a free address of this \
@@ -126,7 +126,7 @@
     };
     let thread = thread::Builder::new().name("operators".into()).stack_size(STACK).spawn(serve);
     thread.map_err(|error| format!("cannot start the operators' listener: {error}"))?;
-    Ok(Operators { commands, ready })
+    Ok(AdminHandle { commands, ready })
 }
 
 async fn accept(listener: &tokio::net::TcpListener, desk: &Rc<Desk>) {
@@ -236,7 +236,7 @@
         };
     };
     match desk.ask(call).await {
-        Some(Reply::Figures(figures)) => text(StatusCode::OK, figures),
+        Some(Reply::Metrics(figures)) => text(StatusCode::OK, figures),
         Some(Reply::Done) => text(StatusCode::OK, "done\n"),
         Some(Reply::UnknownNode) => {
             text(StatusCode::NOT_FOUND, "no such backend; /-/metrics counts the listed ones\n")
--- a/crates/brassport/tests/golden.rs
+++ b/crates/brassport/tests/golden.rs
@@ -5,10 +5,10 @@
 mod common;
 
 use brassport::clock::SystemClock;
-use brassport::config::{self, Config, First, Names};
+use brassport::config::{self, Config, Names, Precedence};
 use brassport::discovery::{List, ListReader, Newest, Watch};
 use brassport::network::Tcp;
-use brassport::run::admin::{self, Call, Operators, Reply};
+use brassport::run::admin::{self, AdminHandle, Call, Reply};
 use brassport::run::handover::link::Link;
 use brassport::run::handover::protocol::{Listed, Message, Offer, VERSION};
 use brassport::run::handover::{place, take};
@@ -416,10 +416,10 @@
 }
 
 /// Answers each call as its words ask for, and notes it.
-fn data_path(mut operators: Operators, heard: std::sync::mpsc::Sender<String>) {
+fn data_path(mut operators: AdminHandle, heard: std::sync::mpsc::Sender<String>) {
     while let Some(command) = operators.commands.blocking_recv() {
         let (noted, reply) = match command.call {
-            Call::Metrics => ("figures".to_string(), Some(Reply::Figures("a=1\nb=2\n".into()))),
+            Call::Metrics => ("figures".to_string(), Some(Reply::Metrics("a=1\nb=2\n".into()))),
             Call::Disable(name) if name == "gone" => (format!("disable {name}"), Some(Reply::UnknownNode)),
             Call::Disable(name) if name == "silent" => (format!("disable {name}"), None),
             Call::Disable(name) => (format!("disable {name}"), Some(Reply::Done)),
@@ -427,7 +427,7 @@
             Call::Ban(name) => (format!("ban {name}"), Some(Reply::Done)),
         };
         match reply {
-            None | Some(Reply::Figures(_) | Reply::Done | Reply::UnknownNode) => {}
+            None | Some(Reply::Metrics(_) | Reply::Done | Reply::UnknownNode) => {}
         }
         let _ = heard.send(noted);
         if let Some(reply) = reply {
@@ -567,7 +567,7 @@
 }
 
 fn told(config: &Config) -> String {
-    let known = config.known.is_some();
+    let known = config.cached_list.is_some();
     format!(
         "listen {}, admin {:?}, discovery {:?}, {} sources, seed {:x}, sockets {}, memory {}, known {known}, names {}, \
          settings {}, connect {:?}, idle {:?}, local meter {}, assumed {:?}, text of {} bytes",
@@ -576,29 +576,29 @@
         config.discovery.map(|at| at.to_string()),
         config.sources.len(),
         config.seed,
-        config.sockets,
-        config.memory,
+        config.max_descriptors,
+        config.memory_bytes,
         write_json(&config.names),
         write_json(&config.settings),
         config.connect_timeout,
         config.idle_timeout,
         config.local_meter,
-        config.assumed.map(|assumed| assumed.plan),
+        config.request_defaults.map(|defaults| defaults.plan),
         config.text.len(),
     )
 }
 
-fn parsed_with(text: &str, first: First, environment: &[(&str, &str)]) -> String {
+fn parsed_with(text: &str, precedence: Precedence, environment: &[(&str, &str)]) -> String {
     let variable = |name: &str| {
         let found = environment.iter().find(|(other, _)| *other == name);
         found.map(|(_, value)| value.to_string())
     };
-    config::parse(text, first, variable)
+    config::parse(text, precedence, variable)
         .map_or_else(|error| error, |config| format!("taken: {}", told(&config)))
 }
 
 fn parsed(value: &Value) -> String {
-    parsed_with(&text_of(value), First::Environment, &[])
+    parsed_with(&text_of(value), Precedence::Environment, &[])
 }
 
 fn with(place: &str, value: Value) -> Value {
@@ -621,9 +621,9 @@
     }
     let cases = [
         ("sample", parsed(&sample())),
-        ("environment first", parsed_with(&text, First::Environment, &both)),
-        ("file first", parsed_with(&text, First::File, &both)),
-        ("addresses by the environment", parsed_with(&text_of(&bare), First::File, &both)),
+        ("environment first", parsed_with(&text, Precedence::Environment, &both)),
+        ("file first", parsed_with(&text, Precedence::File, &both)),
+        ("addresses by the environment", parsed_with(&text_of(&bare), Precedence::File, &both)),
         ("lists on request", parsed(&with("/settings/registryMode", json!("on_request")))),
         ("no advice", parsed(&with("/settings/bounds/retryAfter", json!(false)))),
         ("unknown fields", parsed(&with("/limits", json!({"memory_mb": 1, "sockets": 2, "cores": 3})))),
@@ -650,7 +650,7 @@
         cases.push((format!("a list {place}"), parsed(&with(place, json!([])))));
     }
     for (name, text) in [("nothing", ""), ("a list", "[]"), ("no JSON", "{"), ("null", "null")] {
-        cases.push((name.to_string(), parsed_with(text, First::Environment, &[])));
+        cases.push((name.to_string(), parsed_with(text, Precedence::Environment, &[])));
     }
     cases
 }
@@ -677,8 +677,8 @@
 fn configurations_that_make_no_sense() {
     let bad = [("BALANCER_LISTEN", "nowhere"), ("BALANCER_ADMIN_ADDR", "1.2.3.4")];
     let mut cases = vec![
-        ("environment".to_string(), parsed_with(&text_of(&sample()), First::Environment, &bad)),
-        ("environment, one".into(), parsed_with(&text_of(&sample()), First::Environment, &bad[1..])),
+        ("environment".to_string(), parsed_with(&text_of(&sample()), Precedence::Environment, &bad)),
+        ("environment, one".into(), parsed_with(&text_of(&sample()), Precedence::Environment, &bad[1..])),
         ("too great a number".into(), parsed(&with("/seed", json!("1ffffffffffffffff")))),
         ("no number".into(), parsed(&with("/seed", json!("0x12")))),
     ];
--- a/crates/brassport/tests/hooks.rs
+++ b/crates/brassport/tests/hooks.rs
@@ -1,10 +1,10 @@
 //! What a host that looks on may hold back.
 
 use brassport::clock::SystemClock;
-use brassport::config::{Assumed, Config, Names, Origin};
+use brassport::config::{Config, Names, RequestDefaults, SourceConfig};
 use brassport::hooks::{RequestHooks, Wait};
 use brassport::network::Tcp;
-use brassport::{front_door_with, Surroundings};
+use brassport::{run_gateway_with, GatewayOptions};
 use brassport_membership::book::{Entry, Report, Source};
 use brassport_policy::{Class, Plan, RequestId, RetrySafety, Settings};
 use brassport_process_harness::port::reserve;
@@ -56,17 +56,21 @@
         admin: None,
         text: String::new(),
         discovery: None,
-        sources: vec![Origin { source: Source::authority("list"), begin: Some(node), feed: None }],
+        sources: vec![SourceConfig {
+            source: Source::authority("list"),
+            initial_report: Some(node),
+            feed: None,
+        }],
         seed: 1,
-        sockets: 128,
-        memory: 1 << 24,
-        known: None,
+        max_descriptors: 128,
+        memory_bytes: 1 << 24,
+        cached_list: None,
         names: Names { classes: vec!["job".into()], plans: vec!["p".into()], zones: vec![String::new()] },
         settings: Settings { classes, plans, ..Settings::default() },
         connect_timeout: Duration::from_secs(5),
         idle_timeout: Duration::from_secs(5),
         local_meter: true,
-        assumed: Some(Assumed { plan: 0 }),
+        request_defaults: Some(RequestDefaults { plan: 0 }),
     }
 }
 
@@ -79,12 +83,12 @@
     let held = hooks.clone();
     let test = async {
         let (_controls, control) = mpsc::unbounded_channel();
-        spawn_local(front_door_with(
+        spawn_local(run_gateway_with(
             config,
             SystemClock,
             Tcp,
             control,
-            Surroundings { hooks: Some(hooks), ..Surroundings::default() },
+            GatewayOptions { hooks: Some(hooks), ..GatewayOptions::default() },
         ));
         tokio::task::yield_now().await;
         let head = "POST /job HTTP/1.1\r\nHost: d\r\nX-Request-Id: j\r\nCookie: client=0000000000000007\r\n\
@@ -131,8 +135,8 @@
     let host = hooks.clone();
     let test = async {
         let (_controls, control) = mpsc::unbounded_channel();
-        let surroundings = Surroundings { hooks: Some(hooks), ..Surroundings::default() };
-        spawn_local(front_door_with(config, SystemClock, Tcp, control, surroundings));
+        let options = GatewayOptions { hooks: Some(hooks), ..GatewayOptions::default() };
+        spawn_local(run_gateway_with(config, SystemClock, Tcp, control, options));
         tokio::task::yield_now().await;
         let admitted = spawn_local(asked(listen, "before"));
         host.asked.notified().await;
--- a/crates/brassport/tests/settings.rs
+++ b/crates/brassport/tests/settings.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use brassport::config::{parse, First};
+use brassport::config::{parse, Precedence};
 use common::{config, list, reserve};
 use serde_json::{json, Value};
 
 fn is_taken(text: &str) -> bool {
-    parse(text, First::File, |_| None).is_ok()
+    parse(text, Precedence::File, |_| None).is_ok()
 }
 
 fn usual() -> Value {
