--- a/crates/brassport-data-plane/src/downstream/body.rs
+++ b/crates/brassport-data-plane/src/downstream/body.rs
@@ -1,8 +1,8 @@
-//! Phase 2: the body, read to its end if it is short, or streamed to the backend as it comes.
+//! Phase 2: the body. A short body is buffered, a longer one is streamed to the backend.
 
 use super::rejection::{BodyFault, Rejection};
 use crate::data_plane::DataPlane;
-use brassport_proxy::body::pace::TransferPace;
+use brassport_proxy::body::data_rate::DataRateMonitor;
 use brassport_proxy::body::upload::{Upload, UploadProgress};
 use brassport_proxy::body::{read_body, ReadBody, UpstreamBody};
 use brassport_proxy::clock::Clock;
@@ -14,23 +14,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What has come of a body.
+/// The part of a body that has been received.
 pub(super) enum ReceivedBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// The first part; the rest is still coming.
-    Partial { first: Bytes, rest: Incoming, pace: TransferPace },
+    /// The first bytes of a long body, and the unread remainder.
+    Partial { first: Bytes, rest: Incoming, data_rate: DataRateMonitor },
 }
 
-/// A body on its way to a backend.
+/// A body in the form in which it is forwarded to a backend.
 pub(super) struct OutgoingBody {
     pub(super) body: RequestBody,
-    /// Of one that is still coming.
+    /// The progress of a streamed body; `None` if the body is buffered.
     pub(super) progress: Option<Rc<UploadProgress>>,
 }
 
 impl<C: Clock, N: Network> DataPlane<C, N> {
-    /// Reads a body, if its declared length is within the limit.
+    /// Reads a body up to the buffer limit. Rejects it if its declared length exceeds `max_bytes`.
     pub(super) async fn receive_body(
         &self,
         mut body: Incoming,
@@ -40,11 +40,11 @@
         if max_bytes.is_some_and(|max_bytes| body.size_hint().lower() > max_bytes) {
             return Err(Rejection::LengthBeyondLimit);
         }
-        let mut pace = TransferPace::new(client.request_age());
-        match read_body(&self.resources.clock, &mut body, &mut pace).await {
+        let mut data_rate = DataRateMonitor::new(client.request_age());
+        match read_body(&self.resources.clock, &mut body, &mut data_rate).await {
             Ok(ReadBody::Complete(bytes)) => Ok(ReceivedBody::Complete(bytes)),
-            Ok(ReadBody::Partial(first)) => Ok(ReceivedBody::Partial { first, rest: body, pace }),
-            Err(problem) => Err(Rejection::Body(BodyFault::from(problem))),
+            Ok(ReadBody::Partial(first)) => Ok(ReceivedBody::Partial { first, rest: body, data_rate }),
+            Err(error) => Err(Rejection::Body(BodyFault::from(error))),
         }
     }
 }
@@ -54,14 +54,15 @@
         matches!(self, ReceivedBody::Complete(_))
     }
 
-    /// As it goes on to a backend; `timeout` runs from when all of it has come.
+    /// Converts the body for forwarding. For a streamed body, the client's `timeout` starts when the upload is
+    /// complete.
     pub(super) fn into_upload(self, clock: &impl Clock, timeout: Duration) -> OutgoingBody {
         match self {
             ReceivedBody::Complete(bytes) => {
                 OutgoingBody { body: RequestBody::Complete(bytes), progress: None }
             }
-            ReceivedBody::Partial { first, rest, pace } => {
-                let (upload, progress) = Upload::new(clock.clone(), first, rest, pace);
+            ReceivedBody::Partial { first, rest, data_rate } => {
+                let (upload, progress) = Upload::new(clock.clone(), first, rest, data_rate);
                 let body = RefCell::new(Some(UpstreamBody::Streaming(Box::pin(upload))));
                 let upload = StreamingUpload { body, progress: progress.clone(), client_timeout: timeout };
                 OutgoingBody { body: RequestBody::Streaming(upload), progress: Some(progress) }
--- a/crates/brassport/src/program.rs
+++ b/crates/brassport/src/program.rs
@@ -215,8 +215,8 @@
     let descriptors = Arc::new(Semaphore::new(lent));
     let most_bodies = (config.memory_bytes / BODIES_PART).min(Semaphore::MAX_PERMITS);
     let listener = match (taken.as_ref().map(|taken| taken.listener.try_clone()), &at) {
-        (Some(socket), _) => socket.and_then(|socket| network.adopt_listener(socket)),
-        (None, Some(_)) => network.listen_beside(config.listen).await,
+        (Some(socket), _) => socket.and_then(|socket| network.listener_from_fd(socket)),
+        (None, Some(_)) => network.listen_reuse_port(config.listen).await,
         (None, None) => network.listen(config.listen).await,
     };
     let listener = listener.map_err(|error| format!("cannot listen on {}: {error}", config.listen))?;
@@ -304,7 +304,7 @@
     if let Some(taken) = taken {
         // Its own file may be newer than what the other process took.
         if let Err(problem) = settle(&config.names, &config.settings, &context) {
-            log::line(format!("goes on with the settings of the other process: {problem}"));
+            log::write_line(format!("goes on with the settings of the other process: {problem}"));
         }
         let (door, links, descriptors) = (door.clone(), links.clone(), descriptors.clone());
         let heir = Heir { network, door, links, descriptors, owed: spare - lent, clients };
@@ -368,7 +368,7 @@
                 // Guards against half a file: what is in force stays so.
                 Err(problem) => {
                     figures.reloaded(false);
-                    log::line(format!("not reloaded: {problem}"));
+                    log::write_line(format!("not reloaded: {problem}"));
                 }
             },
         }
@@ -407,7 +407,7 @@
             }
         }
     });
-    shutdown.advance(Phase::Leaving);
+    shutdown.advance(Phase::Draining);
     if orderly {
         tokio::select! {
             biased;
