--- a/crates/brassport/src/config.rs
+++ b/crates/brassport/src/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: the environment and the JSON file it names, checked and turned into the module's terms.
+//! Configuration: the environment and the JSON file it names, validated and converted to the policy's settings.
 
 use crate::discovery::List;
 use brassport_membership::book::{Report, Source};
@@ -11,55 +11,59 @@
 use std::time::Duration;
 use std::{env, fs};
 
-/// All that a front door is told at its start.
+/// The complete configuration of a gateway.
 pub struct Config {
     pub listen: SocketAddr,
-    /// Where staff call, if anywhere.
+    /// Address of the admin listener, if there is one.
     pub admin: Option<SocketAddr>,
-    /// Where the platform's list of nodes is watched; the first source of nodes, if there is one.
+    /// Address of the platform's discovery agent. If set, it is the first membership source.
     pub discovery: Option<SocketAddr>,
-    /// Further sources of nodes.
+    /// Further membership sources.
     pub sources: Vec<SourceConfig>,
     pub seed: u64,
+    /// Maximum number of open file descriptors of the process.
     pub max_descriptors: usize,
+    /// Memory limit, from which the limits of buffers are derived.
     pub memory_bytes: usize,
-    /// The list kept for discovery; it may be old.
+    /// A list of backends to start with, which may be outdated.
     pub cached_list: Option<List>,
     pub names: Names,
     pub settings: Settings,
     pub connect_timeout: Duration,
     pub idle_timeout: Duration,
-    /// Whether this door's own count is the meter, as there is no other door and nodes tell no figure.
+    /// Whether the gateway measures usage itself: for a site with a single gateway whose backends do not report
+    /// usage.
     pub local_meter: bool,
-    /// What a request is taken to say where it says nothing, at a site without a platform round it.
+    /// Defaults for headers that requests lack, at a site without the platform.
     pub request_defaults: Option<RequestDefaults>,
-    /// The file's text, for a process that takes this one's place.
+    /// The text of the file, for the handover to a successor process.
     pub text: String,
 }
 
-/// Takes what a source reports.
+/// Receives the reports of a source.
 pub type ReportSink = Rc<dyn Fn(Report)>;
-/// What runs on the front door's thread to follow a source, for as long as the front door does.
+/// Starts the task that follows a source; the task runs on the gateway's thread for as long as the gateway.
 pub type Feed = Box<dyn FnOnce(ReportSink) -> Pin<Box<dyn Future<Output = ()>>>>;
 
-/// A source of nodes of the host's. It reports by its feed, or from another thread as
+/// A membership source that the host provides. It reports through its feed, or from another thread as
 /// [`Control::Report`](crate::Control).
 pub struct SourceConfig {
     pub source: Source,
-    /// What it says at the start.
+    /// A report that is applied at the start.
     pub initial_report: Option<Report>,
     pub feed: Option<Feed>,
 }
 
-/// Stands in for headers that a request lacks: its class is the path's first segment, its time the class's, its size
-/// one unit, its plan this one, and a request that is safe to repeat needs no id. What is there must make sense.
+/// Defaults for headers that a request lacks: the class is the first segment of the path, the timeout is the class's
+/// deadline, the size is one unit, the plan is `plan`, and a GET request gets a generated id. Headers that are
+/// present must be valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestDefaults {
-    /// By index.
+    /// Index of the plan.
     pub plan: usize,
 }
 
-/// Names that stand on the sockets, each at the index by which the module knows it.
+/// Names used in headers and lists, each at its index in the policy's settings.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Names {
     pub classes: Vec<String>,
@@ -67,6 +71,8 @@
     pub zones: Vec<String>,
 }
 
+// The names of the following types occur in the error messages of `serde`, which operators see.
+
 #[derive(Deserialize)]
 struct File {
     listen: Option<String>,
@@ -180,31 +186,31 @@
     tolerance: f64,
 }
 
-/// Which of the environment and the file goes before the other in what both say.
+/// Which of the environment and the file takes precedence for values that both contain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Precedence {
-    /// At the start: the environment is as new as the file.
+    /// At the start, when the environment is as new as the file.
     Environment,
-    /// When the file has been replaced under a running program, whose environment is of its start.
+    /// At a reload, when the file may be newer than the environment, which dates from the start of the process.
     File,
 }
 
-/// Reads and checks the whole configuration.
+/// Reads and validates the configuration.
 ///
 /// # Errors
-/// One plain line on what is missing or makes no sense.
+/// A one-line message about what is missing or invalid.
 pub fn read(precedence: Precedence) -> Result<Config, String> {
     let path = env::var("BALANCER_CONFIG").map_err(|_| "BALANCER_CONFIG is not set".to_string())?;
     let text = fs::read_to_string(&path).map_err(|error| format!("cannot read {path}: {error}"))?;
     parse(&text, precedence, |name| env::var(name).ok())
 }
 
-/// An address that the environment tells, if it is one.
-pub fn told(name: &str) -> Option<SocketAddr> {
+/// The address in this environment variable; `None` if it is missing or invalid.
+pub fn address_from_env(name: &str) -> Option<SocketAddr> {
     env::var(name).ok()?.parse().ok()
 }
 
-/// Checks a configuration; `environment` gives the variables that go with it.
+/// Parses and validates a configuration; `environment` returns the value of an environment variable.
 ///
 /// # Errors
 /// As [`read`].
@@ -214,53 +220,56 @@
     environment: impl Fn(&str) -> Option<String>,
 ) -> Result<Config, String> {
     let file: File = serde_json::from_str(text).map_err(|error| format!("configuration: {error}"))?;
-    let given = |name: &str, written: Option<String>| {
-        let said = environment(name);
-        let text = if precedence == Precedence::File { written.or(said) } else { said.or(written) };
-        let fault = |text| format!("{name}: '{text}' is no address with a port, as 127.0.0.1:8080");
-        text.map(|text| text.parse::<SocketAddr>().map_err(|_| fault(text))).transpose()
+    let optional_address = |name: &str, from_file: Option<String>| {
+        let from_env = environment(name);
+        let text =
+            if precedence == Precedence::File { from_file.or(from_env) } else { from_env.or(from_file) };
+        let invalid = |text| format!("{name}: '{text}' is no address with a port, as 127.0.0.1:8080");
+        text.map(|text| text.parse::<SocketAddr>().map_err(|_| invalid(text))).transpose()
+    };
+    let address = |name: &str, from_file| {
+        optional_address(name, from_file)?.ok_or_else(|| format!("{name} is not set"))
     };
-    let address = |name: &str, written| given(name, written)?.ok_or_else(|| format!("{name} is not set"));
     let seed = u64::from_str_radix(&file.seed, 16)
         .map_err(|_| format!("seed: '{}' is no number in hexadecimal", file.seed))?;
-    let told = file.settings;
+    let section = file.settings;
     let names = Names {
-        classes: told.classes.iter().map(|class| class.name.clone()).collect(),
-        plans: told.plans.iter().map(|plan| plan.name.clone()).collect(),
-        zones: told.areas,
+        classes: section.classes.iter().map(|class| class.name.clone()).collect(),
+        plans: section.plans.iter().map(|plan| plan.name.clone()).collect(),
+        zones: section.areas,
     };
-    let bounds = told.bounds;
+    let bounds = section.bounds;
     let settings = Settings {
-        gateways: told.balancers,
-        ordinal: told.ordinal,
-        zone: told.zone,
-        classes: told.classes.iter().map(class).collect(),
-        plans: told.plans.iter().map(plan).collect(),
-        max_units: told.family_info.most_units,
-        meter_period: told.family_info.use_period,
+        gateways: section.balancers,
+        ordinal: section.ordinal,
+        zone: section.zone,
+        classes: section.classes.iter().map(class).collect(),
+        plans: section.plans.iter().map(plan).collect(),
+        max_units: section.family_info.most_units,
+        meter_period: section.family_info.use_period,
         max_attempts: bounds.max_attempts,
         allow_hedging: bounds.may_duplicate,
         allow_cancel: bounds.cancel,
         max_retry_after: if bounds.retry_after { bounds.max_retry_after } else { 0.0 },
-        drain_grace: told.rules.stop_sending_within,
-        warm_up_start_fraction: told.rules.cold_from,
-        warm_up_duration: told.rules.cold,
-        collapse_load: told.rules.tip_multiple,
-        collapse_after: told.rules.fall,
-        tick: told.tick,
-        list_on_request: told.registry_mode == RegistryMode::OnRequest,
+        drain_grace: section.rules.stop_sending_within,
+        warm_up_start_fraction: section.rules.cold_from,
+        warm_up_duration: section.rules.cold,
+        collapse_load: section.rules.tip_multiple,
+        collapse_after: section.rules.fall,
+        tick: section.tick,
+        list_on_request: section.registry_mode == RegistryMode::OnRequest,
         tuning: Default::default(),
     };
     settings.validate().map_err(|error| error.to_string())?;
-    each_once("classes", &names.classes)?;
-    each_once("plans", &names.plans)?;
-    let time = |name: &str, ms: f64| match Duration::try_from_secs_f64(ms / 1000.0) {
-        Ok(time) if !time.is_zero() => Ok(time),
+    require_unique_names("classes", &names.classes)?;
+    require_unique_names("plans", &names.plans)?;
+    let duration = |name: &str, ms: f64| match Duration::try_from_secs_f64(ms / 1000.0) {
+        Ok(duration) if !duration.is_zero() => Ok(duration),
         _ => Err(format!("setting {name}: {ms} is no length of time")),
     };
     Ok(Config {
         listen: address("BALANCER_LISTEN", file.listen)?,
-        admin: given("BALANCER_ADMIN_ADDR", file.admin_addr)?,
+        admin: optional_address("BALANCER_ADMIN_ADDR", file.admin_addr)?,
         discovery: Some(address("BALANCER_DISCOVERY", file.discovery)?),
         sources: Vec::new(),
         seed,
@@ -269,56 +278,56 @@
         cached_list: Some(file.known),
         names,
         settings,
-        connect_timeout: time("bounds.connectTimeout", bounds.connect_timeout)?,
-        idle_timeout: time("bounds.connIdle", bounds.conn_idle)?,
+        connect_timeout: duration("bounds.connectTimeout", bounds.connect_timeout)?,
+        idle_timeout: duration("bounds.connIdle", bounds.conn_idle)?,
         local_meter: false,
         request_defaults: None,
         text: text.to_string(),
     })
 }
 
-/// Guards against a name that means two things, or none.
-fn each_once(what: &str, names: &[String]) -> Result<(), String> {
+/// Rejects an empty list, empty names and duplicate names, which would be ambiguous.
+fn require_unique_names(kind: &str, names: &[String]) -> Result<(), String> {
     if names.is_empty() {
-        return Err(format!("settings.{what}: there must be one at least"));
+        return Err(format!("settings.{kind}: there must be one at least"));
     }
-    for (place, name) in names.iter().enumerate() {
-        if name.is_empty() || names[..place].contains(name) {
-            return Err(format!("settings.{what}[{place}].name: '{name}' stands there twice, or is empty"));
+    for (index, name) in names.iter().enumerate() {
+        if name.is_empty() || names[..index].contains(name) {
+            return Err(format!("settings.{kind}[{index}].name: '{name}' stands there twice, or is empty"));
         }
     }
     Ok(())
 }
 
-fn class(told: &ToldClass) -> Class {
-    let scope = match told.group {
+fn class(section: &ToldClass) -> Class {
+    let scope = match section.group {
         Group::All => Scope::All,
         Group::Zone => Scope::Zone,
         Group::Cell => Scope::Cell,
     };
     Class {
-        value: told.worth,
-        latency_target: told.slo,
-        deadline: told.deadline,
-        late_value_fraction: told.late_share,
-        retry_safety: match told.semantics {
+        value: section.worth,
+        latency_target: section.slo,
+        deadline: section.deadline,
+        late_value_fraction: section.late_share,
+        retry_safety: match section.semantics {
             Semantics::Free => RetrySafety::Idempotent,
-            Semantics::Guarded => RetrySafety::Keyed { scope, window: told.dedup_window },
+            Semantics::Guarded => RetrySafety::Keyed { scope, window: section.dedup_window },
             Semantics::SingleShot => RetrySafety::NonIdempotent,
         },
     }
 }
 
-fn plan(told: &ToldPlan) -> Plan {
+fn plan(section: &ToldPlan) -> Plan {
     Plan {
-        rate: told.units_per_s,
-        burst: told.store_size,
-        max_in_flight: told.concurrency,
-        value_factor: told.price,
-        over_quota_value_fraction: told.excess_worth,
-        over_quota_cost_fraction: told.overrun_cost,
-        hard_limit_rate: told.never_over_rate,
-        hard_limit_burst: told.cap_depth,
-        hard_limit_slack: told.tolerance,
+        rate: section.units_per_s,
+        burst: section.store_size,
+        max_in_flight: section.concurrency,
+        value_factor: section.price,
+        over_quota_value_fraction: section.excess_worth,
+        over_quota_cost_fraction: section.overrun_cost,
+        hard_limit_rate: section.never_over_rate,
+        hard_limit_burst: section.cap_depth,
+        hard_limit_slack: section.tolerance,
     }
 }
--- a/crates/brassport/src/discovery.rs
+++ b/crates/brassport/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: follows the list of backends and hands on each change.
+//! Client of the platform's discovery agent: follows the list of backends by long polling and passes on each change.
 
 use crate::clock::Clock;
 use crate::log;
@@ -20,27 +20,30 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long a watch may wait for news, and how long its answer may take beyond that.
-const WAIT: Duration = Duration::from_millis(1000);
-const OVERDUE: Duration = Duration::from_millis(1000);
-/// How long a connection may take to come up: the agent is on this machine.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Between an answer and the next call: a watch goes on if the call comes within 200 ms, and an agent that
-/// answers at once, whatever it is asked, must not keep the door busy.
-const PACE: Duration = Duration::from_millis(20);
-const FIRST_BACK_OFF: Duration = Duration::from_millis(100);
-const LAST_BACK_OFF: Duration = Duration::from_millis(800);
-/// Part of the memory that one list may take as it comes: 2 MiB of 32, room for 1,024 nodes of 2 kB each. Up to eight may be
-/// on their way at once.
-const LIST_PART: usize = 16;
-const LEAST_LIST: usize = 1 << 20;
+/// How long the agent may hold a long poll open while nothing changes.
+const POLL_WAIT: Duration = Duration::from_millis(1000);
+/// How long the response may take beyond [`POLL_WAIT`] before the poll is abandoned.
+const POLL_GRACE: Duration = Duration::from_millis(1000);
+/// Connect timeout; the agent runs on the same machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay between a response and the next poll. The agent continues a watch if the next poll comes within 200 ms; the
+/// delay keeps an agent that always responds at once from occupying the gateway.
+const POLL_DELAY: Duration = Duration::from_millis(20);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
+/// One list may take this fraction of the memory limit, as a divisor: 2 MiB of 32, enough for 1,024 backends of 2 kB
+/// each. Up to eight lists may be in transfer at once.
+const LIST_MEMORY_DIVISOR: usize = 16;
+/// The limit on a list's size is at least this, in bytes.
+const MIN_LIST_LIMIT: usize = 1 << 20;
 
-/// Most bytes of a list, of a door with so many bytes of memory.
-pub fn most_of_a_list(memory: usize) -> usize {
-    (memory / LIST_PART).max(LEAST_LIST)
+/// Maximum size of a list, in bytes, for a gateway with this memory limit.
+pub fn max_list_bytes(memory_bytes: usize) -> usize {
+    (memory_bytes / LIST_MEMORY_DIVISOR).max(MIN_LIST_LIMIT)
 }
 
-/// The list of backends, or what changed in it.
+/// The agent's response: the whole list of backends if `all` is set, otherwise the entries that changed. The name of
+/// the struct occurs in the error messages of `serde`.
 #[derive(Deserialize)]
 pub struct List {
     pub rev: u64,
@@ -48,19 +51,22 @@
     pub targets: Vec<Target>,
 }
 
+/// One backend of a [`List`]. The name of the struct occurs in the error messages of `serde`.
 #[derive(Deserialize)]
 pub struct Target {
     pub uid: String,
     pub endpoint: String,
     #[serde(default)]
     pub az: String,
-    /// Which, no more: one that is out of range must not cost the whole list.
+    /// An identifier without further meaning. Wider than the values in use, so that one out of range does not make
+    /// the whole list unreadable.
     #[serde(default)]
     pub pod_group: u64,
     pub state: State,
-    /// 0, as where it is missing, says nothing of the size.
+    /// 0 or missing: unknown.
     #[serde(default)]
     pub capacity_hint: f64,
+    /// Unix time of the backend's start in milliseconds; 0 or missing: unknown.
     #[serde(default)]
     pub boot_ms: f64,
 }
@@ -71,16 +77,16 @@
     Ready,
     Draining,
     Gone,
-    /// A word that is not in the protocol: nothing is sent there.
+    /// A state that this version does not know; treated as draining, so the backend gets no new requests.
     #[serde(other)]
     Unknown,
 }
 
 impl List {
-    /// As the book of nodes takes it.
-    pub fn report(self) -> Report {
+    /// Converts the list to a report for the membership book.
+    pub fn into_report(self) -> Report {
         let revision = self.rev;
-        let entry = |target: Target| Entry {
+        let to_entry = |target: Target| Entry {
             id: target.uid.into(),
             address: target.endpoint.parse().ok(),
             zone: target.az,
@@ -97,129 +103,137 @@
         };
         Report {
             whole: self.all,
-            entries: self.targets.into_iter().map(entry).collect(),
+            entries: self.targets.into_iter().map(to_entry).collect(),
             withdrawn: Vec::new(),
         }
     }
 }
 
-/// Who is told of the list.
-pub trait ListReader {
-    /// Takes in the whole list, or what changed in it.
-    fn take(&self, report: Report);
+/// Receives the lists.
+pub trait ListSink {
+    /// Applies a whole list, or a change to it.
+    fn apply(&self, report: Report);
 }
 
-/// A revision of the list, and the agent that told it.
+/// A revision of the list, and the agent it came from: each agent has its own sequence of revisions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Newest {
+pub struct LastRevision {
     pub agent: SocketAddr,
     pub revision: u64,
 }
 
-/// The watch on the list, at one agent at a time.
-pub struct Watch<C, N: Network, R> {
+/// Follows the list at one agent at a time.
+pub struct DiscoveryWatch<C, N: Network, S> {
     pub clock: C,
     pub network: N,
-    pub reader: R,
-    /// The newest revision taken in, also by a process whose place this one took.
-    pub newest: Rc<Cell<Option<Newest>>>,
-    /// Where lists are pushed: a call for the whole list that has no answer is not waited for alone, but joined by
-    /// another each time this has passed. `None` where lists are asked for, as each call is work there.
-    pub again: Option<Duration>,
-    /// Most bytes of a list.
-    pub most: usize,
-    /// Whether it was said that a list is not taken: once, until one is.
-    pub complained: Cell<bool>,
+    pub sink: S,
+    /// The last revision applied, by this process or by its predecessor.
+    pub last_revision: Rc<Cell<Option<LastRevision>>>,
+    /// Where the registry pushes lists: while a request for the whole list has no response, a further request is
+    /// started at this interval. `None` where the registry computes lists on request, as each request costs it work.
+    pub retry_interval: Option<Duration>,
+    /// Maximum size of a list, in bytes.
+    pub max_list_bytes: usize,
+    /// Whether the rejection of a list was logged since the last list that was applied: repeated rejections are
+    /// logged once.
+    pub rejection_logged: Cell<bool>,
 }
 
-impl<C: Clock, N: Network, R: ListReader> Watch<C, N, R> {
-    /// Watches for ever, from the start again wherever discovery moves to.
+impl<C: Clock, N: Network, S: ListSink> DiscoveryWatch<C, N, S> {
+    /// Follows the list until the sender of `address` is dropped; starts anew at each new address.
     pub async fn follow(self, mut address: watch::Receiver<SocketAddr>) {
         loop {
-            let at = *address.borrow_and_update();
+            let current = *address.borrow_and_update();
             tokio::select! {
                 biased;
                 moved = address.changed() => if moved.is_err() { return },
-                () = self.watch_at(at) => {}
+                () = self.follow_agent(current) => {}
             }
         }
     }
 
-    /// Watches at one address. Whatever the agent does, the list held stays in force.
-    async fn watch_at(&self, address: SocketAddr) {
+    /// Follows the list at one agent. The last list stays in force while the agent fails.
+    async fn follow_agent(&self, address: SocketAddr) {
         let mut connection = None;
         let mut last = None;
-        // Guards against passing over a drain: another agent's revisions are numbers of their own.
-        let own = self.newest.get().filter(|told| told.agent == address || mutant!(RevisionsOfAnother));
-        let mut revisions = Revisions::from(own.map(|told| told.revision));
-        let mut back_off = FIRST_BACK_OFF;
+        // Another agent's revisions are not comparable: against them, a newer list of this agent, and a drain in it,
+        // could be taken for an old one.
+        let own =
+            self.last_revision.get().filter(|last| last.agent == address || mutant!(RevisionsOfAnother));
+        let mut revisions = Revisions::from(own.map(|last| last.revision));
+        let mut backoff = MIN_BACKOFF;
         loop {
-            // Guards against an agent that is silent: a call is given up and its connection closed.
-            let answer = match (last, self.again) {
-                (None, Some(again)) => {
-                    let (open, list) = self.ask_until_told(address, again).await;
+            // A poll without a response is abandoned after a timeout, and its connection closed.
+            let response = match (last, self.retry_interval) {
+                (None, Some(interval)) => {
+                    let (open, list) = self.poll_until_answered(address, interval).await;
                     connection = Some(open);
                     Some(Some(list))
                 }
-                _ => self.clock.timeout(WAIT + OVERDUE, self.ask(&mut connection, address, last)).await,
+                _ => {
+                    self.clock
+                        .timeout(POLL_WAIT + POLL_GRACE, self.poll(&mut connection, address, last))
+                        .await
+                }
             };
-            match answer {
+            match response {
                 Some(Some(list))
-                    if revisions.is_news(list.rev, list.all, self.clock.now()) || mutant!(StaleListTaken) =>
+                    if revisions.accept(list.rev, list.all, self.clock.now()) || mutant!(StaleListTaken) =>
                 {
                     if mutant!(DrainLate) {
                         self.clock.sleep(Duration::from_millis(700)).await;
                     }
                     last = Some(list.rev);
-                    self.newest.set(Some(Newest { agent: address, revision: list.rev }));
-                    back_off = FIRST_BACK_OFF;
-                    self.complained.set(false);
-                    self.reader.take(list.report());
-                    self.clock.sleep(PACE).await;
+                    self.last_revision.set(Some(LastRevision { agent: address, revision: list.rev }));
+                    backoff = MIN_BACKOFF;
+                    self.rejection_logged.set(false);
+                    self.sink.apply(list.into_report());
+                    self.clock.sleep(POLL_DELAY).await;
                 }
                 Some(Some(_)) => {
-                    // It answers, and with an old list: it may know better any moment.
+                    // The agent responds, but with an old list, which may become current at any moment: the delay
+                    // does not grow.
                     (connection, last) = (None, None);
-                    self.clock.sleep(FIRST_BACK_OFF).await;
+                    self.clock.sleep(MIN_BACKOFF).await;
                 }
                 _ => {
                     (connection, last) = (None, None);
-                    self.clock.sleep(back_off).await;
-                    back_off = (2 * back_off).min(LAST_BACK_OFF);
+                    self.clock.sleep(backoff).await;
+                    backoff = (2 * backoff).min(MAX_BACKOFF);
                 }
             }
         }
     }
 
-    /// The whole list, from the first of several calls that is answered.
+    /// Requests the whole list, with several requests in flight, and returns the first response.
     ///
-    /// Guards against sending to drained nodes behind an agent that was silent: what it has counts as told from
-    /// the moment it has it, and a call that came while it was silent may stay without an answer for good.
-    async fn ask_until_told(
+    /// A request that was sent while the agent did not respond may never be answered. Waiting for it alone would let
+    /// the gateway go on sending to backends whose drain the agent has already published.
+    async fn poll_until_answered(
         &self,
         address: SocketAddr,
-        again: Duration,
+        interval: Duration,
     ) -> (UpstreamConnection<N::Stream>, List) {
-        let mut calls = FuturesUnordered::new();
+        let mut polls = FuturesUnordered::new();
         loop {
-            calls.push(self.clock.timeout(WAIT + OVERDUE, async {
+            polls.push(self.clock.timeout(POLL_WAIT + POLL_GRACE, async {
                 let mut connection = None;
-                let list = self.ask(&mut connection, address, None).await?;
+                let list = self.poll(&mut connection, address, None).await?;
                 connection.map(|open| (open, list))
             }));
-            let mut next = pin!(self.clock.sleep(again));
+            let mut next = pin!(self.clock.sleep(interval));
             loop {
                 tokio::select! {
                     biased;
-                    Some(answer) = calls.next() => if let Some(Some(told)) = answer { return told },
+                    Some(response) = polls.next() => if let Some(Some(list)) = response { return list },
                     () = &mut next => break,
                 }
             }
         }
     }
 
-    /// One call: the whole list, or what is newer than the version `after`.
-    async fn ask(
+    /// One poll: the whole list or, if `after` is given, the changes since that revision. `None` if it failed.
+    async fn poll(
         &self,
         connection: &mut Option<UpstreamConnection<N::Stream>>,
         address: SocketAddr,
@@ -227,7 +241,7 @@
     ) -> Option<List> {
         let path = match after {
             None => "/v1/servers".to_string(),
-            Some(rev) => format!("/v1/servers?after={rev}&wait_ms={}", WAIT.as_millis()),
+            Some(rev) => format!("/v1/servers?after={rev}&wait_ms={}", POLL_WAIT.as_millis()),
         };
         let request =
             Request::get(path).header(HOST, address.to_string()).body(Full::<Bytes>::default()).ok()?;
@@ -241,29 +255,29 @@
             None => {
                 let open =
                     async { UpstreamConnection::handshake(self.network.connect(address).await?).await };
-                connection.insert(self.clock.timeout(CONNECT, open).await?.ok()?)
+                connection.insert(self.clock.timeout(CONNECT_TIMEOUT, open).await?.ok()?)
             }
         };
         let (head, body) = open.send(request).await.ok()?.into_parts();
         if head.status != StatusCode::OK {
-            return self.complain(format!("it answers {}", head.status));
+            return self.reject(format!("the agent responded with status {}", head.status));
         }
-        let Some(body) = open.read_to_end(body, self.most).await.ok()? else {
-            return self.complain(format!(
-                "its list is longer than {} bytes, a part of limits.memory_mb; give the door more memory",
-                self.most
+        let Some(body) = open.read_to_end(body, self.max_list_bytes).await.ok()? else {
+            return self.reject(format!(
+                "the agent's list is longer than {} bytes, a fixed share of limits.memory_mb; raise that limit",
+                self.max_list_bytes
             ));
         };
         match serde_json::from_slice::<List>(&body) {
             Ok(list) => (list.all || after.is_some()).then_some(list),
-            Err(error) => self.complain(format!("its list cannot be read: {error}")),
+            Err(error) => self.reject(format!("the agent's list cannot be read: {error}")),
         }
     }
 
-    /// Says why a list is not taken, once until one is taken.
-    fn complain(&self, why: String) -> Option<List> {
-        if !self.complained.replace(true) {
-            log::write_line(format!("discovery: {why}; the last good list stays in force"));
+    /// Logs why a list is rejected, once until a list is applied.
+    fn reject(&self, reason: String) -> Option<List> {
+        if !self.rejection_logged.replace(true) {
+            log::write_line(format!("discovery: {reason}; the last good list stays in force"));
         }
         None
     }
--- a/crates/brassport/src/lib.rs
+++ b/crates/brassport/src/lib.rs
@@ -1,12 +1,13 @@
-//! The front door that runs before a render fleet: HTTP/1.1 in, HTTP/1.1 out, with every decision left to the
-//! module of the crate `brassport-policy`.
+//! API gateway for a render fleet: HTTP/1.1 on both sides. All admission, routing and retry decisions are made by the
+//! policy in the crate `brassport-policy`.
 //!
-//! It is a library so that the same code runs in two worlds. What it needs of a world stands behind two seams,
-//! [`clock::Clock`] and [`network::Network`]; [`run_gateway`] takes one of each. The program `brassport` chooses the
-//! system's; the crate `brassport-sim` a simulated world's. It is not a general proxy: it speaks the protocol of its
-//! platform, and it keeps no state beyond its process.
+//! The gateway is a library so that the same code runs in production and in simulation. Its environment is abstracted
+//! by two traits, [`clock::Clock`] and [`network::Network`]; [`run_gateway`] takes an implementation of each. The
+//! program `brassport` uses those of the operating system, the crate `brassport-sim` simulated ones. It is not a
+//! general-purpose proxy: it implements the protocol of its platform, and keeps no state beyond the life of its
+//! process.
 //!
-//! Everything runs on one thread, within one `tokio::task::LocalSet`:
+//! Everything runs on one thread, inside one `tokio::task::LocalSet`:
 //!
 //! ```no_run
 //! use brassport::{clock::SystemClock, config, run_gateway, network::Tcp};
@@ -23,14 +24,14 @@
 //! ```
 #![forbid(unsafe_code)]
 
-mod clients;
 pub mod config;
 pub mod discovery;
-mod door;
+mod gateway;
+mod gateway_core;
 mod local_meter;
-mod members;
+mod membership;
 mod nodes;
-mod program;
+mod request_handler;
 mod revisions;
 pub mod run;
 mod upstream;
@@ -38,6 +39,6 @@
 pub use brassport_proxy::upstream::UpstreamConnection;
 pub use brassport_proxy::{clock, hooks, log, mutants, network};
 use brassport_proxy::{date, protocol, shutdown};
-pub use program::{
+pub use gateway::{
     run_gateway, run_gateway_with, Control, GatewayOptions, Inspection, MembershipInspector, Upgrades,
 };
--- a/crates/brassport/src/nodes/mod.rs
+++ b/crates/brassport/src/nodes/mod.rs
@@ -1,3 +1,3 @@
-//! What holds of nodes beside what their sources list. No I/O.
+//! State of backends beyond what their sources list. No I/O.
 
 pub mod bans;
--- a/crates/brassport/src/run/terms.rs
+++ b/crates/brassport/src/run/active_settings.rs
@@ -1,69 +1,69 @@
-//! The classes, plans and figures in force, and how they change at SIGHUP. No I/O.
+//! The classes, plans and settings in force, and how a reload changes them. No I/O.
 //!
-//! Classes and plans are known by name and keep their index for as long as the process lives: one that a file no longer
-//! names keeps its settings, for the requests that are under way, and takes no further one.
+//! Classes and plans are identified by name and keep their index for the life of the process. One that the
+//! configuration no longer contains keeps its settings for the requests in flight, and accepts no new requests.
 
 use crate::config::Names;
 use brassport_policy::Settings;
 use serde::{Deserialize, Serialize};
 
-/// Most names of classes, or of plans, that are told apart in the life of a process. Guards the memory.
-const MOST_NAMES: usize = 1024;
+/// Maximum number of different class names, and of plan names, during the life of a process. Limits the memory.
+const MAX_NAMES: usize = 1024;
 
-/// What is in force.
+/// The settings in force. The order and outer names of the fields are part of the handover protocol.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Terms {
-    /// All names since the start, at their index.
+pub struct ActiveSettings {
+    /// All names since the start of the process, in the order of their indices.
     names: Names,
-    /// Whether the newest file names each.
+    /// Whether the current configuration contains the class or plan of each index.
     class_is_named: Vec<bool>,
     plan_is_named: Vec<bool>,
     settings: Settings,
 }
 
-impl Terms {
-    /// What a file says, at the start.
-    pub fn new(names: Names, settings: Settings) -> Terms {
+impl ActiveSettings {
+    /// The settings of a configuration at the start of the process.
+    pub fn new(names: Names, settings: Settings) -> ActiveSettings {
         let (class_is_named, plan_is_named) =
             (vec![true; names.classes.len()], vec![true; names.plans.len()]);
-        Terms { names, class_is_named, plan_is_named, settings }
+        ActiveSettings { names, class_is_named, plan_is_named, settings }
     }
 
-    /// Whether this can be gone on with: another process told it.
-    pub fn is_sound(&self) -> bool {
+    /// Whether the settings received from another process are valid and their parts agree.
+    pub fn is_consistent(&self) -> bool {
         let (classes, plans) = (self.settings.classes.len(), self.settings.plans.len());
         self.settings.validate().is_ok()
             && [self.names.classes.len(), self.class_is_named.len()] == [classes; 2]
             && [self.names.plans.len(), self.plan_is_named.len()] == [plans; 2]
     }
 
-    /// The settings, with every class and plan since the start.
+    /// The settings, with every class and plan since the start of the process.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The names of the classes that are in use.
+    /// The names of the classes that the current configuration contains.
     pub fn class_names(&self) -> impl Iterator<Item = &str> {
         let named = self.names.classes.iter().zip(&self.class_is_named);
         named.filter(|(_, is_named)| **is_named).map(|(name, _)| name.as_str())
     }
 
-    /// The index of a class that takes requests.
+    /// The index of a class, if the current configuration contains it.
     pub fn class(&self, name: &str) -> Option<usize> {
         index(&self.names.classes, &self.class_is_named, name)
     }
 
-    /// The index of a plan that is in use.
+    /// The index of a plan, if the current configuration contains it.
     pub fn plan(&self, name: &str) -> Option<usize> {
         index(&self.names.plans, &self.plan_is_named, name)
     }
 
-    /// What holds once this file, which was checked, is taken.
+    /// The settings after a reload with this configuration, which must be valid.
     ///
     /// # Errors
-    /// There were too many names since the start.
-    pub fn changed(&self, names: &Names, settings: &Settings) -> Result<Terms, String> {
-        let mut next = Terms { settings: settings.clone(), ..self.clone() };
+    /// There were more than `MAX_NAMES` names since the start of the process.
+    pub fn reloaded(&self, names: &Names, settings: &Settings) -> Result<ActiveSettings, String> {
+        let mut next = ActiveSettings { settings: settings.clone(), ..self.clone() };
         let old = &self.settings;
         let known = (&mut next.names.classes, &mut next.class_is_named);
         next.settings.classes = merged("classes", known, &old.classes, &names.classes, &settings.classes)?;
@@ -78,9 +78,9 @@
     names.iter().position(|known| known == name).filter(|index| is_named[*index])
 }
 
-/// The settings of all names known, after those of a file are laid over them.
+/// The settings by index after a reload: those of `new` by name, and the old ones of names that `names` lacks.
 fn merged<T: Copy>(
-    what: &str,
+    kind: &str,
     (known, is_named): (&mut Vec<String>, &mut Vec<bool>),
     old: &[T],
     names: &[String],
@@ -91,10 +91,11 @@
     for (name, setting) in names.iter().zip(new) {
         match known.iter().position(|known| known == name) {
             Some(index) => (all[index], is_named[index]) = (*setting, true),
-            None if known.len() == MOST_NAMES => {
+            None if known.len() == MAX_NAMES => {
                 return Err(format!(
-                    "settings.{what}: '{name}' is one name more than the {MOST_NAMES} that a process tells apart; start anew"
-                ))
+                "settings.{kind}: '{name}' exceeds the limit of {MAX_NAMES} names in the life of a process; \
+                     restart the process"
+            ))
             }
             None => {
                 known.push(name.clone());
@@ -134,16 +135,16 @@
     }
 
     #[test]
-    fn a_class_that_vanishes_keeps_its_index_and_takes_no_request() {
+    fn a_removed_class_keeps_its_index_and_accepts_no_request() {
         let (names, settings) = file(&[("a", 1.0), ("b", 2.0)], &["p"]);
-        let terms = Terms::new(names, settings);
+        let active_settings = ActiveSettings::new(names, settings);
         let (names, settings) = file(&[("c", 3.0), ("b", 5.0)], &["p"]);
-        let next = terms.changed(&names, &settings).expect("room");
+        let next = active_settings.reloaded(&names, &settings).expect("room");
         assert_eq!((next.class("a"), next.class("b"), next.class("c")), (None, Some(1), Some(2)));
         let worths: Vec<f64> = next.settings().classes.iter().map(|class| class.value).collect();
         assert_eq!(worths, [1.0, 5.0, 3.0]);
         let back =
-            next.changed(&file(&[("a", 4.0)], &["p"]).0, &file(&[("a", 4.0)], &["p"]).1).expect("room");
+            next.reloaded(&file(&[("a", 4.0)], &["p"]).0, &file(&[("a", 4.0)], &["p"]).1).expect("room");
         assert_eq!(
             (back.class("a"), back.class("b"), back.settings().classes[0].value),
             (Some(0), None, 4.0)
@@ -152,33 +153,33 @@
     }
 
     #[test]
-    fn names_without_end_are_turned_down() {
+    fn names_beyond_the_limit_are_rejected() {
         let (names, settings) = file(&[("a", 1.0)], &["p"]);
-        let mut terms = Terms::new(names, settings);
-        for number in 1..MOST_NAMES {
+        let mut active_settings = ActiveSettings::new(names, settings);
+        for number in 1..MAX_NAMES {
             let (names, settings) = file(&[(&format!("c{number}"), 1.0)], &["p"]);
-            terms = terms.changed(&names, &settings).expect("room");
+            active_settings = active_settings.reloaded(&names, &settings).expect("room");
         }
         let (names, settings) = file(&[("a", 1.0), ("one-more", 1.0)], &["p"]);
-        assert!(terms.changed(&names, &settings).expect_err("full").contains("'one-more'"));
+        assert!(active_settings.reloaded(&names, &settings).expect_err("full").contains("'one-more'"));
         let (names, settings) = file(&[("a", 1.0), ("c7", 1.0)], &["p"]);
-        assert!(terms.changed(&names, &settings).is_ok());
+        assert!(active_settings.reloaded(&names, &settings).is_ok());
     }
 
     proptest! {
         #[test]
-        fn an_index_means_the_same_name_for_ever_and_only_what_is_named_is_found(
+        fn an_index_never_changes_its_name_and_only_configured_names_are_found(
             files in prop::collection::vec(prop::collection::btree_set(0u8..6, 1..5), 1..12),
         ) {
-            let mut terms: Option<Terms> = None;
+            let mut active_settings: Option<ActiveSettings> = None;
             let mut indices = std::collections::BTreeMap::new();
             for (round, file_names) in files.into_iter().enumerate() {
                 let names: Vec<String> = file_names.iter().map(|name| format!("c{name}")).collect();
                 let classes: Vec<(&str, f64)> = names.iter().map(|name| (name.as_str(), round as f64)).collect();
-                let (told, settings) = file(&classes, &["p"]);
-                let next = match &terms {
-                    None => Terms::new(told, settings),
-                    Some(terms) => terms.changed(&told, &settings).expect("room"),
+                let (names, settings) = file(&classes, &["p"]);
+                let next = match &active_settings {
+                    None => ActiveSettings::new(names, settings),
+                    Some(active_settings) => active_settings.reloaded(&names, &settings).expect("room"),
                 };
                 for name in 0..6 {
                     let index = next.class(&format!("c{name}"));
@@ -188,7 +189,7 @@
                         prop_assert_eq!(next.settings().classes[index].value, round as f64);
                     }
                 }
-                terms = Some(next);
+                active_settings = Some(next);
             }
         }
     }
--- a/crates/brassport/src/run/admin.rs
+++ b/crates/brassport/src/run/admin.rs
@@ -1,6 +1,6 @@
-//! The operators' listener: a thread that reads their calls and answers them, whatever the load of the data path.
+//! The admin listener: a thread that serves the operators' HTTP calls independently of the load of the data path.
 //!
-//! It decides and knows nothing: what is asked goes to the data path as a [`Command`], and the reply comes back.
+//! It holds no state of the gateway: it passes each call to the data path as a [`Command`] and returns the reply.
 
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
@@ -22,50 +22,55 @@
 use tokio::sync::{mpsc, oneshot, Notify};
 use tokio::task::{AbortHandle, LocalSet};
 
-/// Descriptors that the listener may hold: itself, its runtime's, its callers', and some that are about to close.
-pub const DESCRIPTORS: usize = MOST_CALLERS + 8;
-/// Callers at once. One more, and the oldest that has not said its call gives way.
-const MOST_CALLERS: usize = 16;
-/// How long a call may take to come, and the whole of a caller's connection.
-const CALLING: Duration = Duration::from_millis(2000);
-/// How long the data path may take to reply: an answer is due within a second.
-const REPLY: Duration = Duration::from_millis(800);
-/// How long a caller may take to read its answer.
-const READING: Duration = Duration::from_millis(2000);
-/// Most bytes of a call's head, the least that hyper takes, and of its body, of which nothing is read.
-const HEAD_LIMIT: usize = 8 * 1024;
-const BODY_LIMIT: usize = 16 * 1024;
-/// Calls that wait for the data path.
-const WAITING: usize = 2 * MOST_CALLERS;
-/// After a failed accept.
-const BACK_OFF: Duration = Duration::from_millis(20);
-const STACK: usize = 256 * 1024;
-
-/// What the data path is asked.
+/// Maximum number of descriptors of the listener: its socket, its runtime's, one for each connection, and some that
+/// are being closed.
+pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 8;
+/// Maximum number of connections. At the limit, the oldest connection without a complete call is closed for a new
+/// one.
+const MAX_CONNECTIONS: usize = 16;
+/// How long a client may take to send its call. A connection may take this, [`REPLY_TIMEOUT`] and [`WRITE_TIMEOUT`]
+/// in all.
+const READ_TIMEOUT: Duration = Duration::from_millis(2000);
+/// How long the data path may take to reply: operators get a response within a second.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(800);
+/// How long a client may take to read its response.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Maximum size of a call's head, in bytes; hyper's minimum.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Maximum size of a call's body, in bytes. The body is discarded.
+const MAX_BODY_BYTES: usize = 16 * 1024;
+/// Capacity of the channel to the data path.
+const COMMAND_QUEUE: usize = 2 * MAX_CONNECTIONS;
+/// Delay after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// Stack size of the listener's thread, in bytes.
+const STACK_BYTES: usize = 256 * 1024;
+
+/// A call of an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// The figures.
+    /// Return the metrics.
     Metrics,
-    /// Leave this node out.
+    /// Send no new requests to this backend.
     Disable(String),
-    /// Put this node back.
+    /// End the ban of this backend.
     Enable(String),
-    /// Leave this node out, also if no list has named it yet.
+    /// As `Disable`, but also if the backend was not listed yet.
     Ban(String),
 }
 
-/// What the data path replies.
+/// The data path's reply to a [`Call`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// The figures, a line each.
+    /// The metrics, one line each.
     Metrics(String),
-    /// It is so from now on.
+    /// The call has taken effect.
     Done,
-    /// There is no such node.
+    /// No backend of this name is known.
     UnknownNode,
 }
 
-/// A call with the place for its reply.
+/// A call, and the channel for its reply.
 #[derive(Debug)]
 pub struct Command {
     pub call: Call,
@@ -76,140 +81,146 @@
 #[derive(Debug)]
 pub struct AdminHandle {
     pub commands: mpsc::Receiver<Command>,
-    /// Whether clients are served; the data path sets it.
+    /// Whether the gateway serves clients; set by the data path.
     pub ready: Arc<AtomicBool>,
 }
 
-struct Desk {
+/// State shared by the listener's connections.
+struct AdminServer {
     commands: mpsc::Sender<Command>,
     ready: Arc<AtomicBool>,
-    /// Whether the host keeps the door from acting.
-    out: Arc<AtomicBool>,
-    /// Those who have not said all of their call, in the order in which they came.
-    calling: RefCell<BTreeMap<u64, AbortHandle>>,
-    callers: Cell<usize>,
-    left: Notify,
+    /// Whether the host has taken the gateway out of service.
+    out_of_service: Arc<AtomicBool>,
+    /// The tasks of connections without a complete call, by connection number, which increases with each accept.
+    reading: RefCell<BTreeMap<u64, AbortHandle>>,
+    connections: Cell<usize>,
+    closed: Notify,
 }
 
-/// Listens at this address, on a thread of its own that lives as long as the process. While the host says that the door
-/// is `out`, it is not ready.
+/// Listens at this address, on a thread of its own that runs until the process ends. While the host sets
+/// `out_of_service`, the gateway is reported as not ready.
 ///
 /// # Errors
-/// One plain line, if it cannot listen there.
-pub fn listen(at: SocketAddr, out: Arc<AtomicBool>) -> Result<AdminHandle, String> {
-    let fault = |error| {
+/// A one-line message, if the address cannot be bound or the thread cannot be started.
+pub fn listen(at: SocketAddr, out_of_service: Arc<AtomicBool>) -> Result<AdminHandle, String> {
+    let bind_error = |error| {
         format!(
             "BALANCER_ADMIN_ADDR or admin_addr: cannot listen on {at}: {error}; name a free address of this \
              machine, or leave both out"
         )
     };
-    let listener = TcpListener::bind(at).map_err(fault)?;
-    listener.set_nonblocking(true).map_err(fault)?;
-    let (sender, commands) = mpsc::channel(WAITING);
+    let listener = TcpListener::bind(at).map_err(bind_error)?;
+    listener.set_nonblocking(true).map_err(bind_error)?;
+    let (sender, commands) = mpsc::channel(COMMAND_QUEUE);
     let ready = Arc::new(AtomicBool::new(false));
-    let told = ready.clone();
+    let shared_ready = ready.clone();
     let serve = move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let runtime = runtime.expect("the operators' listener needs an event queue");
-        let desk = Rc::new(Desk {
+        let runtime = runtime.expect("the admin listener needs a runtime");
+        let server = Rc::new(AdminServer {
             commands: sender,
-            ready: told,
-            out,
-            calling: RefCell::default(),
-            callers: Cell::new(0),
-            left: Notify::new(),
+            ready: shared_ready,
+            out_of_service,
+            reading: RefCell::default(),
+            connections: Cell::new(0),
+            closed: Notify::new(),
         });
         LocalSet::new().block_on(&runtime, async {
             let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
-            accept(&listener, &desk).await;
+            accept(&listener, &server).await;
         });
     };
-    let thread = thread::Builder::new().name("operators".into()).stack_size(STACK).spawn(serve);
-    thread.map_err(|error| format!("cannot start the operators' listener: {error}"))?;
+    let thread = thread::Builder::new().name("operators".into()).stack_size(STACK_BYTES).spawn(serve);
+    thread.map_err(|error| format!("cannot start the admin listener's thread: {error}"))?;
     Ok(AdminHandle { commands, ready })
 }
 
-async fn accept(listener: &tokio::net::TcpListener, desk: &Rc<Desk>) {
+async fn accept(listener: &tokio::net::TcpListener, server: &Rc<AdminServer>) {
     for number in 0.. {
         let stream = loop {
             match listener.accept().await {
                 Ok((stream, _)) => break stream,
-                Err(_) => tokio::time::sleep(BACK_OFF).await,
+                Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
             }
         };
-        desk.make_room().await;
-        desk.callers.set(desk.callers.get() + 1);
-        let caller = Caller { desk: desk.clone(), number };
+        server.make_room().await;
+        server.connections.set(server.connections.get() + 1);
+        let connection = Connection { server: server.clone(), number };
         let task = tokio::task::spawn_local(async move {
-            let _ = tokio::time::timeout(CALLING + REPLY + READING, serve(stream, &caller)).await;
+            let _ = tokio::time::timeout(
+                READ_TIMEOUT + REPLY_TIMEOUT + WRITE_TIMEOUT,
+                serve(stream, &connection),
+            )
+            .await;
         });
-        desk.calling.borrow_mut().insert(number, task.abort_handle());
+        server.reading.borrow_mut().insert(number, task.abort_handle());
     }
 }
 
-impl Desk {
-    /// Guards against callers who say nothing and keep others out.
+impl AdminServer {
+    /// Waits until a further connection is below the limit. Closes the oldest connection without a complete call, so
+    /// that idle clients cannot block others.
     async fn make_room(&self) {
-        while self.callers.get() >= MOST_CALLERS {
-            if let Some((_, oldest)) = self.calling.borrow_mut().pop_first() {
+        while self.connections.get() >= MAX_CONNECTIONS {
+            if let Some((_, oldest)) = self.reading.borrow_mut().pop_first() {
                 oldest.abort();
             }
-            self.left.notified().await;
+            self.closed.notified().await;
         }
     }
 
-    async fn ask(&self, call: Call) -> Option<Reply> {
+    async fn execute(&self, call: Call) -> Option<Reply> {
         let (reply, replied) = oneshot::channel();
-        let ask = async {
+        let execute = async {
             self.commands.send(Command { call, reply }).await.ok()?;
             replied.await.ok()
         };
-        tokio::time::timeout(REPLY, ask).await.ok().flatten()
+        tokio::time::timeout(REPLY_TIMEOUT, execute).await.ok().flatten()
     }
 }
 
-/// One caller among all; its place is free again when this is dropped.
-struct Caller {
-    desk: Rc<Desk>,
+/// One connection; dropping it frees its place below the limit.
+struct Connection {
+    server: Rc<AdminServer>,
     number: u64,
 }
 
-impl Caller {
-    fn has_called(&self) {
-        self.desk.calling.borrow_mut().remove(&self.number);
+impl Connection {
+    fn finish_reading(&self) {
+        self.server.reading.borrow_mut().remove(&self.number);
     }
 }
 
-impl Drop for Caller {
+impl Drop for Connection {
     fn drop(&mut self) {
-        self.has_called();
-        self.desk.callers.set(self.desk.callers.get() - 1);
-        self.desk.left.notify_one();
+        self.finish_reading();
+        self.server.connections.set(self.server.connections.get() - 1);
+        self.server.closed.notify_one();
     }
 }
 
-/// Reads one call and answers it.
-async fn serve(stream: TcpStream, caller: &Caller) {
+/// Reads one call and responds to it.
+async fn serve(stream: TcpStream, connection: &Connection) {
     let service = service_fn(|request: Request<Incoming>| async move {
         let (head, body) = request.into_parts();
-        let body = Limited::new(body, BODY_LIMIT).collect().await;
-        caller.has_called();
-        let answer = match body {
-            Ok(_) => answer(&head.method, head.uri.path(), &caller.desk).await,
+        let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
+        connection.finish_reading();
+        let response = match body {
+            Ok(_) => respond(&head.method, head.uri.path(), &connection.server).await,
             Err(_) => text(StatusCode::BAD_REQUEST, "the call's body is broken or too long\n"),
         };
-        Ok::<_, Infallible>(answer)
+        Ok::<_, Infallible>(response)
     });
-    // A caller may end its sending behind its call. How its connection ends is all the same here.
+    // A client may shut down its sending side after its call. Errors of the connection need no handling.
     let _ = http1::Builder::new()
-        .max_buf_size(HEAD_LIMIT)
+        .max_buf_size(MAX_HEAD_BYTES)
         .keep_alive(false)
         .half_close(true)
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-async fn answer(method: &Method, path: &str, desk: &Desk) -> Response<Full<Bytes>> {
+async fn respond(method: &Method, path: &str, server: &AdminServer) -> Response<Full<Bytes>> {
     let (allowed, call) = match path.strip_prefix("/-/").unwrap_or_default() {
         "ready" => (Method::GET, None),
         "metrics" => (Method::GET, Some(Call::Metrics)),
@@ -224,19 +235,19 @@
         }
     };
     if *method != allowed && !(allowed == Method::GET && *method == Method::HEAD) {
-        let mut answer = text(StatusCode::METHOD_NOT_ALLOWED, "this call has another method\n");
+        let mut response = text(StatusCode::METHOD_NOT_ALLOWED, "this call has another method\n");
         let allow = if allowed == Method::GET { "GET, HEAD" } else { "PUT" };
-        answer.headers_mut().insert(ALLOW, HeaderValue::from_static(allow));
-        return answer;
+        response.headers_mut().insert(ALLOW, HeaderValue::from_static(allow));
+        return response;
     }
     let Some(call) = call else {
-        return match desk.ready.load(Ordering::Relaxed) && !desk.out.load(Ordering::Relaxed) {
+        return match server.ready.load(Ordering::Relaxed) && !server.out_of_service.load(Ordering::Relaxed) {
             true => text(StatusCode::OK, "ready\n"),
             false => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         };
     };
-    match desk.ask(call).await {
-        Some(Reply::Metrics(figures)) => text(StatusCode::OK, figures),
+    match server.execute(call).await {
+        Some(Reply::Metrics(metrics)) => text(StatusCode::OK, metrics),
         Some(Reply::Done) => text(StatusCode::OK, "done\n"),
         Some(Reply::UnknownNode) => {
             text(StatusCode::NOT_FOUND, "no such backend; /-/metrics counts the listed ones\n")
--- a/crates/brassport/src/run/handover/link.rs
+++ b/crates/brassport/src/run/handover/link.rs
@@ -1,7 +1,7 @@
-//! The Unix socket between the two processes of an upgrade: messages, and sockets that go over with them.
+//! The Unix socket between the two processes of an upgrade: messages, and the sockets passed with them.
 //!
-//! A frame is four bytes of length (little-endian), one byte that says whether a socket comes with it, and the message
-//! as JSON. The socket (SCM_RIGHTS, unix(7)) goes with the frame's first byte.
+//! A frame is the message's length in four bytes (little-endian), one byte that is not 0 if a socket is attached, and
+//! the message as JSON. The socket (SCM_RIGHTS, unix(7)) is attached to the frame's first byte.
 
 use super::protocol::Message;
 use rustix::net::{
@@ -19,15 +19,17 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Most bytes of a message: what is learned of 50,000 customers, and no more than an upgrade's memory can hold.
-const MOST: usize = 32 << 20;
-const HEAD: usize = 5;
-/// Read at once.
-const CHUNK: usize = 64 * 1024;
-/// Sockets that one read may bring: the kernel parts reads behind each message that has some.
-const MOST_SOCKETS: usize = 8;
+/// Maximum size of a message, in bytes: enough for the policy's state of 50,000 customers, and little enough for the
+/// memory of both processes of an upgrade.
+const MAX_MESSAGE_BYTES: usize = 32 << 20;
+/// Size of a frame's header, in bytes.
+const HEADER_BYTES: usize = 5;
+/// Maximum number of bytes of one read.
+const READ_CHUNK_BYTES: usize = 64 * 1024;
+/// Maximum number of sockets of one read. The kernel ends a read after a message with attached sockets.
+const MAX_SOCKETS_PER_READ: usize = 8;
 
-/// The sending side; clones send on the same link. What is sent after the link has ended is lost.
+/// The sending side of a link; clones send on the same link. Messages sent after the link's end are dropped.
 #[derive(Debug, Clone)]
 pub struct Sender(mpsc::UnboundedSender<(Message, Option<OwnedFd>)>);
 
@@ -47,13 +49,13 @@
 }
 
 impl Link {
-    /// Over a stream that is up. Must be called within a `LocalSet`.
-    pub fn over(stream: UnixStream) -> Link {
+    /// Creates a link over a connected stream. Must be called within a `LocalSet`.
+    pub fn new(stream: UnixStream) -> Link {
         let stream = Rc::new(stream);
-        let (sender, mut waiting) = mpsc::unbounded_channel::<(Message, Option<OwnedFd>)>();
+        let (sender, mut queue) = mpsc::unbounded_channel::<(Message, Option<OwnedFd>)>();
         let to = stream.clone();
         spawn_local(async move {
-            while let Some((message, socket)) = waiting.recv().await {
+            while let Some((message, socket)) = queue.recv().await {
                 if write(&to, &message, socket).await.is_err() {
                     return;
                 }
@@ -66,19 +68,19 @@
         self.sender.clone()
     }
 
-    /// The next message, with its socket if it has one; `None` once the other side has ended or makes no sense.
-    /// Dropping the future before it is ready loses nothing.
+    /// Receives the next message, and its socket if one is attached; `None` once the other side has closed the link
+    /// or sent an invalid frame. Cancel safe.
     pub async fn receive(&mut self) -> Option<(Message, Option<OwnedFd>)> {
         loop {
-            if let Some(head) = self.read.first_chunk::<HEAD>() {
-                let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-                let with_socket = head[4] != 0;
-                if length > MOST {
+            if let Some(header) = self.read.first_chunk::<HEADER_BYTES>() {
+                let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
+                let with_socket = header[4] != 0;
+                if length > MAX_MESSAGE_BYTES {
                     return None;
                 }
-                if let Some(text) = self.read.get(HEAD..HEAD + length) {
+                if let Some(text) = self.read.get(HEADER_BYTES..HEADER_BYTES + length) {
                     let message = serde_json::from_slice(text).ok()?;
-                    self.read.drain(..HEAD + length);
+                    self.read.drain(..HEADER_BYTES + length);
                     let socket = if with_socket { Some(self.sockets.pop_front()?) } else { None };
                     return Some((message, socket));
                 }
@@ -93,8 +95,8 @@
             let (read, sockets) = (&mut self.read, &mut self.sockets);
             let stream = &self.stream;
             let got = stream.try_io(Interest::READABLE, || {
-                let mut bytes = [0; CHUNK];
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
+                let mut bytes = [0; READ_CHUNK_BYTES];
+                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS_PER_READ))];
                 let mut control = RecvAncillaryBuffer::new(&mut space);
                 let mut parts = [IoSliceMut::new(&mut bytes)];
                 let got = recvmsg(stream.as_fd(), &mut parts, &mut control, RecvFlags::CMSG_CLOEXEC)?.bytes;
@@ -119,7 +121,7 @@
 async fn write(to: &UnixStream, message: &Message, socket: Option<OwnedFd>) -> io::Result<()> {
     let text = serde_json::to_vec(message)?;
     let length = u32::try_from(text.len()).map_err(io::Error::other)?;
-    let mut frame = Vec::with_capacity(HEAD + text.len());
+    let mut frame = Vec::with_capacity(HEADER_BYTES + text.len());
     frame.extend_from_slice(&length.to_le_bytes());
     frame.push(u8::from(socket.is_some()));
     frame.extend_from_slice(&text);
@@ -149,28 +151,28 @@
     Ok(())
 }
 
-/// Listens at this path, for this user alone, in the place of whoever listened there. A folder on a busy disk may make
-/// this wait for seconds: not for the thread that serves.
+/// Listens at this path, accessible to this user only, and replaces an earlier listener. May block for seconds if the
+/// directory is on a busy disk, so it must not be called on the thread that serves requests.
 ///
 /// # Errors
-/// The folder cannot be written, or the system has no such sockets.
-pub fn listen(at: &Path) -> io::Result<std::os::unix::net::UnixListener> {
+/// The directory cannot be written, or the system does not support Unix sockets.
+pub fn listen(path: &Path) -> io::Result<std::os::unix::net::UnixListener> {
     use std::os::unix::fs::PermissionsExt;
-    let mut fresh = at.as_os_str().to_owned();
-    fresh.push(format!(".{}", std::process::id()));
-    let fresh = PathBuf::from(fresh);
-    // Of an earlier process of this number.
-    let _ = std::fs::remove_file(&fresh);
-    let listener = std::os::unix::net::UnixListener::bind(&fresh)?;
+    let mut temporary = path.as_os_str().to_owned();
+    temporary.push(format!(".{}", std::process::id()));
+    let temporary = PathBuf::from(temporary);
+    // A file of an earlier process with the same process id.
+    let _ = std::fs::remove_file(&temporary);
+    let listener = std::os::unix::net::UnixListener::bind(&temporary)?;
     listener.set_nonblocking(true)?;
-    std::fs::set_permissions(&fresh, std::fs::Permissions::from_mode(0o600))?;
-    // At once and whole: a caller finds the old one or this one.
-    std::fs::rename(&fresh, at)?;
+    std::fs::set_permissions(&temporary, std::fs::Permissions::from_mode(0o600))?;
+    // The rename is atomic: a client connects either to the old listener or to this one.
+    std::fs::rename(&temporary, path)?;
     Ok(listener)
 }
 
-/// Whether the other side is of this process's user.
-pub fn is_own(stream: &UnixStream) -> bool {
+/// Whether the process at the other end runs as the same user as this one.
+pub fn is_same_user(stream: &UnixStream) -> bool {
     stream.peer_cred().is_ok_and(|peer| peer.uid() == rustix::process::geteuid().as_raw())
 }
 
@@ -184,15 +186,15 @@
         UnixStream::pair().expect("a pair")
     }
 
-    async fn within<T>(work: impl std::future::Future<Output = T>) -> T {
+    async fn in_local_set<T>(work: impl std::future::Future<Output = T>) -> T {
         LocalSet::new().run_until(work).await
     }
 
     #[tokio::test]
-    async fn messages_and_their_sockets_arrive_in_order() {
-        within(async {
+    async fn messages_and_attached_sockets_arrive_in_order() {
+        in_local_set(async {
             let (one, other) = pair();
-            let (one, mut other) = (Link::over(one), Link::over(other));
+            let (one, mut other) = (Link::new(one), Link::new(other));
             let mut kept = Vec::new();
             for number in 0..20u8 {
                 let (mine, theirs) = std::os::unix::net::UnixStream::pair().expect("a pair");
@@ -207,7 +209,7 @@
                 socket.write_all(&[number]).expect("it is open");
                 let mut byte = [0];
                 kept[usize::from(number)].read_exact(&mut byte).expect("a byte");
-                assert_eq!(byte, [number], "the sockets are in their order");
+                assert_eq!(byte, [number], "each message has its own socket");
                 assert_eq!(
                     other.receive().await.expect("a number").0,
                     Message::Descriptors(usize::from(number))
@@ -220,10 +222,10 @@
     }
 
     #[tokio::test]
-    async fn a_long_message_comes_whole() {
-        within(async {
+    async fn a_message_longer_than_one_read_arrives_complete() {
+        in_local_set(async {
             let (one, other) = pair();
-            let (one, mut other) = (Link::over(one), Link::over(other));
+            let (one, mut other) = (Link::new(one), Link::new(other));
             let long = Message::Client { read: vec![7; 300_000], asked: 0 };
             one.sender().send(long.clone(), None);
             assert_eq!(other.receive().await.expect("a message").0, long);
@@ -232,13 +234,13 @@
     }
 
     #[tokio::test]
-    async fn what_makes_no_sense_ends_the_link() {
-        within(async {
+    async fn an_invalid_frame_ends_the_link() {
+        in_local_set(async {
             for bytes in
                 [&b"\xff\xff\xff\xff\x00"[..], b"\x03\0\0\0\x00{}}", b"\x04\0\0\0\x01\"Go\"", b"\x02"]
             {
                 let (one, other) = pair();
-                let mut other = Link::over(other);
+                let mut other = Link::new(other);
                 let mut one = one.into_std().expect("a stream");
                 one.write_all(bytes).expect("it is written");
                 drop(one);
@@ -249,7 +251,7 @@
     }
 
     #[tokio::test]
-    async fn the_newest_listener_has_the_path_and_nobody_else_may_call() {
+    async fn a_new_listener_replaces_the_old_one_and_only_the_owner_has_access() {
         use std::os::unix::fs::PermissionsExt;
         let path = std::env::temp_dir().join(format!("brassport-link-test-{}.sock", std::process::id()));
         let first = listen(&path).expect("it listens");
@@ -260,7 +262,7 @@
         assert_eq!(mode & 0o777, 0o600);
         let called = UnixStream::connect(&path).await.expect("a call");
         let (caller, _) = second.accept().await.expect("the call comes");
-        assert!(is_own(&caller) && is_own(&called));
+        assert!(is_same_user(&caller) && is_same_user(&called));
         std::fs::remove_file(&path).expect("it was there");
     }
 }
--- a/crates/brassport/src/run/handover/mod.rs
+++ b/crates/brassport/src/run/handover/mod.rs
@@ -1,22 +1,23 @@
-//! Upgrades: one process takes the place of another, and both are one front door meanwhile.
+//! Upgrades without downtime: a new process takes over from the running one, with its listening socket, its state and
+//! its idle client connections, while the old one completes the requests it has.
 //!
-//! [`protocol`] says when each of them serves; here that is carried out.
+//! [`protocol`] decides when each process serves; this module performs the actions.
 
 pub mod link;
-pub mod links;
+pub mod neighbors;
 pub mod protocol;
 
-use crate::clients::Context;
 use crate::clock::Clock;
-use crate::discovery::Newest;
-use crate::door::Door;
+use crate::discovery::LastRevision;
+use crate::gateway_core::GatewayCore;
 use crate::log;
 use crate::network::Network;
+use crate::request_handler::ServerContext;
 use crate::shutdown::Phase;
 use brassport_proxy::downstream::AdoptedConnection;
 use link::Link;
-use links::{HandOver, Links};
-use protocol::{Giver, GiverDoes, Heard, Message, Offer, Taker, TakerDoes, VERSION};
+use neighbors::{HandoverState, Neighbors};
+use protocol::{Input, Message, NewProcess, NewProcessAction, Offer, OldProcess, OldProcessAction, VERSION};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -29,63 +30,63 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{mpsc, oneshot, Semaphore};
 
-/// How long a word that is owed may take. Both waits together leave most of the 6 s in which a new process is to be
-/// ready.
-const PATIENCE: Duration = Duration::from_millis(1500);
-/// Between two looks at what the old process has let go of.
-const LETTING_GO: Duration = Duration::from_millis(100);
-/// Descriptors that the old process keeps for attempts that have to connect.
-const KEPT: usize = 8;
-/// After a failed accept.
-const BACK_OFF: Duration = Duration::from_millis(100);
+/// How long a message that is due may take. Two such timeouts leave most of the 6 s within which a new process must
+/// be ready.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How often the old process checks for free descriptors that the new one may use.
+const RELEASE_INTERVAL: Duration = Duration::from_millis(100);
+/// Descriptors that the old process keeps, for attempts that have to connect.
+const KEPT_DESCRIPTORS: usize = 8;
+/// Delay after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Where the process that serves at this address listens for the one that takes its place: nowhere without a folder for
-/// temporary files of this front door's own.
-pub fn place(listen: SocketAddr, folder: Option<PathBuf>) -> Option<PathBuf> {
+/// The path of the Unix socket at which the process that serves this address accepts its successor. `None` without a
+/// directory for the gateway's temporary files, which disables upgrades.
+pub fn socket_path(listen: SocketAddr, directory: Option<PathBuf>) -> Option<PathBuf> {
     let ip = listen.ip().to_string().replace(':', "_");
-    Some(folder?.join(format!("brassport-{ip}-{}.sock", listen.port())))
+    Some(directory?.join(format!("brassport-{ip}-{}.sock", listen.port())))
 }
 
-/// The place of another process, taken.
+/// The state and sockets received from the predecessor.
 #[derive(Debug)]
-pub struct Taken {
+pub struct Takeover {
     pub offer: Box<Offer>,
     pub listener: OwnedFd,
     link: Link,
-    /// What was told before this process served.
-    early: Vec<(Message, Option<OwnedFd>)>,
+    /// Messages received before this process served.
+    early_messages: Vec<(Message, Option<OwnedFd>)>,
 }
 
-/// Takes the place of the process that serves now; `None` if there is none, or none that gives it. To be served from at
-/// once. Must be called within a `LocalSet`.
-pub async fn take(at: &Path, clock: &impl Clock) -> Option<Taken> {
-    let stream = UnixStream::connect(at).await.ok().filter(link::is_own)?;
-    let mut link = Link::over(stream);
+/// Takes over from the process that serves now; `None` if there is none, or if the handover failed. The caller must
+/// start to serve at once, as the old process has stopped. Must be called within a `LocalSet`.
+pub async fn take_over(path: &Path, clock: &impl Clock) -> Option<Takeover> {
+    let stream = UnixStream::connect(path).await.ok().filter(link::is_same_user)?;
+    let mut link = Link::new(stream);
     link.sender().send(Message::Ask { version: VERSION }, None);
-    let mut taker = Taker::default();
-    let (mut offered, mut early) = (None, Vec::new());
+    let mut state = NewProcess::default();
+    let (mut offered, mut early_messages) = (None, Vec::new());
     loop {
-        let heard = clock.timeout(PATIENCE, link.receive()).await;
-        let does = taker.handle(match &heard {
-            Some(Some((message, _))) => Heard::Message(message),
-            Some(None) => Heard::Ended,
-            None => Heard::Overdue,
+        let received = clock.timeout(MESSAGE_TIMEOUT, link.receive()).await;
+        let action = state.handle(match &received {
+            Some(Some((message, _))) => Input::Message(message),
+            Some(None) => Input::LinkClosed,
+            None => Input::TimedOut,
         });
-        match (does, heard) {
-            (TakerDoes::Take, Some(Some((Message::Offer(offer), Some(listener)))))
-                if offer.terms.is_sound() =>
+        match (action, received) {
+            (NewProcessAction::Accept, Some(Some((Message::Offer(offer), Some(listener)))))
+                if offer.active_settings.is_consistent() =>
             {
                 offered = Some((offer, listener));
                 link.sender().send(Message::Took, None);
             }
-            (TakerDoes::Keep, Some(Some(told))) => early.push(told),
-            (TakerDoes::Serve, _) => {
+            (NewProcessAction::Queue, Some(Some(message))) => early_messages.push(message),
+            (NewProcessAction::Serve, _) => {
                 let (offer, listener) = offered?;
-                return Some(Taken { offer, listener, link, early });
+                return Some(Takeover { offer, listener, link, early_messages });
             }
             _ => {
                 log::write_line(
-                    "the process that serves here did not give its place: starting beside it".into(),
+                    "the running process did not hand over; starting beside it without its state".into(),
                 );
                 return None;
             }
@@ -93,39 +94,39 @@
     }
 }
 
-/// Listens at this path, off the thread that serves.
-async fn listen(at: &Path) -> io::Result<UnixListener> {
-    let at = at.to_path_buf();
-    let listener = tokio::task::spawn_blocking(move || link::listen(&at)).await;
+/// Listens at this path. The system calls run on another thread, as they may block.
+async fn listen(path: &Path) -> io::Result<UnixListener> {
+    let path = path.to_path_buf();
+    let listener = tokio::task::spawn_blocking(move || link::listen(&path)).await;
     UnixListener::from_std(listener.map_err(io::Error::other)??)
 }
 
-/// What the old process offers from.
-pub struct Office<C: Clock, N: Network> {
-    pub context: Rc<Context<C, N>>,
-    pub links: Rc<Links>,
-    /// Gone once nobody is accepted any more.
+/// Hands this process's role over to a successor.
+pub struct HandoverServer<C: Clock, N: Network> {
+    pub context: Rc<ServerContext<C, N>>,
+    pub neighbors: Rc<Neighbors>,
+    /// Dropped once the gateway has stopped accepting connections.
     pub listener: Weak<N::Listener>,
-    /// The newest file that was taken.
-    pub file: RefCell<String>,
+    /// The text of the configuration applied last.
+    pub config_text: RefCell<String>,
     pub descriptors: Arc<Semaphore>,
-    /// Descriptors that a process needs for itself.
-    pub own: usize,
-    /// Most bytes that what was learned may take on its way.
-    pub most: usize,
+    /// Number of descriptors that a process needs apart from client and backend connections.
+    pub own_descriptors: usize,
+    /// Maximum size of the policy's serialized state, in bytes.
+    pub max_state_bytes: usize,
     pub ready: Option<Arc<AtomicBool>>,
-    /// The newest revision of the list that discovery told.
-    pub newest: Rc<Cell<Option<Newest>>>,
+    /// The last revision of the list that discovery applied.
+    pub last_revision: Rc<Cell<Option<LastRevision>>>,
 }
 
-impl<C: Clock, N: Network> Office<C, N> {
-    /// Gives the place to whoever asks for it, one after another, for as long as the process lives.
-    /// Says once it can be asked.
-    pub async fn give(self: Rc<Self>, at: PathBuf, listening: oneshot::Sender<()>) {
-        let mut asked = match listen(&at).await {
-            Ok(asked) => {
+impl<C: Clock, N: Network> HandoverServer<C, N> {
+    /// Accepts successors at this path, one after another, until the process ends. Signals `listening` once it can be
+    /// reached.
+    pub async fn run(self: Rc<Self>, path: PathBuf, listening: oneshot::Sender<()>) {
+        let mut listener = match listen(&path).await {
+            Ok(listener) => {
                 let _ = listening.send(());
-                asked
+                listener
             }
             Err(error) => {
                 log::write_line(format!("no upgrade of this process without a loss: TMPDIR: {error}"));
@@ -133,103 +134,103 @@
             }
         };
         loop {
-            match asked.accept().await {
-                Ok((stream, _)) if link::is_own(&stream) => {
-                    self.serve(Link::over(stream)).await;
-                    // Who held the place may have listened here.
-                    if UnixStream::connect(&at).await.is_err() {
-                        if let Ok(again) = listen(&at).await {
-                            asked = again;
+            match listener.accept().await {
+                Ok((stream, _)) if link::is_same_user(&stream) => {
+                    self.serve(Link::new(stream)).await;
+                    // The successor may have replaced the listener at this path, and ended since.
+                    if UnixStream::connect(&path).await.is_err() {
+                        if let Ok(new) = listen(&path).await {
+                            listener = new;
                         }
                     }
                 }
                 Ok(_) => {}
-                Err(_) => self.context.clock.sleep(BACK_OFF).await,
+                Err(_) => self.context.clock.sleep(ACCEPT_BACKOFF).await,
             }
         }
     }
 
-    /// One successor, until its link ends.
+    /// Serves one successor until its link ends.
     async fn serve(&self, mut link: Link) {
         let clock = &self.context.clock;
-        let mut giver = Giver::default();
+        let mut state = OldProcess::default();
         loop {
-            let heard = if giver.waits() {
-                clock.timeout(PATIENCE, link.receive()).await
+            let received = if state.expects_message() {
+                clock.timeout(MESSAGE_TIMEOUT, link.receive()).await
             } else {
-                let heard = clock.timeout(LETTING_GO, link.receive()).await;
-                self.let_go();
-                if heard.is_none() {
+                let received = clock.timeout(RELEASE_INTERVAL, link.receive()).await;
+                self.lend_free_descriptors();
+                if received.is_none() {
                     continue;
                 }
-                heard
+                received
             };
-            let does = giver.handle(match &heard {
-                Some(Some((message, _))) => Heard::Message(message),
-                Some(None) => Heard::Ended,
-                None => Heard::Overdue,
+            let actions = state.handle(match &received {
+                Some(Some((message, _))) => Input::Message(message),
+                Some(None) => Input::LinkClosed,
+                None => Input::TimedOut,
             });
-            for does in does {
-                match (does, &heard) {
-                    (GiverDoes::Offer, _) => {
-                        let Some((offer, listener)) = self.offer() else { return };
-                        self.links.set_successor(Some(link.sender()));
-                        self.links.set_state(HandOver::Offered);
+            for action in actions {
+                match (action, &received) {
+                    (OldProcessAction::Offer, _) => {
+                        let Some((offer, listener)) = self.begin_offer() else { return };
+                        self.neighbors.set_successor(Some(link.sender()));
+                        self.neighbors.set_state(HandoverState::Offered);
                         link.sender().send(Message::Offer(Box::new(offer)), Some(listener));
                     }
-                    (GiverDoes::Give, _) => {
-                        log::write_line("another process has taken this one's place".into());
-                        // Before the first client's connection: it is served once it is there.
+                    (OldProcessAction::HandOver, _) => {
+                        log::write_line("handed over to a new process".into());
+                        // `Go` is sent before the first client connection, as the new process serves from then on.
                         link.sender().send(Message::Go, None);
-                        self.ready(false);
-                        self.links.set_state(HandOver::Given);
+                        self.set_ready(false);
+                        self.neighbors.set_state(HandoverState::Complete);
                     }
-                    (GiverDoes::TakeBack, _) => {
-                        log::write_line(
-                            "the process that took this one's place has ended: serving again".into(),
-                        );
-                        self.links.set_successor(None);
-                        self.descriptors.add_permits(self.links.take_lent());
+                    (OldProcessAction::Resume, _) => {
+                        log::write_line("the new process has ended; serving again".into());
+                        self.neighbors.set_successor(None);
+                        self.descriptors.add_permits(self.neighbors.reclaim_lent());
                         self.context.backends.set_keep_idle(true);
-                        self.context.door.take_back();
-                        self.links.set_state(HandOver::Not);
-                        self.ready(true);
+                        self.context.core.resume_after_handover();
+                        self.neighbors.set_state(HandoverState::NotStarted);
+                        self.set_ready(true);
                     }
-                    (GiverDoes::Note, Some(Some((message, _)))) => _ = self.context.door.note_ban(message),
-                    (GiverDoes::Note, _) => {}
-                    (GiverDoes::EndLink, _) => return,
+                    (OldProcessAction::ApplyBan, Some(Some((message, _)))) => {
+                        _ = self.context.core.apply_ban(message)
+                    }
+                    (OldProcessAction::ApplyBan, _) => {}
+                    (OldProcessAction::CloseLink, _) => return,
                 }
             }
         }
     }
 
-    /// What the successor needs. From here on nothing is spent that must not be spent twice.
-    fn offer(&self) -> Option<(Offer, OwnedFd)> {
+    /// Builds the offer. From here on this process spends no budget that must not be spent twice.
+    fn begin_offer(&self) -> Option<(Offer, OwnedFd)> {
         let listener = N::duplicate_listener(&*self.listener.upgrade()?).ok()?;
         self.context.backends.set_keep_idle(false);
-        let free = self.descriptors.available_permits().saturating_sub(KEPT);
+        let free = self.descriptors.available_permits().saturating_sub(KEPT_DESCRIPTORS);
         let free = self.descriptors.forget_permits(free);
-        self.links.lend(free);
-        let mut offer = self.context.door.hand_over(self.most);
-        offer.descriptors = free.saturating_sub(self.own);
-        offer.file.clone_from(&self.file.borrow());
-        offer.terms = (*self.context.terms()).clone();
-        offer.newest = self.newest.get();
+        self.neighbors.lend(free);
+        let mut offer = self.context.core.begin_handover(self.max_state_bytes);
+        offer.descriptors = free.saturating_sub(self.own_descriptors);
+        offer.config_text.clone_from(&self.config_text.borrow());
+        offer.active_settings = (*self.context.active_settings()).clone();
+        offer.last_revision = self.last_revision.get();
         Some((offer, listener))
     }
 
-    /// Tells the successor of descriptors that are free here.
-    fn let_go(&self) {
-        let free = self.descriptors.available_permits().saturating_sub(KEPT);
+    /// Lends descriptors that are free in this process to the successor.
+    fn lend_free_descriptors(&self) {
+        let free = self.descriptors.available_permits().saturating_sub(KEPT_DESCRIPTORS);
         if free > 0 {
             let free = self.descriptors.forget_permits(free);
-            self.links.lend(free);
-            self.links.tell_successor(|| Message::Descriptors(free));
+            self.neighbors.lend(free);
+            self.neighbors.notify_successor(|| Message::Descriptors(free));
         }
     }
 
-    fn ready(&self, is_ready: bool) {
-        // One that is about to end is not ready again.
+    fn set_ready(&self, is_ready: bool) {
+        // A process that is shutting down does not become ready again.
         let is_ready = is_ready && self.context.shutdown.phase() == Phase::Serving;
         if let Some(ready) = &self.ready {
             ready.store(is_ready, Ordering::Relaxed);
@@ -237,44 +238,45 @@
     }
 }
 
-/// What the new process goes on with while the old one ends.
-pub struct Heir<C: Clock, N: Network> {
+/// Applies the messages of the predecessor while it completes its requests.
+pub struct PredecessorFollower<C: Clock, N: Network> {
     pub network: N,
-    pub door: Rc<Door<C, N>>,
-    pub links: Rc<Links>,
+    pub core: Rc<GatewayCore<C, N>>,
+    pub neighbors: Rc<Neighbors>,
     pub descriptors: Arc<Semaphore>,
-    /// Descriptors that the other process still has, and that are this one's once it has ended.
-    pub owed: usize,
+    /// Number of descriptors that the predecessor still uses, and that this process may use after its end.
+    pub owed_descriptors: usize,
+    /// Receives the client connections that were handed over.
     pub clients: mpsc::UnboundedSender<AdoptedConnection<N::Stream>>,
 }
 
-impl<C: Clock, N: Network> Heir<C, N> {
-    /// Takes in what the old process tells until it has ended.
-    pub async fn follow(mut self, link: Link, early: Vec<(Message, Option<OwnedFd>)>) {
+impl<C: Clock, N: Network> PredecessorFollower<C, N> {
+    /// Applies the predecessor's messages until it has ended.
+    pub async fn run(mut self, link: Link, early_messages: Vec<(Message, Option<OwnedFd>)>) {
         let mut link = link;
-        self.links.set_predecessor(Some(link.sender()));
-        early.into_iter().for_each(|(message, socket)| self.note(message, socket));
-        let mut taker = Taker::Serving;
+        self.neighbors.set_predecessor(Some(link.sender()));
+        early_messages.into_iter().for_each(|(message, socket)| self.apply(message, socket));
+        let mut state = NewProcess::Serving;
         loop {
-            let heard = link.receive().await;
-            let does =
-                taker.handle(heard.as_ref().map_or(Heard::Ended, |(message, _)| Heard::Message(message)));
-            match (does, heard) {
-                (TakerDoes::Note, Some((message, socket))) => self.note(message, socket),
+            let received = link.receive().await;
+            let action = state
+                .handle(received.as_ref().map_or(Input::LinkClosed, |(message, _)| Input::Message(message)));
+            match (action, received) {
+                (NewProcessAction::Apply, Some((message, socket))) => self.apply(message, socket),
                 _ => break,
             }
         }
-        self.links.set_predecessor(None);
-        self.door.release_all();
-        self.descriptors.add_permits(self.owed);
+        self.neighbors.set_predecessor(None);
+        self.core.release_all_attempts();
+        self.descriptors.add_permits(self.owed_descriptors);
     }
 
-    fn note(&mut self, message: Message, socket: Option<OwnedFd>) {
+    fn apply(&mut self, message: Message, socket: Option<OwnedFd>) {
         match message {
             Message::Client { read, asked } => {
                 let stream = socket.and_then(|socket| self.network.stream_from_fd(socket).ok());
-                // Its descriptor comes with it.
-                self.add(1);
+                // The connection's descriptor is counted in this process from now on.
+                self.add_descriptors(1);
                 if let Some(stream) = stream {
                     let _ = self.clients.send(AdoptedConnection {
                         stream,
@@ -283,22 +285,22 @@
                     });
                 }
             }
-            Message::Descriptors(free) => self.add(free),
-            Message::Released(customer) => self.door.release(customer),
-            message => _ = self.door.note_ban(&message),
+            Message::Descriptors(free) => self.add_descriptors(free),
+            Message::Released(customer) => self.core.release_attempt(customer),
+            message => _ = self.core.apply_ban(&message),
         }
     }
 
-    fn add(&mut self, descriptors: usize) {
-        let added = descriptors.min(self.owed);
-        self.owed -= added;
+    fn add_descriptors(&mut self, descriptors: usize) {
+        let added = descriptors.min(self.owed_descriptors);
+        self.owed_descriptors -= added;
         self.descriptors.add_permits(added);
     }
 }
 
-impl Taken {
-    /// The link, and what was told on it before this process served.
+impl Takeover {
+    /// Returns the link, and the messages received on it before this process served.
     pub fn into_link(self) -> (Link, Vec<(Message, Option<OwnedFd>)>) {
-        (self.link, self.early)
+        (self.link, self.early_messages)
     }
 }
--- a/crates/brassport/src/run/handover/protocol.rs
+++ b/crates/brassport/src/run/handover/protocol.rs
@@ -1,62 +1,72 @@
-//! What the two processes of an upgrade say to each other, and when each of them serves. No I/O.
+//! The handover protocol between the two processes of an upgrade. No I/O.
 //!
-//! Both sides are state machines: what is heard goes in, what is to be done comes out. Wherever one side ends, exactly
-//! one of the two holds what must not be spent twice, or nobody does.
+//! Both sides are state machines, which map inputs to actions. At whatever step one side ends, at most one of the two
+//! processes owns the budgets that must not be spent twice.
 
-use crate::discovery::Newest;
+use crate::discovery::LastRevision;
 use crate::nodes::bans::Bans;
-use crate::run::terms::Terms;
+use crate::run::active_settings::ActiveSettings;
 use brassport_membership::book::{Entry, State};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The version of all that is said here. Another one is not answered.
+/// Version of the protocol. The old process closes the link to a process with another version.
 pub const VERSION: u32 = 1;
 
-/// One message. `Offer` comes with the listening socket, `Client` with the client's.
+/// One message. `Offer` carries the listening socket, `Client` the client's. Messages are serialized under the names
+/// of the variants.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The new process asks for the place of the old one.
+    /// New to old: requests the handover.
     Ask { version: u32 },
-    /// What it needs for that.
+    /// Old to new: the state to continue from.
     Offer(Box<Offer>),
-    /// It has taken all of that in.
+    /// New to old: the offer is accepted.
     Took,
-    /// The old process accepts no more; the place is the new one's.
+    /// Old to new: the old process has stopped accepting connections; the new one serves now.
     Go,
-    /// A client's connection with no request under way: what was read from it, and how many it has asked so far.
+    /// Old to new: a client connection without a request in flight, the bytes read from it that are not used yet, and
+    /// the number of requests it has had.
     Client { read: Vec<u8>, asked: u32 },
-    /// The old process needs so many descriptors less.
+    /// Old to new: the old process frees this number of descriptors, which the new one may use.
     Descriptors(usize),
-    /// An attempt of this customer that was out at the offer has ended.
+    /// Old to new: an attempt of this customer that was in flight at the offer has ended.
     Released(u64),
-    /// Staff took a node out, of which the list told this start.
+    /// Either way: an operator disabled a backend, which is listed with this time of start.
     Ban { node: String, boot_ms: Option<f64> },
-    /// Staff put a node back at this moment, Unix time.
+    /// Either way: an operator enabled a backend at this Unix time, in milliseconds.
     CallBack { node: String, at_ms: f64 },
 }
 
-/// What the old process holds.
+/// The state of the old process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Offer {
-    /// The decision module's clock, and the Unix time of its start.
+    /// The policy's time now, and the Unix time of its start, both in milliseconds.
     pub now_ms: f64,
     pub start_unix_ms: f64,
     pub bans: Bans,
-    /// The list as it was told last, and the newest revision of it.
+    /// The list of backends as received last.
     pub listed: Vec<Listed>,
-    pub newest: Option<Newest>,
-    /// The newest file that was taken, and what is in force.
-    pub file: String,
-    pub terms: Terms,
-    /// What the decision module has learned, and the customers of its attempts that are out.
-    pub learned: String,
-    pub out: Vec<u64>,
-    /// Descriptors for the new process.
+    /// The revision of that list, if discovery has delivered one.
+    #[serde(rename = "newest")]
+    pub last_revision: Option<LastRevision>,
+    /// The text of the configuration applied last.
+    #[serde(rename = "file")]
+    pub config_text: String,
+    /// The settings in force.
+    #[serde(rename = "terms")]
+    pub active_settings: ActiveSettings,
+    /// The policy's serialized state.
+    #[serde(rename = "learned")]
+    pub policy_state: String,
+    /// Customers of the attempts in flight, one entry for each attempt.
+    #[serde(rename = "out")]
+    pub in_flight: Vec<u64>,
+    /// Number of descriptors that the new process may use at first.
     pub descriptors: usize,
 }
 
-/// A node as the list told it.
+/// A backend's entry in the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Listed {
     id: String,
@@ -92,116 +102,122 @@
     }
 }
 
-/// What one side hears.
+/// An input of either side.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Heard<'a> {
+pub enum Input<'a> {
     Message(&'a Message),
-    /// The other process has ended, or does not make sense.
-    Ended,
-    /// It has said nothing for too long where it owed a word.
-    Overdue,
+    /// The other process has ended, or sent an invalid frame.
+    LinkClosed,
+    /// A message that was due did not come in time.
+    TimedOut,
 }
 
-/// The old process.
+/// State of the old process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Giver {
-    /// It holds everything.
+pub enum OldProcess {
+    /// It serves and owns all budgets.
     #[default]
     Serving,
-    /// It has offered, and spends nothing that must not be spent twice.
+    /// It has sent its offer, and spends no budget that must not be spent twice.
     Offered,
-    /// The new process holds everything; this one ends what it has.
-    Given,
+    /// The new process serves; this one completes the requests it has.
+    HandedOver,
 }
 
-/// What the old process is to do.
+/// An action of the old process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum GiverDoes {
-    /// Stop spending, and offer.
+pub enum OldProcessAction {
+    /// Stop spending budgets and send the offer.
     Offer,
-    /// Stop accepting, say `Go`, and hand clients over.
-    Give,
-    /// Go on as if nothing had been.
-    TakeBack,
-    /// Take in what the other says of bans.
-    Note,
-    /// End the link.
-    EndLink,
+    /// Stop accepting connections, send `Go`, and hand over the client connections.
+    HandOver,
+    /// Serve again, as before the offer.
+    Resume,
+    /// Apply the ban change that the new process sent.
+    ApplyBan,
+    /// Close the link.
+    CloseLink,
 }
 
-impl Giver {
-    /// Whether a word is owed.
-    pub fn waits(self) -> bool {
-        self != Giver::Given
+impl OldProcess {
+    /// Whether the new process owes a message, so that a timeout applies.
+    pub fn expects_message(self) -> bool {
+        self != OldProcess::HandedOver
     }
 
-    /// Takes in what was heard.
-    pub fn handle(&mut self, heard: Heard) -> Vec<GiverDoes> {
-        use GiverDoes::*;
-        let (next, does) = match (*self, heard) {
-            (Giver::Serving, Heard::Message(Message::Ask { version: VERSION })) => {
-                (Giver::Offered, vec![Offer])
+    /// Handles an input and returns the actions to perform.
+    pub fn handle(&mut self, input: Input) -> Vec<OldProcessAction> {
+        use OldProcessAction::*;
+        let (next, actions) = match (*self, input) {
+            (OldProcess::Serving, Input::Message(Message::Ask { version: VERSION })) => {
+                (OldProcess::Offered, vec![Offer])
             }
-            (Giver::Offered, Heard::Message(Message::Took)) => (Giver::Given, vec![Give]),
-            (Giver::Given, Heard::Message(Message::Ban { .. } | Message::CallBack { .. })) => {
-                (Giver::Given, vec![Note])
+            (OldProcess::Offered, Input::Message(Message::Took)) => (OldProcess::HandedOver, vec![HandOver]),
+            (OldProcess::HandedOver, Input::Message(Message::Ban { .. } | Message::CallBack { .. })) => {
+                (OldProcess::HandedOver, vec![ApplyBan])
+            }
+            (OldProcess::Serving, _) => (OldProcess::Serving, vec![CloseLink]),
+            (OldProcess::Offered | OldProcess::HandedOver, _) => {
+                (OldProcess::Serving, vec![Resume, CloseLink])
             }
-            (Giver::Serving, _) => (Giver::Serving, vec![EndLink]),
-            (Giver::Offered | Giver::Given, _) => (Giver::Serving, vec![TakeBack, EndLink]),
         };
         *self = next;
-        does
+        actions
     }
 }
 
-/// The new process.
+/// State of the new process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Taker {
-    /// It has asked.
+pub enum NewProcess {
+    /// It has sent `Ask`.
     #[default]
-    Asking,
-    /// It has said that it took the offer in.
-    Took,
-    /// The place is its own.
+    Requesting,
+    /// It has accepted the offer.
+    Accepted,
+    /// It serves.
     Serving,
-    /// It starts as if there were no other.
-    Alone,
+    /// It starts without the state of another process.
+    Standalone,
 }
 
-/// What the new process is to do.
+/// An action of the new process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TakerDoes {
-    /// Say `Took` and keep the offer.
-    Take,
-    /// Serve from the offer.
+pub enum NewProcessAction {
+    /// Send `Took` and keep the offer.
+    Accept,
+    /// Serve with the state of the offer.
     Serve,
-    /// Keep this until it serves.
-    Keep,
-    /// Take this in.
-    Note,
-    /// The other has ended: what was its own is this one's.
+    /// Queue the message until this process serves.
+    Queue,
+    /// Apply the message.
+    Apply,
+    /// Take over the descriptors and attempts of the old process, which has ended.
     InheritRest,
-    /// End the link, drop the offer and start alone.
-    StartAlone,
+    /// Close the link, drop the offer and start without it.
+    StartStandalone,
 }
 
-impl Taker {
-    /// Takes in what was heard.
-    pub fn handle(&mut self, heard: Heard) -> TakerDoes {
-        use TakerDoes::*;
-        let says = |message: &Message| {
+impl NewProcess {
+    /// Handles an input and returns the action to perform.
+    pub fn handle(&mut self, input: Input) -> NewProcessAction {
+        use NewProcessAction::*;
+        let is_update = |message: &Message| {
             !matches!(message, Message::Ask { .. } | Message::Offer(_) | Message::Took | Message::Go)
         };
-        let (next, does) = match (*self, heard) {
-            (Taker::Asking, Heard::Message(Message::Offer(_))) => (Taker::Took, Take),
-            (Taker::Took, Heard::Message(Message::Go)) => (Taker::Serving, Serve),
-            (Taker::Took, Heard::Message(message)) if says(message) => (Taker::Took, Keep),
-            (Taker::Serving, Heard::Message(message)) if says(message) => (Taker::Serving, Note),
-            (Taker::Serving, _) => (Taker::Serving, InheritRest),
-            _ => (Taker::Alone, StartAlone),
+        let (next, action) = match (*self, input) {
+            (NewProcess::Requesting, Input::Message(Message::Offer(_))) => (NewProcess::Accepted, Accept),
+            (NewProcess::Accepted, Input::Message(Message::Go)) => (NewProcess::Serving, Serve),
+            (NewProcess::Accepted, Input::Message(message)) if is_update(message) => {
+                (NewProcess::Accepted, Queue)
+            }
+            (NewProcess::Serving, Input::Message(message)) if is_update(message) => {
+                (NewProcess::Serving, Apply)
+            }
+            (NewProcess::Serving, _) => (NewProcess::Serving, InheritRest),
+            _ => (NewProcess::Standalone, StartStandalone),
         };
         *self = next;
-        does
+        action
     }
 }
 
@@ -217,192 +233,198 @@
             start_unix_ms: 2.0,
             bans: Bans::default(),
             listed: Vec::new(),
-            newest: Some(Newest { agent: ([127, 0, 0, 1], 9).into(), revision: 7 }),
-            file: String::new(),
-            terms: Terms::new(names, settings),
-            learned: String::new(),
-            out: vec![7],
+            last_revision: Some(LastRevision { agent: ([127, 0, 0, 1], 9).into(), revision: 7 }),
+            config_text: String::new(),
+            active_settings: ActiveSettings::new(names, settings),
+            policy_state: String::new(),
+            in_flight: vec![7],
             descriptors: 9,
         }))
     }
 
-    /// Both sides, with what is on the way between them.
+    /// Both sides, and the messages in transit between them.
     struct Pair {
-        giver: Giver,
-        taker: Taker,
-        to_giver: VecDeque<Message>,
-        to_taker: VecDeque<Message>,
-        giver_lives: bool,
-        taker_lives: bool,
-        giver_linked: bool,
-        taker_linked: bool,
+        old: OldProcess,
+        new: NewProcess,
+        to_old: VecDeque<Message>,
+        to_new: VecDeque<Message>,
+        old_is_alive: bool,
+        new_is_alive: bool,
+        old_is_linked: bool,
+        new_is_linked: bool,
     }
 
     impl Pair {
         fn start() -> Pair {
             Pair {
-                giver: Giver::default(),
-                taker: Taker::default(),
-                to_giver: [Message::Ask { version: VERSION }].into(),
-                to_taker: VecDeque::new(),
-                giver_lives: true,
-                taker_lives: true,
-                giver_linked: true,
-                taker_linked: true,
+                old: OldProcess::default(),
+                new: NewProcess::default(),
+                to_old: [Message::Ask { version: VERSION }].into(),
+                to_new: VecDeque::new(),
+                old_is_alive: true,
+                new_is_alive: true,
+                old_is_linked: true,
+                new_is_linked: true,
             }
         }
 
-        fn giver_hears(&mut self, heard: Heard) {
-            for does in self.giver.handle(heard) {
-                match does {
-                    GiverDoes::Offer => self.to_taker.push_back(offer()),
-                    GiverDoes::Give => self.to_taker.push_back(Message::Go),
-                    GiverDoes::EndLink => self.giver_linked = false,
-                    GiverDoes::TakeBack | GiverDoes::Note => {}
+        fn deliver_to_old(&mut self, input: Input) {
+            for action in self.old.handle(input) {
+                match action {
+                    OldProcessAction::Offer => self.to_new.push_back(offer()),
+                    OldProcessAction::HandOver => self.to_new.push_back(Message::Go),
+                    OldProcessAction::CloseLink => self.old_is_linked = false,
+                    OldProcessAction::Resume | OldProcessAction::ApplyBan => {}
                 }
             }
         }
 
-        fn taker_hears(&mut self, heard: Heard) {
-            match self.taker.handle(heard) {
-                TakerDoes::Take => self.to_giver.push_back(Message::Took),
-                TakerDoes::StartAlone | TakerDoes::InheritRest => self.taker_linked = false,
-                TakerDoes::Serve | TakerDoes::Keep | TakerDoes::Note => {}
+        fn deliver_to_new(&mut self, input: Input) {
+            match self.new.handle(input) {
+                NewProcessAction::Accept => self.to_old.push_back(Message::Took),
+                NewProcessAction::StartStandalone | NewProcessAction::InheritRest => {
+                    self.new_is_linked = false
+                }
+                NewProcessAction::Serve | NewProcessAction::Queue | NewProcessAction::Apply => {}
             }
         }
 
-        /// One delivery, if anything is on the way.
+        /// Delivers one message or the end of a link. Returns false if there is none.
         fn step(&mut self) -> bool {
-            if self.giver_lives && self.giver_linked {
-                if let Some(message) = self.to_giver.pop_front() {
-                    self.giver_hears(Heard::Message(&message));
+            if self.old_is_alive && self.old_is_linked {
+                if let Some(message) = self.to_old.pop_front() {
+                    self.deliver_to_old(Input::Message(&message));
                     return true;
                 }
-                if !(self.taker_lives && self.taker_linked) {
-                    self.giver_hears(Heard::Ended);
+                if !(self.new_is_alive && self.new_is_linked) {
+                    self.deliver_to_old(Input::LinkClosed);
                     return true;
                 }
             }
-            if self.taker_lives && self.taker_linked {
-                if let Some(message) = self.to_taker.pop_front() {
-                    self.taker_hears(Heard::Message(&message));
+            if self.new_is_alive && self.new_is_linked {
+                if let Some(message) = self.to_new.pop_front() {
+                    self.deliver_to_new(Input::Message(&message));
                     return true;
                 }
-                if !(self.giver_lives && self.giver_linked) {
-                    self.taker_hears(Heard::Ended);
+                if !(self.old_is_alive && self.old_is_linked) {
+                    self.deliver_to_new(Input::LinkClosed);
                     return true;
                 }
             }
             false
         }
 
-        /// Who spends what must not be spent twice.
+        /// Whether the old and the new process own the budgets that must not be spent twice.
         fn owners(&self) -> (bool, bool) {
-            // Alone it has ceilings of its own that are empty: it holds nothing of the offer.
+            // A standalone process owns none of the offered budgets: it starts with empty ones of its own.
             (
-                self.giver_lives && self.giver == Giver::Serving,
-                self.taker_lives && self.taker == Taker::Serving,
+                self.old_is_alive && self.old == OldProcess::Serving,
+                self.new_is_alive && self.new == NewProcess::Serving,
             )
         }
 
         fn check(&self) {
             let owners = self.owners();
-            assert_ne!(owners, (true, true), "both own the budgets: {:?} {:?}", self.giver, self.taker);
+            assert_ne!(owners, (true, true), "both own the budgets: {:?} {:?}", self.old, self.new);
         }
 
-        fn settle(&mut self) {
+        fn run_to_end(&mut self) {
             let mut steps = 0;
             while self.step() {
                 self.check();
                 steps += 1;
-                assert!(steps < 50, "it does not come to an end");
+                assert!(steps < 50, "the exchange does not end");
             }
         }
     }
 
     #[test]
-    fn the_place_goes_over_whole() {
+    fn a_complete_handover_moves_the_budgets() {
         let mut pair = Pair::start();
-        pair.settle();
-        assert_eq!((pair.giver, pair.taker), (Giver::Given, Taker::Serving));
+        pair.run_to_end();
+        assert_eq!((pair.old, pair.new), (OldProcess::HandedOver, NewProcess::Serving));
         assert_eq!(pair.owners(), (false, true));
     }
 
     #[test]
-    fn whoever_ends_at_whatever_step_the_other_serves_and_never_both_own() {
+    fn if_one_process_ends_at_any_step_the_other_serves_and_never_do_both_own() {
         for steps in 0..6 {
-            for giver_ends in [true, false] {
+            for old_ends in [true, false] {
                 let mut pair = Pair::start();
                 for _ in 0..steps {
                     pair.step();
                     pair.check();
                 }
-                if giver_ends {
-                    pair.giver_lives = false;
-                    pair.settle();
+                if old_ends {
+                    pair.old_is_alive = false;
+                    pair.run_to_end();
                     assert!(
-                        matches!(pair.taker, Taker::Serving | Taker::Alone),
+                        matches!(pair.new, NewProcess::Serving | NewProcess::Standalone),
                         "after {steps}: {:?}",
-                        pair.taker
+                        pair.new
                     );
                 } else {
-                    pair.taker_lives = false;
-                    pair.settle();
-                    assert_eq!(pair.giver, Giver::Serving, "after {steps} steps");
+                    pair.new_is_alive = false;
+                    pair.run_to_end();
+                    assert_eq!(pair.old, OldProcess::Serving, "after {steps} steps");
                 }
             }
         }
     }
 
     #[test]
-    fn whoever_loses_patience_at_whatever_step_somebody_serves_and_never_both_own() {
+    fn after_a_timeout_at_any_step_one_process_serves_and_never_do_both_own() {
         for steps in 0..6 {
-            for by_giver in [true, false] {
+            for by_old in [true, false] {
                 let mut pair = Pair::start();
                 for _ in 0..steps {
                     pair.step();
                 }
-                // Only one who is owed a word loses patience.
-                if by_giver && pair.giver.waits() {
-                    pair.giver_hears(Heard::Overdue);
-                } else if !by_giver && pair.taker != Taker::Serving {
-                    pair.taker_hears(Heard::Overdue);
+                // Only a side that expects a message can time out.
+                if by_old && pair.old.expects_message() {
+                    pair.deliver_to_old(Input::TimedOut);
+                } else if !by_old && pair.new != NewProcess::Serving {
+                    pair.deliver_to_new(Input::TimedOut);
                 }
                 pair.check();
-                pair.settle();
-                let serves =
-                    pair.giver == Giver::Serving || matches!(pair.taker, Taker::Serving | Taker::Alone);
-                assert!(serves, "after {steps} steps: {:?} {:?}", pair.giver, pair.taker);
+                pair.run_to_end();
+                let serves = pair.old == OldProcess::Serving
+                    || matches!(pair.new, NewProcess::Serving | NewProcess::Standalone);
+                assert!(serves, "after {steps} steps: {:?} {:?}", pair.old, pair.new);
             }
         }
     }
 
     #[test]
-    fn another_version_and_words_out_of_turn_change_nothing() {
+    fn another_version_and_unexpected_messages_change_nothing() {
         for message in [Message::Ask { version: VERSION + 1 }, Message::Took, Message::Go, offer()] {
-            let mut giver = Giver::default();
-            assert_eq!(giver.handle(Heard::Message(&message)), [GiverDoes::EndLink], "{message:?}");
-            assert_eq!(giver, Giver::Serving);
+            let mut old = OldProcess::default();
+            assert_eq!(old.handle(Input::Message(&message)), [OldProcessAction::CloseLink], "{message:?}");
+            assert_eq!(old, OldProcess::Serving);
         }
         for message in [Message::Go, Message::Took, Message::Descriptors(1)] {
-            let mut taker = Taker::default();
-            assert_eq!(taker.handle(Heard::Message(&message)), TakerDoes::StartAlone, "{message:?}");
+            let mut new = NewProcess::default();
+            assert_eq!(
+                new.handle(Input::Message(&message)),
+                NewProcessAction::StartStandalone,
+                "{message:?}"
+            );
         }
     }
 
     #[test]
-    fn a_ban_told_before_the_new_one_serves_is_kept() {
+    fn a_ban_received_before_the_new_process_serves_is_queued() {
         let ban = Message::Ban { node: "n1".into(), boot_ms: Some(5.0) };
-        let mut taker = Taker::default();
-        taker.handle(Heard::Message(&offer()));
-        assert_eq!(taker.handle(Heard::Message(&ban)), TakerDoes::Keep);
-        assert_eq!(taker.handle(Heard::Message(&Message::Go)), TakerDoes::Serve);
-        assert_eq!(taker.handle(Heard::Message(&ban)), TakerDoes::Note);
-        assert_eq!(taker.handle(Heard::Ended), TakerDoes::InheritRest);
+        let mut new = NewProcess::default();
+        new.handle(Input::Message(&offer()));
+        assert_eq!(new.handle(Input::Message(&ban)), NewProcessAction::Queue);
+        assert_eq!(new.handle(Input::Message(&Message::Go)), NewProcessAction::Serve);
+        assert_eq!(new.handle(Input::Message(&ban)), NewProcessAction::Apply);
+        assert_eq!(new.handle(Input::LinkClosed), NewProcessAction::InheritRest);
     }
 
     #[test]
-    fn messages_are_read_as_they_were_written() {
+    fn messages_round_trip() {
         let client = Message::Client { read: b"GET /x".to_vec(), asked: 3 };
         let ban = Message::Ban { node: "n1".into(), boot_ms: None };
         for message in [offer(), client, ban, Message::Go, Message::Released(1 << 40)] {
--- a/crates/brassport/src/run/metrics.rs
+++ b/crates/brassport/src/run/metrics.rs
@@ -1,7 +1,7 @@
-//! The figures: how many requests ended how, by class, and how many have not ended. No I/O.
+//! Metrics: the number of requests by class and result, and of those still pending. No I/O.
 //!
-//! A request has one [`Life`], which counts its end once, whatever way out it takes. At any moment
-//! `taken = completed + rejected + failed + pending` holds for each class.
+//! Each request has one [`RequestTracker`], which counts its result exactly once, on every code path. At any moment
+//! `received = completed + rejected + failed + pending` holds for each class.
 
 use crate::protocol::{AttemptEvent, AttemptObserver};
 use hyper::StatusCode;
@@ -10,28 +10,28 @@
 use std::fmt::{self, Write};
 use std::rc::Rc;
 
-/// How a request ended, as its client saw it.
+/// The result of a request, from its client's view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum RequestResult {
     Completed,
     Rejected,
     Failed,
 }
 
-impl From<StatusCode> for Ended {
-    fn from(status: StatusCode) -> Ended {
+impl From<StatusCode> for RequestResult {
+    fn from(status: StatusCode) -> RequestResult {
         match status {
-            StatusCode::OK => Ended::Completed,
-            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Ended::Rejected,
-            _ => Ended::Failed,
+            StatusCode::OK => RequestResult::Completed,
+            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => RequestResult::Rejected,
+            _ => RequestResult::Failed,
         }
     }
 }
 
-/// The counts of one class, since the start of the process.
+/// The request counts of one class, since the start of the process.
 #[derive(Debug, Default)]
 struct Counts {
-    taken: Cell<u64>,
+    received: Cell<u64>,
     completed: Cell<u64>,
     rejected: Cell<u64>,
     failed: Cell<u64>,
@@ -39,64 +39,64 @@
 
 impl Counts {
     fn pending(&self) -> u64 {
-        self.taken.get() - self.completed.get() - self.rejected.get() - self.failed.get()
+        self.received.get() - self.completed.get() - self.rejected.get() - self.failed.get()
     }
 }
 
-fn add_one(count: &Cell<u64>) {
+fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
-/// All figures that the front door counts itself.
+/// All metrics that the gateway counts.
 #[derive(Debug, Default)]
-pub struct Figures {
-    /// By name: a class that vanishes and comes back goes on with its counts.
+pub struct Metrics {
+    /// By class name: a class that is removed and added again continues its counts.
     classes: RefCell<BTreeMap<String, Rc<Counts>>>,
-    /// Attempts written whole to nodes.
+    /// Attempts whose request was written completely to a backend.
     attempts: Cell<u64>,
     reloads: Cell<u64>,
     reload_errors: Cell<u64>,
 }
 
-/// Figures of the list of nodes.
+/// Metrics of the list of backends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct ListFigures {
-    /// Nodes in the list.
+pub struct BackendCounts {
+    /// Backends in the list.
     pub members: usize,
-    /// Those among them that nothing new is sent to now.
+    /// Listed backends that get no new requests now.
     pub unavailable: usize,
 }
 
-impl Figures {
-    /// Names a class, whose counts are told from then on.
-    pub fn name_class(&self, name: &str) {
+impl Metrics {
+    /// Registers a class, whose counts are exported from then on, even while they are 0.
+    pub fn register_class(&self, name: &str) {
         self.classes.borrow_mut().entry(name.to_string()).or_default();
     }
 
-    /// A request of this class has begun to come.
-    pub fn request(&self, class: &str) -> Life {
+    /// Starts tracking a request of this class, at the arrival of its head.
+    pub fn start_request(&self, class: &str) -> RequestTracker {
         let mut classes = self.classes.borrow_mut();
         let counts = match classes.get(class) {
             Some(counts) => counts.clone(),
             None => classes.entry(class.to_string()).or_default().clone(),
         };
-        Life { state: Rc::new(State { counts, stage: Cell::new(Stage::Coming) }) }
+        RequestTracker { state: Rc::new(State { counts, stage: Cell::new(Stage::Receiving) }) }
     }
 
-    /// A configuration was read at SIGHUP, and taken or turned down.
-    pub fn reloaded(&self, taken: bool) {
-        add_one(if taken { &self.reloads } else { &self.reload_errors });
+    /// Counts a reload of the configuration, which was applied or rejected.
+    pub fn record_reload(&self, is_applied: bool) {
+        increment(if is_applied { &self.reloads } else { &self.reload_errors });
     }
 
-    /// All figures as they are now, a line each.
-    pub fn text(&self, list: ListFigures) -> String {
+    /// The current value of all metrics, one line each.
+    pub fn render(&self, list: BackendCounts) -> String {
         let mut text = String::new();
-        // Writing to a string fails nowhere.
+        // Writing to a string never fails.
         let _ = self.write(&mut text, list);
         text
     }
 
-    fn write(&self, out: &mut String, list: ListFigures) -> fmt::Result {
+    fn write(&self, out: &mut String, list: BackendCounts) -> fmt::Result {
         let mut pending = 0;
         for (name, counts) in self.classes.borrow().iter() {
             writeln!(out, "balancer.completed.{name}={}", counts.completed.get())?;
@@ -113,11 +113,11 @@
     }
 }
 
-impl AttemptObserver for Figures {
+impl AttemptObserver for Metrics {
     fn on_attempt(&self, event: AttemptEvent) {
         match event {
             AttemptEvent::Written => {
-                add_one(&self.attempts);
+                increment(&self.attempts);
             }
             AttemptEvent::NotWritten => {
                 self.attempts.set(self.attempts.get() - 1);
@@ -128,16 +128,16 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// Not all of it has come: it is nobody's yet.
-    Coming,
-    Taken,
-    Ended,
+    /// The request is not complete: it is not counted yet.
+    Receiving,
+    Pending,
+    Finished,
 }
 
-/// One request, for the figures. Dropped before its end it counts as failed: its client has gone, and no other way
-/// out leaves it pending for ever.
+/// Counts one request. A received request that is dropped without a result counts as failed: its client disconnected,
+/// and otherwise it would stay pending for ever.
 #[derive(Debug)]
-pub struct Life {
+pub struct RequestTracker {
     state: Rc<State>,
 }
 
@@ -148,47 +148,47 @@
 }
 
 impl State {
-    fn taken(&self) {
-        if self.stage.get() == Stage::Coming {
-            self.stage.set(Stage::Taken);
-            add_one(&self.counts.taken);
+    fn mark_received(&self) {
+        if self.stage.get() == Stage::Receiving {
+            self.stage.set(Stage::Pending);
+            increment(&self.counts.received);
         }
     }
 }
 
-impl Life {
-    /// All of it has come.
-    pub fn taken(&self) {
-        self.state.taken();
+impl RequestTracker {
+    /// Records that the whole request was received.
+    pub fn mark_received(&self) {
+        self.state.mark_received();
     }
 
-    /// To be called once all of it has come.
-    pub fn at_taken(&self) -> impl FnOnce() + 'static {
+    /// A callback to call once the whole request was received.
+    pub fn received_callback(&self) -> impl FnOnce() + 'static {
         let state = self.state.clone();
-        move || state.taken()
+        move || state.mark_received()
     }
 
-    /// It has its answer. Only the first end counts.
-    pub fn end(&self, ended: Ended) {
-        if self.state.stage.get() == Stage::Ended {
+    /// Records the request's result. Only the first call counts.
+    pub fn finish(&self, result: RequestResult) {
+        if self.state.stage.get() == Stage::Finished {
             return;
         }
-        self.taken();
-        self.state.stage.set(Stage::Ended);
+        self.mark_received();
+        self.state.stage.set(Stage::Finished);
         let counts = &self.state.counts;
-        add_one(match ended {
-            Ended::Completed => &counts.completed,
-            Ended::Rejected => &counts.rejected,
-            Ended::Failed => &counts.failed,
+        increment(match result {
+            RequestResult::Completed => &counts.completed,
+            RequestResult::Rejected => &counts.rejected,
+            RequestResult::Failed => &counts.failed,
         });
     }
 }
 
-impl Drop for Life {
+impl Drop for RequestTracker {
     fn drop(&mut self) {
-        // What never came whole was never taken.
-        if self.state.stage.get() == Stage::Taken {
-            self.end(Ended::Failed);
+        // A request that was never received completely is not counted.
+        if self.state.stage.get() == Stage::Pending {
+            self.finish(RequestResult::Failed);
         }
     }
 }
@@ -197,57 +197,57 @@
 mod tests {
     use super::*;
 
-    fn figure(figures: &Figures, name: &str) -> u64 {
-        let text = figures.text(ListFigures { members: 9, unavailable: 2 });
+    fn value_of(metrics: &Metrics, name: &str) -> u64 {
+        let text = metrics.render(BackendCounts { members: 9, unavailable: 2 });
         let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix('='));
         line.unwrap_or_else(|| panic!("no {name} in\n{text}")).parse().expect("a number")
     }
 
     #[test]
-    fn a_request_ends_once_and_is_pending_in_between() {
-        let figures = Figures::default();
-        let life = figures.request("preview");
-        assert_eq!(figure(&figures, "balancer.pending"), 0, "it has not all come");
-        life.taken();
-        assert_eq!(figure(&figures, "balancer.pending"), 1);
-        life.end(Ended::Completed);
-        life.end(Ended::Failed);
-        drop(life);
-        assert_eq!(figure(&figures, "balancer.completed.preview"), 1);
-        assert_eq!(figure(&figures, "balancer.failed.preview"), 0);
-        assert_eq!(figure(&figures, "balancer.pending"), 0);
+    fn a_request_is_pending_until_its_first_result() {
+        let metrics = Metrics::default();
+        let tracker = metrics.start_request("preview");
+        assert_eq!(value_of(&metrics, "balancer.pending"), 0, "the request is not complete");
+        tracker.mark_received();
+        assert_eq!(value_of(&metrics, "balancer.pending"), 1);
+        tracker.finish(RequestResult::Completed);
+        tracker.finish(RequestResult::Failed);
+        drop(tracker);
+        assert_eq!(value_of(&metrics, "balancer.completed.preview"), 1);
+        assert_eq!(value_of(&metrics, "balancer.failed.preview"), 0);
+        assert_eq!(value_of(&metrics, "balancer.pending"), 0);
     }
 
     #[test]
-    fn a_request_whose_client_left_is_not_pending_for_ever() {
-        let figures = Figures::default();
-        let life = figures.request("preview");
-        life.at_taken()();
-        assert_eq!(figure(&figures, "balancer.pending"), 1);
-        drop(life);
-        drop(figures.request("preview"));
-        assert_eq!(figure(&figures, "balancer.pending"), 0);
-        assert_eq!(figure(&figures, "balancer.failed.preview"), 1, "only the one that was taken");
+    fn a_request_whose_client_disconnected_counts_as_failed() {
+        let metrics = Metrics::default();
+        let tracker = metrics.start_request("preview");
+        tracker.received_callback()();
+        assert_eq!(value_of(&metrics, "balancer.pending"), 1);
+        drop(tracker);
+        drop(metrics.start_request("preview"));
+        assert_eq!(value_of(&metrics, "balancer.pending"), 0);
+        assert_eq!(value_of(&metrics, "balancer.failed.preview"), 1, "only the request that was received");
     }
 
     #[test]
-    fn a_refusal_before_all_has_come_counts() {
-        let figures = Figures::default();
-        figures.request("submit").end(Ended::from(StatusCode::TOO_MANY_REQUESTS));
-        figures.request("submit").end(Ended::from(StatusCode::SERVICE_UNAVAILABLE));
-        figures.request("submit").end(Ended::from(StatusCode::CONFLICT));
-        assert_eq!(figure(&figures, "balancer.rejected.submit"), 2);
-        assert_eq!(figure(&figures, "balancer.failed.submit"), 1);
+    fn a_rejection_before_the_request_is_complete_counts() {
+        let metrics = Metrics::default();
+        metrics.start_request("submit").finish(RequestResult::from(StatusCode::TOO_MANY_REQUESTS));
+        metrics.start_request("submit").finish(RequestResult::from(StatusCode::SERVICE_UNAVAILABLE));
+        metrics.start_request("submit").finish(RequestResult::from(StatusCode::CONFLICT));
+        assert_eq!(value_of(&metrics, "balancer.rejected.submit"), 2);
+        assert_eq!(value_of(&metrics, "balancer.failed.submit"), 1);
     }
 
     #[test]
-    fn what_is_told_besides() {
-        let figures = Figures::default();
-        figures.name_class("preview");
-        figures.on_attempt(AttemptEvent::Written);
-        figures.reloaded(true);
-        figures.reloaded(false);
-        figures.reloaded(false);
+    fn metrics_without_requests() {
+        let metrics = Metrics::default();
+        metrics.register_class("preview");
+        metrics.on_attempt(AttemptEvent::Written);
+        metrics.record_reload(true);
+        metrics.record_reload(false);
+        metrics.record_reload(false);
         for (name, value) in [
             ("balancer.completed.preview", 0),
             ("balancer.rejected.preview", 0),
@@ -258,7 +258,7 @@
             ("balancer.config_reloads", 1),
             ("balancer.config_reload_errors", 2),
         ] {
-            assert_eq!(figure(&figures, name), value, "{name}");
+            assert_eq!(value_of(&metrics, name), value, "{name}");
         }
     }
 }
--- a/crates/brassport/src/run/mod.rs
+++ b/crates/brassport/src/run/mod.rs
@@ -1,6 +1,6 @@
-//! Running the program for its staff: the operators' listener, the figures, the settings in force and upgrades.
+//! Operation of a running gateway: the admin listener, metrics, the settings in force and upgrades.
 
+pub mod active_settings;
 pub mod admin;
 pub mod handover;
 pub mod metrics;
-pub mod terms;
--- a/crates/brassport/tests/golden.rs
+++ b/crates/brassport/tests/golden.rs
@@ -6,14 +6,14 @@
 
 use brassport::clock::SystemClock;
 use brassport::config::{self, Config, Names, Precedence};
-use brassport::discovery::{List, ListReader, Newest, Watch};
+use brassport::discovery::{DiscoveryWatch, LastRevision, List, ListSink};
 use brassport::network::Tcp;
+use brassport::run::active_settings::ActiveSettings;
 use brassport::run::admin::{self, AdminHandle, Call, Reply};
 use brassport::run::handover::link::Link;
 use brassport::run::handover::protocol::{Listed, Message, Offer, VERSION};
-use brassport::run::handover::{place, take};
-use brassport::run::metrics::{Ended, Figures, ListFigures};
-use brassport::run::terms::Terms;
+use brassport::run::handover::{socket_path, take_over};
+use brassport::run::metrics::{BackendCounts, Metrics, RequestResult};
 use brassport_golden::{hex, unhex, Fixtures};
 use brassport_membership::book::{Entry, Report, State};
 use brassport_policy::{Class, Plan, RetrySafety, Scope, Settings};
@@ -114,11 +114,11 @@
         start_unix_ms: 0.0,
         bans: Default::default(),
         listed: Vec::new(),
-        newest: None,
-        file: String::new(),
-        terms: Terms::default(),
-        learned: String::new(),
-        out: Vec::new(),
+        last_revision: None,
+        config_text: String::new(),
+        active_settings: ActiveSettings::default(),
+        policy_state: String::new(),
+        in_flight: Vec::new(),
         descriptors: 0,
     }
 }
@@ -128,16 +128,16 @@
         now_ms: 12_345.5,
         start_unix_ms: 1_700_000_000_000.25,
         listed: entries().iter().map(Listed::from).collect(),
-        newest: Some(Newest { agent: ([127, 0, 0, 1], 8600).into(), revision: 7 }),
-        file: "{\"listen\": \"127.0.0.1:80\"}\n".into(),
-        terms: Terms::new(names(), settings()),
-        learned: "{\"form\":3}".into(),
-        out: vec![1, 1, u64::MAX],
+        last_revision: Some(LastRevision { agent: ([127, 0, 0, 1], 8600).into(), revision: 7 }),
+        config_text: "{\"listen\": \"127.0.0.1:80\"}\n".into(),
+        active_settings: ActiveSettings::new(names(), settings()),
+        policy_state: "{\"form\":3}".into(),
+        in_flight: vec![1, 1, u64::MAX],
         descriptors: 512,
         ..empty_offer()
     };
     for name in ["s-0", "s-1", "s-2", "s-3"] {
-        offer.bans.hear(name);
+        offer.bans.remember(name);
     }
     offer.bans.disable("s-0", Some(5.5)).expect("known");
     offer.bans.disable("s-1", None).expect("known");
@@ -213,8 +213,8 @@
     let mut offer = empty_offer();
     let mut cases = vec![("none".to_string(), write_json(&offer.bans))];
     let mut note = |name: &str, offer: &Offer| cases.push((name.to_string(), write_json(&offer.bans)));
-    offer.bans.hear("n2");
-    offer.bans.hear("n1");
+    offer.bans.remember("n2");
+    offer.bans.remember("n1");
     note("two heard", &offer);
     offer.bans.disable("n1", Some(5.5)).expect("known");
     note("one out", &offer);
@@ -235,18 +235,18 @@
 
 #[test]
 fn terms_as_an_upgrade_hands_them_over() {
-    let first = Terms::new(names(), settings());
+    let first = ActiveSettings::new(names(), settings());
     let fewer =
         Names { classes: vec!["store".into(), "new".into()], plans: vec!["new".into()], zones: Vec::new() };
     let mut other = settings();
     other.classes.truncate(2);
     other.plans.truncate(1);
-    let changed = first.changed(&fewer, &other).expect("few names");
-    let all = [("none", Terms::default()), ("first", first), ("changed", changed)];
+    let changed = first.reloaded(&fewer, &other).expect("few names");
+    let all = [("none", ActiveSettings::default()), ("first", first), ("changed", changed)];
     let cases = all.clone().map(|(name, terms)| (name.to_string(), write_json(&terms)));
     let fixture = GOLDEN.same_text("terms.txt", &lines(&cases));
     for (name, terms) in all {
-        let read: Terms = serde_json::from_str(case(&fixture, name)).expect("sound");
+        let read: ActiveSettings = serde_json::from_str(case(&fixture, name)).expect("sound");
         assert_eq!(read, terms, "{name}");
         assert_eq!(write_json(&read), case(&fixture, name), "{name}");
     }
@@ -279,7 +279,7 @@
         for (name, message) in messages() {
             for with_socket in [false, true] {
                 let (one, mut other) = UnixStream::pair().expect("a pair");
-                let link = Link::over(one);
+                let link = Link::new(one);
                 link.sender().send(message.clone(), with_socket.then(some_socket));
                 let name = format!("{name}, socket {with_socket}");
                 cases.push((name.clone(), hex(&frame_from(&mut other).await)));
@@ -289,7 +289,7 @@
         let fixture = GOLDEN.same_text("handover-frames.hex", &lines(&cases));
         for (name, message, with_socket) in written {
             let (mut one, other) = UnixStream::pair().expect("a pair");
-            let mut link = Link::over(other);
+            let mut link = Link::new(other);
             let mut frame = unhex(case(&fixture, &name));
             assert_eq!(frame[4], u8::from(with_socket));
             // Plain bytes bring no socket.
@@ -310,14 +310,14 @@
         let old = async {
             let (mut stream, _) = listener.accept().await.expect("a call");
             let asked = frame_from(&mut stream).await;
-            let mut link = Link::over(stream);
-            let offer = Offer { terms: Terms::new(names(), settings()), ..full_offer() };
+            let mut link = Link::new(stream);
+            let offer = Offer { active_settings: ActiveSettings::new(names(), settings()), ..full_offer() };
             link.sender().send(Message::Offer(Box::new(offer)), Some(some_socket()));
             let (took, _) = link.receive().await.expect("a word");
             link.sender().send(Message::Go, None);
             (hex(&asked), write_json(&took))
         };
-        let ((asked, took), taken) = tokio::join!(old, take(&path, &SystemClock));
+        let ((asked, took), taken) = tokio::join!(old, take_over(&path, &SystemClock));
         std::fs::remove_file(&path).expect("it was there");
         assert_eq!(*taken.expect("the place").offer, full_offer());
         GOLDEN.same_text("handover-taker.txt", &lines(&[("asked".into(), asked), ("took".into(), took)]));
@@ -327,7 +327,7 @@
 #[test]
 fn where_a_process_listens_for_its_successor() {
     let at = |address: &str, folder: Option<&str>| {
-        let place = place(address.parse().expect("an address"), folder.map(PathBuf::from));
+        let place = socket_path(address.parse().expect("an address"), folder.map(PathBuf::from));
         (address.to_string(), place.map_or("nowhere".into(), |path| path.display().to_string()))
     };
     let cases = [
@@ -343,38 +343,38 @@
 
 #[test]
 fn the_page_of_figures() {
-    let figures = Figures::default();
-    let mut page = format!("# nothing yet\n{}", figures.text(ListFigures::default()));
-    figures.name_class("preview");
-    figures.name_class("a class, named");
-    let all = [Ended::Completed, Ended::Rejected, Ended::Failed];
+    let figures = Metrics::default();
+    let mut page = format!("# nothing yet\n{}", figures.render(BackendCounts::default()));
+    figures.register_class("preview");
+    figures.register_class("a class, named");
+    let all = [RequestResult::Completed, RequestResult::Rejected, RequestResult::Failed];
     for (times, ended) in all.into_iter().enumerate() {
         match ended {
-            Ended::Completed | Ended::Rejected | Ended::Failed => {}
+            RequestResult::Completed | RequestResult::Rejected | RequestResult::Failed => {}
         }
-        (0..=times).for_each(|_| figures.request("submit").end(ended));
+        (0..=times).for_each(|_| figures.start_request("submit").finish(ended));
     }
-    let pending = [figures.request("preview"), figures.request("submit")];
-    pending.iter().for_each(|life| life.taken());
-    let coming = figures.request("preview");
+    let pending = [figures.start_request("preview"), figures.start_request("submit")];
+    pending.iter().for_each(|tracker| tracker.mark_received());
+    let coming = figures.start_request("preview");
     (0..5).for_each(|_| figures.on_attempt(AttemptEvent::Written));
     figures.on_attempt(AttemptEvent::NotWritten);
-    figures.reloaded(true);
-    (0..3).for_each(|_| figures.reloaded(false));
+    figures.record_reload(true);
+    (0..3).for_each(|_| figures.record_reload(false));
     page += "# some of all\n";
-    page += &figures.text(ListFigures { members: 12, unavailable: 3 });
+    page += &figures.render(BackendCounts { members: 12, unavailable: 3 });
     drop((pending, coming));
     page += "# those who were pending have gone\n";
-    page += &figures.text(ListFigures { members: 12, unavailable: 3 });
+    page += &figures.render(BackendCounts { members: 12, unavailable: 3 });
     GOLDEN.same_text("metrics.txt", &page);
 }
 
 #[test]
 fn how_each_status_counts() {
-    let ended = |status: u16| match Ended::from(StatusCode::from_u16(status).expect("a status")) {
-        Ended::Completed => "completed",
-        Ended::Rejected => "rejected",
-        Ended::Failed => "failed",
+    let ended = |status: u16| match RequestResult::from(StatusCode::from_u16(status).expect("a status")) {
+        RequestResult::Completed => "completed",
+        RequestResult::Rejected => "rejected",
+        RequestResult::Failed => "failed",
     };
     let cases = [200, 201, 204, 304, 400, 404, 408, 409, 413, 429, 431, 500, 502, 503, 504];
     GOLDEN.same_text(
@@ -763,7 +763,7 @@
         texts.push((format!("broken {}", text.len()), text.to_string()));
     }
     let read = |text: &str| match serde_json::from_str::<List>(text) {
-        Ok(list) => report_line(&list.report()),
+        Ok(list) => report_line(&list.into_report()),
         Err(error) => format!("refused: {error}"),
     };
     let cases: Vec<_> =
@@ -780,8 +780,8 @@
 #[derive(Clone, Default)]
 struct Notes(Rc<RefCell<Vec<String>>>);
 
-impl ListReader for Notes {
-    fn take(&self, report: Report) {
+impl ListSink for Notes {
+    fn apply(&self, report: Report) {
         self.0.borrow_mut().push(report_line(&report));
     }
 }
@@ -792,14 +792,14 @@
         let agent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = agent.local_addr().expect("an address");
         let notes = Notes::default();
-        let watch = Watch {
+        let watch = DiscoveryWatch {
             clock: SystemClock,
             network: Tcp,
-            reader: notes.clone(),
-            newest: Rc::new(Cell::new(None)),
-            again: None,
-            most: 1 << 20,
-            complained: Cell::new(false),
+            sink: notes.clone(),
+            last_revision: Rc::new(Cell::new(None)),
+            retry_interval: None,
+            max_list_bytes: 1 << 20,
+            rejection_logged: Cell::new(false),
         };
         let (_moved, follows) = tokio::sync::watch::channel(address);
         tokio::task::spawn_local(watch.follow(follows));
@@ -930,13 +930,13 @@
 /// Replaces what differs from run to run by nothing.
 fn settled(mut offer: Offer, front: &Front, file: &str) -> Offer {
     assert!(offer.now_ms > 0.0 && offer.start_unix_ms > 1e12 && offer.descriptors > 0);
-    assert_eq!(offer.file, file);
+    assert_eq!(offer.config_text, file);
     (offer.now_ms, offer.start_unix_ms, offer.descriptors) = (0.0, 0.0, 0);
-    offer.file = format!("the file of {}", front.address.ip());
+    offer.config_text = format!("the file of {}", front.address.ip());
     // Its bytes are pinned where they are made; the names of nodes in it are made here.
-    let learned: Value = serde_json::from_str(&offer.learned).expect("JSON");
+    let learned: Value = serde_json::from_str(&offer.policy_state).expect("JSON");
     let nodes: BTreeSet<_> = learned["fleet"]["servers"].as_object().expect("nodes").keys().collect();
-    offer.learned = format!("{nodes:?}");
+    offer.policy_state = format!("{nodes:?}");
     offer
 }
 
@@ -949,7 +949,7 @@
     let (config, admin) = with_operators(common::config(reserve(), known));
     let front = Front::start(&config);
     assert_eq!(common::operate(admin, "PUT", "/-/backends/s-1/disable").0, 200);
-    let path = place(front.address, Some(temporary(&front.file))).expect("a place");
+    let path = socket_path(front.address, Some(temporary(&front.file))).expect("a place");
     let file = std::fs::read_to_string(&front.file).expect("the file");
     on_one_thread(async {
         let mut stream = UnixStream::connect(&path).await.expect("it listens");
