--- a/crates/brassport-proxy/tests/it/common/mod.rs
+++ b/crates/brassport-proxy/tests/it/common/mod.rs
@@ -179,10 +179,10 @@
 }
 
 impl TestProxy {
-    pub async fn new(effect: RetrySafety, responses: &[&'static str]) -> TestProxy {
+    pub async fn new(retry_safety: RetrySafety, responses: &[&'static str]) -> TestProxy {
         let script = Rc::new(Script { responses: RefCell::new(responses.to_vec()), ..Script::default() });
         let (written, ended_attempts) = (Rc::new(AttemptCount::default()), Rc::new(RefCell::new(Vec::new())));
-        let (classes, plans) = (vec![class(effect)], vec![Plan::default()]);
+        let (classes, plans) = (vec![class(retry_safety)], vec![Plan::default()]);
         let settings =
             Settings { classes, plans, max_attempts: 2, allow_cancel: true, ..Settings::default() };
         let addresses = [script.clone().backend().await, script.clone().backend().await];
