--- a/crates/brassport-policy/tests/it/admission.rs
+++ b/crates/brassport-policy/tests/it/admission.rs
@@ -26,9 +26,9 @@
 
 /// Submits a request every 25 ms for 30 s, of each class in turn. The meter sums usage over half seconds and
 /// reports it one period later. Returns the number of requests of each class that were sent in the last 20 s.
-fn offer_four_times_the_quota(classes: &[usize], spread: u32) -> Vec<f64> {
+fn offer_four_times_the_quota(classes: &[usize], customer_gateways: u32) -> Vec<f64> {
     let mut host = Host::new(settings(), &[server(1)]);
-    host.customer_gateways = spread;
+    host.customer_gateways = customer_gateways;
     let mut periods = [0.0; 62];
     let mut sent = vec![0.0; 3];
     for step in 0..1200 {
@@ -135,7 +135,7 @@
 }
 
 /// One of fifty gateways after requests of 400 customers whose offered load is `load` times their quota. The
-/// other gateways behave alike: readings report the fraction of the load that is admitted here.
+/// other gateways behave alike: readings report `load`, times the fraction that is admitted here.
 fn host_with_plan_usage(load: f64) -> Host {
     let mut host = one_of_fifty();
     let mut admitted_fraction = 1.0;
@@ -152,7 +152,7 @@
     for _ in 0..15 {
         let (request, actions) = host.submit(9_999, 3, 0);
         host.now += 200.0;
-        assert!(!sends(&actions).is_empty(), "few requests are in flight");
+        assert!(!sends(&actions).is_empty(), "rejected with few requests in flight");
         let (attempt, outcome, elapsed, finished, used) = (0, Outcome::Ok, 900.0, true, None);
         host.event(Event::AttemptEnd(AttemptEnd { request, attempt, outcome, elapsed, finished, used }));
     }
@@ -242,7 +242,7 @@
         let (id, _) = host.submit(1, 0, 0);
         host.end(id, 0, Outcome::Ok, Some(0.5));
     }
-    // Clients time is_sent after 4 s. With 2.9 s left the first attempt was 1.1 s ago, beyond the latency target
+    // Clients time out after 4 s. With 2.9 s left the first attempt was 1.1 s ago, beyond the latency target
     // of 1 s.
     assert!(is_rejected(&host.submit_retry(1, 0, 2900.0)));
     assert!(!is_rejected(&host.submit_retry(1, 0, 3900.0)));
@@ -261,7 +261,7 @@
 #[test]
 fn a_surge_is_assumed_at_the_other_gateways_too() {
     // Without any reading: at the other gateways as many units are assumed beyond their share of the quota.
-    let sent = |spread: u32| {
+    let sent = |customer_gateways: u32| {
         let mut host = Host::new(settings(), &[server(1)]);
         let mut sent = 0;
         for id in 1..=40 {
@@ -272,7 +272,7 @@
                 plan: 0,
                 class: 0,
                 units: 1.0,
-                customer_gateways: spread,
+                customer_gateways,
                 first_gateway: 0,
                 expires_in: 4000.0,
                 is_client_retry: false,
@@ -385,7 +385,7 @@
     let (mut sent, mut offered) = (0, 0);
     for step in 0..1600u64 {
         host.now += 2083.0;
-        let (repeat, units, expires_in) = (step % 4 > 0, 1.0, 4000.0);
+        let (is_client_retry, units, expires_in) = (step % 4 > 0, 1.0, 4000.0);
         let request = Request {
             id: step,
             customer: 1,
@@ -395,13 +395,13 @@
             customer_gateways: 50,
             first_gateway: 0,
             expires_in,
-            is_client_retry: repeat,
+            is_client_retry,
         };
         let is_sent = !sends(&host.event(Event::Request(request))).is_empty();
         if is_sent {
             host.end(step, 0, Outcome::Ok, None);
         }
-        if step >= 800 && !repeat {
+        if step >= 800 && !is_client_retry {
             (sent, offered) = (sent + u32::from(is_sent), offered + 1);
         }
     }
--- a/crates/brassport-proxy/tests/it/common/mod.rs
+++ b/crates/brassport-proxy/tests/it/common/mod.rs
@@ -34,7 +34,7 @@
 
 impl UpstreamProtocol for TestProtocol {
     fn add_attempt_headers(&self, headers: &mut HeaderMap, _: Duration, backend: &str) {
-        headers.insert("host", HeaderValue::from_str(backend).expect("a name"));
+        headers.insert("host", HeaderValue::from_str(backend).expect("a valid header value"));
     }
 
     fn classify(&self, request: &HeaderMap, response: &Parts) -> ResponseClassification {
@@ -93,10 +93,10 @@
                     while let Ok(byte) = stream.read_u8().await {
                         head.push(byte);
                         if head.ends_with(b"\r\n\r\n") {
-                            let text = String::from_utf8(std::mem::take(&mut head)).expect("text");
+                            let text = String::from_utf8(std::mem::take(&mut head)).expect("valid UTF-8");
                             script.heads.borrow_mut().push(text.to_ascii_lowercase());
                             let response = script.responses.borrow_mut().remove(0);
-                            stream.write_all(response.as_bytes()).await.expect("written");
+                            stream.write_all(response.as_bytes()).await.expect("the response is written");
                             script.changed.notify_waiters();
                         }
                     }
@@ -179,10 +179,10 @@
 }
 
 impl TestProxy {
-    pub async fn new(effect: RetrySafety, responses: &[&'static str]) -> TestProxy {
+    pub async fn new(retry_safety: RetrySafety, responses: &[&'static str]) -> TestProxy {
         let script = Rc::new(Script { responses: RefCell::new(responses.to_vec()), ..Script::default() });
         let (written, ended_attempts) = (Rc::new(AttemptCount::default()), Rc::new(RefCell::new(Vec::new())));
-        let (classes, plans) = (vec![class(effect)], vec![Plan::default()]);
+        let (classes, plans) = (vec![class(retry_safety)], vec![Plan::default()]);
         let settings =
             Settings { classes, plans, max_attempts: 2, allow_cancel: true, ..Settings::default() };
         let addresses = [script.clone().backend().await, script.clone().backend().await];
