--- a/crates/brassport/src/config.rs
+++ b/crates/brassport/src/config.rs
@@ -71,15 +71,18 @@
     pub zones: Vec<String>,
 }
 
-// The names of the following types occur in the error messages of `serde`, which operators see.
+// The names of the following types occur in the error messages of `serde`, which operators see. All times in the file
+// are in milliseconds.
 
 #[derive(Deserialize)]
 struct File {
     listen: Option<String>,
     admin_addr: Option<String>,
     discovery: Option<String>,
+    /// Hexadecimal.
     seed: String,
     limits: Limits,
+    /// A list of backends to start with.
     known: List,
     settings: Told,
 }
@@ -90,12 +93,17 @@
     memory_mb: usize,
 }
 
+/// The section `settings`.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Told {
+    /// Names of the zones.
     areas: Vec<String>,
+    /// Number of gateway instances.
     balancers: u32,
+    /// Index of this gateway instance among them.
     ordinal: u32,
+    /// Index of this gateway's zone in `areas`.
     zone: u16,
     tick: f64,
     registry_mode: RegistryMode,
@@ -142,6 +150,7 @@
     use_period: f64,
 }
 
+/// A class of requests in the section `settings`.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct ToldClass {
@@ -171,6 +180,7 @@
     Cell,
 }
 
+/// A plan in the section `settings`.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct ToldPlan {
@@ -243,8 +253,8 @@
         gateways: section.balancers,
         ordinal: section.ordinal,
         zone: section.zone,
-        classes: section.classes.iter().map(class).collect(),
-        plans: section.plans.iter().map(plan).collect(),
+        classes: section.classes.iter().map(class_settings).collect(),
+        plans: section.plans.iter().map(plan_settings).collect(),
         max_units: section.family_info.most_units,
         meter_period: section.family_info.use_period,
         max_attempts: bounds.max_attempts,
@@ -299,7 +309,7 @@
     Ok(())
 }
 
-fn class(section: &ToldClass) -> Class {
+fn class_settings(section: &ToldClass) -> Class {
     let scope = match section.group {
         Group::All => Scope::All,
         Group::Zone => Scope::Zone,
@@ -318,7 +328,7 @@
     }
 }
 
-fn plan(section: &ToldPlan) -> Plan {
+fn plan_settings(section: &ToldPlan) -> Plan {
     Plan {
         rate: section.units_per_s,
         burst: section.store_size,
--- a/crates/brassport/src/run/active_settings.rs
+++ b/crates/brassport/src/run/active_settings.rs
@@ -50,12 +50,12 @@
 
     /// The index of a class, if the current configuration contains it.
     pub fn class(&self, name: &str) -> Option<usize> {
-        index(&self.names.classes, &self.class_is_named, name)
+        index_of(&self.names.classes, &self.class_is_named, name)
     }
 
     /// The index of a plan, if the current configuration contains it.
     pub fn plan(&self, name: &str) -> Option<usize> {
-        index(&self.names.plans, &self.plan_is_named, name)
+        index_of(&self.names.plans, &self.plan_is_named, name)
     }
 
     /// The settings after a reload with this configuration, which must be valid.
@@ -66,20 +66,20 @@
         let mut next = ActiveSettings { settings: settings.clone(), ..self.clone() };
         let old = &self.settings;
         let known = (&mut next.names.classes, &mut next.class_is_named);
-        next.settings.classes = merged("classes", known, &old.classes, &names.classes, &settings.classes)?;
+        next.settings.classes = merge("classes", known, &old.classes, &names.classes, &settings.classes)?;
         let known = (&mut next.names.plans, &mut next.plan_is_named);
-        next.settings.plans = merged("plans", known, &old.plans, &names.plans, &settings.plans)?;
+        next.settings.plans = merge("plans", known, &old.plans, &names.plans, &settings.plans)?;
         next.names.zones.clone_from(&names.zones);
         Ok(next)
     }
 }
 
-fn index(names: &[String], is_named: &[bool], name: &str) -> Option<usize> {
+fn index_of(names: &[String], is_named: &[bool], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name).filter(|index| is_named[*index])
 }
 
 /// The settings by index after a reload: those of `new` by name, and the old ones of names that `names` lacks.
-fn merged<T: Copy>(
+fn merge<T: Copy>(
     kind: &str,
     (known, is_named): (&mut Vec<String>, &mut Vec<bool>),
     old: &[T],
@@ -113,9 +113,9 @@
     use brassport_policy::{Class, Plan, RetrySafety};
     use proptest::prelude::*;
 
-    fn file(classes: &[(&str, f64)], plans: &[&str]) -> (Names, Settings) {
-        let class = |worth| Class {
-            value: worth,
+    fn configuration(classes: &[(&str, f64)], plans: &[&str]) -> (Names, Settings) {
+        let class = |value| Class {
+            value,
             latency_target: 1.0,
             deadline: 2.0,
             late_value_fraction: 0.0,
@@ -127,7 +127,7 @@
             zones: Vec::new(),
         };
         let settings = Settings {
-            classes: classes.iter().map(|(_, worth)| class(*worth)).collect(),
+            classes: classes.iter().map(|(_, value)| class(*value)).collect(),
             plans: vec![Plan::default(); plans.len()],
             ..Settings::default()
         };
@@ -136,15 +136,16 @@
 
     #[test]
     fn a_removed_class_keeps_its_index_and_accepts_no_request() {
-        let (names, settings) = file(&[("a", 1.0), ("b", 2.0)], &["p"]);
+        let (names, settings) = configuration(&[("a", 1.0), ("b", 2.0)], &["p"]);
         let active_settings = ActiveSettings::new(names, settings);
-        let (names, settings) = file(&[("c", 3.0), ("b", 5.0)], &["p"]);
+        let (names, settings) = configuration(&[("c", 3.0), ("b", 5.0)], &["p"]);
         let next = active_settings.reloaded(&names, &settings).expect("room");
         assert_eq!((next.class("a"), next.class("b"), next.class("c")), (None, Some(1), Some(2)));
-        let worths: Vec<f64> = next.settings().classes.iter().map(|class| class.value).collect();
-        assert_eq!(worths, [1.0, 5.0, 3.0]);
-        let back =
-            next.reloaded(&file(&[("a", 4.0)], &["p"]).0, &file(&[("a", 4.0)], &["p"]).1).expect("room");
+        let values: Vec<f64> = next.settings().classes.iter().map(|class| class.value).collect();
+        assert_eq!(values, [1.0, 5.0, 3.0]);
+        let back = next
+            .reloaded(&configuration(&[("a", 4.0)], &["p"]).0, &configuration(&[("a", 4.0)], &["p"]).1)
+            .expect("room");
         assert_eq!(
             (back.class("a"), back.class("b"), back.settings().classes[0].value),
             (Some(0), None, 4.0)
@@ -154,15 +155,15 @@
 
     #[test]
     fn names_beyond_the_limit_are_rejected() {
-        let (names, settings) = file(&[("a", 1.0)], &["p"]);
+        let (names, settings) = configuration(&[("a", 1.0)], &["p"]);
         let mut active_settings = ActiveSettings::new(names, settings);
         for number in 1..MAX_NAMES {
-            let (names, settings) = file(&[(&format!("c{number}"), 1.0)], &["p"]);
+            let (names, settings) = configuration(&[(&format!("c{number}"), 1.0)], &["p"]);
             active_settings = active_settings.reloaded(&names, &settings).expect("room");
         }
-        let (names, settings) = file(&[("a", 1.0), ("one-more", 1.0)], &["p"]);
+        let (names, settings) = configuration(&[("a", 1.0), ("one-more", 1.0)], &["p"]);
         assert!(active_settings.reloaded(&names, &settings).expect_err("full").contains("'one-more'"));
-        let (names, settings) = file(&[("a", 1.0), ("c7", 1.0)], &["p"]);
+        let (names, settings) = configuration(&[("a", 1.0), ("c7", 1.0)], &["p"]);
         assert!(active_settings.reloaded(&names, &settings).is_ok());
     }
 
@@ -176,7 +177,7 @@
             for (round, file_names) in files.into_iter().enumerate() {
                 let names: Vec<String> = file_names.iter().map(|name| format!("c{name}")).collect();
                 let classes: Vec<(&str, f64)> = names.iter().map(|name| (name.as_str(), round as f64)).collect();
-                let (names, settings) = file(&classes, &["p"]);
+                let (names, settings) = configuration(&classes, &["p"]);
                 let next = match &active_settings {
                     None => ActiveSettings::new(names, settings),
                     Some(active_settings) => active_settings.reloaded(&names, &settings).expect("room"),
--- a/crates/brassport/src/run/handover/link.rs
+++ b/crates/brassport/src/run/handover/link.rs
@@ -44,12 +44,14 @@
 pub struct Link {
     stream: Rc<UnixStream>,
     sender: Sender,
-    read: Vec<u8>,
+    /// Bytes received that are not parsed yet.
+    buffer: Vec<u8>,
+    /// Sockets received whose messages are not parsed yet.
     sockets: VecDeque<OwnedFd>,
 }
 
 impl Link {
-    /// Creates a link over a connected stream. Must be called within a `LocalSet`.
+    /// Creates a link over a connected stream. Must be client within a `LocalSet`.
     pub fn new(stream: UnixStream) -> Link {
         let stream = Rc::new(stream);
         let (sender, mut queue) = mpsc::unbounded_channel::<(Message, Option<OwnedFd>)>();
@@ -61,7 +63,7 @@
                 }
             }
         });
-        Link { stream, sender: Sender(sender), read: Vec::new(), sockets: VecDeque::new() }
+        Link { stream, sender: Sender(sender), buffer: Vec::new(), sockets: VecDeque::new() }
     }
 
     pub fn sender(&self) -> Sender {
@@ -72,15 +74,15 @@
     /// or sent an invalid frame. Cancel safe.
     pub async fn receive(&mut self) -> Option<(Message, Option<OwnedFd>)> {
         loop {
-            if let Some(header) = self.read.first_chunk::<HEADER_BYTES>() {
+            if let Some(header) = self.buffer.first_chunk::<HEADER_BYTES>() {
                 let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
                 let with_socket = header[4] != 0;
                 if length > MAX_MESSAGE_BYTES {
                     return None;
                 }
-                if let Some(text) = self.read.get(HEADER_BYTES..HEADER_BYTES + length) {
+                if let Some(text) = self.buffer.get(HEADER_BYTES..HEADER_BYTES + length) {
                     let message = serde_json::from_slice(text).ok()?;
-                    self.read.drain(..HEADER_BYTES + length);
+                    self.buffer.drain(..HEADER_BYTES + length);
                     let socket = if with_socket { Some(self.sockets.pop_front()?) } else { None };
                     return Some((message, socket));
                 }
@@ -92,7 +94,7 @@
     async fn read_more(&mut self) -> io::Result<()> {
         loop {
             self.stream.readable().await?;
-            let (read, sockets) = (&mut self.read, &mut self.sockets);
+            let (buffer, sockets) = (&mut self.buffer, &mut self.sockets);
             let stream = &self.stream;
             let got = stream.try_io(Interest::READABLE, || {
                 let mut bytes = [0; READ_CHUNK_BYTES];
@@ -105,7 +107,7 @@
                         sockets.extend(rights);
                     }
                 }
-                read.extend_from_slice(&bytes[..got]);
+                buffer.extend_from_slice(&bytes[..got]);
                 Ok(got)
             });
             match got {
@@ -152,7 +154,7 @@
 }
 
 /// Listens at this path, accessible to this user only, and replaces an earlier listener. May block for seconds if the
-/// directory is on a busy disk, so it must not be called on the thread that serves requests.
+/// directory is on a busy disk, so it must not be client on the thread that serves requests.
 ///
 /// # Errors
 /// The directory cannot be written, or the system does not support Unix sockets.
@@ -256,13 +258,13 @@
         let path = std::env::temp_dir().join(format!("brassport-link-test-{}.sock", std::process::id()));
         let first = listen(&path).expect("it listens");
         drop(first);
-        let second = listen(&path).expect("it listens where a dead one did");
+        let second = listen(&path).expect("it listens in place of the closed one");
         let second = tokio::net::UnixListener::from_std(second).expect("a listener");
         let mode = std::fs::metadata(&path).expect("a file").permissions().mode();
         assert_eq!(mode & 0o777, 0o600);
-        let called = UnixStream::connect(&path).await.expect("a call");
-        let (caller, _) = second.accept().await.expect("the call comes");
-        assert!(is_same_user(&caller) && is_same_user(&called));
-        std::fs::remove_file(&path).expect("it was there");
+        let client = UnixStream::connect(&path).await.expect("a connection");
+        let (accepted, _) = second.accept().await.expect("an accepted connection");
+        assert!(is_same_user(&accepted) && is_same_user(&client));
+        std::fs::remove_file(&path).expect("the socket file exists");
     }
 }
