--- a/crates/brassport/tests/golden.rs
+++ b/crates/brassport/tests/golden.rs
@@ -5,15 +5,15 @@
 mod common;
 
 use brassport::clock::SystemClock;
-use brassport::config::{self, Config, First, Names};
-use brassport::discovery::{List, ListReader, Newest, Watch};
+use brassport::config::{self, Config, Names, Precedence};
+use brassport::discovery::{DiscoveryWatch, LastRevision, List, ListSink};
 use brassport::network::Tcp;
-use brassport::run::admin::{self, Call, Operators, Reply};
+use brassport::run::active_settings::ActiveSettings;
+use brassport::run::admin::{self, AdminHandle, Call, Reply};
 use brassport::run::handover::link::Link;
 use brassport::run::handover::protocol::{Listed, Message, Offer, VERSION};
-use brassport::run::handover::{place, take};
-use brassport::run::metrics::{Ended, Figures, ListFigures};
-use brassport::run::terms::Terms;
+use brassport::run::handover::{socket_path, take_over};
+use brassport::run::metrics::{BackendCounts, Metrics, RequestResult};
 use brassport_golden::{hex, unhex, Fixtures};
 use brassport_membership::book::{Entry, Report, State};
 use brassport_policy::{Class, Plan, RetrySafety, Scope, Settings};
@@ -115,11 +115,11 @@
         start_unix_ms: 0.0,
         bans: Default::default(),
         listed: Vec::new(),
-        newest: None,
-        file: String::new(),
-        terms: Terms::default(),
-        learned: String::new(),
-        out: Vec::new(),
+        last_revision: None,
+        config_text: String::new(),
+        active_settings: ActiveSettings::default(),
+        policy_state: String::new(),
+        in_flight: Vec::new(),
         descriptors: 0,
     }
 }
@@ -129,16 +129,16 @@
         now_ms: 12_345.5,
         start_unix_ms: 1_700_000_000_000.25,
         listed: entries().iter().map(Listed::from).collect(),
-        newest: Some(Newest { agent: ([127, 0, 0, 1], 8600).into(), revision: 7 }),
-        file: "{\"listen\": \"127.0.0.1:80\"}\n".into(),
-        terms: Terms::new(names(), settings()),
-        learned: "{\"form\":3}".into(),
-        out: vec![1, 1, u64::MAX],
+        last_revision: Some(LastRevision { agent: ([127, 0, 0, 1], 8600).into(), revision: 7 }),
+        config_text: "{\"listen\": \"127.0.0.1:80\"}\n".into(),
+        active_settings: ActiveSettings::new(names(), settings()),
+        policy_state: "{\"form\":3}".into(),
+        in_flight: vec![1, 1, u64::MAX],
         descriptors: 512,
         ..empty_offer()
     };
     for name in ["s-0", "s-1", "s-2", "s-3"] {
-        offer.bans.hear(name);
+        offer.bans.remember(name);
     }
     offer.bans.disable("s-0", Some(5.5)).expect("the backend is known");
     offer.bans.disable("s-1", None).expect("the backend is known");
@@ -215,8 +215,8 @@
     let mut offer = empty_offer();
     let mut cases = vec![("none".to_string(), write_json(&offer.bans))];
     let mut add_case = |name: &str, offer: &Offer| cases.push((name.to_string(), write_json(&offer.bans)));
-    offer.bans.hear("n2");
-    offer.bans.hear("n1");
+    offer.bans.remember("n2");
+    offer.bans.remember("n1");
     add_case("two heard", &offer);
     offer.bans.disable("n1", Some(5.5)).expect("the backend is known");
     add_case("one out", &offer);
@@ -237,19 +237,19 @@
 
 #[test]
 fn handover_of_names_and_settings() {
-    let first = Terms::new(names(), settings());
+    let first = ActiveSettings::new(names(), settings());
     let new_names =
         Names { classes: vec!["store".into(), "new".into()], plans: vec!["new".into()], zones: Vec::new() };
     let mut new_settings = settings();
     new_settings.classes.truncate(2);
     new_settings.plans.truncate(1);
-    let changed = first.changed(&new_names, &new_settings).expect("names within the limit");
-    let all = [("none", Terms::default()), ("first", first), ("changed", changed)];
-    let cases = all.clone().map(|(name, terms)| (name.to_string(), write_json(&terms)));
+    let changed = first.reloaded(&new_names, &new_settings).expect("names within the limit");
+    let all = [("none", ActiveSettings::default()), ("first", first), ("changed", changed)];
+    let cases = all.clone().map(|(name, settings)| (name.to_string(), write_json(&settings)));
     let fixture = GOLDEN.same_text("terms.txt", &lines(&cases));
-    for (name, terms) in all {
-        let read: Terms = serde_json::from_str(case(&fixture, name)).expect("decode the fixture");
-        assert_eq!(read, terms, "{name}");
+    for (name, settings) in all {
+        let read: ActiveSettings = serde_json::from_str(case(&fixture, name)).expect("decode the fixture");
+        assert_eq!(read, settings, "{name}");
         assert_eq!(write_json(&read), case(&fixture, name), "{name}");
     }
 }
@@ -284,7 +284,7 @@
         for (name, message) in messages() {
             for with_socket in [false, true] {
                 let (local, mut remote) = UnixStream::pair().expect("create a socket pair");
-                let link = Link::over(local);
+                let link = Link::new(local);
                 link.sender().send(message.clone(), with_socket.then(listening_socket));
                 let name = format!("{name}, socket {with_socket}");
                 cases.push((name.clone(), hex(&read_frame(&mut remote).await)));
@@ -294,7 +294,7 @@
         let fixture = GOLDEN.same_text("handover-frames.hex", &lines(&cases));
         for (name, message, with_socket) in sent {
             let (mut remote, local) = UnixStream::pair().expect("create a socket pair");
-            let mut link = Link::over(local);
+            let mut link = Link::new(local);
             let mut frame = unhex(case(&fixture, &name));
             assert_eq!(frame[4], u8::from(with_socket));
             // The fixture holds bytes alone: no socket is attached to this write.
@@ -315,14 +315,14 @@
         let old_process = async {
             let (mut stream, _) = listener.accept().await.expect("accept a connection");
             let ask = read_frame(&mut stream).await;
-            let mut link = Link::over(stream);
-            let offer = Offer { terms: Terms::new(names(), settings()), ..full_offer() };
+            let mut link = Link::new(stream);
+            let offer = Offer { active_settings: ActiveSettings::new(names(), settings()), ..full_offer() };
             link.sender().send(Message::Offer(Box::new(offer)), Some(listening_socket()));
             let (took, _) = link.receive().await.expect("read a message");
             link.sender().send(Message::Go, None);
             (hex(&ask), write_json(&took))
         };
-        let ((ask, took), taken) = tokio::join!(old_process, take(&path, &SystemClock));
+        let ((ask, took), taken) = tokio::join!(old_process, take_over(&path, &SystemClock));
         std::fs::remove_file(&path).expect("remove the Unix socket");
         assert_eq!(*taken.expect("take over from the old process").offer, full_offer());
         GOLDEN.same_text("handover-taker.txt", &lines(&[("asked".into(), ask), ("took".into(), took)]));
@@ -332,7 +332,7 @@
 #[test]
 fn path_of_the_handover_socket() {
     let at = |address: &str, dir: Option<&str>| {
-        let path = place(address.parse().expect("valid socket address"), dir.map(PathBuf::from));
+        let path = socket_path(address.parse().expect("valid socket address"), dir.map(PathBuf::from));
         (address.to_string(), path.map_or("nowhere".into(), |path| path.display().to_string()))
     };
     let cases = [
@@ -348,43 +348,44 @@
 
 #[test]
 fn text_of_the_metrics_page() {
-    let figures = Figures::default();
-    let mut page = format!("# nothing yet\n{}", figures.text(ListFigures::default()));
-    figures.name_class("preview");
-    figures.name_class("a class, named");
-    let all = [Ended::Completed, Ended::Rejected, Ended::Failed];
-    for (times, ended) in all.into_iter().enumerate() {
-        match ended {
-            Ended::Completed | Ended::Rejected | Ended::Failed => {}
+    let metrics = Metrics::default();
+    let mut page = format!("# nothing yet\n{}", metrics.render(BackendCounts::default()));
+    metrics.register_class("preview");
+    metrics.register_class("a class, named");
+    let all = [RequestResult::Completed, RequestResult::Rejected, RequestResult::Failed];
+    for (times, result) in all.into_iter().enumerate() {
+        match result {
+            RequestResult::Completed | RequestResult::Rejected | RequestResult::Failed => {}
         }
-        (0..=times).for_each(|_| figures.request("submit").end(ended));
+        (0..=times).for_each(|_| metrics.start_request("submit").finish(result));
     }
-    let pending = [figures.request("preview"), figures.request("submit")];
-    pending.iter().for_each(|life| life.taken());
-    let coming = figures.request("preview");
-    (0..5).for_each(|_| figures.on_attempt(AttemptEvent::Written));
-    figures.on_attempt(AttemptEvent::NotWritten);
-    figures.reloaded(true);
-    (0..3).for_each(|_| figures.reloaded(false));
+    let pending = [metrics.start_request("preview"), metrics.start_request("submit")];
+    pending.iter().for_each(|tracker| tracker.mark_received());
+    let incomplete = metrics.start_request("preview");
+    (0..5).for_each(|_| metrics.on_attempt(AttemptEvent::Written));
+    metrics.on_attempt(AttemptEvent::NotWritten);
+    metrics.record_reload(true);
+    (0..3).for_each(|_| metrics.record_reload(false));
     page += "# some of all\n";
-    page += &figures.text(ListFigures { members: 12, unavailable: 3 });
-    drop((pending, coming));
+    page += &metrics.render(BackendCounts { members: 12, unavailable: 3 });
+    drop((pending, incomplete));
     page += "# those who were pending have gone\n";
-    page += &figures.text(ListFigures { members: 12, unavailable: 3 });
+    page += &metrics.render(BackendCounts { members: 12, unavailable: 3 });
     GOLDEN.same_text("metrics.txt", &page);
 }
 
 #[test]
 fn outcome_counted_for_each_status_code() {
-    let ended = |status: u16| match Ended::from(StatusCode::from_u16(status).expect("valid status code")) {
-        Ended::Completed => "completed",
-        Ended::Rejected => "rejected",
-        Ended::Failed => "failed",
-    };
+    let result_name =
+        |status: u16| match RequestResult::from(StatusCode::from_u16(status).expect("valid status code")) {
+            RequestResult::Completed => "completed",
+            RequestResult::Rejected => "rejected",
+            RequestResult::Failed => "failed",
+        };
     let cases = [200, 201, 204, 304, 400, 404, 408, 409, 413, 429, 431, 500, 502, 503, 504];
     GOLDEN.same_text(
         "metrics-statuses.txt",
-        &lines(&cases.map(|status| (status.to_string(), ended(status).to_string()))),
+        &lines(&cases.map(|status| (status.to_string(), result_name(status).to_string()))),
     );
 }
 
@@ -423,10 +424,10 @@
 
 /// Replies to admin commands in the place of the data path, and records them. The backend `gone` is unknown; commands
 /// for the backend `silent` get no reply.
-fn data_path(mut operators: Operators, received: std::sync::mpsc::Sender<String>) {
-    while let Some(command) = operators.commands.blocking_recv() {
+fn data_path(mut admin: AdminHandle, received: std::sync::mpsc::Sender<String>) {
+    while let Some(command) = admin.commands.blocking_recv() {
         let (record, reply) = match command.call {
-            Call::Metrics => ("figures".to_string(), Some(Reply::Figures("a=1\nb=2\n".into()))),
+            Call::Metrics => ("figures".to_string(), Some(Reply::Metrics("a=1\nb=2\n".into()))),
             Call::Disable(name) if name == "gone" => (format!("disable {name}"), Some(Reply::UnknownNode)),
             Call::Disable(name) if name == "silent" => (format!("disable {name}"), None),
             Call::Disable(name) => (format!("disable {name}"), Some(Reply::Done)),
@@ -434,7 +435,7 @@
             Call::Ban(name) => (format!("ban {name}"), Some(Reply::Done)),
         };
         match reply {
-            None | Some(Reply::Figures(_) | Reply::Done | Reply::UnknownNode) => {}
+            None | Some(Reply::Metrics(_) | Reply::Done | Reply::UnknownNode) => {}
         }
         let _ = received.send(record);
         if let Some(reply) = reply {
@@ -447,10 +448,10 @@
 fn responses_of_the_admin_listener() {
     let address = reserve();
     let is_denied = Arc::new(AtomicBool::new(false));
-    let operators = admin::listen(address, is_denied.clone()).expect("bind the admin listener");
-    let ready = operators.ready.clone();
+    let handle = admin::listen(address, is_denied.clone()).expect("bind the admin listener");
+    let ready = handle.ready.clone();
     let (received, commands) = std::sync::mpsc::channel();
-    std::thread::spawn(move || data_path(operators, received));
+    std::thread::spawn(move || data_path(handle, received));
     let mut cases = Vec::new();
     let mut add_case = |name: &str, request: &[u8]| {
         cases.push((name.to_string(), response_after_shutdown(address, request)));
@@ -581,7 +582,7 @@
 
 /// One line with everything in a parsed configuration.
 fn config_line(config: &Config) -> String {
-    let known = config.known.is_some();
+    let known = config.cached_list.is_some();
     format!(
         "listen {}, admin {:?}, discovery {:?}, {} sources, seed {:x}, sockets {}, memory {}, known {known}, names {}, \
          settings {}, connect {:?}, idle {:?}, local meter {}, assumed {:?}, text of {} bytes",
@@ -590,31 +591,31 @@
         config.discovery.map(|at| at.to_string()),
         config.sources.len(),
         config.seed,
-        config.sockets,
-        config.memory,
+        config.max_descriptors,
+        config.memory_bytes,
         write_json(&config.names),
         write_json(&config.settings),
         config.connect_timeout,
         config.idle_timeout,
         config.local_meter,
-        config.assumed.map(|assumed| assumed.plan),
+        config.request_defaults.map(|defaults| defaults.plan),
         config.text.len(),
     )
 }
 
 /// The result of parsing a configuration: an error message, or `taken: ` and the configuration.
-fn parsed_with(text: &str, first: First, environment: &[(&str, &str)]) -> String {
+fn parsed_with(text: &str, precedence: Precedence, environment: &[(&str, &str)]) -> String {
     let variable = |name: &str| {
         let found = environment.iter().find(|(other, _)| *other == name);
         found.map(|(_, value)| value.to_string())
     };
-    config::parse(text, first, variable)
+    config::parse(text, precedence, variable)
         .map_or_else(|error| error, |config| format!("taken: {}", config_line(&config)))
 }
 
 /// As `parsed_with`, with the environment taking precedence and no variable set.
 fn parsed(value: &Value) -> String {
-    parsed_with(&text_of(value), First::Environment, &[])
+    parsed_with(&text_of(value), Precedence::Environment, &[])
 }
 
 /// The sample configuration with another value at a JSON pointer.
@@ -639,11 +640,11 @@
     }
     let cases = [
         ("sample", parsed(&sample())),
-        ("environment first", parsed_with(&text, First::Environment, &environment)),
-        ("file first", parsed_with(&text, First::File, &environment)),
+        ("environment first", parsed_with(&text, Precedence::Environment, &environment)),
+        ("file first", parsed_with(&text, Precedence::File, &environment)),
         (
             "addresses by the environment",
-            parsed_with(&text_of(&without_addresses), First::File, &environment),
+            parsed_with(&text_of(&without_addresses), Precedence::File, &environment),
         ),
         ("lists on request", parsed(&sample_with("/settings/registryMode", json!("on_request")))),
         ("no advice", parsed(&sample_with("/settings/bounds/retryAfter", json!(false)))),
@@ -674,7 +675,7 @@
         cases.push((format!("a list {pointer}"), parsed(&sample_with(pointer, json!([])))));
     }
     for (name, text) in [("nothing", ""), ("a list", "[]"), ("no JSON", "{"), ("null", "null")] {
-        cases.push((name.to_string(), parsed_with(text, First::Environment, &[])));
+        cases.push((name.to_string(), parsed_with(text, Precedence::Environment, &[])));
     }
     cases
 }
@@ -702,8 +703,8 @@
 fn configurations_with_invalid_values() {
     let invalid = [("BALANCER_LISTEN", "nowhere"), ("BALANCER_ADMIN_ADDR", "1.2.3.4")];
     let mut cases = vec![
-        ("environment".to_string(), parsed_with(&text_of(&sample()), First::Environment, &invalid)),
-        ("environment, one".into(), parsed_with(&text_of(&sample()), First::Environment, &invalid[1..])),
+        ("environment".to_string(), parsed_with(&text_of(&sample()), Precedence::Environment, &invalid)),
+        ("environment, one".into(), parsed_with(&text_of(&sample()), Precedence::Environment, &invalid[1..])),
         ("too great a number".into(), parsed(&sample_with("/seed", json!("1ffffffffffffffff")))),
         ("no number".into(), parsed(&sample_with("/seed", json!("0x12")))),
     ];
@@ -791,7 +792,7 @@
         texts.push((format!("broken {}", text.len()), text.to_string()));
     }
     let read = |text: &str| match serde_json::from_str::<List>(text) {
-        Ok(list) => report_line(&list.report()),
+        Ok(list) => report_line(&list.into_report()),
         Err(error) => format!("refused: {error}"),
     };
     let cases: Vec<_> =
@@ -810,8 +811,8 @@
 #[derive(Clone, Default)]
 struct RecordedReports(Rc<RefCell<Vec<String>>>);
 
-impl ListReader for RecordedReports {
-    fn take(&self, report: Report) {
+impl ListSink for RecordedReports {
+    fn apply(&self, report: Report) {
         self.0.borrow_mut().push(report_line(&report));
     }
 }
@@ -822,14 +823,14 @@
         let agent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("bind a free port");
         let address = agent.local_addr().expect("local address");
         let recorded = RecordedReports::default();
-        let watch = Watch {
+        let watch = DiscoveryWatch {
             clock: SystemClock,
             network: Tcp,
-            reader: recorded.clone(),
-            newest: Rc::new(Cell::new(None)),
-            again: None,
-            most: 1 << 20,
-            complained: Cell::new(false),
+            sink: recorded.clone(),
+            last_revision: Rc::new(Cell::new(None)),
+            retry_interval: None,
+            max_list_bytes: 1 << 20,
+            rejection_logged: Cell::new(false),
         };
         let (_address_sender, address_receiver) = tokio::sync::watch::channel(address);
         tokio::task::spawn_local(watch.follow(address_receiver));
@@ -968,14 +969,14 @@
 /// Replaces the values that differ between runs by fixed ones.
 fn without_run_specific_values(mut offer: Offer, gateway: &Gateway, file: &str) -> Offer {
     assert!(offer.now_ms > 0.0 && offer.start_unix_ms > 1e12 && offer.descriptors > 0);
-    assert_eq!(offer.file, file);
+    assert_eq!(offer.config_text, file);
     (offer.now_ms, offer.start_unix_ms, offer.descriptors) = (0.0, 0.0, 0);
-    offer.file = format!("the file of {}", gateway.address.ip());
-    // The format of the learned state is tested where it is defined; here, only the names of the backends count.
-    let learned: Value = serde_json::from_str(&offer.learned).expect("valid JSON");
+    offer.config_text = format!("the file of {}", gateway.address.ip());
+    // The format of the policy state is tested where it is defined; here, only the names of the backends count.
+    let policy_state: Value = serde_json::from_str(&offer.policy_state).expect("valid JSON");
     let backends: BTreeSet<_> =
-        learned["fleet"]["servers"].as_object().expect("JSON object of servers").keys().collect();
-    offer.learned = format!("{backends:?}");
+        policy_state["fleet"]["servers"].as_object().expect("JSON object of servers").keys().collect();
+    offer.policy_state = format!("{backends:?}");
     offer
 }
 
@@ -988,8 +989,8 @@
     let (config, admin) = with_admin_listener(common::config(reserve(), known));
     let gateway = Gateway::start(&config);
     assert_eq!(common::admin_request(admin, "PUT", "/-/backends/s-1/disable").0, 200);
-    let path =
-        place(gateway.address, Some(temporary_dir(&gateway.config_path))).expect("handover socket path");
+    let path = socket_path(gateway.address, Some(temporary_dir(&gateway.config_path)))
+        .expect("handover socket path");
     let file = std::fs::read_to_string(&gateway.config_path).expect("read the configuration file");
     block_on_local(async {
         let mut stream = UnixStream::connect(&path).await.expect("connect to the handover socket");
--- a/crates/brassport/tests/settings.rs
+++ b/crates/brassport/tests/settings.rs
@@ -3,12 +3,12 @@
 
 mod common;
 
-use brassport::config::{parse, First};
+use brassport::config::{parse, Precedence};
 use common::{config, reserve, target_list};
 use serde_json::{json, Value};
 
 fn is_valid(text: &str) -> bool {
-    parse(text, First::File, |_| None).is_ok()
+    parse(text, Precedence::File, |_| None).is_ok()
 }
 
 /// A valid configuration whose plan has a hard rate limit.
