--- a/crates/brassport-appliance/src/keeper.rs
+++ b/crates/brassport-appliance/src/keeper.rs
@@ -157,7 +157,7 @@
     cleared: Vec<Reply<()>>,
     tell: &impl Fn(News),
 ) {
-    let before = (store.unfinished_count(), store.broken().is_some(), store.state().revision);
+    let before = (store.unfinished_count(), store.first_write_error().is_some(), store.state().revision);
     let written = store.write(&batch);
     let durable = written.is_ok();
     for reply in sent {
@@ -181,13 +181,13 @@
             let _ = reply.send(answer);
         }
     };
-    if before == (store.unfinished_count(), store.broken().is_some(), store.state().revision) {
+    if before == (store.unfinished_count(), store.first_write_error().is_some(), store.state().revision) {
         then();
     } else {
         tell(News {
             state: Arc::new(store.state().clone()),
             unfinished: store.unfinished_count(),
-            read_only: store.broken().map(String::from),
+            read_only: store.first_write_error().map(String::from),
             made,
             then: Box::new(then),
         });
--- a/crates/brassport-appliance/src/last_known.rs
+++ b/crates/brassport-appliance/src/last_known.rs
@@ -5,7 +5,7 @@
 use brassport::config::Origin;
 use brassport::Control;
 use brassport_membership::book::{Book, Entry, Hold, Moment, Report, Source, State};
-use brassport_state::known::{KnownList, KnownNode, Worth};
+use brassport_state::known::{KnownList, KnownNode, RowUse};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::mpsc::SyncSender;
@@ -26,18 +26,18 @@
     let mut entries = Vec::new();
     let mut starts = Known::new();
     for (name, node) in known {
-        let worth = node.worth(now_ms);
-        if worth == Worth::Forgotten {
+        let row_use = node.row_use(now_ms);
+        if row_use == RowUse::Ignored {
             continue;
         }
-        let age = now_ms.checked_sub(node.heard_ms).map(|age| Duration::from_millis(age).as_secs());
+        let age = now_ms.checked_sub(node.last_listed_ms).map(|age| Duration::from_millis(age).as_secs());
         let heard =
             age.map_or("heard at a time that has not been yet".into(), |age| format!("heard {age} s ago"));
         entries.push(Entry {
             zone: node.zone.clone(),
             group: node.group,
             size: node.size,
-            boot_ms: node.start(now_ms),
+            boot_ms: node.assumed_start_ms(now_ms),
             state: match node.draining {
                 // Of an address no node is listed: that a drain was told there is all.
                 _ if name.starts_with(ADDRESS) => State::Gone,
@@ -48,7 +48,7 @@
             ..Entry::ready(name, node.endpoint)
         });
         // An old start is no reason to take a node for warm.
-        if worth == Worth::Node && !name.starts_with(ADDRESS) {
+        if row_use == RowUse::AsStored && !name.starts_with(ADDRESS) {
             starts.insert(name.clone(), (node.endpoint, node.started_ms));
         }
     }
@@ -64,8 +64,8 @@
         // Guards a node that is a reserve, or whose address is another's now, against being kept as one that drains.
         let Some(endpoint) = entry.address.filter(|_| hold != Hold::Other) else { continue };
         let old = before.get(&*entry.id);
-        let heard_ms = match old {
-            Some(old) if !confirmed => old.heard_ms,
+        let last_listed_ms = match old {
+            Some(old) if !confirmed => old.last_listed_ms,
             _ => now.unix,
         };
         let node = KnownNode {
@@ -75,9 +75,9 @@
             size: entry.size,
             started_ms: entry.boot_ms,
             draining: hold == Hold::Drain,
-            heard_ms,
+            last_listed_ms,
         };
-        let node = old.filter(|old| node.is_kept_by(old)).cloned().unwrap_or(node);
+        let node = old.filter(|old| node.can_reuse(old)).cloned().unwrap_or(node);
         known.insert(entry.id.to_string(), node);
     }
     for (_, at, _) in book.drained() {
@@ -88,7 +88,7 @@
     known
 }
 
-fn drained_at(endpoint: SocketAddr, heard_ms: u64) -> KnownNode {
+fn drained_at(endpoint: SocketAddr, last_listed_ms: u64) -> KnownNode {
     KnownNode {
         endpoint,
         zone: String::new(),
@@ -96,7 +96,7 @@
         size: 0.0,
         started_ms: 0.0,
         draining: true,
-        heard_ms,
+        last_listed_ms,
     }
 }
 
@@ -140,7 +140,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use brassport_state::known::{FORGOTTEN_AFTER, GENTLE_AFTER};
+    use brassport_state::known::{IGNORED_AFTER_MS, SLOW_START_AFTER_MS};
 
     const NOW: u64 = 1_800_000_000_000;
 
@@ -223,12 +223,12 @@
         let mut book = begun(&KnownList::new(), NOW);
         book.take(at(0), 1, Report::whole(vec![Entry { boot_ms: 5.0, ..Entry::ready("a", address(1)) }]));
         let known = kept(&book, at(0), &KnownList::new());
-        let late = NOW + GENTLE_AFTER + 1;
+        let late = NOW + SLOW_START_AFTER_MS + 1;
         let next = begun(&known, late);
         assert_eq!(next.nodes().next().expect("listed").boot_ms, late as f64, "as if it started now");
         let again = kept(&next, at(late - NOW), &known);
-        assert_eq!(again["a"].heard_ms, NOW, "no source has listed it since");
-        assert!(begun(&again, NOW + FORGOTTEN_AFTER + 1).is_empty());
+        assert_eq!(again["a"].last_listed_ms, NOW, "no source has listed it since");
+        assert!(begun(&again, NOW + IGNORED_AFTER_MS + 1).is_empty());
     }
 
     #[test]
@@ -239,7 +239,7 @@
             KnownNode { draining: false, started_ms: 7.0, ..drained_at(address(1), NOW) },
         );
         assert_eq!(origin(&known, NOW + 1).1["a:1"], (address(1), 7.0));
-        assert!(origin(&known, NOW + GENTLE_AFTER + 1).1.is_empty());
+        assert!(origin(&known, NOW + SLOW_START_AFTER_MS + 1).1.is_empty());
         assert!(origin(&known, NOW - 1).1.is_empty(), "its time has not been yet");
     }
 }
--- a/crates/brassport-state/src/store/mod.rs
+++ b/crates/brassport-state/src/store/mod.rs
@@ -158,7 +158,7 @@
     }
 
     /// The text of the error since which no change is accepted, if there was one.
-    pub fn broken(&self) -> Option<&str> {
+    pub fn first_write_error(&self) -> Option<&str> {
         self.first_write_error.as_deref()
     }
 
--- a/crates/brassport-state/tests/it/draw.rs
+++ b/crates/brassport-state/tests/it/draw.rs
@@ -73,15 +73,15 @@
 
 /// A list of which no two are alike in any row.
 fn draw_last_known(random: &mut Rand64) -> KnownList {
-    let heard_ms = random.rand_range(0..1_000_000);
+    let last_listed_ms = random.rand_range(0..1_000_000);
     let node = |random: &mut Rand64| KnownNode {
         endpoint: format!("127.0.0.1:{}", 9000 + random.rand_range(0..8)).parse().expect("an address"),
         zone: String::new(),
         group: 0,
         size: 1.0,
-        started_ms: heard_ms as f64,
+        started_ms: last_listed_ms as f64,
         draining: random.rand_range(0..3) == 0,
-        heard_ms,
+        last_listed_ms,
     };
     let count = random.rand_range(0..30);
     (0..count).map(|_| (format!("k{}", random.rand_range(0..40)), node(random))).collect()
--- a/crates/brassport-state/tests/it/golden.rs
+++ b/crates/brassport-state/tests/it/golden.rs
@@ -98,7 +98,7 @@
         size: if draining { 2.5 } else { 0.0 },
         started_ms: if draining { 1_700_000_000_000.5 } else { 0.0 },
         draining,
-        heard_ms: 1_700_000_003_000,
+        last_listed_ms: 1_700_000_003_000,
     };
     let list = [("dns:attic-1", node("192.0.2.1:9001", true)), ("spare", node("[2001:db8::7]:9007", false))];
     list.into_iter().map(|(name, node)| (name.to_string(), node)).collect()
@@ -194,7 +194,7 @@
     let unfinished = store.unfinished().expect("its unfinished requests");
     assert_eq!(unfinished, [(1, sent(1)), (2, sent(2)), (3, sent(3))]);
     assert_eq!(store.unfinished_count(), 3);
-    assert_eq!(store.broken(), None);
+    assert_eq!(store.first_write_error(), None);
 }
 
 #[test]
--- a/crates/brassport-state/tests/it/power_cuts.rs
+++ b/crates/brassport-state/tests/it/power_cuts.rs
@@ -97,7 +97,7 @@
                 matches!(again, Err(ChangeError::Store(StoreError::Broken { .. }))),
                 "{kind:?} {at} {again:?}"
             );
-            assert!(store.broken().is_some());
+            assert!(store.first_write_error().is_some());
             assert_eq!(store.state().nodes["a"].lifecycle, Lifecycle::Ready, "the list is as it was");
             drop(store);
             // A restart has the one or the other, and makes a change that is requested again at most once.
