--- a/crates/brassport-state/src/lib.rs
+++ b/crates/brassport-state/src/lib.rs
@@ -1,13 +1,13 @@
-//! The durable state of the small-site appliance: its list of nodes, drains in progress, the plans of studios, the
-//! history of changes, and the requests that were in flight when the power went and are not idempotent.
+//! The durable state of the small-site appliance: its nodes, drains in progress, the plans of studios (tenants), the
+//! history of changes, and non-idempotent requests that were in flight when the power failed.
 //!
-//! - [`model`] is the core, without I/O: what a change does to a state, and which changes are rejected.
-//! - [`known`] is the last-known endpoint list, and how its rows are used by their age.
-//! - [`store`] keeps a state in one file: each change is applied atomically, and acknowledged once durable.
-//! - [`log`] keeps the durable side of a replicated log.
-//! - [`files`] is the seam to the directory that the file is in; tests implement it by a disk that loses power.
+//! - [`model`]: the effect of each change on the state and the rules that reject a change, without I/O.
+//! - [`known`]: the last-known node list and how the age of a row determines its use.
+//! - [`store`]: persists a state in one file. Each change is applied atomically and acknowledged once durable.
+//! - [`log`]: persists a replicated log.
+//! - [`files`]: the directory interface of both. Tests implement it with a simulated disk that loses power.
 //!
-//! It is not a general database, knows nothing of HTTP, and decides nothing about requests.
+//! The package is not a general database, does not handle HTTP and makes no decisions about requests.
 //!
 //! ```
 //! use brassport_state::files::Directory;
@@ -28,7 +28,7 @@
 //!     warm: false,
 //! };
 //! let change = Change { id: "first".into(), who: "asha".into(), at_ms: 1, seen: None, action: node };
-//! // Durable when this returns; requested twice under one id, it is made once.
+//! // The change is durable when `apply` returns. A repeated request with the same id has no further effect.
 //! let done = store.apply(change.clone())?;
 //! assert_eq!(store.apply(change)?.revision, done.revision);
 //! assert_eq!(store.state().nodes["loft-1"].lifecycle, Lifecycle::Ready);
--- a/crates/brassport-state/src/model/mod.rs
+++ b/crates/brassport-state/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! The site's state and what a change does to it. No I/O, no clock: a change brings its time, and the same changes in
-//! the same order make the same state.
+//! The site's state and the effect of changes on it. The model does no I/O and reads no clock: each change carries its
+//! time, so that the same changes in the same order produce the same state.
 
 mod refusal;
 mod transition;
@@ -10,71 +10,71 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The most bytes of a name, of an id and of who made a change: they go into file rows and log lines.
+/// Maximum length in bytes of a name, a change id and a requester, as they are written to file rows and log lines.
 pub const NAME_LIMIT: usize = 128;
-/// The most nodes of a site: the list is copied with each change.
+/// Maximum number of nodes in a site. Each change copies the whole list.
 pub const NODE_LIMIT: usize = 4096;
-/// The most studios (tenants) with a plan of their own.
+/// Maximum number of studios (tenants) with an assigned plan.
 pub const STUDIO_LIMIT: usize = 65_536;
 
-/// Whether a node takes requests.
+/// Whether a node accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Lifecycle {
-    /// Takes requests.
+    /// The node accepts requests.
     Ready,
-    /// Finishes the requests in flight; no new ones are sent to it.
+    /// The node completes its in-flight requests and gets no new ones.
     Draining,
 }
 
-/// A node of the site.
+/// A node as the state stores it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Node {
-    /// The address it listens on.
+    /// The address that the node listens on.
     pub endpoint: SocketAddr,
-    /// Its failure domain; empty where the site has one zone.
+    /// The failure domain; empty if the site has a single zone.
     #[serde(default)]
     pub zone: String,
-    /// Nodes of one group share the idempotency keys that they have seen.
+    /// Nodes of the same group share the idempotency keys that they have seen.
     #[serde(default)]
     pub group: u16,
-    /// Its capacity relative to the other nodes'.
+    /// The capacity relative to the other nodes.
     pub size: f64,
-    /// Whether it takes requests.
+    /// Whether the node accepts new requests.
     pub lifecycle: Lifecycle,
-    /// When it was added and started to warm up, Unix time in milliseconds; `None` if it was added warm.
+    /// When the node was added and its slow start began, Unix time in milliseconds; `None` if it was added without one.
     #[serde(default)]
     pub launched_ms: Option<u64>,
-    /// The revision that last changed it.
+    /// The revision that last changed the node.
     pub revision: u64,
 }
 
-/// All that the appliance keeps durable of its configuration, the history apart.
+/// The durable configuration of the appliance, without its history.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct State {
-    /// The number of changes so far, and so the number of the last one.
+    /// The number of changes made so far, which is also the revision of the latest change; 0 in a new state.
     pub revision: u64,
     /// The nodes, by name.
     pub nodes: BTreeMap<String, Node>,
-    /// Plans of studios (tenants), by the studio's number.
+    /// Plan names by studio (tenant) number.
     pub plans: BTreeMap<u64, String>,
 }
 
-/// A node as an operator names it.
+/// A node as an operator specifies it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NewNode {
-    /// Its name, unique in the site.
+    /// The name, unique within the site.
     pub name: String,
-    /// The address it listens on.
+    /// The address that the node listens on.
     pub endpoint: SocketAddr,
-    /// Its failure domain; empty where the site has one zone.
+    /// The failure domain; empty if the site has a single zone.
     #[serde(default)]
     pub zone: String,
-    /// Nodes of one group share the idempotency keys that they have seen.
+    /// Nodes of the same group share the idempotency keys that they have seen.
     #[serde(default)]
     pub group: u16,
-    /// Its capacity relative to the other nodes'; 1 if not given.
+    /// The capacity relative to the other nodes; 1 if not given.
     #[serde(default = "default_size")]
     pub size: f64,
 }
@@ -83,70 +83,72 @@
     1.0
 }
 
-/// What a change does.
+/// The operation of a change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "action", rename_all = "snake_case")]
 pub enum Action {
-    /// Adds a node that the list does not have.
+    /// Adds a node. Its name must not be in the list yet.
     AddNode {
-        /// Its name, unique in the site.
+        /// The name, unique within the site.
         name: String,
-        /// The address it listens on.
+        /// The address that the node listens on.
         endpoint: SocketAddr,
-        /// Its failure domain; empty where the site has one zone.
+        /// The failure domain; empty if the site has a single zone.
         #[serde(default)]
         zone: String,
-        /// Nodes of one group share the idempotency keys that they have seen.
+        /// Nodes of the same group share the idempotency keys that they have seen.
         #[serde(default)]
         group: u16,
-        /// Its capacity relative to the other nodes'; 1 if not given.
+        /// The capacity relative to the other nodes; 1 if not given.
         #[serde(default = "default_size")]
         size: f64,
-        /// Whether it has been running for long: no slow start.
+        /// Whether the node is warmed up already, so that slow start is skipped.
         #[serde(default)]
         warm: bool,
     },
-    /// Sends no new requests to this node, until it is removed or resumed.
+    /// Stops sending new requests to a node until it is removed or resumed.
     DrainNode {
-        /// Its name.
+        /// The node's name.
         name: String,
     },
-    /// Sends requests to a draining node again.
+    /// Resumes sending requests to a draining node.
     ResumeNode {
-        /// Its name.
+        /// The node's name.
         name: String,
     },
     /// Removes a node from the list.
     RemoveNode {
-        /// Its name.
+        /// The node's name.
         name: String,
     },
-    /// Replaces the list by this one: nodes that it does not name are removed, those that stay keep their lifecycle.
+    /// Replaces the node list. Nodes that the new list omits are removed; nodes that remain with the same endpoint keep
+    /// their lifecycle.
     ImportNodes {
-        /// The complete list.
+        /// The complete new list.
         nodes: Vec<NewNode>,
     },
-    /// Sets a studio's plan.
+    /// Sets or clears the plan of a studio (tenant).
     SetPlan {
         /// The studio's number.
         studio: u64,
-        /// The plan; `None`: the one that its requests name, or the default.
+        /// The plan name. With `None`, the plan that the studio's requests name applies, or else the default plan.
         plan: Option<String>,
     },
 }
 
-/// A change, as an operator or a program requests it.
+/// A change requested by an operator or a program.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The idempotency key, chosen by the requester: requested twice under one id, a change is made once.
+    /// The idempotency key, chosen by the requester. A change requested twice with the same id is made once.
     pub id: String,
     /// The requester.
     pub who: String,
-    /// The wall clock, Unix time in milliseconds: for people to read. Nothing is ordered by it, as it may be set back.
+    /// The wall-clock time, Unix time in milliseconds, shown to operators. Nothing is ordered by it, as the clock may
+    /// be set back.
     pub at_ms: u64,
-    /// The node's revision that the requester saw: the change is rejected if the node has another one.
+    /// The node revision that the requester read. If given, the change is rejected unless the node still has it.
     #[serde(default)]
     pub seen: Option<u64>,
-    /// What it does.
+    /// The operation.
     pub action: Action,
 }
--- a/crates/brassport-state/src/model/refusal.rs
+++ b/crates/brassport-state/src/model/refusal.rs
@@ -1,34 +1,34 @@
-//! Why a change is rejected.
+//! Reasons for rejecting a change.
 
 use std::fmt;
 
-/// Why a change was rejected. The state is as it was.
+/// The reason for rejecting a change. A rejected change leaves the state unchanged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
-    /// The change is not valid; the text says what of it.
+    /// The change is invalid; the text describes the problem.
     Invalid(String),
-    /// A node of that name exists already.
+    /// A node with this name exists already.
     Exists(String),
-    /// No node has that name.
+    /// No node has this name.
     NoSuchNode(String),
-    /// The node was changed since the requester saw it.
+    /// The node has changed since the requester read it.
     Conflict {
-        /// The node.
+        /// The node's name.
         name: String,
-        /// The revision that the node has.
+        /// The node's current revision.
         revision: u64,
     },
-    /// The id was used for another change.
+    /// The id was used before, for a different change.
     IdUsed {
-        /// The id.
+        /// The id of the change.
         id: String,
-        /// The revision of that other change.
+        /// The revision of the earlier change.
         revision: u64,
     },
 }
 
 impl Refusal {
-    /// The reason as a fixed code, for programs.
+    /// A stable, machine-readable code of the reason.
     pub fn code(&self) -> &'static str {
         match self {
             Refusal::Invalid(_) => "invalid",
--- a/crates/brassport-state/src/model/transition.rs
+++ b/crates/brassport-state/src/model/transition.rs
@@ -1,15 +1,15 @@
-//! The state after a change.
+//! Applies changes to a state.
 
 use super::{Action, Change, Lifecycle, NewNode, Node, Refusal, State, NAME_LIMIT, NODE_LIMIT, STUDIO_LIMIT};
 
-/// The largest relative size of a node; above it one node's weight would leave nothing of the others'.
+/// Maximum relative size of a node. A larger weight would make the weights of the other nodes negligible.
 const SIZE_LIMIT: f64 = 1e6;
 
 impl State {
-    /// The state after a change. Atomic: a rejected change leaves no trace.
+    /// Returns the state after `change`; `self` stays unchanged.
     ///
     /// # Errors
-    /// Why the change is rejected.
+    /// The reason for which the change is rejected.
     pub fn after(&self, change: &Change) -> Result<State, Refusal> {
         validate_name("id of the change", &change.id)?;
         validate_name("who", &change.who)?;
@@ -70,7 +70,7 @@
         for new in list {
             validate_node(new)?;
             let mut node = ready_node(new, Some(at_ms), self.revision);
-            // A node whose endpoint changed is another machine: it warms up and does not inherit a drain.
+            // A node whose endpoint changed is a different machine: it gets a slow start and does not inherit a drain.
             if let Some(old) = old_nodes.get(&new.name).filter(|old| old.endpoint == new.endpoint) {
                 (node.lifecycle, node.launched_ms, node.revision) =
                     (old.lifecycle, old.launched_ms, old.revision);
@@ -79,7 +79,7 @@
                 }
             }
             if self.nodes.insert(new.name.clone(), node).is_some() {
-                return Err(Refusal::Invalid(format!("'{}' is named twice", new.name)));
+                return Err(Refusal::Invalid(format!("the list names '{}' twice", new.name)));
             }
         }
         Ok(())
@@ -119,11 +119,11 @@
     }
 }
 
-fn validate_name(what: &str, name: &str) -> Result<(), Refusal> {
+fn validate_name(field: &str, name: &str) -> Result<(), Refusal> {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:@".contains(&byte);
     if name.is_empty() || name.len() > NAME_LIMIT || !name.bytes().all(is_allowed) {
         return Err(Refusal::Invalid(format!(
-            "{what}: '{}' is not 1 to {NAME_LIMIT} letters, digits and - _ . : @",
+            "{field}: '{}' is not 1 to {NAME_LIMIT} letters, digits and - _ . : @",
             name.escape_default()
         )));
     }
