--- a/crates/brassport-state/src/mutants.rs
+++ b/crates/brassport-state/src/mutants.rs
@@ -1,16 +1,16 @@
-//! Deliberate faults of the store, to show that the power-cut tests can fail. Compiled only with the feature
-//! `mutants`; without it `mutant!` is the constant `false`.
+//! Deliberate faults in the store, used to show that the power-failure tests detect them. They are compiled only with
+//! the feature `mutants`; without it, `mutant!` is the constant `false`.
 
-/// Whether a mutant is active.
+/// Whether a mutant is active on the current thread.
 #[cfg(feature = "mutants")]
 macro_rules! mutant {
-    ($which:ident) => {
-        $crate::mutants::is_active($crate::mutants::Mutant::$which)
+    ($name:ident) => {
+        $crate::mutants::is_active($crate::mutants::Mutant::$name)
     };
 }
 #[cfg(not(feature = "mutants"))]
 macro_rules! mutant {
-    ($which:ident) => {
+    ($name:ident) => {
         false
     };
 }
@@ -26,31 +26,31 @@
 mod active {
     use std::cell::Cell;
 
-    /// One deliberate fault.
+    /// A deliberate fault in the store.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum Mutant {
-        /// A file takes its name, and the directory is not synced after it.
+        /// The directory is not synced after a new file is renamed to its final name.
         NoDirectorySync,
-        /// A file takes its name before its content is synced.
+        /// A new file is renamed to its final name before its content is synced.
         RenameBeforeSync,
         /// A change is acknowledged before it is durable.
         AcknowledgeBeforeSync,
-        /// The checksums of the state file are not verified when it is opened.
+        /// Page checksums are not verified when a file is opened.
         ChecksumIgnored,
-        /// A commit's pages are synced together with the header that points to them.
+        /// The pages of a commit are synced together with the header that points to them.
         OnePhaseCommit,
         /// A change requested twice is made twice.
         NotIdempotent,
-        /// The last-known list is written in two commits: the removals, then the rest.
+        /// The last-known list is written in two commits: first the removals, then the inserted and changed rows.
         CachedNodesInTwoCommits,
     }
 
     thread_local! {
-        // A thread's own: the tests of other threads run without it.
+        // Thread-local, so that tests on other threads run without the fault.
         static ACTIVE: Cell<Option<Mutant>> = const { Cell::new(None) };
     }
 
-    /// Activates a mutant on this thread, or none.
+    /// Activates a mutant on this thread; `None` deactivates it.
     pub fn activate(mutant: Option<Mutant>) {
         ACTIVE.set(mutant);
     }
