--- a/crates/brassport-state/src/store/error.rs
+++ b/crates/brassport-state/src/store/error.rs
@@ -1,4 +1,4 @@
-//! Why a state can't be read, written or changed.
+//! Errors of reading, writing and changing a state.
 
 use super::FORMAT;
 use crate::model::Refusal;
@@ -6,20 +6,21 @@
 use std::fmt;
 use std::io;
 
-/// Why a state or a log can't be read or written. Each text names the file and the way out.
+/// The reason why a state or log file can't be read or written. Each message names the file, and most
+/// give a remedy.
 #[derive(Debug)]
 pub enum StoreError {
-    /// There is no such file.
+    /// The file does not exist.
     Missing {
         /// The file's path.
         file: String,
     },
-    /// A file of that name exists already.
+    /// A file with this name exists already.
     Exists {
         /// The file's path.
         file: String,
     },
-    /// The file has no bytes, which no version leaves behind.
+    /// The file is empty. No version of the program leaves an empty file behind.
     Empty {
         /// The file's path.
         file: String,
@@ -33,30 +34,30 @@
     Newer {
         /// The file's path.
         file: String,
-        /// Its format.
+        /// The file's format version.
         format: u64,
     },
     /// The file is damaged.
     Corrupt {
         /// The file's path.
         file: String,
-        /// What of it.
+        /// A description of the damage.
         detail: String,
     },
-    /// The system reports an error.
+    /// The operating system reported an error.
     Io {
-        /// The operation, as a verb.
+        /// The failed operation as a verb phrase; the message continues with the file's path.
         doing: &'static str,
         /// The file's path.
         file: String,
-        /// The error of the system.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// A write failed before: what the file has shows when it is opened again.
+    /// An earlier write failed. The file's content is uncertain until it is opened again, so all writes are rejected.
     Broken {
         /// The file's path.
         file: String,
-        /// The text of the first error.
+        /// The text of the first write error.
         first: String,
     },
 }
@@ -111,13 +112,13 @@
     }
 }
 
-/// Why a change was not made.
+/// The reason why a change was not made.
 #[derive(Debug)]
 pub enum ChangeError {
-    /// The change was rejected; the state is as it was.
+    /// The change was rejected and the state is unchanged.
     Refused(Refusal),
-    /// The file can't be written. Whether the change was made shows when the file is opened again; requested again under
-    /// its id, it is made at most once.
+    /// The file can't be written. Whether the change was made is known only when the file is opened again. A repeated
+    /// request with the same id is safe: the change is made at most once.
     Store(StoreError),
 }
 
@@ -131,7 +132,7 @@
 }
 
 impl Error for ChangeError {
-    // The text is that of the cause, so the source is the cause's source.
+    // The message is already that of the inner error, so the source is the inner error's source.
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
             ChangeError::Refused(refusal) => refusal.source(),
--- a/crates/brassport-state/src/store/mod.rs
+++ b/crates/brassport-state/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! Keeps a state in one file, a redb database. Every write is one transaction: copy on write, two phases, checksums on
-//! every page, which are verified whenever the file is opened.
+//! Persists a state in a single redb database file. Each write is one copy-on-write transaction with a two-phase
+//! commit. Every page has a checksum, and all checksums are verified whenever the file is opened.
 
 mod error;
 mod read;
@@ -22,17 +22,17 @@
 use tables::{decode, FACTS, FORMAT_FACT, HISTORY, IDS, IN_FLIGHT, NODES, PLANS, UNFINISHED};
 use write::{Committed, Progress};
 
-/// The format of the file that this version writes and reads.
+/// The file format version that this program reads and writes.
 pub const FORMAT: u64 = 1;
-/// The most changes that the history keeps, which bounds the file; the ids of older ones are dropped with them.
+/// Maximum number of changes in the history, which bounds the file's size. Older changes are dropped with their ids.
 pub const HISTORY_LIMIT: u64 = 200_000;
 
-/// A change that was made.
+/// A change in the history.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its number in the history, which is ordered by it.
+    /// The revision that the change made. The history is ordered by it.
     pub revision: u64,
-    /// Whether the wall clock was behind that of the change before it.
+    /// Whether the change's wall-clock time is earlier than that of the previous change.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub clock_set_back: bool,
     /// The change as it was requested.
@@ -40,64 +40,64 @@
     pub change: Change,
 }
 
-/// A request that is not idempotent and was sent to a node.
+/// A non-idempotent request that was sent to a node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Sent {
-    /// The client's name for it.
+    /// The client's identifier of the request.
     pub request: String,
-    /// The class of the request.
+    /// The request class.
     pub class: String,
     /// The studio (tenant) that sent it.
     pub studio: u64,
-    /// The node of its latest attempt.
+    /// The node that the latest attempt was sent to.
     pub node: String,
-    /// The wall clock at that attempt, Unix time in milliseconds.
+    /// The wall-clock time of the latest attempt, Unix time in milliseconds.
     pub at_ms: u64,
 }
 
-/// What one transaction writes, in this order.
+/// The content of one transaction, written in the order of the fields.
 #[derive(Debug, Default)]
 pub struct Batch {
     /// Changes to the state.
     pub changes: Vec<Change>,
-    /// Requests that are not idempotent and are about to be sent.
+    /// Non-idempotent requests that are about to be sent.
     pub sending: Vec<Sent>,
-    /// Names of those of which no attempt is in flight any more.
+    /// Identifiers of requests that have no attempt in flight any more.
     pub ended: Vec<String>,
-    /// Removes the unfinished requests up to this number.
+    /// Removes the unfinished requests with numbers up to and including this one.
     pub clear_unfinished: Option<u64>,
-    /// The last-known list, which replaces the one before.
+    /// The last-known node list, which replaces the previous one.
     pub known: Option<KnownList>,
 }
 
-/// A change that is durable.
+/// The outcome of a change that is durable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Done {
-    /// The revision that it made.
+    /// The revision that the change made.
     pub revision: u64,
-    /// Whether it was made before: this id had been used for the same change.
+    /// Whether an earlier request with the same id had already made the change.
     pub repeated: bool,
 }
 
-/// A state and its file, which is locked while it is open: one store at a time.
+/// An open state file and its content. The file is locked, so that only one store has it open at a time.
 #[derive(Debug)]
 pub struct Store {
     database: Database,
     file: String,
     state: State,
     cached_nodes: KnownList,
-    /// The wall clock of the latest change, Unix milliseconds.
+    /// The wall-clock time of the latest change, Unix time in milliseconds; 0 if there is none.
     last_change_ms: u64,
     unfinished_count: u64,
-    /// The first error of a write: after it, what the file has isn't certain before it is opened again.
+    /// The text of the first write error. After it, the file's content is uncertain until the file is opened again.
     first_write_error: Option<String>,
 }
 
 impl Store {
-    /// Creates an empty state, durable when this returns.
+    /// Creates an empty state, which is durable when this returns.
     ///
     /// # Errors
-    /// The file exists already, or can't be written.
+    /// The file exists already or cannot be written.
     pub fn create<F: Files>(files: &F, name: &str) -> Result<(), StoreError> {
         check_absent(files, name)?;
         create_atomically(files, name, |database| {
@@ -113,11 +113,11 @@
         })
     }
 
-    /// Opens a state, checks every page of it, and records the requests that were in flight when it was left as
+    /// Opens a state, verifies every page, and records requests that were in flight when the previous run ended as
     /// unfinished.
     ///
     /// # Errors
-    /// What is wrong with the file, and the way out. A file that is wrong is left as it is.
+    /// The problem with the file and its remedy. An invalid file is left unchanged.
     pub fn open<F: Files>(files: &F, name: &str) -> Result<Store, StoreError> {
         let file = files.describe(name);
         let backend = open_file(files, name)?;
@@ -147,44 +147,44 @@
         })
     }
 
-    /// The state that is durable.
+    /// Returns the durable state.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The last-known list that is durable.
+    /// Returns the durable last-known node list.
     pub fn known(&self) -> &KnownList {
         &self.cached_nodes
     }
 
-    /// The text of the error since which no change is accepted, if there was one.
+    /// Returns the text of the first write error, if any. The store rejects all writes after it.
     pub fn first_write_error(&self) -> Option<&str> {
         self.first_write_error.as_deref()
     }
 
-    /// How many requests of earlier runs may have run.
+    /// Returns the number of unfinished requests of earlier runs.
     pub fn unfinished_count(&self) -> u64 {
         self.unfinished_count
     }
 
-    /// Makes one change, durable when this returns.
+    /// Makes one change, which is durable when this returns.
     ///
     /// # Errors
-    /// Why it was not made.
+    /// The reason why the change was not made.
     ///
     /// # Panics
-    /// Never: a batch has one outcome for each of its changes.
+    /// Never, as a batch has one outcome per change.
     pub fn apply(&mut self, change: Change) -> Result<Done, ChangeError> {
         let batch = Batch { changes: vec![change], ..Batch::default() };
         let mut outcomes = self.write(&batch).map_err(ChangeError::Store)?;
         outcomes.pop().expect("an outcome for each change").map_err(ChangeError::Refused)
     }
 
-    /// Writes a batch atomically, durable when this returns, and returns the outcome of each of its changes in order.
-    /// A rejected change does not keep the rest of the batch from being written.
+    /// Writes a batch atomically and returns the outcome of each of its changes, in order. The batch is durable when
+    /// this returns. If a change is rejected, the rest of the batch is still written.
     ///
     /// # Errors
-    /// The file can't be written. Nothing counts as durable from then on, and the state stays as it was.
+    /// The file can't be written. The state stays unchanged and all later writes fail.
     pub fn write(&mut self, batch: &Batch) -> Result<Vec<Result<Done, Refusal>>, StoreError> {
         if let Some(first) = &self.first_write_error {
             return Err(StoreError::Broken { file: self.file.clone(), first: first.clone() });
@@ -200,8 +200,8 @@
                 Ok(outcomes)
             }
             Err(error) => {
-                // Guards against a failed sync that is followed by one that succeeds: what the first was to make
-                // durable may be lost all the same.
+                // After a failed sync, the data may be lost even if a later sync succeeds, so no write is accepted
+                // any more.
                 let error = store_error("write", &self.file, error);
                 self.first_write_error = Some(error.to_string());
                 Err(error)
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Changes before the revision `before`, the latest first, `limit` at most.
+    /// Returns at most `limit` changes with revisions below `before`, newest first.
     ///
     /// # Errors
     /// The file can't be read.
@@ -222,8 +222,8 @@
         read().map_err(|error| store_error("read", &self.file, error))
     }
 
-    /// Requests that were in flight when an earlier run ended without a graceful shutdown, each with its number: any may
-    /// have run. Nothing sends them again.
+    /// Returns the requests, with their numbers, that were in flight when an earlier run ended without a graceful
+    /// shutdown. Any of them may have been executed; they are never sent again.
     ///
     /// # Errors
     /// The file can't be read.
@@ -239,7 +239,7 @@
         read().map_err(|error| store_error("read", &self.file, error))
     }
 
-    /// All that is durable now, to be read while changes go on.
+    /// Returns a consistent snapshot of the durable content. Later writes neither affect it nor wait for it.
     ///
     /// # Errors
     /// The file can't be read.
--- a/crates/brassport-state/src/store/read.rs
+++ b/crates/brassport-state/src/store/read.rs
@@ -1,4 +1,4 @@
-//! Reads a state's file when it is opened.
+//! Reads the state from its file when it is opened.
 
 use super::tables::{decode, CACHED_NODES, FACTS, FORMAT_FACT, HISTORY, NODES, PLANS, REVISION_FACT};
 use super::{Entry, StoreError, FORMAT};
@@ -7,11 +7,11 @@
 use crate::model::State;
 use redb::{Database, ReadTransaction, ReadableDatabase, ReadableTable, TableError};
 
-/// What a store keeps in memory of its file.
+/// The part of the file's content that a store holds in memory.
 pub(super) struct Contents {
     pub(super) state: State,
     pub(super) cached_nodes: KnownList,
-    /// The wall clock of the latest change, Unix milliseconds.
+    /// The wall-clock time of the latest change, Unix time in milliseconds; 0 if there is none.
     pub(super) last_change_ms: u64,
 }
 
@@ -22,7 +22,7 @@
         match read_format(&transaction).map_err(|error| read_error(file, error))? {
             Some(FORMAT) => {}
             Some(format) => return Err(StoreError::Newer { file: file.to_string(), format }),
-            None => return Err(corrupt(file, "it does not tell its format".into())),
+            None => return Err(corrupt(file, "the format version is missing".into())),
         }
         let contents = || -> Result<Contents, redb::Error> {
             let state = read_state(&transaction)?;
@@ -40,7 +40,7 @@
 
 fn read_error(file: &str, error: redb::Error) -> StoreError {
     match error {
-        redb::Error::TableDoesNotExist(table) => corrupt(file, format!("it has no table '{table}'")),
+        redb::Error::TableDoesNotExist(table) => corrupt(file, format!("table '{table}' is missing")),
         error => store_error("read", file, error),
     }
 }
@@ -67,7 +67,7 @@
 
 fn read_cached_nodes(transaction: &ReadTransaction) -> Result<KnownList, redb::Error> {
     let table = match transaction.open_table(CACHED_NODES) {
-        // A file of an earlier version.
+        // A file of a version without a last-known list.
         Err(TableError::TableDoesNotExist(_)) => return Ok(KnownList::new()),
         table => table?,
     };
@@ -79,7 +79,8 @@
     Ok(list)
 }
 
-/// Also checks that the history ends with the state's revision.
+/// Returns the wall-clock time of the latest change, Unix time in milliseconds, or 0 if there is none. Also checks that
+/// the history ends with the state's revision.
 fn read_last_change_ms(transaction: &ReadTransaction, revision: u64) -> Result<u64, redb::Error> {
     let history = transaction.open_table(HISTORY)?;
     let last = history.last()?;
@@ -87,11 +88,13 @@
         Some((last_revision, entry)) => {
             let entry: Entry = decode(entry.value())?;
             if last_revision.value() != revision {
-                return Err(redb::Error::Corrupted("its history ends before its revision".into()));
+                return Err(redb::Error::Corrupted(
+                    "the history does not end with the state's revision".into(),
+                ));
             }
             Ok(entry.change.at_ms)
         }
-        None if revision != 0 => Err(redb::Error::Corrupted("its history is missing".into())),
+        None if revision != 0 => Err(redb::Error::Corrupted("the history is missing".into())),
         None => Ok(0),
     }
 }
--- a/crates/brassport-state/src/store/snapshot.rs
+++ b/crates/brassport-state/src/store/snapshot.rs
@@ -1,4 +1,4 @@
-//! A copy of all that is durable at a moment.
+//! Consistent copies of a state.
 
 use super::tables::{CACHED_NODES, FACTS, HISTORY, IDS, IN_FLIGHT, NODES, PLANS, UNFINISHED};
 use super::StoreError;
@@ -6,20 +6,20 @@
 use crate::files::Files;
 use redb::{ReadTransaction, ReadableTable, TableError};
 
-/// What was durable at a moment. Writes do not wait for it.
+/// The durable content at one point in time. Writes do not wait for a snapshot.
 pub struct Snapshot {
     pub(super) transaction: ReadTransaction,
 }
 
 impl Snapshot {
-    /// Copies it into another file, atomically; a file of that name is replaced.
+    /// Copies the snapshot into another file atomically and replaces an existing file with that name.
     ///
     /// # Errors
-    /// This file can't be read or that one can't be written.
+    /// The source can't be read or the copy can't be written.
     pub fn copy_to<F: Files>(&self, files: &F, name: &str) -> Result<(), StoreError> {
         create_atomically(files, name, |database| {
             let transaction = begin_write(database)?;
-            // A macro, as the tables have keys and values of different types.
+            // A macro instead of a function, as the key and value types differ between tables.
             macro_rules! copy {
                 ($($table:ident)*) => {$({
                     let mut table = transaction.open_table($table)?;
@@ -30,7 +30,7 @@
                 })*};
             }
             copy!(FACTS NODES PLANS HISTORY IDS IN_FLIGHT UNFINISHED);
-            // A file of an earlier version does not have this one.
+            // Files of versions without a last-known list do not have this table.
             if !matches!(self.transaction.open_table(CACHED_NODES), Err(TableError::TableDoesNotExist(_))) {
                 copy!(CACHED_NODES);
             }
--- a/crates/brassport-state/src/store/write.rs
+++ b/crates/brassport-state/src/store/write.rs
@@ -1,4 +1,4 @@
-//! Writes one batch as one transaction.
+//! Writes batches, each as one transaction.
 
 use super::tables::{
     decode, encode, insert_changed, remove_missing, CACHED_NODES, FACTS, HISTORY, IDS, IN_FLIGHT, NODES,
@@ -11,24 +11,25 @@
 use crate::mutants::mutant;
 use redb::{Database, ReadableTable, ReadableTableMetadata, WriteTransaction};
 
-/// The most requests of earlier runs that are kept; the oldest are dropped first. A run ends with some hundreds at most.
+/// Maximum number of unfinished requests that are stored; the oldest are dropped first. A single run leaves a few
+/// hundred at most.
 const UNFINISHED_LIMIT: u64 = 10_000;
 
-/// What a store keeps in memory of a batch that is durable.
+/// The result of a durable batch, from which the store updates its in-memory state.
 pub(super) struct Committed {
     pub(super) outcomes: Vec<Result<Done, Refusal>>,
     pub(super) progress: Progress,
     pub(super) unfinished_count: u64,
 }
 
-/// The state after the changes of a batch so far.
+/// The state after the changes applied so far.
 pub(super) struct Progress {
     pub(super) state: State,
-    /// The wall clock of the latest change, Unix milliseconds.
+    /// The wall-clock time of the latest change, Unix time in milliseconds; 0 if there is none.
     pub(super) last_change_ms: u64,
 }
 
-/// Writes a batch, durable when this returns.
+/// Writes a batch, which is durable when this returns.
 pub(super) fn commit(
     database: &Database,
     mut progress: Progress,
@@ -74,7 +75,8 @@
     Ok(Ok(Done { revision, repeated: false }))
 }
 
-/// The outcome for an id that was used before: the earlier one if it was for the same action.
+/// Returns the outcome of a change whose id was used before: the earlier revision if the action is the same, otherwise
+/// a rejection. Returns `None` for a new id.
 fn repeated_outcome(
     transaction: &WriteTransaction,
     change: &Change,
@@ -93,7 +95,7 @@
     }))
 }
 
-/// Appends an entry and drops the one that is beyond the limit, with its id.
+/// Appends an entry to the history and drops the entry that exceeds [`HISTORY_LIMIT`], with its id.
 fn append_history(transaction: &WriteTransaction, entry: &Entry) -> Result<(), redb::Error> {
     let mut ids = transaction.open_table(IDS)?;
     let mut history = transaction.open_table(HISTORY)?;
@@ -101,7 +103,7 @@
     ids.insert(entry.change.id.as_str(), entry.revision)?;
     if let Some(oldest) = entry.revision.checked_sub(HISTORY_LIMIT) {
         let row = history.remove(oldest)?.map(|row| row.value().to_vec());
-        // A row that can't be decoded goes all the same: nothing reads it any more.
+        // The old row is removed even if it can't be decoded, as nothing reads it any more; its id then stays.
         if let Some(Ok(old)) = row.map(|row| decode::<Entry>(&row)) {
             ids.remove(old.change.id.as_str())?;
         }
@@ -109,7 +111,7 @@
     Ok(())
 }
 
-/// Writes the rows in which the states differ.
+/// Writes the rows that differ between the two states.
 fn write_state(transaction: &WriteTransaction, old: &State, new: &State) -> Result<(), redb::Error> {
     let mut nodes = transaction.open_table(NODES)?;
     remove_missing(&mut nodes, &old.nodes, &new.nodes)?;
@@ -136,7 +138,7 @@
     Ok(())
 }
 
-/// Removes the unfinished requests up to a number and returns how many are left.
+/// Removes the unfinished requests with numbers up to and including `up_to` and returns how many are left.
 fn clear_unfinished(transaction: &WriteTransaction, up_to: Option<u64>) -> Result<u64, redb::Error> {
     let mut unfinished = transaction.open_table(UNFINISHED)?;
     if let Some(last) = up_to {
@@ -147,8 +149,8 @@
     Ok(unfinished.len()?)
 }
 
-/// Moves requests that were in flight in an earlier run to the unfinished ones, as any may have run, and returns how
-/// many of those there are.
+/// Moves the in-flight requests of an earlier run to the unfinished requests, as any of them may have been executed.
+/// Returns the total number of unfinished requests.
 pub(super) fn retire_in_flight(database: &Database) -> Result<u64, redb::Error> {
     use redb::ReadableDatabase;
     let read = database.begin_read()?;
