--- a/crates/brassport-state/src/files.rs
+++ b/crates/brassport-state/src/files.rs
@@ -1,4 +1,4 @@
-//! The seam to the directory that the files of the state are in; tests implement it by a disk that loses power.
+//! The interface to the directory of the state's files. Tests implement it with a simulated disk that loses power.
 
 use redb::backends::FileBackend;
 use redb::StorageBackend;
@@ -7,10 +7,10 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// A directory of files, addressed by name.
+/// A directory whose files are addressed by name.
 ///
-/// An implementation guarantees what POSIX does, and no more: what was written is durable once the file is synced, a
-/// name once the directory is.
+/// An implementation guarantees no more than POSIX does: written data is durable once its file is synced, and a
+/// created, renamed or removed name once the directory is synced.
 pub trait Files {
     /// An open file.
     type File: StorageBackend;
@@ -18,44 +18,44 @@
     /// Opens an existing file.
     ///
     /// # Errors
-    /// [`io::ErrorKind::NotFound`] if there is none, or the error of the system.
+    /// [`io::ErrorKind::NotFound`] if the file does not exist, or the error of the operating system.
     fn open(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Creates an empty file, replacing one of that name.
+    /// Creates an empty file and replaces an existing file with the same name.
     ///
     /// # Errors
-    /// The error of the system.
+    /// The error of the operating system.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
-    /// The length in bytes, or `None` if there is no such file.
+    /// Returns the file's length in bytes, or `None` if the file does not exist.
     ///
     /// # Errors
-    /// The error of the system.
+    /// The error of the operating system.
     fn length(&self, name: &str) -> io::Result<Option<u64>>;
 
-    /// Renames a file, replacing one of the new name.
+    /// Renames a file and replaces an existing file named `to`.
     ///
     /// # Errors
-    /// The error of the system.
+    /// The error of the operating system.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Removes a file; that there is none is no error.
+    /// Removes a file. A file that does not exist is not an error.
     ///
     /// # Errors
-    /// The error of the system.
+    /// The error of the operating system.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Makes the names durable.
+    /// Syncs the directory, which makes created, renamed and removed names durable.
     ///
     /// # Errors
-    /// The error of the system.
+    /// The error of the operating system.
     fn sync(&self) -> io::Result<()>;
 
-    /// The file's path for people, in messages.
+    /// Returns the file's path as shown in messages.
     fn describe(&self, name: &str) -> String;
 }
 
-/// A directory of the file system. Files that it creates are readable by their owner alone.
+/// A directory in the file system. Files that it creates have mode 0600.
 #[derive(Debug, Clone)]
 pub struct Directory {
     path: PathBuf,
@@ -65,7 +65,7 @@
     /// Opens an existing directory.
     ///
     /// # Errors
-    /// The error of the system.
+    /// The error of the operating system.
     pub fn open(path: &Path) -> io::Result<Directory> {
         if !fs::metadata(path)?.is_dir() {
             return Err(io::ErrorKind::NotADirectory.into());
--- a/crates/brassport-state/src/log.rs
+++ b/crates/brassport-state/src/log.rs
@@ -1,7 +1,7 @@
-//! A replicated log's durable side: entries by index, the state of its votes, a snapshot and the entries after it.
+//! Persists a replicated log: the voting state, the latest snapshot and the entries after it, by index.
 //!
-//! What the bytes mean is the consensus engine's business. One [`Write`] is one transaction, durable when
-//! [`LogStore::write`] returns: a vote and the entries that go with it are on disk before any peer is notified of them.
+//! The content is opaque bytes that only the consensus engine interprets. Each [`Write`] is one transaction that is
+//! durable when [`LogStore::write`] returns, so that a vote and its entries are on disk before any peer is notified.
 
 use crate::database::{
     begin_write, catch_panic, check_absent, create_atomically, open_database, open_file, store_error,
@@ -15,46 +15,46 @@
 const VOTES: &str = "votes";
 const SNAPSHOT: &str = "snapshot";
 const FORMAT: &str = "format";
-/// The format of the file that this version writes and reads.
+/// The file format version that this program writes. It is not checked when a file is opened.
 const VERSION: &[u8] = b"1";
 
-/// What one transaction writes, in this order.
+/// The content of one transaction, written in the order of the fields.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Write {
-    /// A snapshot that replaces the one before and all entries.
+    /// A snapshot that replaces the previous snapshot and all entries.
     pub snapshot: Option<Vec<u8>>,
-    /// Entries with their indices, ascending. Entries in the file from the first of these indices on are removed.
+    /// Entries with their indices, in ascending order. Stored entries at or above the first index are removed first.
     pub entries: Vec<(u64, Vec<u8>)>,
-    /// The state of the votes, which replaces the one before.
+    /// The voting state, which replaces the previous one.
     pub votes: Option<Vec<u8>>,
-    /// A snapshot of the entries below this index, which are removed.
+    /// An index and a snapshot that covers all entries below it; these entries are removed.
     pub compact: Option<(u64, Vec<u8>)>,
 }
 
-/// All that a log's file has.
+/// The complete content of a log file.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Image {
-    /// The state of the votes, if one was written.
+    /// The voting state; `None` if none was written yet.
     pub votes: Option<Vec<u8>>,
-    /// The last snapshot, if one was written.
+    /// The latest snapshot; `None` if none was written yet.
     pub snapshot: Option<Vec<u8>>,
-    /// The entries after the snapshot, with their indices, ascending.
+    /// The entries after the snapshot with their indices, in ascending order.
     pub entries: Vec<(u64, Vec<u8>)>,
 }
 
-/// A log's open file.
+/// An open log file.
 pub struct LogStore {
     database: Database,
     file: String,
-    /// The first error of a write: after it, what the file has isn't certain before it is opened again.
+    /// The text of the first write error. After it, the file's content is uncertain until the file is opened again.
     first_write_error: Option<String>,
 }
 
 impl LogStore {
-    /// Creates an empty log, durable when this returns.
+    /// Creates an empty log, which is durable when this returns.
     ///
     /// # Errors
-    /// The file exists already, or can't be written.
+    /// The file exists already or cannot be written.
     pub fn create<F: Files>(files: &F, name: &str) -> Result<(), StoreError> {
         check_absent(files, name)?;
         create_atomically(files, name, |database| {
@@ -65,10 +65,10 @@
         })
     }
 
-    /// Opens a log, checks every page of it, and reads it.
+    /// Opens a log, verifies every page and reads the content.
     ///
     /// # Errors
-    /// What is wrong with the file, which is left as it is.
+    /// The problem with the file. The file is left unchanged.
     pub fn open<F: Files>(files: &F, name: &str) -> Result<(LogStore, Image), StoreError> {
         let file = files.describe(name);
         let backend = open_file(files, name)?;
@@ -79,10 +79,11 @@
         })
     }
 
-    /// Writes one transaction, durable when this returns.
+    /// Writes one transaction, which is durable when this returns.
     ///
     /// # Errors
-    /// It could not be written. From then on nothing is, and what the file has shows when it is opened again.
+    /// The transaction could not be written. All later writes fail too; whether this one was written is known only when
+    /// the file is opened again.
     pub fn write(&mut self, write: &Write) -> Result<(), StoreError> {
         if let Some(first) = &self.first_write_error {
             return Err(StoreError::Broken { file: self.file.clone(), first: first.clone() });
