--- a/crates/brassport-state/examples/fill.rs
+++ b/crates/brassport-state/examples/fill.rs
@@ -1,4 +1,6 @@
-//! Fills a state: `fill DIRECTORY NODES CHANGES`. For measurements of a restart and of the file's size.
+//! Fills a state with generated nodes and changes, to measure the restart time and the file size.
+//!
+//! Usage: `fill DIRECTORY NODES CHANGES`. The directory must contain a `state.redb`.
 
 use brassport_state::files::Directory;
 use brassport_state::model::{Action, Change, NewNode};
@@ -9,7 +11,7 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let [directory, nodes, changes] = arguments.as_slice() else {
-        return Err("fill DIRECTORY NODES CHANGES".into());
+        return Err("usage: fill DIRECTORY NODES CHANGES".into());
     };
     let (nodes, changes): (u64, u64) = (nodes.parse()?, changes.parse()?);
     let files = Directory::open(Path::new(directory))?;
--- a/crates/brassport-state/src/known.rs
+++ b/crates/brassport-state/src/known.rs
@@ -12,7 +12,8 @@
 
 /// Row age in milliseconds above which the node is used in slow start: 30 minutes, in which it may have restarted.
 pub const SLOW_START_AFTER_MS: u64 = 30 * 60_000;
-/// Row age in milliseconds above which the node is not used: 7 days, after which its address may belong to another host.
+/// Row age in milliseconds above which the node is not used: 7 days, after which its address may belong to another
+/// host.
 pub const IGNORED_AFTER_MS: u64 = 7 * 86_400_000;
 /// Row age in milliseconds from which an unchanged row is written again: 10 minutes. It bounds the error of a row's age
 /// without a write for every listing.
