--- a/crates/brassport-state/tests/it/campaign.rs
+++ b/crates/brassport-state/tests/it/campaign.rs
@@ -1,4 +1,4 @@
-//! Campaigns that cut the power at every operation, or flip bits, and compare what a restart finds with the model.
+//! Test campaigns that cut the power at every operation or flip bits, and compare the recovered state with the model.
 
 use crate::disk::{Disk, Fault};
 use crate::draw::{after, draw_batch, durable, Durable};
@@ -6,16 +6,18 @@
 use oorandom::Rand64;
 use std::collections::BTreeSet;
 
-/// The name of the state's file.
+/// The name of the state or log file on the simulated disk.
 pub const FILE: &str = "state.redb";
 
-/// What a campaign did.
+/// Statistics of a campaign.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Counts {
     pub histories: u64,
     pub batches: u64,
     pub cuts: u64,
+    /// Power cuts after which only the acknowledged batches were durable.
     pub recovered_old: u64,
+    /// Power cuts after which a batch that was not acknowledged was durable, too.
     pub recovered_new: u64,
 }
 
@@ -31,14 +33,15 @@
     }
 }
 
-/// Two batches that one run of the program writes.
+/// Two batches that one simulated run of the program writes.
 struct Run {
     batches: [Batch; 2],
-    /// What may be durable after each number of acknowledged batches, and after later ones.
+    /// The durable content after 0, 1 and 2 batches. With `n` batches acknowledged, a restart must find element `n` or
+    /// a later one.
     durable: [Durable; 3],
 }
 
-/// Why a run ended early.
+/// A run that failed before both batches were acknowledged.
 struct Interrupted {
     acknowledged: usize,
     error: StoreError,
@@ -46,7 +49,8 @@
 
 impl Run {
     fn draw(random: &mut Rand64, number: &mut u64, old: Durable) -> Run {
-        // In flight: sent in the same run. A restart makes all earlier ones unfinished, which no end undoes.
+        // Only requests of the same run are in flight. A restart turns all earlier ones into unfinished requests, which
+        // `Batch::ended` does not remove.
         let first = draw_batch(random, number, &BTreeSet::new());
         let in_flight = first.sending.iter().map(|sent| sent.request.clone()).collect();
         let second = draw_batch(random, number, &in_flight);
@@ -55,7 +59,7 @@
         Run { batches: [first, second], durable: [old, middle, new] }
     }
 
-    /// Writes both batches and returns how many were acknowledged.
+    /// Writes both batches and returns the number of acknowledged batches.
     fn execute(&self, disk: &Disk) -> Result<usize, Interrupted> {
         let interrupted = |acknowledged| move |error| Interrupted { acknowledged, error };
         let mut store = Store::open(disk, FILE).map_err(interrupted(0))?;
@@ -66,52 +70,53 @@
     }
 }
 
-/// Cuts the power at every operation of every run of a seeded history, each time with the unsynced writes lost in
-/// another way, and compares what the restart finds with the model. The history continues from one of the wrecks.
+/// Cuts the power at every operation of every run of a seeded history and compares the state after a restart with the
+/// model. Each cut loses a different random subset of the unsynced writes. The next run of the history continues from
+/// one of the recovered disks, chosen at random.
 pub fn cut_every_operation(seed: u64, counts: &mut Counts) -> Result<(), String> {
     let mut random = Rand64::new(u128::from(seed));
     let text = |error: StoreError| format!("seed {seed}: {error}");
-    let mut rest = Disk::default();
-    Store::create(&rest, FILE).map_err(text)?;
+    let mut initial = Disk::default();
+    Store::create(&initial, FILE).map_err(text)?;
     let mut old = Durable::default();
     let mut number = 0;
     counts.histories += 1;
     for step in 0..random.rand_range(1..5) {
         let run = Run::draw(&mut random, &mut number, old);
         counts.batches += 2;
-        let sound = rest.copy();
-        run.execute(&sound).map_err(|interrupted| text(interrupted.error))?;
-        let operations = sound.operations();
-        let mut wrecks = Vec::new();
+        let uninterrupted = initial.copy();
+        run.execute(&uninterrupted).map_err(|interrupted| text(interrupted.error))?;
+        let operations = uninterrupted.operations();
+        let mut recovered_disks = Vec::new();
         for at in 0..=operations {
             let position = format!("seed {seed}, step {step}, cut at operation {at} of {operations}");
-            let wreck = cut_run(&run, &rest, at, &mut random, counts);
-            wrecks.push(wreck.map_err(|problem| format!("{position}{problem}"))?);
+            let recovered = cut_run(&run, &initial, at, &mut random, counts);
+            recovered_disks.push(recovered.map_err(|problem| format!("{position}{problem}"))?);
         }
-        let chosen = random.rand_range(0..wrecks.len() as u64) as usize;
-        (rest, old) = wrecks.swap_remove(chosen);
+        let chosen = random.rand_range(0..recovered_disks.len() as u64) as usize;
+        (initial, old) = recovered_disks.swap_remove(chosen);
     }
     Ok(())
 }
 
-/// Cuts the power at one operation of a run; the disk after it and what a restart finds there.
+/// Cuts the power at one operation of a run. Returns the disk after the power cut and the content that a restart finds.
 fn cut_run(
     run: &Run,
-    rest: &Disk,
+    initial: &Disk,
     at: u64,
     random: &mut Rand64,
     counts: &mut Counts,
 ) -> Result<(Disk, Durable), String> {
-    let disk = rest.copy();
-    disk.arm(at, Fault::Cut);
+    let disk = initial.copy();
+    disk.schedule_fault(at, Fault::PowerCut);
     let acknowledged = run.execute(&disk).unwrap_or_else(|interrupted| interrupted.acknowledged);
-    let wreck = disk.after_power_cut(random);
-    let found = Store::open(&wreck, FILE).map_err(|error| format!(": {error}"))?;
+    let recovered = disk.after_power_cut(random);
+    let found = Store::open(&recovered, FILE).map_err(|error| format!(": {error}"))?;
     let found = durable(&found)?;
     let allowed = &run.durable[acknowledged..];
     let Some(which) = allowed.iter().position(|allowed| *allowed == found) else {
         return Err(format!(
-            ", {acknowledged} batches acknowledged: found {found:?}, not one of {allowed:?}"
+            ", {acknowledged} batches acknowledged: found {found:?}, expected one of {allowed:?}"
         ));
     };
     counts.cuts += 1;
@@ -119,17 +124,17 @@
         0 => counts.recovered_old += 1,
         _ => counts.recovered_new += 1,
     }
-    Ok((wreck, found))
+    Ok((recovered, found))
 }
 
-/// Cuts the power at every operation of making a file: a new state, and a backup restored over an old one.
+/// Cuts the power at every operation of creating a file: a new state, and a backup restored over an existing state.
 pub fn cut_file_creation(seed: u64, counts: &mut Counts) -> Result<(), String> {
     let mut random = Rand64::new(u128::from(seed));
     let text = |error: StoreError| format!("seed {seed}: {error}");
     let sound = Disk::default();
     Store::create(&sound, FILE).map_err(text)?;
     cut_create(seed, sound.operations(), &mut random, counts)?;
-    // Two sound states: the one in use, and the backup.
+    // Two valid states: the one in use and the backup.
     let mut number = 0;
     let old = fill(&sound, &mut random, &mut number).map_err(text)?;
     let backup = Disk::default();
@@ -140,11 +145,11 @@
     restore(&trial).map_err(text)?;
     for at in 0..=trial.operations() {
         let disk = sound.copy();
-        disk.arm(at, Fault::Cut);
+        disk.schedule_fault(at, Fault::PowerCut);
         let acknowledged = restore(&disk).is_ok();
-        let wreck = disk.after_power_cut(&mut random);
+        let recovered = disk.after_power_cut(&mut random);
         counts.cuts += 1;
-        let found = Store::open(&wreck, FILE).map_err(text).and_then(|store| durable(&store));
+        let found = Store::open(&recovered, FILE).map_err(text).and_then(|store| durable(&store));
         match found {
             Ok(found) if found == new || (found == old && !acknowledged) => {}
             other => return Err(format!("seed {seed}, restoring a backup, cut at {at}: {other:?}")),
@@ -153,7 +158,7 @@
     Ok(())
 }
 
-/// Writes one batch into a new state and returns what is then durable.
+/// Writes one batch into a new state and returns the expected durable content.
 fn fill(disk: &Disk, random: &mut Rand64, number: &mut u64) -> Result<Durable, StoreError> {
     let mut store = Store::open(disk, FILE)?;
     let batch = draw_batch(random, number, &BTreeSet::new());
@@ -161,24 +166,25 @@
     Ok(after(&Durable::default(), &batch))
 }
 
+/// Cuts the power at every operation of creating a new state.
 fn cut_create(seed: u64, operations: u64, random: &mut Rand64, counts: &mut Counts) -> Result<(), String> {
     for at in 0..=operations {
         let disk = Disk::default();
-        disk.arm(at, Fault::Cut);
+        disk.schedule_fault(at, Fault::PowerCut);
         let acknowledged = Store::create(&disk, FILE).is_ok();
-        let wreck = disk.after_power_cut(random);
+        let recovered = disk.after_power_cut(random);
         counts.cuts += 1;
-        match Store::open(&wreck, FILE) {
+        match Store::open(&recovered, FILE) {
             Ok(store) if durable(&store)? == Durable::default() => {}
             Err(StoreError::Missing { .. }) if !acknowledged => {}
-            other => return Err(format!("seed {seed}, making a state, cut at {at}: {other:?}")),
+            other => return Err(format!("seed {seed}, creating a state, cut at {at}: {other:?}")),
         }
     }
     Ok(())
 }
 
-/// Flips single bits of a file at rest: the restart finds the same state or reports that the file is damaged. Returns
-/// how often it did that.
+/// Flips single bits of a file that is not open. A restart must find the same state or report a damaged file. Returns
+/// the number of reported flips.
 pub fn flip_bits(seed: u64, flips: u64) -> Result<u64, String> {
     let mut random = Rand64::new(u128::from(seed));
     let text = |error: StoreError| format!("seed {seed}: {error}");
@@ -190,7 +196,7 @@
         let batch = draw_batch(&mut random, &mut number, &BTreeSet::new());
         store.write(&batch).map_err(text)?;
     }
-    // As a power cut leaves it, and closed in order.
+    // The file as a power cut leaves it (`cut`), and after a clean close (`closed`).
     let cut = disk.bytes(FILE);
     drop(store);
     let expected = durable(&Store::open(&disk, FILE).map_err(text)?)?;
@@ -208,7 +214,7 @@
     Ok(damaged)
 }
 
-/// Most of the file is empty pages: most flips go where there is something.
+/// Returns a random offset. Zero bytes are mostly skipped, as most of the file consists of empty pages.
 fn draw_byte(random: &mut Rand64, bytes: &[u8]) -> usize {
     let mut at = random.rand_range(0..bytes.len() as u64) as usize;
     while bytes[at] == 0 && random.rand_range(0..64) != 0 {
@@ -217,17 +223,18 @@
     at
 }
 
-/// Whether a file is found to be damaged, and left as it is; if not, it has to have the expected content.
+/// Opens a file and returns whether it is reported as damaged. It is an error if a damaged file is modified, or if a
+/// file that opens does not have the expected content.
 fn open_flipped(bytes: Vec<u8>, expected: &Durable) -> Result<bool, String> {
     let disk = Disk::default();
     disk.put(FILE, bytes.clone());
     match Store::open(&disk, FILE) {
         Ok(store) => match durable(&store)? {
             found if found == *expected => Ok(false),
-            found => Err(format!(" is taken for {found:?}")),
+            found => Err(format!(" was not detected, and the file read as {found:?}")),
         },
         Err(StoreError::Corrupt { .. }) if disk.bytes(FILE) == bytes => Ok(true),
-        Err(StoreError::Corrupt { .. }) => Err(": repaired".into()),
+        Err(StoreError::Corrupt { .. }) => Err(" was reported, but the file was modified".into()),
         Err(error) => Err(format!(": {error}")),
     }
 }
--- a/crates/brassport-state/tests/it/disk.rs
+++ b/crates/brassport-state/tests/it/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that loses power or fails.
+//! A simulated in-memory disk that can lose power or fail at a chosen operation.
 
 use brassport_state::files::Files;
 use oorandom::Rand64;
@@ -7,63 +7,73 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What a device writes atomically, in bytes.
+/// The unit that a device writes atomically, in bytes.
 const SECTOR_BYTES: usize = 512;
 
+/// A change to a file that is not synced yet.
 #[derive(Debug, Clone)]
 enum Pending {
+    /// Bytes written at an offset.
     Write(usize, Vec<u8>),
+    /// A new file length in bytes.
     Length(usize),
 }
 
+/// The content of a file.
 #[derive(Debug, Clone, Default)]
 struct Content {
-    /// What programs see.
+    /// The bytes that reads return.
     visible: Vec<u8>,
-    /// What a power cut leaves for certain.
+    /// The synced bytes, which survive a power cut.
     durable: Vec<u8>,
+    /// The changes since the last sync, each of which may or may not survive a power cut.
     pending: Vec<Pending>,
 }
 
-/// What goes wrong at one operation.
+/// A fault at one operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The power goes: nothing works from then on.
-    Cut,
-    /// The operation fails, and no later one does. A failed sync forgets what it was to write, as Linux does.
+    /// The power fails: this and all later operations fail.
+    PowerCut,
+    /// Only this operation fails. A failed sync discards the writes that it should have made durable, as Linux does.
     Error(io::ErrorKind),
 }
 
 #[derive(Debug, Clone, Default)]
 struct Inner {
     contents: Vec<Content>,
+    /// Indices into `contents` by file name.
     names: BTreeMap<String, usize>,
     durable_names: BTreeMap<String, usize>,
+    /// Name changes since the last directory sync; `None` is a removed name.
     pending_names: Vec<(String, Option<usize>)>,
+    /// The number of operations so far.
     operations: u64,
+    /// The fault and the number of the operation at which it occurs.
     fault: Option<(u64, Fault)>,
     is_off: bool,
 }
 
-/// A disk in memory. Clones are handles of one disk.
+/// An in-memory disk. Clones refer to the same disk.
 #[derive(Debug, Clone, Default)]
 pub struct Disk(Arc<Mutex<Inner>>);
 
+/// An open file: its disk and its index in the disk's contents.
 #[derive(Debug)]
 pub struct Handle(Disk, usize);
 
 impl Inner {
-    /// One operation that changes the disk.
-    fn operate(&mut self) -> io::Result<()> {
+    /// Counts an operation that changes the disk, and fails it if a fault is due.
+    fn begin_operation(&mut self) -> io::Result<()> {
         if self.is_off {
-            return Err(io::Error::other("the power is out"));
+            return Err(io::Error::other("the disk has lost power"));
         }
         let number = self.operations;
         self.operations += 1;
         match self.fault {
-            Some((at, Fault::Cut)) if at == number => {
+            Some((at, Fault::PowerCut)) if at == number => {
                 self.is_off = true;
-                Err(io::Error::other("the power is out"))
+                Err(io::Error::other("the disk has lost power"))
             }
             Some((at, Fault::Error(kind))) if at == number => Err(kind.into()),
             _ => Ok(()),
@@ -84,7 +94,7 @@
     }
 }
 
-/// Applies what survives of a pending change: a length as one, a write by sectors.
+/// Applies the surviving part of a pending change: a new length entirely or not at all, a write sector by sector.
 fn apply_torn(bytes: &mut Vec<u8>, pending: &Pending, mut survives: impl FnMut() -> bool) {
     match pending {
         Pending::Length(_) if survives() => apply(bytes, pending),
@@ -105,17 +115,18 @@
 
 impl Disk {
     fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.0.lock().expect("no test panics with the lock held")
+        self.0.lock().expect("no test panics while holding the lock")
     }
 
-    /// A disk of its own with the same content, pending writes included, and no fault.
+    /// Returns an independent disk with the same content and pending writes, and without a fault.
     pub fn copy(&self) -> Disk {
         let mut inner = self.inner().clone();
         (inner.operations, inner.fault, inner.is_off) = (0, None, false);
         Disk(Arc::new(Mutex::new(inner)))
     }
 
-    pub fn arm(&self, at: u64, fault: Fault) {
+    /// Schedules a fault at the operation numbered `at`.
+    pub fn schedule_fault(&self, at: u64, fault: Fault) {
         self.inner().fault = Some((at, fault));
     }
 
@@ -136,10 +147,10 @@
         inner.durable_names.insert(name.into(), number);
     }
 
-    /// What is found when the power is back: of what was not synced each sector and each name is there or not.
+    /// Returns the disk as it is after power returns: each unsynced sector and name change may or may not survive.
     pub fn after_power_cut(&self, random: &mut Rand64) -> Disk {
         let mut inner = self.inner().clone();
-        // None, all, or each by its own coin.
+        // All are lost, all survive, or each survives with a probability of 1/2.
         let mode = random.rand_range(0..4);
         let survives = |random: &mut Rand64| match mode {
             0 => false,
@@ -152,10 +163,10 @@
             }
             content.visible.clone_from(&content.durable);
         }
-        for (name, bound) in std::mem::take(&mut inner.pending_names) {
+        for (name, index) in std::mem::take(&mut inner.pending_names) {
             if survives(random) {
-                match bound {
-                    Some(number) => inner.durable_names.insert(name, number),
+                match index {
+                    Some(index) => inner.durable_names.insert(name, index),
                     None => inner.durable_names.remove(&name),
                 };
             }
@@ -185,7 +196,7 @@
 
     fn sync_data(&self) -> Result<(), io::Error> {
         let mut inner = self.0.inner();
-        let result = inner.operate();
+        let result = inner.begin_operation();
         let is_off = inner.is_off;
         let content = &mut inner.contents[self.1];
         match result {
@@ -211,9 +222,9 @@
 impl Handle {
     fn change(&self, pending: Pending) -> Result<(), io::Error> {
         let mut inner = self.0.inner();
-        let result = inner.operate();
-        // The write at which the power goes may be on its way to the device already.
-        let in_flight = matches!(inner.fault, Some((at, Fault::Cut)) if at + 1 == inner.operations);
+        let result = inner.begin_operation();
+        // The write during which the power fails may already have reached the device.
+        let in_flight = matches!(inner.fault, Some((at, Fault::PowerCut)) if at + 1 == inner.operations);
         if result.is_ok() || in_flight {
             let content = &mut inner.contents[self.1];
             apply(&mut content.visible, &pending);
@@ -233,7 +244,7 @@
 
     fn create(&self, name: &str) -> io::Result<Handle> {
         let mut inner = self.inner();
-        inner.operate()?;
+        inner.begin_operation()?;
         inner.contents.push(Content::default());
         let number = inner.contents.len() - 1;
         inner.names.insert(name.into(), number);
@@ -248,7 +259,7 @@
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut inner = self.inner();
-        inner.operate()?;
+        inner.begin_operation()?;
         let number = inner.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
         inner.names.insert(to.into(), number);
         inner.pending_names.push((to.into(), Some(number)));
@@ -259,7 +270,7 @@
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut inner = self.inner();
         if inner.names.remove(name).is_some() {
-            inner.operate()?;
+            inner.begin_operation()?;
             inner.pending_names.push((name.into(), None));
         }
         Ok(())
@@ -267,10 +278,10 @@
 
     fn sync(&self) -> io::Result<()> {
         let mut inner = self.inner();
-        inner.operate()?;
-        for (name, bound) in std::mem::take(&mut inner.pending_names) {
-            match bound {
-                Some(number) => inner.durable_names.insert(name, number),
+        inner.begin_operation()?;
+        for (name, index) in std::mem::take(&mut inner.pending_names) {
+            match index {
+                Some(index) => inner.durable_names.insert(name, index),
                 None => inner.durable_names.remove(&name),
             };
         }
--- a/crates/brassport-state/tests/it/draw.rs
+++ b/crates/brassport-state/tests/it/draw.rs
@@ -1,4 +1,4 @@
-//! What is durable, by the model, and batches drawn from a seed.
+//! Random batches drawn from a seed, and the durable content that the model expects after them.
 
 use brassport_state::known::{KnownList, KnownNode};
 use brassport_state::model::{Action, Change, NewNode, State};
@@ -6,8 +6,8 @@
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All that a restart has to find: the state, the ids of the history, the last-known list, and the requests that may have
-/// run.
+/// The content that a restart has to find: the state, the change ids of the history in order, the last-known list, and
+/// the requests that may have been executed.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Durable {
     pub state: State,
@@ -16,6 +16,7 @@
     pub may_have_run: BTreeSet<String>,
 }
 
+/// Returns the durable content of an open store.
 pub fn durable(store: &Store) -> Result<Durable, String> {
     let text = |error: StoreError| error.to_string();
     let history = store.history(u64::MAX, usize::MAX).map_err(text)?;
@@ -28,11 +29,11 @@
     })
 }
 
-/// A change that is likely to be valid.
+/// Returns a random change that is likely to be valid.
 fn draw_change(random: &mut Rand64, number: u64) -> Change {
     let name = |random: &mut Rand64| format!("n{}", random.rand_range(0..6));
     let endpoint = |random: &mut Rand64| {
-        format!("127.0.0.1:{}", 9000 + random.rand_range(0..8)).parse().expect("an address")
+        format!("127.0.0.1:{}", 9000 + random.rand_range(0..8)).parse().expect("a valid address")
     };
     let action = match random.rand_range(0..8) {
         0..=2 => Action::AddNode {
@@ -71,11 +72,12 @@
     }
 }
 
-/// A list of which no two are alike in any row.
+/// Returns a random last-known list. All rows of a list share one random listing time, so that two lists rarely have a
+/// row in common.
 fn draw_last_known(random: &mut Rand64) -> KnownList {
     let last_listed_ms = random.rand_range(0..1_000_000);
     let node = |random: &mut Rand64| KnownNode {
-        endpoint: format!("127.0.0.1:{}", 9000 + random.rand_range(0..8)).parse().expect("an address"),
+        endpoint: format!("127.0.0.1:{}", 9000 + random.rand_range(0..8)).parse().expect("a valid address"),
         zone: String::new(),
         group: 0,
         size: 1.0,
@@ -87,7 +89,7 @@
     (0..count).map(|_| (format!("k{}", random.rand_range(0..40)), node(random))).collect()
 }
 
-/// A batch: up to three changes, now and then one that is requested again, with requests that begin and end.
+/// Returns a random batch: up to three changes, sometimes the first one repeated, and requests that start and end.
 pub fn draw_batch(random: &mut Rand64, number: &mut u64, in_flight: &BTreeSet<String>) -> Batch {
     let mut batch = Batch::default();
     for _ in 0..random.rand_range(0..4) {
@@ -114,7 +116,7 @@
     batch
 }
 
-/// What is durable after a batch, by the model.
+/// Returns the durable content that the model expects after a batch.
 pub fn after(old: &Durable, batch: &Batch) -> Durable {
     let mut new = old.clone();
     for change in &batch.changes {
--- a/crates/brassport-state/tests/it/log.rs
+++ b/crates/brassport-state/tests/it/log.rs
@@ -1,13 +1,15 @@
-//! A replicated log's file after power cuts.
+//! Tests of the replicated log's file, also after power failures.
 
 use crate::campaign::FILE;
 use crate::disk::{Disk, Fault};
 use brassport_state::log::{Image, LogStore, Write};
 
-fn entry(index: u64, what: u8) -> (u64, Vec<u8>) {
-    (index, vec![what; 40])
+/// An entry of 40 equal bytes.
+fn entry(index: u64, byte: u8) -> (u64, Vec<u8>) {
+    (index, vec![byte; 40])
 }
 
+/// Applies a write to the expected content of the log.
 fn apply(write: &Write, image: &mut Image) {
     if let Some(snapshot) = &write.snapshot {
         image.entries.clear();
@@ -25,11 +27,11 @@
 }
 
 fn writes() -> Vec<Write> {
-    let entries = |range: std::ops::Range<u64>, what| range.map(|index| entry(index, what)).collect();
+    let entries = |range: std::ops::Range<u64>, byte| range.map(|index| entry(index, byte)).collect();
     vec![
         Write { votes: Some(b"term 1".to_vec()), ..Write::default() },
         Write { entries: entries(1..5, 1), votes: Some(b"term 1, 4".to_vec()), ..Write::default() },
-        // Another leader's entries that replace the last two.
+        // Entries of another leader that replace entries 3 and 4.
         Write { entries: entries(3..9, 2), votes: Some(b"term 2".to_vec()), ..Write::default() },
         Write { compact: Some((6, b"up to 5".to_vec())), ..Write::default() },
         Write { snapshot: Some(b"up to 20".to_vec()), ..Write::default() },
@@ -40,49 +42,50 @@
 #[test]
 fn a_log_is_read_as_it_was_written() {
     let disk = Disk::default();
-    LogStore::create(&disk, FILE).expect("a new log");
+    LogStore::create(&disk, FILE).expect("the log can be created");
     let mut expected = Image::default();
     for write in writes() {
-        let (mut log, image) = LogStore::open(&disk, FILE).expect("it opens");
+        let (mut log, image) = LogStore::open(&disk, FILE).expect("the log opens");
         assert_eq!(image, expected);
-        log.write(&write).expect("it is written");
+        log.write(&write).expect("the write succeeds");
         apply(&write, &mut expected);
     }
-    assert_eq!(LogStore::open(&disk, FILE).expect("it opens").1, expected);
+    assert_eq!(LogStore::open(&disk, FILE).expect("the log opens").1, expected);
     assert_eq!(expected.entries.len(), 2);
 }
 
 #[test]
 fn a_power_cut_at_any_operation_leaves_the_log_as_before_a_write_or_as_after_it() {
-    let (mut before, mut after) = (0, 0);
+    let (mut unchanged, mut written_fully) = (0, 0);
     for position in 0..writes().len() {
         let start = Disk::default();
-        LogStore::create(&start, FILE).expect("a new log");
+        LogStore::create(&start, FILE).expect("the log can be created");
         let (mut old, writes) = (Image::default(), writes());
         for write in &writes[..position] {
-            LogStore::open(&start, FILE).expect("it opens").0.write(write).expect("it is written");
+            LogStore::open(&start, FILE).expect("the log opens").0.write(write).expect("the write succeeds");
             apply(write, &mut old);
         }
         let mut new = old.clone();
         apply(&writes[position], &mut new);
         for at in 0.. {
             let disk = start.copy();
-            let (mut log, _) = LogStore::open(&disk, FILE).expect("it opens");
-            disk.arm(disk.operations() + at, Fault::Cut);
+            let (mut log, _) = LogStore::open(&disk, FILE).expect("the log opens");
+            disk.schedule_fault(disk.operations() + at, Fault::PowerCut);
             let written = log.write(&writes[position]).is_ok();
             drop(log);
-            let found = disk.after_power_cut(&mut oorandom::Rand64::new(u128::from(at)));
-            let image = LogStore::open(&found, FILE).expect("what a cut leaves is sound").1;
+            let restarted = disk.after_power_cut(&mut oorandom::Rand64::new(u128::from(at)));
+            let image = LogStore::open(&restarted, FILE).expect("the log opens after a power cut").1;
             assert!(
                 image == new || image == old && !written,
                 "write {position}, cut at operation {at}: {image:?}"
             );
-            (before, after) = (before + u32::from(image == old), after + u32::from(image == new));
+            (unchanged, written_fully) =
+                (unchanged + u32::from(image == old), written_fully + u32::from(image == new));
             if written {
                 break;
             }
         }
     }
-    println!("{before} cuts left the log as before, {after} as after the write");
-    assert!(before > 20 && after >= 6);
+    println!("power cuts that left the log as before the write: {unchanged}, as after it: {written_fully}");
+    assert!(unchanged > 20 && written_fully >= 6);
 }
