--- a/crates/brassport-state/tests/it/golden.rs
+++ b/crates/brassport-state/tests/it/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of the store's file and of every kind of row, against committed fixtures: what an earlier version wrote is
-//! read to the same model, and the same model is written in the same bytes.
+//! Compares the state file and the encoding of every kind of row with committed fixtures: data of an earlier version
+//! reads to the expected model, and the same model is encoded the same way.
 
 use crate::fixture::{Folder, GOLDEN};
 use brassport_golden::json;
@@ -18,12 +18,12 @@
 const STORE: &str = "state.redb";
 
 fn new_node(name: &str, endpoint: &str, zone: &str, group: u16, size: f64) -> NewNode {
-    let endpoint = endpoint.parse().expect("an address");
+    let endpoint = endpoint.parse().expect("a valid address");
     NewNode { name: name.into(), endpoint, zone: zone.into(), group, size }
 }
 
 fn add(name: &str, endpoint: &str, zone: &str, group: u16, size: f64, warm: bool) -> Action {
-    let endpoint = endpoint.parse().expect("an address");
+    let endpoint = endpoint.parse().expect("a valid address");
     Action::AddNode { name: name.into(), endpoint, zone: zone.into(), group, size, warm }
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Every kind of action, in an order in which none is refused.
+/// Every kind of action, in an order in which each is valid.
 fn actions() -> Vec<Action> {
     let list = vec![
         new_node("attic-1", "192.0.2.1:9001", "north", 3, 2.5),
@@ -68,7 +68,8 @@
     ]
 }
 
-/// The changes, the fifth with a clock that was set back, the sixth with the revision that its author saw.
+/// A change for each action. The fifth has an earlier wall-clock time than the fourth; the sixth has the node revision
+/// that its requester read.
 fn changes() -> Vec<Change> {
     let change = |(number, action): (usize, Action)| Change {
         id: format!("change-{number}"),
@@ -92,7 +93,7 @@
 
 fn known_list() -> KnownList {
     let node = |endpoint: &str, draining| KnownNode {
-        endpoint: endpoint.parse().expect("an address"),
+        endpoint: endpoint.parse().expect("a valid address"),
         zone: if draining { "north".into() } else { String::new() },
         group: if draining { u64::MAX } else { 0 },
         size: if draining { 2.5 } else { 0.0 },
@@ -104,25 +105,29 @@
     list.into_iter().map(|(name, node)| (name.to_string(), node)).collect()
 }
 
-/// Writes a store with every kind of row: the first two requests are of an earlier run, the third is in flight.
+/// Writes a state with every kind of row. The first two requests are of an earlier run, the third is in flight.
 fn write_store(folder: &Folder) {
     let files = folder.directory();
-    Store::create(&files, STORE).expect("a new store");
-    let mut store = Store::open(&files, STORE).expect("it opens");
+    Store::create(&files, STORE).expect("the state can be created");
+    let mut store = Store::open(&files, STORE).expect("the state opens");
     for change in changes() {
-        store.apply(change).expect("it is made");
+        store.apply(change).expect("the change is made");
     }
-    store.write(&Batch { sending: vec![sent(1), sent(2)], ..Batch::default() }).expect("it is written");
+    store
+        .write(&Batch { sending: vec![sent(1), sent(2)], ..Batch::default() })
+        .expect("the batch is written");
     drop(store);
-    let mut store = Store::open(&files, STORE).expect("it opens again");
+    let mut store = Store::open(&files, STORE).expect("the state opens again");
     let batch = Batch { sending: vec![sent(3), sent(4)], known: Some(known_list()), ..Batch::default() };
-    store.write(&batch).expect("it is written");
-    store.write(&Batch { ended: vec!["request-4".into()], ..Batch::default() }).expect("it is written");
+    store.write(&batch).expect("the batch is written");
+    store
+        .write(&Batch { ended: vec!["request-4".into()], ..Batch::default() })
+        .expect("the batch is written");
 }
 
 fn expected_state() -> State {
     let node = |endpoint: &str, zone: &str, group, size, lifecycle, launched_ms, revision| Node {
-        endpoint: endpoint.parse().expect("an address"),
+        endpoint: endpoint.parse().expect("a valid address"),
         zone: zone.into(),
         group,
         size,
@@ -152,13 +157,13 @@
     changes().into_iter().enumerate().map(entry).rev().collect()
 }
 
-/// All rows of a store's file, as they lie in it.
+/// Returns all rows of a state file as text, in stored order.
 fn rows(file: &Path) -> String {
-    let database = Database::open(file).expect("the embedded store opens it");
-    let transaction = database.begin_read().expect("it is read");
+    let database = Database::open(file).expect("redb opens the file");
+    let transaction = database.begin_read().expect("the file can be read");
     let mut names: Vec<String> = transaction
         .list_tables()
-        .expect("it lists its tables")
+        .expect("the tables can be listed")
         .map(|table| redb::TableHandle::name(&table).to_string())
         .collect();
     names.sort();
@@ -166,14 +171,15 @@
     macro_rules! dump {
         ($($name:literal: $key:ty => $value:ty, $show:expr;)*) => {$(
             let definition = TableDefinition::<$key, $value>::new($name);
-            for row in transaction.open_table(definition).expect("the table").iter().expect("its rows") {
-                let (key, value) = row.expect("a row");
+            let table = transaction.open_table(definition).expect("the table exists");
+            for row in table.iter().expect("the rows can be read") {
+                let (key, value) = row.expect("the row can be read");
                 let value: String = $show(value.value());
-                writeln!(text, "{} {:?}: {value}", $name, key.value()).expect("text takes it");
+                writeln!(text, "{} {:?}: {value}", $name, key.value()).expect("writing to a string succeeds");
             }
         )*};
     }
-    let bytes = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("the row is text");
+    let bytes = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("the row is UTF-8");
     dump!(
         "facts": &str => u64, |value: u64| value.to_string();
         "history": u64 => &[u8], bytes;
@@ -190,8 +196,8 @@
 fn expect_store(store: &Store) {
     assert_eq!(store.state(), &expected_state());
     assert_eq!(store.known(), &known_list());
-    assert_eq!(store.history(u64::MAX, 100).expect("its history"), expected_history());
-    let unfinished = store.unfinished().expect("its unfinished requests");
+    assert_eq!(store.history(u64::MAX, 100).expect("the history can be read"), expected_history());
+    let unfinished = store.unfinished().expect("the unfinished requests can be read");
     assert_eq!(unfinished, [(1, sent(1)), (2, sent(2)), (3, sent(3))]);
     assert_eq!(store.unfinished_count(), 3);
     assert_eq!(store.first_write_error(), None);
@@ -199,17 +205,21 @@
 
 #[test]
 fn a_committed_store_has_its_rows_and_opens_to_the_model_that_was_written() {
-    let made = Folder::new("store-made");
-    write_store(&made);
-    let committed = GOLDEN.bytes(STORE, &fs::read(made.0.join(STORE)).expect("it was made"));
+    let written = Folder::new("store-made");
+    write_store(&written);
+    let committed = GOLDEN.bytes(STORE, &fs::read(written.0.join(STORE)).expect("the state was written"));
     let folder = Folder::new("store-committed");
-    fs::write(folder.0.join(STORE), committed).expect("a copy");
-    assert_eq!(rows(&folder.0.join(STORE)), rows(&made.0.join(STORE)));
+    fs::write(folder.0.join(STORE), committed).expect("the fixture can be copied");
+    assert_eq!(rows(&folder.0.join(STORE)), rows(&written.0.join(STORE)));
     let files = folder.directory();
-    let mut store = Store::open(&files, STORE).expect("it opens");
+    let mut store = Store::open(&files, STORE).expect("the state opens");
     expect_store(&store);
-    store.snapshot().expect("a snapshot").copy_to(&files, "copy.redb").expect("it is copied");
-    let repeated = store.apply(changes().remove(3)).expect("it was made before");
+    store
+        .snapshot()
+        .expect("a snapshot can be taken")
+        .copy_to(&files, "copy.redb")
+        .expect("the snapshot is copied");
+    let repeated = store.apply(changes().remove(3)).expect("the repeated change is accepted");
     assert_eq!(repeated, Done { revision: 4, repeated: true });
     drop(store);
     expect_store(&Store::open(&files, "copy.redb").expect("the copy opens"));
@@ -224,7 +234,7 @@
 }
 
 #[test]
-fn each_kind_of_row_has_its_form() {
+fn each_kind_of_row_has_the_committed_encoding() {
     let mut cases = Vec::new();
     for (number, action) in actions().into_iter().enumerate() {
         cases.push(json(&format!("Action::{} {number}", action_name(&action)), action));
@@ -253,12 +263,12 @@
     GOLDEN.same_cases("rows.txt", &cases);
 }
 
-/// Rows of versions that did not have all of the fields. They are read, and written with all.
+/// Rows of versions that lacked some fields: they can be read, and are written back with all fields.
 #[test]
 fn rows_without_the_later_fields_are_read_as_before() {
     fn read<T: Serialize + DeserializeOwned>(text: &str) -> String {
         let value: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{text}: {error}"));
-        serde_json::to_string(&value).expect("plain data has a form in JSON")
+        serde_json::to_string(&value).expect("plain data can be encoded as JSON")
     }
     let node = r#"{"endpoint":"192.0.2.1:1","size":1.5,"lifecycle":"ready","revision":2}"#;
     let add = r#"{"action":"add_node","name":"a","endpoint":"192.0.2.1:1"}"#;
@@ -274,11 +284,11 @@
         ("Entry", entry, read::<Entry>(entry)),
         ("KnownNode", known, read::<KnownNode>(known)),
     ];
-    let made: String = lines.iter().map(|(name, old, new)| format!("{name}: {old}\n  now {new}\n")).collect();
-    GOLDEN.same_text("older.txt", &made);
+    let text: String = lines.iter().map(|(name, old, new)| format!("{name}: {old}\n  now {new}\n")).collect();
+    GOLDEN.same_text("older.txt", &text);
 }
 
-/// The name of a variant; one that is new does not compile here until it has one.
+/// Returns the variant's name in the fixture. The match is exhaustive, so that a new variant must be added here.
 fn refusal_name(refusal: &Refusal) -> &'static str {
     match refusal {
         Refusal::Invalid(_) => "Invalid",
@@ -289,7 +299,7 @@
     }
 }
 
-/// As [`refusal_name`].
+/// Like [`refusal_name`], for store errors.
 fn store_error_name(error: &StoreError) -> &'static str {
     match error {
         StoreError::Missing { .. } => "Missing",
@@ -304,7 +314,7 @@
 }
 
 #[test]
-fn rejections_and_errors_have_their_texts() {
+fn rejections_and_errors_have_the_committed_messages() {
     let name = || "attic-1".to_string();
     let refusals = [
         Refusal::Invalid("size of 'a': 0 is not above 0 and at most 1000000".into()),
@@ -313,16 +323,17 @@
         Refusal::Conflict { name: name(), revision: 7 },
         Refusal::IdUsed { id: "change-1".into(), revision: 2 },
     ];
-    let mut made = String::new();
+    let mut text = String::new();
     for refusal in refusals {
         let variant = refusal_name(&refusal);
-        writeln!(made, "Refusal::{variant}: {}: {refusal}", refusal.code()).expect("text takes it");
+        writeln!(text, "Refusal::{variant}: {}: {refusal}", refusal.code())
+            .expect("writing to a string succeeds");
         assert_eq!(ChangeError::Refused(refusal.clone()).to_string(), refusal.to_string());
     }
     let file = || "/state/state.redb".to_string();
     let io =
         |kind| StoreError::Io { doing: "write", file: file(), error: Error::new(kind, "the system says so") };
-    let faults = [
+    let errors = [
         StoreError::Missing { file: file() },
         StoreError::Exists { file: file() },
         StoreError::Empty { file: file() },
@@ -336,11 +347,11 @@
         io(ErrorKind::PermissionDenied),
         StoreError::Broken { file: file(), first: "cannot write".into() },
     ];
-    for fault in faults {
-        let variant = store_error_name(&fault);
-        writeln!(made, "StoreError::{variant}: {fault}").expect("text takes it");
-        let said = fault.to_string();
-        assert_eq!(ChangeError::Store(fault).to_string(), said);
+    for error in errors {
+        let variant = store_error_name(&error);
+        writeln!(text, "StoreError::{variant}: {error}").expect("writing to a string succeeds");
+        let message = error.to_string();
+        assert_eq!(ChangeError::Store(error).to_string(), message);
     }
-    GOLDEN.same_text("messages.txt", &made);
+    GOLDEN.same_text("messages.txt", &text);
 }
--- a/crates/brassport-state/tests/it/golden_log.rs
+++ b/crates/brassport-state/tests/it/golden_log.rs
@@ -1,5 +1,5 @@
-//! The bytes of the log's file against committed fixtures: what an earlier version wrote is read to the same image, and the
-//! same image is written in the same bytes.
+//! Compares the log's file format with committed fixtures: a file of an earlier version reads to the expected content,
+//! and the same writes produce the same rows.
 
 use crate::fixture::{Folder, GOLDEN};
 use brassport_state::log::{Image, LogStore, Write};
@@ -10,7 +10,7 @@
 
 const LOG: &str = "log.redb";
 
-/// Every part of a write: a snapshot, entries, entries that replace others, votes, and a snapshot that compacts.
+/// Writes that cover a snapshot, new entries, replaced entries, votes and a compacting snapshot.
 fn writes() -> Vec<Write> {
     let entry = |index: u64| (index, vec![index as u8, 0, 0xff, b'e']);
     vec![
@@ -36,42 +36,47 @@
 
 fn write_log(folder: &Folder) {
     let files = folder.directory();
-    LogStore::create(&files, LOG).expect("a new log");
-    let (mut log, image) = LogStore::open(&files, LOG).expect("it opens");
+    LogStore::create(&files, LOG).expect("the log can be created");
+    let (mut log, image) = LogStore::open(&files, LOG).expect("the log opens");
     assert_eq!(image, Image::default());
     for write in writes() {
-        log.write(&write).expect("it is written");
+        log.write(&write).expect("the write succeeds");
     }
 }
 
-/// All rows of a log's file, their bytes in hexadecimal.
+/// Returns all rows of a log file as text, with the values in hexadecimal.
 fn log_rows(file: &Path) -> String {
-    let database = Database::open(file).expect("the embedded store opens it");
-    let transaction = database.begin_read().expect("it is read");
+    let database = Database::open(file).expect("redb opens the file");
+    let transaction = database.begin_read().expect("the file can be read");
     let hexadecimal = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
     let mut text = String::new();
     let facts = TableDefinition::<&str, &[u8]>::new("facts");
-    for row in transaction.open_table(facts).expect("the table").iter().expect("its rows") {
-        let (key, value) = row.expect("a row");
-        writeln!(text, "facts {}: {}", key.value(), hexadecimal(value.value())).expect("text takes it");
+    for row in transaction.open_table(facts).expect("the table exists").iter().expect("the rows can be read")
+    {
+        let (key, value) = row.expect("the row can be read");
+        writeln!(text, "facts {}: {}", key.value(), hexadecimal(value.value()))
+            .expect("writing to a string succeeds");
     }
     let entries = TableDefinition::<u64, &[u8]>::new("entries");
-    for row in transaction.open_table(entries).expect("the table").iter().expect("its rows") {
-        let (key, value) = row.expect("a row");
-        writeln!(text, "entries {}: {}", key.value(), hexadecimal(value.value())).expect("text takes it");
+    for row in
+        transaction.open_table(entries).expect("the table exists").iter().expect("the rows can be read")
+    {
+        let (key, value) = row.expect("the row can be read");
+        writeln!(text, "entries {}: {}", key.value(), hexadecimal(value.value()))
+            .expect("writing to a string succeeds");
     }
     text
 }
 
 #[test]
 fn a_committed_log_has_its_rows_and_opens_to_what_was_written() {
-    let made = Folder::new("log-made");
-    write_log(&made);
-    let committed = GOLDEN.bytes(LOG, &fs::read(made.0.join(LOG)).expect("it was made"));
+    let written = Folder::new("log-made");
+    write_log(&written);
+    let committed = GOLDEN.bytes(LOG, &fs::read(written.0.join(LOG)).expect("the log was written"));
     let folder = Folder::new("log-committed");
-    fs::write(folder.0.join(LOG), committed).expect("a copy");
-    assert_eq!(log_rows(&folder.0.join(LOG)), log_rows(&made.0.join(LOG)));
-    let (_, image) = LogStore::open(&folder.directory(), LOG).expect("it opens");
+    fs::write(folder.0.join(LOG), committed).expect("the fixture can be copied");
+    assert_eq!(log_rows(&folder.0.join(LOG)), log_rows(&written.0.join(LOG)));
+    let (_, image) = LogStore::open(&folder.directory(), LOG).expect("the log opens");
     assert_eq!(image, expected_image());
 }
 
--- a/crates/brassport-state/tests/it/known.rs
+++ b/crates/brassport-state/tests/it/known.rs
@@ -1,10 +1,10 @@
-//! How a row of the last-known list is used by its age.
+//! Tests of how the age of a row in the last-known list determines its use.
 
 use brassport_state::known::{KnownNode, RowUse, IGNORED_AFTER_MS, REWRITE_AFTER_MS, SLOW_START_AFTER_MS};
 
 fn node(last_listed_ms: u64) -> KnownNode {
     KnownNode {
-        endpoint: "127.0.0.1:9000".parse().expect("an address"),
+        endpoint: "127.0.0.1:9000".parse().expect("a valid address"),
         zone: String::new(),
         group: 0,
         size: 1.0,
@@ -23,19 +23,19 @@
     assert_eq!(row_use(IGNORED_AFTER_MS + 1), RowUse::Ignored);
     assert_eq!(node(last_listed_ms).assumed_start_ms(last_listed_ms + SLOW_START_AFTER_MS), 5_000.0);
     let late = last_listed_ms + SLOW_START_AFTER_MS + 1;
-    assert_eq!(node(last_listed_ms).assumed_start_ms(late), late as f64, "as one that starts now");
+    assert_eq!(node(last_listed_ms).assumed_start_ms(late), late as f64, "the node counts as started now");
 }
 
 #[test]
-fn a_clock_set_back_makes_no_row_fresh_and_no_node_warm_up_for_long() {
-    let set_back = node(9_000_000);
-    assert_eq!(set_back.row_use(8_000_000), RowUse::SlowStart);
-    assert_eq!(set_back.assumed_start_ms(8_000_000), 8_000_000.0, "never later than now");
+fn a_row_dated_in_the_future_starts_slowly_from_now_and_a_drain_does_not_expire() {
+    let future_row = node(9_000_000);
+    assert_eq!(future_row.row_use(8_000_000), RowUse::SlowStart);
+    assert_eq!(future_row.assumed_start_ms(8_000_000), 8_000_000.0, "the start time is never later than now");
     let draining = KnownNode { draining: true, ..node(1) };
     assert_eq!(
         draining.row_use(1 + 2 * IGNORED_AFTER_MS),
         RowUse::AsStored,
-        "a drain outlives its row's age"
+        "a drain stays in force regardless of its row's age"
     );
 }
 
--- a/crates/brassport-state/tests/it/main.rs
+++ b/crates/brassport-state/tests/it/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the durable state: the model, the last-known list, the files after power cuts, and their bytes.
-#![allow(clippy::needless_pass_by_value, reason = "test cases are made in place and passed on")]
+//! Tests of the durable state: the model, the last-known list, recovery after power failures, and the file formats.
+#![allow(clippy::needless_pass_by_value, reason = "test cases are built in place and passed by value")]
 
 mod campaign;
 mod disk;
