--- a/crates/brassport-fleet/src/audit/gather.rs
+++ b/crates/brassport-fleet/src/audit/gather.rs
@@ -2,7 +2,7 @@
 
 use super::Audit;
 use crate::clocks::Clocks;
-use crate::record::{self, Fault, Line, What};
+use crate::record::{self, Event, Fault, Line};
 use std::collections::BTreeMap;
 
 /// The lines of one door, by process and number.
@@ -31,7 +31,7 @@
     fn clocks(&self) -> Clocks {
         let mut clocks = Clocks::default();
         for line in self.doors.values().flat_map(BTreeMap::values).flat_map(BTreeMap::values) {
-            if let What::Clock(mark) = &line.what {
+            if let Event::Clock(mark) = &line.what {
                 clocks.add(line.at.process, line.at.steady_ms, mark.clone());
             }
         }
--- a/crates/brassport-fleet/src/audit/mod.rs
+++ b/crates/brassport-fleet/src/audit/mod.rs
@@ -4,7 +4,7 @@
 mod spans;
 
 use crate::clocks::Moment;
-use crate::record::{Fault, Line, What};
+use crate::record::{Event, Fault, Line};
 use serde::{Deserialize, Serialize};
 use spans::SpanBuilder;
 use std::collections::BTreeMap;
@@ -109,7 +109,7 @@
         for line in lines {
             spans.step(line);
             match &line.what {
-                What::Unsafe { request, node, version } => self.sent.push(Sent {
+                Event::Unsafe { request, node, version } => self.sent.push(Sent {
                     door: door.into(),
                     request: request.clone(),
                     node: node.clone(),
@@ -119,7 +119,7 @@
                     wall_ms: line.at.wall_ms,
                     at: None,
                 }),
-                What::Lost { lines } => self.lost.entry(door.into()).or_default().push(Lost {
+                Event::Lost { lines } => self.lost.entry(door.into()).or_default().push(Lost {
                     process: line.at.process,
                     lines: *lines,
                     before_wall_ms: line.at.wall_ms,
--- a/crates/brassport-fleet/src/audit/spans.rs
+++ b/crates/brassport-fleet/src/audit/spans.rs
@@ -1,7 +1,7 @@
 //! Spans from the lines of one door's record.
 
 use super::Span;
-use crate::record::{At, Line, What};
+use crate::record::{At, Event, Line};
 
 /// Builds the spans of one door, line by line.
 pub(super) struct SpanBuilder<'a> {
@@ -19,25 +19,25 @@
     /// Reads the next line.
     pub(super) fn step(&mut self, line: &Line) {
         match &line.what {
-            What::Began { .. } => self.end(line.at, None, "the process ended without a word"),
-            What::Acts { version, digest, from_admission } => {
+            Event::Began { .. } => self.end(line.at, None, "the process ended without a word"),
+            Event::Acts { version, digest, from_admission } => {
                 self.end(line.at, Some(*from_admission), "a newer version");
                 self.begin(line.at, *version, digest, *from_admission);
             }
-            What::Stopped { why, from_admission } => {
+            Event::Stopped { why, from_admission } => {
                 // The door keeps the version, and acts on nothing until it goes on.
                 let stopped = self.open.clone();
                 self.end(line.at, Some(*from_admission), why);
                 let admissions = (*from_admission, Some(*from_admission));
                 self.open = stopped.map(|span| Span { admissions, ..span });
             }
-            What::WentOn { from_admission } => {
+            Event::WentOn { from_admission } => {
                 if let Some(span) = &mut self.open {
                     span.admissions = (*from_admission, None);
                     (span.steady_ms, span.wall_ms) = ((line.at.steady_ms, None), line.at.wall_ms);
                 }
             }
-            What::Unsafe { .. } | What::Lost { .. } | What::Clock(_) | What::Unknown => {}
+            Event::Unsafe { .. } | Event::Lost { .. } | Event::Clock(_) | Event::Unknown => {}
         }
     }
 
--- a/crates/brassport-fleet/src/record.rs
+++ b/crates/brassport-fleet/src/record.rs
@@ -24,7 +24,7 @@
 /// An event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum What {
+pub enum Event {
     /// A process of this door started.
     Began {
         /// The door's name.
@@ -86,7 +86,7 @@
     pub at: At,
     /// What it records.
     #[serde(flatten)]
-    pub what: What,
+    pub what: Event,
 }
 
 /// The end of a record, from which it is continued.
@@ -141,7 +141,7 @@
     ///
     /// # Panics
     /// Never: a line is plain data, which always has a form in JSON.
-    pub fn add(&mut self, at: At, what: What) -> String {
+    pub fn add(&mut self, at: At, what: Event) -> String {
         let line = Line { number: self.next, before: std::mem::take(&mut self.digest), at, what };
         let text = serde_json::to_string(&line).expect("plain data has a form in JSON");
         (self.next, self.digest) = (self.next + 1, digest(&text));
--- a/crates/brassport-fleet/tests/it/audit.rs
+++ b/crates/brassport-fleet/tests/it/audit.rs
@@ -2,9 +2,9 @@
 
 use brassport_fleet::audit::{Audit, Question};
 use brassport_fleet::clocks::Mark;
-use brassport_fleet::record::{self, At, Chain, Line, What};
+use brassport_fleet::record::{self, At, Chain, Event, Line};
 
-fn line(number: u64, process: u64, what: What) -> Line {
+fn line(number: u64, process: u64, what: Event) -> Line {
     Line {
         number,
         before: String::new(),
@@ -13,19 +13,19 @@
     }
 }
 
-fn acts(version: u64, from_admission: u64) -> What {
-    What::Acts { version, digest: format!("d{version}"), from_admission }
+fn acts(version: u64, from_admission: u64) -> Event {
+    Event::Acts { version, digest: format!("d{version}"), from_admission }
 }
 
 fn record() -> Vec<Line> {
-    let began = || What::Began { door: "a".into(), program: "1".into() };
+    let began = || Event::Began { door: "a".into(), program: "1".into() };
     vec![
         line(0, 1, began()),
         line(1, 1, acts(3, 1)),
-        line(2, 1, What::Unsafe { request: "r-1".into(), node: "n".into(), version: 3 }),
+        line(2, 1, Event::Unsafe { request: "r-1".into(), node: "n".into(), version: 3 }),
         line(3, 1, acts(4, 20)),
-        line(4, 1, What::Stopped { why: "ran out".into(), from_admission: 31 }),
-        line(5, 1, What::WentOn { from_admission: 31 }),
+        line(4, 1, Event::Stopped { why: "ran out".into(), from_admission: 31 }),
+        line(5, 1, Event::WentOn { from_admission: 31 }),
         line(6, 2, began()),
         line(7, 2, acts(4, 1)),
     ]
@@ -55,7 +55,7 @@
 fn two_digests_of_one_version_are_a_fork_with_both_doors_named() {
     let mut audit = Audit::default();
     audit.add("a", &record(), None);
-    let other = What::Acts { version: 4, digest: "other".into(), from_admission: 1 };
+    let other = Event::Acts { version: 4, digest: "other".into(), from_admission: 1 };
     audit.add("b", &[line(0, 9, other)], None);
     assert_eq!(audit.forks, [(4, "a".to_string(), "b".to_string())]);
 }
@@ -65,7 +65,7 @@
     let text = |process: u64, wall_ms: u64, said_ms: u64| {
         let (mut chain, at) = (Chain::default(), |ms| At { process, steady_ms: ms, wall_ms: wall_ms + ms });
         let mark = Mark { by: "i1".into(), said_ms, took_ms: 4 };
-        let lines = [(10, What::Clock(mark)), (20, acts(3, 1)), (30, What::Lost { lines: 2 })];
+        let lines = [(10, Event::Clock(mark)), (20, acts(3, 1)), (30, Event::Lost { lines: 2 })];
         lines.map(|(ms, what)| chain.add(at(ms), what)).concat()
     };
     // The second door's clock is an hour slow; both began to act within ten milliseconds.
@@ -89,7 +89,7 @@
     let text = |process: u64, wall_ms: u64, said_ms: u64, version: u64| {
         let (mut chain, at) = (Chain::default(), |ms| At { process, steady_ms: ms, wall_ms: wall_ms + ms });
         let mark = Mark { by: "i1".into(), said_ms, took_ms: 4 };
-        [(10, What::Clock(mark)), (20, acts(version, 1))].map(|(ms, what)| chain.add(at(ms), what)).concat()
+        [(10, Event::Clock(mark)), (20, acts(version, 1))].map(|(ms, what)| chain.add(at(ms), what)).concat()
     };
     let (earlier, later) = (text(9, 7_000_000, 5_000_000, 3), text(1, 6_000_000, 5_060_000, 4));
     let mut audit = Audit::default();
--- a/crates/brassport-fleet/tests/it/golden/audit.rs
+++ b/crates/brassport-fleet/tests/it/golden/audit.rs
@@ -4,7 +4,7 @@
 use super::GOLDEN;
 use brassport_fleet::audit::{Audit, Lost, Question, Sent, Span};
 use brassport_fleet::clocks::Moment;
-use brassport_fleet::record::{At, Chain, What};
+use brassport_fleet::record::{At, Chain, Event};
 use brassport_golden::json;
 use std::collections::BTreeMap;
 
@@ -14,9 +14,9 @@
     let lines = whats().into_iter().enumerate();
     let first: String = lines.map(|(number, what)| chain.add(at(number as u64), what)).collect();
     let mut chain = Chain::default();
-    let acts = What::Acts { version: 3, digest: "other".into(), from_admission: 1 };
+    let acts = Event::Acts { version: 3, digest: "other".into(), from_admission: 1 };
     let other = At { process: 8, ..at(5) };
-    let second: String = [acts, What::Lost { lines: 1 }].map(|what| chain.add(other, what)).concat();
+    let second: String = [acts, Event::Lost { lines: 1 }].map(|what| chain.add(other, what)).concat();
     let mut audit = Audit::default();
     audit.gather([("d1", first.as_str()), ("d2", &second[..second.len() - 5])].into_iter());
     audit.missing("d3", "no instance has any of it");
--- a/crates/brassport-fleet/tests/it/golden/older.rs
+++ b/crates/brassport-fleet/tests/it/golden/older.rs
@@ -2,7 +2,7 @@
 
 use super::GOLDEN;
 use brassport_fleet::audit::Audit;
-use brassport_fleet::record::What;
+use brassport_fleet::record::Event;
 use brassport_fleet::shared::{Change, Process};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -22,7 +22,7 @@
         ("Change", change, read::<Change>(change)),
         ("Process", process, read::<Process>(process)),
         ("Audit", audit, read::<Audit>(audit)),
-        ("What", what, read::<What>(what)),
+        ("What", what, read::<Event>(what)),
     ];
     let made: String = lines.iter().map(|(name, old, new)| format!("{name}: {old}\n  now {new}\n")).collect();
     GOLDEN.same_text("older.txt", &made);
--- a/crates/brassport-fleet/tests/it/golden/record.rs
+++ b/crates/brassport-fleet/tests/it/golden/record.rs
@@ -2,33 +2,33 @@
 
 use super::GOLDEN;
 use brassport_fleet::clocks::Mark;
-use brassport_fleet::record::{self, At, Chain, Line, What};
+use brassport_fleet::record::{self, At, Chain, Event, Line};
 use brassport_golden::json;
 
-pub fn whats() -> Vec<What> {
+pub fn whats() -> Vec<Event> {
     vec![
-        What::Began { door: "d\"1\"".into(), program: "0.2.0".into() },
-        What::Clock(Mark { by: "i1".into(), said_ms: 1_700_000_000_004, took_ms: 4 }),
-        What::Acts { version: 3, digest: "ab".repeat(32), from_admission: 1 },
-        What::Unsafe { request: "r-1".into(), node: "node-7".into(), version: 3 },
-        What::Stopped { why: "its right ran out".into(), from_admission: 20 },
-        What::WentOn { from_admission: 20 },
-        What::Lost { lines: 2 },
-        What::Acts { version: u64::MAX, digest: String::new(), from_admission: 31 },
-        What::Unknown,
+        Event::Began { door: "d\"1\"".into(), program: "0.2.0".into() },
+        Event::Clock(Mark { by: "i1".into(), said_ms: 1_700_000_000_004, took_ms: 4 }),
+        Event::Acts { version: 3, digest: "ab".repeat(32), from_admission: 1 },
+        Event::Unsafe { request: "r-1".into(), node: "node-7".into(), version: 3 },
+        Event::Stopped { why: "its right ran out".into(), from_admission: 20 },
+        Event::WentOn { from_admission: 20 },
+        Event::Lost { lines: 2 },
+        Event::Acts { version: u64::MAX, digest: String::new(), from_admission: 31 },
+        Event::Unknown,
     ]
 }
 
-fn what_name(what: &What) -> &'static str {
+fn what_name(what: &Event) -> &'static str {
     match what {
-        What::Began { .. } => "Began",
-        What::Acts { .. } => "Acts",
-        What::Stopped { .. } => "Stopped",
-        What::WentOn { .. } => "WentOn",
-        What::Unsafe { .. } => "Unsafe",
-        What::Clock(_) => "Clock",
-        What::Lost { .. } => "Lost",
-        What::Unknown => "Unknown",
+        Event::Began { .. } => "Began",
+        Event::Acts { .. } => "Acts",
+        Event::Stopped { .. } => "Stopped",
+        Event::WentOn { .. } => "WentOn",
+        Event::Unsafe { .. } => "Unsafe",
+        Event::Clock(_) => "Clock",
+        Event::Lost { .. } => "Lost",
+        Event::Unknown => "Unknown",
     }
 }
 
--- a/crates/brassport-fleet/tests/it/mutants.rs
+++ b/crates/brassport-fleet/tests/it/mutants.rs
@@ -2,7 +2,7 @@
 
 use crate::simulation::play;
 use brassport_fleet::mutants::{activate, Mutant, ALL};
-use brassport_fleet::record::{read, At, Chain, What};
+use brassport_fleet::record::{read, At, Chain, Event};
 use brassport_fleet::shared::{Catch, Change, Shared};
 
 /// Seeds within which a fault of the fence has to show.
@@ -32,7 +32,7 @@
         Mutant::ConflictIgnored => shared.apply(&Change { seen: Some(1), ..change("c", true) }).is_ok(),
         Mutant::LinkUnchecked => {
             let (mut chain, at) = (Chain::default(), At { process: 1, steady_ms: 1, wall_ms: 1 });
-            let mut line = |n| chain.add(at, What::WentOn { from_admission: n });
+            let mut line = |n| chain.add(at, Event::WentOn { from_admission: n });
             let (first, _, last) = (line(1), line(2), line(3));
             read(&(first + &last)).1.is_none()
         }
--- a/crates/brassport-fleet/tests/it/record.rs
+++ b/crates/brassport-fleet/tests/it/record.rs
@@ -1,6 +1,6 @@
 //! Records that were cut, altered or written by a newer program.
 
-use brassport_fleet::record::{by_process, read, At, Chain, Fault, What};
+use brassport_fleet::record::{by_process, read, At, Chain, Event, Fault};
 use brassport_fleet::shared::hexadecimal;
 use proptest::prelude::*;
 use sha2::{Digest as _, Sha256};
@@ -15,8 +15,8 @@
 
 fn written(count: u64) -> String {
     let mut chain = Chain::default();
-    let began = What::Began { door: "d".into(), program: "0".into() };
-    let rest = (1..count).map(|n| What::WentOn { from_admission: n });
+    let began = Event::Began { door: "d".into(), program: "0".into() };
+    let rest = (1..count).map(|n| Event::WentOn { from_admission: n });
     std::iter::once(began).chain(rest).enumerate().map(|(n, what)| chain.add(at(n as u64), what)).collect()
 }
 
@@ -31,7 +31,7 @@
         prop_assert_eq!(fault.is_none(), valid_bytes == cut);
         // What is appended there is a valid record.
         let mut chain = chain;
-        let more = chain.add(at(99), What::WentOn { from_admission: 99 });
+        let more = chain.add(at(99), Event::WentOn { from_admission: 99 });
         let repaired = text[..valid_bytes].to_string() + &more;
         prop_assert!(read(&repaired).1.is_none());
     }
@@ -55,20 +55,20 @@
 #[test]
 fn a_line_of_a_newer_program_is_kept_in_the_chain() {
     let mut chain = Chain::default();
-    let first = chain.add(at(1), What::WentOn { from_admission: 1 });
+    let first = chain.add(at(1), Event::WentOn { from_admission: 1 });
     let newer = format!(
         "{{\"number\":1,\"before\":\"{}\",\"process\":7,\"steady_ms\":2,\"wall_ms\":3,\"what\":\"dreamt\",\"of\":[1]}}\n",
         digest(first.trim_end())
     );
     let (lines, fault, ..) = read(&(first + &newer));
     assert_eq!((lines.len(), fault), (2, None));
-    assert_eq!(lines[1].what, What::Unknown);
+    assert_eq!(lines[1].what, Event::Unknown);
 }
 
 #[test]
 fn lines_are_split_by_process() {
     let mut chain = Chain::default();
-    let mut line = |process| chain.add(At { process, ..at(1) }, What::WentOn { from_admission: 1 });
+    let mut line = |process| chain.add(At { process, ..at(1) }, Event::WentOn { from_admission: 1 });
     let (a, b, c) = (line(1), line(1), line(2));
     let text = a.clone() + &b + &c;
     assert_eq!(by_process(&text[..]), [(1, &*(a + &b)), (2, &*c)]);
--- a/crates/brassport-peers/src/door.rs
+++ b/crates/brassport-peers/src/door.rs
@@ -12,7 +12,7 @@
 use brassport::run::admin::{Call, Command};
 use brassport_fleet::clocks::Mark;
 use brassport_fleet::grants::{Answer, Ask};
-use brassport_fleet::record::What;
+use brassport_fleet::record::Event;
 use brassport_fleet::shared::{Catch, Change, Done, Process, Refusal, Shared, DOOR, SETTINGS};
 use brassport_fleet::standing::{Standing, Why};
 use brassport_fleet::Millis;
@@ -64,7 +64,7 @@
     pub fn open(folder: &Path, door: &str, process: u64) -> Result<Arc<Handle>, String> {
         let fault = |error| format!("{}: {error}", folder.join(RECORD_FILE).display());
         let mut record = Record::open(folder, process).map_err(fault)?;
-        record.add(What::Began { door: door.into(), program: env!("CARGO_PKG_VERSION").into() });
+        record.add(Event::Began { door: door.into(), program: env!("CARGO_PKG_VERSION").into() });
         Ok(Arc::new(Handle {
             until: AtomicU64::new(0),
             version: AtomicU64::new(0),
@@ -75,7 +75,7 @@
         }))
     }
 
-    fn add(&self, what: What) {
+    fn add(&self, what: Event) {
         self.record.lock().expect("no writer of the record panics").add(what);
     }
 
@@ -94,9 +94,9 @@
         if self.stopped.swap(!may, Ordering::AcqRel) == may {
             let from_admission = self.next_admission();
             self.add(match why.filter(|_| !may) {
-                Some(why) => What::Stopped { why: format!("{why:?}"), from_admission },
-                None if may => What::WentOn { from_admission },
-                None => What::Stopped { why: "RanOut".into(), from_admission },
+                Some(why) => Event::Stopped { why: format!("{why:?}"), from_admission },
+                None if may => Event::WentOn { from_admission },
+                None => Event::Stopped { why: "RanOut".into(), from_admission },
             });
         }
     }
@@ -137,7 +137,7 @@
     fn before_attempt(&self, request: RequestId, node: &str) -> Option<AttemptDelay> {
         if let Some(name) = self.open.borrow().get(&request) {
             let version = self.handle.acted.load(Ordering::Acquire);
-            self.handle.add(What::Unsafe { request: name.clone(), node: node.into(), version });
+            self.handle.add(Event::Unsafe { request: name.clone(), node: node.into(), version });
         }
         None
     }
@@ -313,7 +313,7 @@
         let handle = &self.agent.handle;
         handle.version.store(version, Ordering::Release);
         handle.acted.store(acted, Ordering::Release);
-        handle.add(What::Acts { version: acted, digest, from_admission: handle.next_admission() });
+        handle.add(Event::Acts { version: acted, digest, from_admission: handle.next_admission() });
         self.news.notify_one();
     }
 
@@ -396,7 +396,7 @@
                 let came = steady_ms();
                 if let Ok(Ok(Clock { by, wall_ms })) = said.map(|said| said.read()) {
                     let mark = Mark { by, said_ms: wall_ms, took_ms: came - asked };
-                    self.agent.handle.add(What::Clock(mark));
+                    self.agent.handle.add(Event::Clock(mark));
                 }
             }
             sleep(CLOCKS).await;
--- a/crates/brassport-peers/src/record.rs
+++ b/crates/brassport-peers/src/record.rs
@@ -2,7 +2,7 @@
 
 use crate::call::wall_ms;
 use brassport::log;
-use brassport_fleet::record::{by_process, At, Chain, What};
+use brassport_fleet::record::{by_process, At, Chain, Event};
 use brassport_fleet::Millis;
 use rustix::time::{clock_gettime, ClockId};
 use std::fs::{File, OpenOptions};
@@ -36,7 +36,7 @@
     /// Lines that could not be written since the last one that was.
     lost: u64,
     /// The last of these that says which version the door acts on: it is said late rather than never.
-    acts: Option<What>,
+    acts: Option<Event>,
 }
 
 impl Record {
@@ -61,10 +61,10 @@
     }
 
     /// Writes a line. One for which the disk has no room is lost and counted; the next one that it takes says so first.
-    pub fn add(&mut self, what: What) {
+    pub fn add(&mut self, what: Event) {
         if self.write(Some(&what)).is_err() {
             self.lost += 1;
-            self.acts = Some(what).filter(|what| matches!(what, What::Acts { .. })).or(self.acts.take());
+            self.acts = Some(what).filter(|what| matches!(what, Event::Acts { .. })).or(self.acts.take());
         }
     }
 
@@ -75,10 +75,10 @@
         }
     }
 
-    fn write(&mut self, what: Option<&What>) -> io::Result<()> {
+    fn write(&mut self, what: Option<&Event>) -> io::Result<()> {
         let mut chain = self.chain.clone();
         let at = At { process: self.process, steady_ms: steady_ms(), wall_ms: wall_ms() };
-        let gap = (self.lost > 0).then_some(What::Lost { lines: self.lost });
+        let gap = (self.lost > 0).then_some(Event::Lost { lines: self.lost });
         let all = gap.into_iter().chain(self.acts.clone()).chain(what.cloned());
         let text: String = all.map(|what| chain.add(at, what)).collect();
         match self.turn().and_then(|()| self.file.write_all(text.as_bytes())) {
@@ -160,8 +160,8 @@
     use super::*;
     use brassport_fleet::record;
 
-    fn sent(n: u64) -> What {
-        What::Unsafe { request: format!("r-{n}"), node: "n".into(), version: 1 }
+    fn sent(n: u64) -> Event {
+        Event::Unsafe { request: format!("r-{n}"), node: "n".into(), version: 1 }
     }
 
     #[test]
--- a/crates/brassport-peers/tests/golden.rs
+++ b/crates/brassport-peers/tests/golden.rs
@@ -5,7 +5,7 @@
 //! What a clock or a draw of lots puts into the bytes is replaced by its name before they are compared.
 
 use brassport_fleet::grants::{Answer, Ask, Terms};
-use brassport_fleet::record::{self, At, Chain, What};
+use brassport_fleet::record::{self, At, Chain, Event};
 use brassport_fleet::shared::{Change, Done, Refusal, DOOR};
 use brassport_golden::{hex, json, json_of_incomparable, Fixtures};
 use brassport_leases::Why;
@@ -203,10 +203,10 @@
         |number: u64| At { process: 7, steady_ms: 10 * number, wall_ms: 1_700_000_000_000 + 10 * number };
     let mut chain = Chain::default();
     let whats = [
-        What::Began { door: "d1".into(), program: "0.2.0".into() },
-        What::Acts { version: 3, digest: "ab".repeat(32), from_admission: 1 },
-        What::Unsafe { request: "r-1".into(), node: "node-7".into(), version: 3 },
-        What::Lost { lines: 2 },
+        Event::Began { door: "d1".into(), program: "0.2.0".into() },
+        Event::Acts { version: 3, digest: "ab".repeat(32), from_admission: 1 },
+        Event::Unsafe { request: "r-1".into(), node: "node-7".into(), version: 3 },
+        Event::Lost { lines: 2 },
     ];
     let whats = whats.into_iter().enumerate();
     let made: String = whats.map(|(number, what)| chain.add(at(number as u64), what)).collect();
@@ -221,11 +221,11 @@
     assert_eq!(damaged, committed);
     assert_eq!(fs::read_to_string(&file).expect("its file"), made);
     assert_eq!(record.earlier(4), [(7, made.clone())]);
-    record.add(What::WentOn { from_admission: 20 });
+    record.add(Event::WentOn { from_admission: 20 });
     let text = fs::read_to_string(&file).expect("its file");
     let (lines, fault, ..) = record::read(&text);
     assert_eq!((lines.len(), fault), (5, None));
-    assert_eq!(chain.add(lines[4].at, What::WentOn { from_admission: 20 }), text[made.len()..]);
+    assert_eq!(chain.add(lines[4].at, Event::WentOn { from_admission: 20 }), text[made.len()..]);
     assert_eq!(record.part(0, 10_000).expect("its part"), text[made.len()..]);
 }
 
--- a/crates/brassport-process-harness/src/fleet/schedule.rs
+++ b/crates/brassport-process-harness/src/fleet/schedule.rs
@@ -5,7 +5,7 @@
 use crate::parties::Clients;
 use brassport_checkers::fleet::{self as checkers, Event, What};
 use brassport_fleet::audit::Audit;
-use brassport_fleet::record::What as Recorded;
+use brassport_fleet::record::Event as Recorded;
 use oorandom::Rand32;
 use serde_json::Value;
 use std::collections::BTreeMap;
