--- a/crates/brassport-fleet/src/audit/mod.rs
+++ b/crates/brassport-fleet/src/audit/mod.rs
@@ -88,7 +88,7 @@
 
 /// A query; each field that is set narrows the answer.
 #[derive(Debug, Clone, Default)]
-pub struct Question {
+pub struct Query {
     /// The door's name.
     pub door: Option<String>,
     /// The version that was acted on.
@@ -148,7 +148,7 @@
     }
 
     /// The part that matches a query.
-    pub fn answer(&self, question: &Question) -> Audit {
+    pub fn answer(&self, question: &Query) -> Audit {
         let mut answer = self.clone();
         answer.spans.retain(|span| question.matches_span(span));
         answer.sent.retain(|sent| question.matches_sent(sent));
@@ -164,7 +164,7 @@
     }
 }
 
-impl Question {
+impl Query {
     fn matches_door(&self, name: &str) -> bool {
         self.door.as_ref().is_none_or(|door| door == name)
     }
--- a/crates/brassport-fleet/src/grants.rs
+++ b/crates/brassport-fleet/src/grants.rs
@@ -85,7 +85,7 @@
 
 /// A reason why a fence does not hold yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Open {
+pub enum FenceBlocker {
     /// A door may still act on an older version, unless it catches up.
     Door {
         /// The door's name.
@@ -111,17 +111,17 @@
     },
 }
 
-impl std::fmt::Display for Open {
+impl std::fmt::Display for FenceBlocker {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Open::Door { door, version: Some(version), ms } => {
+            FenceBlocker::Door { door, version: Some(version), ms } => {
                 write!(f, "{door} has version {version} and may act on it for {ms} ms")
             }
-            Open::Door { door, version: None, ms } => {
+            FenceBlocker::Door { door, version: None, ms } => {
                 write!(f, "{door} has not told its version since this leader began, and may act for {ms} ms")
             }
-            Open::Earlier { door, ms } => write!(f, "an earlier process of {door} may act for {ms} ms"),
-            Open::Voter { voter, door } => write!(
+            FenceBlocker::Earlier { door, ms } => write!(f, "an earlier process of {door} may act for {ms} ms"),
+            FenceBlocker::Voter { voter, door } => write!(
                 f,
                 "voter {voter} is silent and may have let {door} go on: bring either back, or `leave` the one that is dead"
             ),
@@ -267,7 +267,13 @@
 
     /// Why a fence at this version does not hold yet; empty once no door acts on an older one. `voters` are all but this
     /// leader.
-    pub fn fence(&self, now: Millis, version: u64, shared: &Shared, voters: &BTreeSet<u64>) -> Vec<Open> {
+    pub fn fence(
+        &self,
+        now: Millis,
+        version: u64,
+        shared: &Shared,
+        voters: &BTreeSet<u64>,
+    ) -> Vec<FenceBlocker> {
         let mut open = Vec::new();
         let unresponsive = voters.iter().find(|voter| !self.cannot_have_extended(now, **voter));
         for (door, process) in shared.doors() {
@@ -279,13 +285,13 @@
             // An earlier leader may have granted a right to this process itself.
             let until = right.until.max(if mutant!(UnresponsiveIsFenced) { 0 } else { self.earlier_until() });
             if !right.alone {
-                open.push(Open::Earlier { door, ms: right.others_until.saturating_sub(now) });
+                open.push(FenceBlocker::Earlier { door, ms: right.others_until.saturating_sub(now) });
             } else if right.version.is_some_and(|acted| acted >= version) {
                 // It reported the version, or a later one: it acts on nothing older.
             } else if until > now {
-                open.push(Open::Door { door, version: right.version, ms: until - now });
+                open.push(FenceBlocker::Door { door, version: right.version, ms: until - now });
             } else if let Some(voter) = unresponsive.filter(|_| !mutant!(VoterIgnored)) {
-                open.push(Open::Voter { voter: *voter, door });
+                open.push(FenceBlocker::Voter { voter: *voter, door });
             }
         }
         open
--- a/crates/brassport-fleet/src/shared/catch_up.rs
+++ b/crates/brassport-fleet/src/shared/catch_up.rs
@@ -6,7 +6,7 @@
 
 /// What brings a replica up to date.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Catch {
+pub enum Update {
     /// The changes that it lacks, none if it is up to date.
     Changes(Vec<Entry>),
     /// The complete state.
@@ -19,10 +19,10 @@
     ///
     /// # Errors
     /// [`Fault::Fork`] if that replica has something else as that version, and [`Fault::Stale`] if it is ahead of this one.
-    pub fn since(&self, version: u64, digest: &str) -> Result<Catch, Fault> {
+    pub fn since(&self, version: u64, digest: &str) -> Result<Update, Fault> {
         if version == self.version {
             return if digest == self.digest {
-                Ok(Catch::Changes(Vec::new()))
+                Ok(Update::Changes(Vec::new()))
             } else {
                 Err(Fault::Fork { version })
             };
@@ -32,23 +32,23 @@
             return Err(Fault::Stale { have: version, offered: self.version });
         }
         if version + 1 < first {
-            return Ok(Catch::Snapshot(Box::new(self.clone())));
+            return Ok(Update::Snapshot(Box::new(self.clone())));
         }
         let before = self.recent.iter().find(|entry| entry.version == version);
         if before.is_some_and(|entry| entry.digest != digest) {
             return Err(Fault::Fork { version });
         }
-        Ok(Catch::Changes(self.recent.iter().filter(|entry| entry.version > version).cloned().collect()))
+        Ok(Update::Changes(self.recent.iter().filter(|entry| entry.version > version).cloned().collect()))
     }
 
     /// Applies what brings this replica up to date. Each version is made again here and must have the digest that was sent.
     ///
     /// # Errors
     /// What is wrong with it; the changes before the fault are applied.
-    pub fn catch_up(&mut self, catch: Catch) -> Result<(), Fault> {
+    pub fn catch_up(&mut self, catch: Update) -> Result<(), Fault> {
         match catch {
-            Catch::Changes(entries) => entries.iter().try_for_each(|entry| self.follow(entry)),
-            Catch::Snapshot(snapshot) => {
+            Update::Changes(entries) => entries.iter().try_for_each(|entry| self.follow(entry)),
+            Update::Snapshot(snapshot) => {
                 if snapshot.version < self.version && !mutant!(StaleSnapshot) {
                     return Err(Fault::Stale { have: self.version, offered: snapshot.version });
                 }
--- a/crates/brassport-fleet/src/shared/mod.rs
+++ b/crates/brassport-fleet/src/shared/mod.rs
@@ -9,7 +9,7 @@
 mod digest;
 mod error;
 
-pub use catch_up::Catch;
+pub use catch_up::Update;
 pub use change::{Change, Done, Entry, Process, Slot, BAN, DOOR, LEASE, SETTINGS, STRICTNESS};
 pub use digest::hexadecimal;
 pub use error::{Fault, Refusal};
--- a/crates/brassport-fleet/src/standing.rs
+++ b/crates/brassport-fleet/src/standing.rs
@@ -8,7 +8,7 @@
 
 /// Why a door may not act.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum DenialReason {
     /// It was never granted a right.
     NotYet,
     /// Its right has expired and was not renewed.
@@ -26,12 +26,12 @@
 pub struct Standing {
     until: Option<Millis>,
     /// Why it may not act once the right has ended.
-    why: Why,
+    why: DenialReason,
 }
 
 impl Default for Standing {
     fn default() -> Standing {
-        Standing { until: None, why: Why::NotYet }
+        Standing { until: None, why: DenialReason::NotYet }
     }
 }
 
@@ -46,7 +46,7 @@
     pub fn granted(&mut self, now: Millis, asked: Millis, length: Millis) {
         let from = if mutant!(GrantFromResponse) { now } else { asked };
         self.until = self.until.max(Some(from + length));
-        self.why = Why::RanOut;
+        self.why = DenialReason::RanOut;
     }
 
     /// A voter without a leader extends the right, by a response that arrives now. A right that has expired by now is not
@@ -58,7 +58,7 @@
     }
 
     /// The leader refused to renew. What was granted before is valid to its end.
-    pub fn refused(&mut self, why: Why) {
+    pub fn refused(&mut self, why: DenialReason) {
         self.why = why;
     }
 
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// Why it may not.
-    pub fn may_act(&self, now: Millis) -> Result<(), Why> {
+    pub fn may_act(&self, now: Millis) -> Result<(), DenialReason> {
         match self.until {
             Some(until) if now < until => Ok(()),
             _ => Err(self.why),
--- a/crates/brassport-fleet/tests/it/audit.rs
+++ b/crates/brassport-fleet/tests/it/audit.rs
@@ -1,6 +1,6 @@
 //! Spans, unsafe requests, forks and gaps that an audit finds in the records of several doors.
 
-use brassport_fleet::audit::{Audit, Question};
+use brassport_fleet::audit::{Audit, Query};
 use brassport_fleet::clocks::Mark;
 use brassport_fleet::record::{self, At, Chain, Event, Line};
 
@@ -45,10 +45,10 @@
 fn a_request_is_found_with_its_door_node_and_version() {
     let mut audit = Audit::default();
     audit.add("a", &record(), None);
-    let answer = audit.answer(&Question { request: Some("r-1".into()), ..Question::default() });
+    let answer = audit.answer(&Query { request: Some("r-1".into()), ..Query::default() });
     assert_eq!(answer.sent.len(), 1);
     assert_eq!((answer.sent[0].version, answer.spans.len()), (3, 1));
-    assert!(audit.answer(&Question { request: Some("r-2".into()), ..Question::default() }).sent.is_empty());
+    assert!(audit.answer(&Query { request: Some("r-2".into()), ..Query::default() }).sent.is_empty());
 }
 
 #[test]
@@ -80,7 +80,7 @@
     }
     assert_eq!(audit.lost["a"][0].lines, 2);
     let between = Some((5_000_000, 5_000_100));
-    let answer = audit.answer(&Question { between, ..Question::default() });
+    let answer = audit.answer(&Query { between, ..Query::default() });
     assert_eq!(answer.spans.len(), 2, "asked by the one clock, both are found");
 }
 
--- a/crates/brassport-fleet/tests/it/golden/audit.rs
+++ b/crates/brassport-fleet/tests/it/golden/audit.rs
@@ -2,7 +2,7 @@
 
 use super::record::{at, whats};
 use super::GOLDEN;
-use brassport_fleet::audit::{Audit, Lost, Question, Sent, Span};
+use brassport_fleet::audit::{Audit, Lost, Query, Sent, Span};
 use brassport_fleet::clocks::Moment;
 use brassport_fleet::record::{At, Chain, Event};
 use brassport_golden::json;
@@ -65,7 +65,7 @@
         lost: BTreeMap::from([("d1".into(), vec![lost.clone()])]),
         forks: vec![(3, "d1".into(), "d2".into())],
     };
-    let question = Question { request: Some("r-1".into()), ..Question::default() };
+    let question = Query { request: Some("r-1".into()), ..Query::default() };
     let cases = [
         json("Moment", Moment { from_ms: i64::MIN, to_ms: i64::MAX }),
         json("Span", span),
--- a/crates/brassport-fleet/tests/it/golden/grants.rs
+++ b/crates/brassport-fleet/tests/it/golden/grants.rs
@@ -2,19 +2,19 @@
 
 use super::shared::built;
 use super::GOLDEN;
-use brassport_fleet::grants::{Answer, Ask, Grants, Open, Terms};
-use brassport_fleet::standing::{Standing, Why};
+use brassport_fleet::grants::{Answer, Ask, FenceBlocker, Grants, Terms};
+use brassport_fleet::standing::{DenialReason, Standing};
 use brassport_golden::{json, JsonCase};
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
 
 /// What may stand against a fence.
-pub fn opens() -> Vec<Open> {
+pub fn opens() -> Vec<FenceBlocker> {
     vec![
-        Open::Door { door: "d1".into(), version: Some(7), ms: 12 },
-        Open::Door { door: "d1".into(), version: None, ms: 12 },
-        Open::Earlier { door: "d2".into(), ms: 0 },
-        Open::Voter { voter: 3, door: "d1".into() },
+        FenceBlocker::Door { door: "d1".into(), version: Some(7), ms: 12 },
+        FenceBlocker::Door { door: "d1".into(), version: None, ms: 12 },
+        FenceBlocker::Earlier { door: "d2".into(), ms: 0 },
+        FenceBlocker::Voter { voter: 3, door: "d1".into() },
     ]
 }
 
@@ -61,9 +61,9 @@
     }
     for open in opens() {
         let variant = match &open {
-            Open::Door { .. } => "Door",
-            Open::Earlier { .. } => "Earlier",
-            Open::Voter { .. } => "Voter",
+            FenceBlocker::Door { .. } => "Door",
+            FenceBlocker::Earlier { .. } => "Earlier",
+            FenceBlocker::Voter { .. } => "Voter",
         };
         cases.push(json(&format!("Open::{variant}"), open.clone()));
         cases.push(json(&format!("fence, {variant}"), Some(vec![open])));
@@ -75,12 +75,12 @@
 /// A door's right is never serialized; its answers are compared as text.
 #[test]
 fn a_right_starts_and_ends_at_the_same_moments() {
-    let name = |why: Why| match why {
-        Why::NotYet => "NotYet",
-        Why::RanOut => "RanOut",
-        Why::Behind => "Behind",
-        Why::Replaced => "Replaced",
-        Why::Unknown => "Unknown",
+    let name = |why: DenialReason| match why {
+        DenialReason::NotYet => "NotYet",
+        DenialReason::RanOut => "RanOut",
+        DenialReason::Behind => "Behind",
+        DenialReason::Replaced => "Replaced",
+        DenialReason::Unknown => "Unknown",
     };
     let mut standing = Standing::default();
     let mut made = String::new();
@@ -96,7 +96,13 @@
     standing.left(1000, 900, 500);
     note("left", 1399, &standing);
     note("ran out", 1400, &standing);
-    for why in [Why::NotYet, Why::RanOut, Why::Behind, Why::Replaced, Why::Unknown] {
+    for why in [
+        DenialReason::NotYet,
+        DenialReason::RanOut,
+        DenialReason::Behind,
+        DenialReason::Replaced,
+        DenialReason::Unknown,
+    ] {
         standing.refused(why);
         note("refused", 1400, &standing);
     }
--- a/crates/brassport-fleet/tests/it/golden/shared.rs
+++ b/crates/brassport-fleet/tests/it/golden/shared.rs
@@ -1,7 +1,7 @@
 //! Changes, versions, digests and what brings a replica up to date.
 
 use super::GOLDEN;
-use brassport_fleet::shared::{self, Catch, Change, Done, Entry, Process, Refusal, Shared, Slot};
+use brassport_fleet::shared::{self, Change, Done, Entry, Process, Refusal, Shared, Slot, Update};
 use brassport_golden::json;
 use serde_json::{json as object, Value};
 use std::collections::BTreeSet;
@@ -83,9 +83,9 @@
 /// The complete state is what a snapshot of the log has and what a replica far behind applies.
 #[test]
 fn snapshots_and_catch_up_keep_their_bytes() {
-    let variant = |catch: &Catch| match catch {
-        Catch::Changes(_) => "Changes",
-        Catch::Snapshot(_) => "Whole",
+    let variant = |catch: &Update| match catch {
+        Update::Changes(_) => "Changes",
+        Update::Snapshot(_) => "Whole",
     };
     let state = built();
     // The changes at hand are no part of the form: the state that is read has none.
@@ -97,7 +97,7 @@
     let behind = state.recent().nth(5).expect("the sixth").clone();
     let last = state.since(6, &behind.digest).expect("changes");
     let none = state.since(8, state.digest()).expect("no changes");
-    let snapshot = Catch::Snapshot(Box::new(read));
+    let snapshot = Update::Snapshot(Box::new(read));
     for (number, catch) in [begin, last, none, snapshot].into_iter().enumerate() {
         let mut follower = Shared::default();
         if number != 1 && number != 2 {
@@ -117,7 +117,7 @@
     let committed = GOLDEN.same_text("log.jsonl", &state.recent().map(line).collect::<String>());
     let read = |line: &str| serde_json::from_str::<Entry>(line).expect("it is read");
     let mut follower = Shared::default();
-    follower.catch_up(Catch::Changes(committed.lines().map(read).collect())).expect("each version fits");
+    follower.catch_up(Update::Changes(committed.lines().map(read).collect())).expect("each version fits");
     assert_eq!(follower, state);
     assert_eq!(follower.bans(), BTreeSet::new());
     let doors: Vec<_> = follower.doors().collect();
--- a/crates/brassport-fleet/tests/it/mutants.rs
+++ b/crates/brassport-fleet/tests/it/mutants.rs
@@ -3,7 +3,7 @@
 use crate::simulation::play;
 use brassport_fleet::mutants::{activate, Mutant, ALL};
 use brassport_fleet::record::{read, At, Chain, Event};
-use brassport_fleet::shared::{Catch, Change, Shared};
+use brassport_fleet::shared::{Change, Shared, Update};
 
 /// Seeds within which a fault of the fence has to show.
 const SEEDS: u64 = 1500;
@@ -22,11 +22,11 @@
     let old = shared.clone();
     shared.apply(&change("b", false)).ok()?;
     let found = match mutant {
-        Mutant::StaleSnapshot => shared.catch_up(Catch::Snapshot(Box::new(old))).is_ok(),
+        Mutant::StaleSnapshot => shared.catch_up(Update::Snapshot(Box::new(old))).is_ok(),
         Mutant::ChainUnchecked => {
-            let Ok(Catch::Changes(mut changes)) = shared.since(1, old.digest()) else { return None };
+            let Ok(Update::Changes(mut changes)) = shared.since(1, old.digest()) else { return None };
             changes[0].digest = "0".into();
-            old.clone().catch_up(Catch::Changes(changes)).is_ok()
+            old.clone().catch_up(Update::Changes(changes)).is_ok()
         }
         Mutant::IdIgnored => shared.apply(&change("a", true)).is_ok_and(|done| done.version != 1),
         Mutant::ConflictIgnored => shared.apply(&Change { seen: Some(1), ..change("c", true) }).is_ok(),
--- a/crates/brassport-fleet/tests/it/shared.rs
+++ b/crates/brassport-fleet/tests/it/shared.rs
@@ -1,6 +1,6 @@
 //! The shared state: versions, digests, and what is refused.
 
-use brassport_fleet::shared::{Catch, Change, Fault, Refusal, Shared, SETTINGS, STRICTNESS};
+use brassport_fleet::shared::{Change, Fault, Refusal, Shared, Update, SETTINGS, STRICTNESS};
 use serde_json::{json, Value};
 
 fn ban(id: &str, node: &str, body: Value) -> Change {
@@ -39,13 +39,13 @@
     let (mut shared, mut late) = (with(1), with(1));
     shared.apply(&ban("off", "n0", json!(null))).expect("valid");
     let old = late.clone();
-    let Ok(Catch::Changes(changes)) = shared.since(late.version(), late.digest()) else {
+    let Ok(Update::Changes(changes)) = shared.since(late.version(), late.digest()) else {
         panic!("one change")
     };
-    late.catch_up(Catch::Changes(changes.clone())).expect("it follows");
+    late.catch_up(Update::Changes(changes.clone())).expect("it follows");
     // The same again, and the older state by another path.
-    late.catch_up(Catch::Changes(changes)).expect("nothing new");
-    assert_eq!(late.catch_up(Catch::Snapshot(Box::new(old))), Err(Fault::Stale { have: 2, offered: 1 }));
+    late.catch_up(Update::Changes(changes)).expect("nothing new");
+    assert_eq!(late.catch_up(Update::Snapshot(Box::new(old))), Err(Fault::Stale { have: 2, offered: 1 }));
     assert!(late.bans().is_empty() && late.digest() == shared.digest());
 }
 
@@ -53,7 +53,7 @@
 fn a_replica_far_behind_gets_a_snapshot_and_a_near_one_the_changes() {
     let shared = with(3000);
     let catch = |behind: &Shared| shared.since(behind.version(), behind.digest()).expect("the same fleet");
-    assert!(matches!(catch(&with(100)), Catch::Snapshot(_)));
+    assert!(matches!(catch(&with(100)), Update::Snapshot(_)));
     for from in [0, 100, 2500, 2999, 3000] {
         let mut behind = with(from);
         let update = catch(&behind);
@@ -72,10 +72,10 @@
     other.apply(&ban("c4", "n4", json!(true))).expect("valid");
     assert_eq!(shared.since(5, other.digest()), Err(Fault::Fork { version: 5 }));
     let mut behind = with(3);
-    let Ok(Catch::Changes(mut changes)) = shared.since(3, behind.digest()) else { panic!("two changes") };
+    let Ok(Update::Changes(mut changes)) = shared.since(3, behind.digest()) else { panic!("two changes") };
     changes[0].change.key = "n8".into();
-    assert_eq!(behind.catch_up(Catch::Changes(changes.clone())), Err(Fault::Fork { version: 4 }));
-    assert_eq!(behind.catch_up(Catch::Changes(changes[1..].to_vec())), Err(Fault::Gap { have: 3, next: 5 }));
+    assert_eq!(behind.catch_up(Update::Changes(changes.clone())), Err(Fault::Fork { version: 4 }));
+    assert_eq!(behind.catch_up(Update::Changes(changes[1..].to_vec())), Err(Fault::Gap { have: 3, next: 5 }));
     assert_eq!(behind.version(), 3);
 }
 
--- a/crates/brassport-fleet/tests/it/simulation/delivery.rs
+++ b/crates/brassport-fleet/tests/it/simulation/delivery.rs
@@ -3,7 +3,7 @@
 use super::model::{Door, Message, Origin};
 use super::Sim;
 use brassport_fleet::grants::{Answer, Ask};
-use brassport_fleet::standing::Why;
+use brassport_fleet::standing::DenialReason;
 
 impl Sim {
     /// Delivers all messages that have arrived.
@@ -64,7 +64,7 @@
         let Some(door) = self.running(to) else { return };
         match answer {
             Answer::Granted { length } => door.standing.granted(door.clock.at(now), asked, length),
-            Answer::Behind { .. } => door.standing.refused(Why::Behind),
+            Answer::Behind { .. } => door.standing.refused(DenialReason::Behind),
             Answer::Wait { .. } | Answer::Replaced | Answer::Unknown => {}
         }
     }
--- a/crates/brassport-fleet/tests/it/simulation/doors.rs
+++ b/crates/brassport-fleet/tests/it/simulation/doors.rs
@@ -4,7 +4,7 @@
 use super::{Sim, Violation};
 use brassport_fleet::grants::Ask;
 use brassport_fleet::shared::{Change, Process, DOOR};
-use brassport_fleet::standing::Why;
+use brassport_fleet::standing::DenialReason;
 use std::collections::BTreeMap;
 
 fn name(door: usize) -> String {
@@ -42,7 +42,7 @@
                 return Err(Violation::BehindFence { seed, now_ms, door: n, version, fence });
             }
         }
-        self.tally.stops += u32::from(may_act == Err(Why::RanOut) && local % 500 < 5);
+        self.tally.stops += u32::from(may_act == Err(DenialReason::RanOut) && local % 500 < 5);
         Ok(())
     }
 
--- a/crates/brassport-fleet/tests/it/standing.rs
+++ b/crates/brassport-fleet/tests/it/standing.rs
@@ -1,6 +1,6 @@
 //! The right of one door: from when it runs, and what extends it.
 
-use brassport_fleet::standing::{Standing, Why};
+use brassport_fleet::standing::{DenialReason, Standing};
 
 #[test]
 fn a_right_runs_from_its_request() {
@@ -8,7 +8,7 @@
     let asked = standing.ask(100);
     standing.granted(900, asked, 1000);
     assert_eq!(standing.may_act(1099), Ok(()));
-    assert_eq!(standing.may_act(1100), Err(Why::RanOut));
+    assert_eq!(standing.may_act(1100), Err(DenialReason::RanOut));
 }
 
 #[test]
@@ -23,7 +23,7 @@
 fn a_voters_extension_neither_starts_nor_revives_a_right() {
     let mut standing = Standing::default();
     standing.left(15, 10, 1000);
-    assert_eq!(standing.may_act(20), Err(Why::NotYet));
+    assert_eq!(standing.may_act(20), Err(DenialReason::NotYet));
     standing.granted(20, 20, 100);
     standing.left(119, 119, 100);
     assert_eq!(standing.until(), Some(219));
--- a/crates/brassport-peers/src/commands.rs
+++ b/crates/brassport-peers/src/commands.rs
@@ -3,8 +3,8 @@
 use crate::text::{audit_text, status_text, tasks_text, TaskView};
 use crate::{Asks, Begin, How, Verb};
 use brassport::config::{self, First};
-use brassport_fleet::audit::{Audit, Question};
-use brassport_fleet::grants::Open;
+use brassport_fleet::audit::{Audit, Query};
+use brassport_fleet::grants::FenceBlocker;
 use brassport_fleet::shared::{Change, Done, Refusal, Shared, Slot, BAN, LEASE, SETTINGS};
 use brassport_peers::call::{draw, Line, Site};
 use brassport_peers::host::{FenceAsk, Voter};
@@ -137,7 +137,7 @@
                     })?)
                 }
             };
-            let audit = gather(&asks).await?.answer(&Question { door, version, request, between });
+            let audit = gather(&asks).await?.answer(&Query { door, version, request, between });
             print(&asks, &json!(audit), |_| audit_text(&audit));
         }
         Verb::Tasks { asks } => {
@@ -262,7 +262,8 @@
     let asker = Asker::of(asks)?;
     let until = Instant::now() + Duration::from_secs_f64(wait.clamp(0.0, 86_400.0));
     loop {
-        let open: Result<Vec<Open>, String> = asker.ask("/fleet/fence", &json!(FenceAsk { version })).await;
+        let open: Result<Vec<FenceBlocker>, String> =
+            asker.ask("/fleet/fence", &json!(FenceAsk { version })).await;
         match open {
             Ok(open) if open.is_empty() => {
                 print(asks, &json!({ "fenced": version }), |_| {
--- a/crates/brassport-peers/src/door.rs
+++ b/crates/brassport-peers/src/door.rs
@@ -13,8 +13,8 @@
 use brassport_fleet::clocks::Mark;
 use brassport_fleet::grants::{Answer, Ask};
 use brassport_fleet::record::Event;
-use brassport_fleet::shared::{Catch, Change, Done, Process, Refusal, Shared, DOOR, SETTINGS};
-use brassport_fleet::standing::{Standing, Why};
+use brassport_fleet::shared::{Change, Done, Process, Refusal, Shared, Update, DOOR, SETTINGS};
+use brassport_fleet::standing::{DenialReason, Standing};
 use brassport_fleet::Millis;
 use brassport_policy::{Request, RequestId, RetrySafety};
 use oorandom::Rand32;
@@ -88,7 +88,7 @@
     }
 
     /// Sets until when it may act, and notes where that begins or ends.
-    fn set(&self, standing: &Standing, why: Option<Why>) {
+    fn set(&self, standing: &Standing, why: Option<DenialReason>) {
         self.until.store(standing.until().unwrap_or(0), Ordering::Release);
         let may = self.may_act();
         if self.stopped.swap(!may, Ordering::AcqRel) == may {
@@ -251,7 +251,7 @@
                 json!({ "version": shared.version(), "digest": shared.digest(), "wait_ms": wait_ms })
             };
             let told = tokio::select! {
-                told = self.ask::<Catch>(&lines, "/fleet/since", &ask, patience) => told,
+                told = self.ask::<Update>(&lines, "/fleet/since", &ask, patience) => told,
                 () = self.is_behind.notified() => continue,
             };
             match told {
@@ -351,11 +351,11 @@
                     if self.need.replace(*need) < *need {
                         self.is_behind.notify_one();
                     }
-                    Some(Why::Behind)
+                    Some(DenialReason::Behind)
                 }
-                Ok(Answer::Replaced) => Some(Why::Replaced),
-                Ok(Answer::Unknown) => Some(Why::Unknown),
-                Ok(Answer::Wait { .. }) => Some(Why::NotYet),
+                Ok(Answer::Replaced) => Some(DenialReason::Replaced),
+                Ok(Answer::Unknown) => Some(DenialReason::Unknown),
+                Ok(Answer::Wait { .. }) => Some(DenialReason::NotYet),
                 Err(_) => {
                     self.ask_leave(&lines, *length).await;
                     None
@@ -368,7 +368,7 @@
             if why != told {
                 told = why;
                 match why {
-                    Some(Why::Replaced) => log::write_line(format!(
+                    Some(DenialReason::Replaced) => log::write_line(format!(
                         "fleet: another process goes by the name {door}: this one stops; was its directory copied? Give \
                          one of them another name with `follow`"
                     )),
--- a/crates/brassport-peers/src/host.rs
+++ b/crates/brassport-peers/src/host.rs
@@ -324,7 +324,7 @@
             let catch = self.instance.borrow().shared().since(since.version, &since.digest);
             let left = until.saturating_sub(steady_ms());
             match catch {
-                Ok(brassport_fleet::shared::Catch::Changes(changes)) if changes.is_empty() && left > 0 => {
+                Ok(brassport_fleet::shared::Update::Changes(changes)) if changes.is_empty() && left > 0 => {
                     let _ = tokio::time::timeout(Duration::from_millis(left), changed).await;
                 }
                 Ok(catch) => return Ok(Said::json(&catch)),
--- a/crates/brassport-peers/src/instance.rs
+++ b/crates/brassport-peers/src/instance.rs
@@ -2,7 +2,7 @@
 //! leads, the ledger of doors' rights. The runtime and the tests' simulation drive the same code.
 
 use crate::log::{Disk, Log};
-use brassport_fleet::grants::{Answer, Ask, Grants, Open, Terms};
+use brassport_fleet::grants::{Answer, Ask, FenceBlocker, Grants, Terms};
 use brassport_fleet::shared::{Change, Done, Refusal, Shared};
 use brassport_fleet::Millis;
 use brassport_state::log::{Image, Write};
@@ -322,7 +322,7 @@
     }
 
     /// What stands against the word that no door acts on an older version; `None` where this one does not lead.
-    pub fn fence(&self, now: Millis, version: u64) -> Option<Vec<Open>> {
+    pub fn fence(&self, now: Millis, version: u64) -> Option<Vec<FenceBlocker>> {
         let (_, grants) = self.grants.as_ref()?;
         Some(grants.fence(now, version, &self.shared, &self.others()))
     }
