--- a/crates/brassport-fleet/src/grants.rs
+++ b/crates/brassport-fleet/src/grants.rs
@@ -22,14 +22,16 @@
     /// A voter without contact to a leader for this long extends the rights of doors.
     pub silence: Millis,
     /// How long such an extension is valid.
-    pub leave: Millis,
+    #[serde(rename = "leave")]
+    pub extension: Millis,
     /// How long a door may act without a strict change that was published.
-    pub bring_up: Millis,
+    #[serde(rename = "bring_up")]
+    pub strict_grace: Millis,
 }
 
 impl Default for Terms {
     fn default() -> Terms {
-        Terms { length: 3000, drift_permille: 10, silence: 1000, leave: 3000, bring_up: 5000 }
+        Terms { length: 3000, drift_permille: 10, silence: 1000, extension: 3000, strict_grace: 5000 }
     }
 }
 
@@ -195,7 +197,7 @@
         if mutant!(EarlierGrantsIgnored) {
             return self.elected_at;
         }
-        self.elected_at + self.terms.bound(self.terms.length.max(self.terms.leave))
+        self.elected_at + self.terms.bound(self.terms.length.max(self.terms.extension))
     }
 
     /// The shared state has changed; the time of a new strict version is noted.
@@ -211,7 +213,7 @@
 
     /// The oldest version that a door may act on now.
     pub fn needed(&self, now: Millis, shared: &Shared) -> u64 {
-        let due = self.strict_versions.iter().rev().find(|strict| now >= strict.at + self.terms.bring_up);
+        let due = self.strict_versions.iter().rev().find(|strict| now >= strict.at + self.terms.strict_grace);
         shared.fenced().max(due.map_or(0, |strict| strict.version))
     }
 
@@ -258,10 +260,10 @@
     /// Whether this voter, other than the leader, can have extended no right that is still valid: the contact with it is
     /// recent, and older than the longest extension.
     fn cannot_have_extended(&self, now: Millis, voter: u64) -> bool {
-        let Terms { silence, leave, .. } = self.terms;
+        let Terms { silence, extension, .. } = self.terms;
         self.voters.get(&voter).is_some_and(|contact| {
             now <= contact.last + self.terms.shortest(silence)
-                && now >= contact.from + self.terms.bound(leave)
+                && now >= contact.from + self.terms.bound(extension)
         })
     }
 
--- a/crates/brassport-fleet/src/standing.rs
+++ b/crates/brassport-fleet/src/standing.rs
@@ -51,7 +51,7 @@
 
     /// A voter without a leader extends the right, by a response that arrives now. A right that has expired by now is not
     /// revived, even if it was valid at the request: others may have relied on its end since.
-    pub fn left(&mut self, now: Millis, asked: Millis, length: Millis) {
+    pub fn extended(&mut self, now: Millis, asked: Millis, length: Millis) {
         if self.until.is_some_and(|until| now < until || mutant!(ExtensionRevives)) {
             self.until = self.until.max(Some(asked + length));
         }
--- a/crates/brassport-fleet/tests/it/golden/grants.rs
+++ b/crates/brassport-fleet/tests/it/golden/grants.rs
@@ -39,7 +39,10 @@
 fn requests_answers_and_open_fences_keep_their_bytes() {
     let mut cases = vec![
         json("Terms, default", Terms::default()),
-        json("Terms", Terms { length: 1, drift_permille: 2, silence: 3, leave: 4, bring_up: u64::MAX }),
+        json(
+            "Terms",
+            Terms { length: 1, drift_permille: 2, silence: 3, extension: 4, strict_grace: u64::MAX },
+        ),
         json("Ask", Ask { door: "d1".into(), process: u64::MAX, version: 8, had_one: true }),
     ];
     let answers = [
@@ -93,7 +96,7 @@
     let asked = standing.ask(100);
     standing.granted(300, asked, 1000);
     note("granted", 400, &standing);
-    standing.left(1000, 900, 500);
+    standing.extended(1000, 900, 500);
     note("left", 1399, &standing);
     note("ran out", 1400, &standing);
     for why in [
--- a/crates/brassport-fleet/tests/it/simulation/delivery.rs
+++ b/crates/brassport-fleet/tests/it/simulation/delivery.rs
@@ -70,9 +70,9 @@
     }
 
     fn on_extension(&mut self, to: Origin, asked: u64) {
-        let (now, length) = (self.now, self.terms.leave);
+        let (now, length) = (self.now, self.terms.extension);
         if let Some(door) = self.running(to) {
-            door.standing.left(door.clock.at(now), asked, length);
+            door.standing.extended(door.clock.at(now), asked, length);
             self.tally.extensions += 1;
         }
     }
--- a/crates/brassport-fleet/tests/it/simulation/mod.rs
+++ b/crates/brassport-fleet/tests/it/simulation/mod.rs
@@ -107,9 +107,9 @@
 impl Sim {
     fn new(seed: u64, door_names: usize, voters: u64) -> Sim {
         let mut random = Rand64::new(u128::from(seed));
-        let (length, silence, leave) =
+        let (length, silence, extension) =
             (random.rand_range(600..2500), random.rand_range(400..1200), random.rand_range(200..2500));
-        let terms = Terms { length, drift_permille: 100, silence, leave, bring_up: 4000 };
+        let terms = Terms { length, drift_permille: 100, silence, extension, strict_grace: 4000 };
         let door = |name| Door::first(name, name as u64 + 1, Clock::draw(&mut random, &terms));
         let doors: Vec<Door> = (0..door_names).map(door).collect();
         let voter = |_| Voter { clock: Clock::draw(&mut random, &terms), contact: 0 };
--- a/crates/brassport-fleet/tests/it/standing.rs
+++ b/crates/brassport-fleet/tests/it/standing.rs
@@ -22,12 +22,12 @@
 #[test]
 fn a_voters_extension_neither_starts_nor_revives_a_right() {
     let mut standing = Standing::default();
-    standing.left(15, 10, 1000);
+    standing.extended(15, 10, 1000);
     assert_eq!(standing.may_act(20), Err(DenialReason::NotYet));
     standing.granted(20, 20, 100);
-    standing.left(119, 119, 100);
+    standing.extended(119, 119, 100);
     assert_eq!(standing.until(), Some(219));
     // Asked in time, and answered too late.
-    standing.left(219, 218, 100);
+    standing.extended(219, 218, 100);
     assert_eq!(standing.until(), Some(219));
 }
--- a/crates/brassport-peers/src/door.rs
+++ b/crates/brassport-peers/src/door.rs
@@ -462,7 +462,7 @@
             let asked = self.standing.borrow_mut().ask(steady_ms());
             let said = line.call("/fleet/leave", b"{}".to_vec(), PATIENCE / 3).await;
             if let Ok(Ok(Some(ms))) = said.map(|said| said.read::<Option<Millis>>()) {
-                self.standing.borrow_mut().left(steady_ms(), asked, ms);
+                self.standing.borrow_mut().extended(steady_ms(), asked, ms);
             }
         }
     }
--- a/crates/brassport-peers/src/instance.rs
+++ b/crates/brassport-peers/src/instance.rs
@@ -305,7 +305,7 @@
 
     /// Lets a door go on for so long from its question, if this voter has heard of no leader for long.
     pub fn leave(&self, now: Millis) -> Option<Millis> {
-        (self.grants.is_none() && now >= self.heard + self.terms.silence).then_some(self.terms.leave)
+        (self.grants.is_none() && now >= self.heard + self.terms.silence).then_some(self.terms.extension)
     }
 
     /// This voter took this leader's word that was sent at `sent`, as of the same term.
--- a/crates/brassport-peers/src/main.rs
+++ b/crates/brassport-peers/src/main.rs
@@ -204,7 +204,7 @@
     fn terms(&self) -> Terms {
         let usual = Terms::default();
         let part = |of: u64| of * self.valid_ms / usual.length;
-        Terms { length: self.valid_ms, silence: part(usual.silence), leave: self.valid_ms, ..usual }
+        Terms { length: self.valid_ms, silence: part(usual.silence), extension: self.valid_ms, ..usual }
     }
 }
 
--- a/crates/brassport-peers/tests/golden.rs
+++ b/crates/brassport-peers/tests/golden.rs
@@ -142,7 +142,7 @@
         through: vec![address("192.0.2.2:7000"), address("[2001:db8::1]:7000")],
         routes: BTreeMap::from([(2, address("127.0.0.1:7002"))]),
         told: BTreeMap::from([(3, address("192.0.2.3:7000"))]),
-        terms: Terms { length: 1, drift_permille: 2, silence: 3, leave: 4, bring_up: 5 },
+        terms: Terms { length: 1, drift_permille: 2, silence: 3, extension: 4, strict_grace: 5 },
     }
 }
 
