--- a/crates/brassport-leases/src/event.rs
+++ b/crates/brassport-leases/src/event.rs
@@ -55,7 +55,7 @@
 
 /// Why a process may not act.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Why {
+pub enum NoPermitReason {
     /// Another process has the lease: the name of its instance.
     HeldBy(String),
     /// An earlier holder's permit may still run.
--- a/crates/brassport-leases/src/lib.rs
+++ b/crates/brassport-leases/src/lib.rs
@@ -34,7 +34,7 @@
 pub mod schedule;
 mod task;
 
-pub use event::{Action, Event, Outcome, Why};
+pub use event::{Action, Event, NoPermitReason, Outcome};
 pub use lease::{Lease, Terms};
 pub use task::{Permit, Task};
 
--- a/crates/brassport-leases/src/task.rs
+++ b/crates/brassport-leases/src/task.rs
@@ -1,6 +1,6 @@
 //! One process's state machine for one task: acquire the lease, renew it, release it.
 
-use crate::event::{Action, Event, Outcome, Why};
+use crate::event::{Action, Event, NoPermitReason, Outcome};
 use crate::lease::{Lease, Terms};
 use crate::mutants::mutant;
 use crate::Millis;
@@ -112,12 +112,12 @@
     }
 
     /// Why it may not act. Meaningful only while [`Task::permit`] returns none.
-    pub fn why(&self, now: Millis) -> Why {
+    pub fn why(&self, now: Millis) -> NoPermitReason {
         match self.lease() {
-            _ if !self.wants => Why::NotWanted,
-            Some(lease) if lease.held && !self.is_mine(lease) => Why::HeldBy(lease.holder.clone()),
-            _ if now < self.free_from() => Why::Waits,
-            _ => Why::Asks,
+            _ if !self.wants => NoPermitReason::NotWanted,
+            Some(lease) if lease.held && !self.is_mine(lease) => NoPermitReason::HeldBy(lease.holder.clone()),
+            _ if now < self.free_from() => NoPermitReason::Waits,
+            _ => NoPermitReason::Asks,
         }
     }
 
--- a/crates/brassport-leases/tests/it/golden.rs
+++ b/crates/brassport-leases/tests/it/golden.rs
@@ -4,7 +4,7 @@
 //! The fixtures lie in `tests/golden/`. They are written only with `GOLDEN_WRITE=1`, and the test that writes one fails.
 
 use brassport_golden::{json, Fixtures};
-use brassport_leases::{Action, Event, Lease, Outcome, Task, Terms, Why};
+use brassport_leases::{Action, Event, Lease, NoPermitReason, Outcome, Task, Terms};
 
 const GOLDEN: Fixtures = Fixtures::of(env!("CARGO_MANIFEST_DIR"));
 
@@ -28,12 +28,17 @@
         json("Lease, held", lease()),
         json("Lease, given up", Lease { held: false, next: Some("i2".into()), begun_for: 0, ..lease() }),
     ];
-    for why in [Why::HeldBy("i2".into()), Why::Waits, Why::Asks, Why::NotWanted] {
+    for why in [
+        NoPermitReason::HeldBy("i2".into()),
+        NoPermitReason::Waits,
+        NoPermitReason::Asks,
+        NoPermitReason::NotWanted,
+    ] {
         let variant = match &why {
-            Why::HeldBy(_) => "HeldBy",
-            Why::Waits => "Waits",
-            Why::Asks => "Asks",
-            Why::NotWanted => "NotWanted",
+            NoPermitReason::HeldBy(_) => "HeldBy",
+            NoPermitReason::Waits => "Waits",
+            NoPermitReason::Asks => "Asks",
+            NoPermitReason::NotWanted => "NotWanted",
         };
         cases.push(json(&format!("Why::{variant}"), why));
     }
--- a/crates/brassport-leases/tests/it/task.rs
+++ b/crates/brassport-leases/tests/it/task.rs
@@ -1,6 +1,6 @@
 //! Behaviour of one process's state machine.
 
-use brassport_leases::{Action, Event, Lease, Millis, Outcome, Task, Terms, Why};
+use brassport_leases::{Action, Event, Lease, Millis, NoPermitReason, Outcome, Task, Terms};
 
 /// By how much tokens rise with each recovery.
 const TOKENS_PER_RECOVERY: u64 = 1 << 32;
@@ -42,7 +42,7 @@
     task.handle(5000, seen(5));
     task.handle(5900, seen(6));
     assert_eq!(task.handle(6999, Event::Tick), []);
-    assert_eq!(task.why(6999), Why::HeldBy("a".into()));
+    assert_eq!(task.why(6999), NoPermitReason::HeldBy("a".into()));
     let [Action::Publish { seen, lease }] = &task.handle(7000, Event::Tick)[..] else { panic!("no request") };
     assert_eq!((*seen, lease.token, lease.holder.as_str()), (6, 2, "b"));
 }
--- a/crates/brassport-peers/src/tasks.rs
+++ b/crates/brassport-peers/src/tasks.rs
@@ -9,7 +9,7 @@
 use brassport::log;
 use brassport_fleet::shared::{Change, Done, Refusal, Shared, LEASE};
 use brassport_leases::schedule;
-use brassport_leases::{Action, Event, Lease, Outcome, Permit, Task, Terms, Why};
+use brassport_leases::{Action, Event, Lease, NoPermitReason, Outcome, Permit, Task, Terms};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use std::cell::RefCell;
@@ -69,7 +69,7 @@
 pub struct Report {
     /// With which token it acts now, or why it does not.
     pub acts: Option<u64>,
-    pub why: Option<Why>,
+    pub why: Option<NoPermitReason>,
     /// What it did last.
     pub last: String,
 }
--- a/crates/brassport-peers/tests/golden.rs
+++ b/crates/brassport-peers/tests/golden.rs
@@ -8,7 +8,7 @@
 use brassport_fleet::record::{self, At, Chain, Event};
 use brassport_fleet::shared::{Change, Done, Refusal, DOOR};
 use brassport_golden::{hex, json, json_of_incomparable, Fixtures};
-use brassport_leases::Why;
+use brassport_leases::NoPermitReason;
 use brassport_peers::call::{serve, skew_wall_clock, wall_ms, Answers, Line, Said, Site};
 use brassport_peers::host::{Clock, FenceAsk, Host, Shipped, Voter};
 use brassport_peers::identity::{self, Identity};
@@ -104,8 +104,8 @@
             &Shipped { door: "d1".into(), process: u64::MAX, from: 40, text: "{}\n".into() },
         ),
         json("Report, acts", report(Some(3), None)),
-        json("Report, does not", report(None, Some(Why::HeldBy("i2".into())))),
-        json("reports", BTreeMap::from([("task-1".to_string(), report(None, Some(Why::Waits)))])),
+        json("Report, does not", report(None, Some(NoPermitReason::HeldBy("i2".into())))),
+        json("reports", BTreeMap::from([("task-1".to_string(), report(None, Some(NoPermitReason::Waits)))])),
         json("Wish", Wish { off: true, hand_over_to: Some("i2".into()) }),
         json("Wish, default", Wish::default()),
     ];
