--- a/crates/brassport-fleet/src/audit/gather.rs
+++ b/crates/brassport-fleet/src/audit/gather.rs
@@ -1,14 +1,14 @@
-//! The records of many doors, from parts that may overlap, on one clock.
+//! Combines records of many doors, from parts that may overlap, with times on one clock.
 
 use super::Audit;
 use crate::clocks::Clocks;
 use crate::record::{self, Event, Fault, Line};
 use std::collections::BTreeMap;
 
-/// The lines of one door, by process and number.
+/// The lines of one door's record, by process and line number.
 type LinesByProcess = BTreeMap<u64, BTreeMap<u64, Line>>;
 
-/// Parts of records, each line once.
+/// The parts of all records, without duplicate lines.
 #[derive(Default)]
 struct Parts<'a> {
     doors: BTreeMap<&'a str, LinesByProcess>,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The readings of clocks in all lines.
+    /// The aligned clock readings from all lines.
     fn clocks(&self) -> Clocks {
         let mut clocks = Clocks::default();
         for line in self.doors.values().flat_map(BTreeMap::values).flat_map(BTreeMap::values) {
@@ -41,7 +41,7 @@
 }
 
 impl Audit {
-    /// Adds parts of many doors' records, each with its door; the same lines may be in several parts.
+    /// Adds parts of many doors' records, each as the door's name and the text. Several parts may contain the same lines.
     pub fn gather<'a>(&mut self, parts: impl Iterator<Item = (&'a str, &'a str)>) {
         let mut gathered = Parts::default();
         parts.for_each(|(door, text)| gathered.add(door, text));
@@ -50,7 +50,7 @@
         for (door, processes) in gathered.doors {
             let processes = in_order(processes, &clocks);
             if processes.iter().any(|lines| has_gap(lines)) {
-                self.missing(door, "lines between two that are known are not there");
+                self.missing(door, "lines are missing between two known lines");
             }
             self.add(door, &processes.concat(), gathered.faults.get(door));
         }
@@ -58,7 +58,7 @@
         for instance in clocks.jumped() {
             self.missing(
                 instance,
-                "its wall clock jumped: what only doors near it tell is on their own clocks",
+                "its wall clock jumped: times of doors that read only this clock are on the doors' own clocks",
             );
         }
     }
@@ -73,7 +73,8 @@
     }
 }
 
-/// The lines of each process, in the order in which the processes began, as far as the clocks relate them.
+/// The lines of each process, in the order in which the processes started: by the common clock where a reading relates the
+/// process to it, and by the process's own wall clock otherwise.
 fn in_order(processes: LinesByProcess, clocks: &Clocks) -> Vec<Vec<Line>> {
     let began_ms = |lines: &Vec<Line>| {
         let at = lines.first()?.at;
--- a/crates/brassport-fleet/src/audit/mod.rs
+++ b/crates/brassport-fleet/src/audit/mod.rs
@@ -1,4 +1,4 @@
-//! Answers from the records of many doors: which acted on which version, when, and what is unknown.
+//! Queries over the records of many doors: which door acted on which version and when, and which information is missing.
 
 mod gather;
 mod spans;
@@ -9,84 +9,84 @@
 use spans::SpanBuilder;
 use std::collections::BTreeMap;
 
-/// A span in which one process of a door acted on one version. Ends are exclusive.
+/// A period in which one process of a door acted on one version. Ends are exclusive.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Span {
     /// The door's name.
     pub door: String,
-    /// The number that its process drew at its start.
+    /// The identifier of its process: a random number drawn at the process's start.
     pub process: u64,
     /// The version that it acted on.
     pub version: u64,
     /// The digest of that version.
     pub digest: String,
-    /// The number of the first admission, and of the first one behind it: `None` if unknown, as nothing was recorded after
-    /// it.
+    /// The number of the first request admitted in the span, and of the first one after the span: `None` if the record does not
+    /// tell where the span ended.
     pub admissions: (u64, Option<u64>),
-    /// Beginning and end on the process's own monotonic clock.
+    /// Start and end on the process's own monotonic clock; `None` if the end is unknown.
     pub steady_ms: (u64, Option<u64>),
-    /// Its beginning on the process's wall clock, in Unix milliseconds.
+    /// The start on the process's wall clock, in Unix milliseconds.
     pub wall_ms: u64,
-    /// Its beginning on the clock of [`Audit::clock`].
+    /// The start on the clock of the instance [`Audit::clock`]; `None` if no reading relates the process to it.
     #[serde(default)]
     pub began: Option<Moment>,
-    /// Why it ended, if a later line says so.
+    /// Why the span ended; `None` if no later line ends it.
     pub ended: Option<String>,
 }
 
-/// A request that is not idempotent and was about to be sent.
+/// A non-idempotent request, recorded just before it was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sent {
     /// The door's name.
     pub door: String,
     /// The request's identifier.
     pub request: String,
-    /// The node that it was sent to.
+    /// The node that the request was sent to.
     pub node: String,
     /// The version under which the node was chosen.
     pub version: u64,
-    /// The number that the door's process drew at its start.
+    /// The identifier of the door's process: a random number drawn at the process's start.
     pub process: u64,
-    /// When, on the process's own monotonic clock.
+    /// The time of the line, in milliseconds on the process's own monotonic clock.
     pub steady_ms: u64,
-    /// When, on the process's wall clock, in Unix milliseconds.
+    /// The time of the line on the process's wall clock, in Unix milliseconds.
     pub wall_ms: u64,
-    /// When, on the clock of [`Audit::clock`].
+    /// The time of the line on the clock of the instance [`Audit::clock`]; `None` if no reading relates the process to it.
     #[serde(default)]
     pub at: Option<Moment>,
 }
 
-/// Lines of a record that could not be written, as when the disk was full.
+/// Lines of a record that could not be written, for example because the disk was full.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lost {
-    /// The number that the door's process drew at its start.
+    /// The identifier of the door's process: a random number drawn at the process's start.
     pub process: u64,
-    /// How many lines.
+    /// The number of lines.
     pub lines: u64,
-    /// The time of the first line after them, in Unix milliseconds on the process's wall clock.
+    /// The time of the first line written after the lost ones, in Unix milliseconds on the process's wall clock.
     pub before_wall_ms: u64,
 }
 
-/// What the records of a fleet say together.
+/// The combined contents of the records of a fleet.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Audit {
-    /// Spans in which doors acted, by door and in their order.
+    /// Periods in which doors acted, grouped by door, each door's in order of time.
     pub spans: Vec<Span>,
-    /// Requests that are not idempotent, by door and in their order.
+    /// Non-idempotent requests, grouped by door, each door's in order of time.
     pub sent: Vec<Sent>,
-    /// What is wrong with a door's record or missing from it, by door.
+    /// Descriptions of faults in records and of missing parts, by the name of the door or instance.
     pub unknown: BTreeMap<String, String>,
-    /// The instance on whose wall clock moments are given; without one each is on its door's own.
+    /// The instance whose wall clock is the common one; `None`: all times are on the doors' own clocks.
     #[serde(default)]
     pub clock: Option<String>,
-    /// Lines that a door could not write, as when its disk was full, by door.
+    /// Lines that could not be written, by door.
     #[serde(default)]
     pub lost: BTreeMap<String, Vec<Lost>>,
-    /// Versions with different digests at two doors: the version and the doors.
+    /// Versions that have different digests at two doors: the version and the names of both doors.
     pub forks: Vec<(u64, String, String)>,
 }
 
-/// A query; each field that is set narrows the answer.
+/// A query over an [`Audit`]; each field that is set narrows the answer.
 #[derive(Debug, Clone, Default)]
 pub struct Query {
     /// The door's name.
@@ -95,12 +95,14 @@
     pub version: Option<u64>,
     /// A request's identifier.
     pub request: Option<String>,
-    /// Unix milliseconds, inclusive: on the clock of [`Audit::clock`], or on the door's own if that is unknown.
+    /// A period in Unix milliseconds, both ends inclusive: on the clock of the instance [`Audit::clock`] where the door's times
+    /// are known on it, and on the door's own wall clock otherwise.
     pub between: Option<(u64, u64)>,
 }
 
 impl Audit {
-    /// Adds a door's record. `door` is the name by which it was requested.
+    /// Adds the lines of a door's record and the fault that ended it, if any. `door` is the name under which the record was
+    /// requested.
     pub fn add(&mut self, door: &str, lines: &[Line], fault: Option<&Fault>) {
         if let Some(fault) = fault {
             self.unknown.insert(door.into(), format!("{fault}; what comes behind it is not known"));
@@ -131,7 +133,7 @@
         self.find_forks();
     }
 
-    /// Notes that this door's record could not be read.
+    /// Records that a record could not be read or is incomplete, and why. `door` is the name of a door or an instance.
     pub fn missing(&mut self, door: &str, why: &str) {
         self.unknown.insert(door.into(), why.into());
     }
@@ -147,19 +149,19 @@
         }
     }
 
-    /// The part that matches a query.
-    pub fn answer(&self, question: &Query) -> Audit {
+    /// The part of the audit that matches `query`.
+    pub fn answer(&self, query: &Query) -> Audit {
         let mut answer = self.clone();
-        answer.spans.retain(|span| question.matches_span(span));
-        answer.sent.retain(|sent| question.matches_sent(sent));
-        if question.request.is_some() {
+        answer.spans.retain(|span| query.matches_span(span));
+        answer.sent.retain(|sent| query.matches_sent(sent));
+        if query.request.is_some() {
             let sent = &answer.sent;
-            let chose =
+            let chosen_in =
                 |span: &Span| sent.iter().any(|sent| sent.door == span.door && sent.version == span.version);
-            answer.spans.retain(chose);
+            answer.spans.retain(chosen_in);
         }
-        answer.unknown.retain(|name, _| question.matches_door(name));
-        answer.lost.retain(|name, _| question.matches_door(name));
+        answer.unknown.retain(|name, _| query.matches_door(name));
+        answer.lost.retain(|name, _| query.matches_door(name));
         answer
     }
 }
@@ -175,10 +177,10 @@
 
     fn matches_span(&self, span: &Span) -> bool {
         let overlaps = |(from, to): (u64, u64)| {
-            let began = WallBounds::of(span.began, span.wall_ms);
-            let lasted = span.steady_ms.1.map(|end| end - span.steady_ms.0);
-            // A span without an end may have lasted until now.
-            began.earliest_ms <= to && lasted.is_none_or(|lasted| began.latest_ms + lasted >= from)
+            let start = WallBounds::of(span.began, span.wall_ms);
+            let duration = span.steady_ms.1.map(|end| end - span.steady_ms.0);
+            // A span without a known end may last until now.
+            start.earliest_ms <= to && duration.is_none_or(|duration| start.latest_ms + duration >= from)
         };
         self.matches_door(&span.door)
             && self.matches_version(span.version)
@@ -197,14 +199,14 @@
     }
 }
 
-/// Bounds of a moment, in Unix milliseconds.
+/// Bounds of a time, in Unix milliseconds.
 struct WallBounds {
     earliest_ms: u64,
     latest_ms: u64,
 }
 
 impl WallBounds {
-    /// Those of the moment if it is known, and else the door's own wall clock.
+    /// The bounds of `moment` if it is known, and otherwise the exact time on the door's own wall clock.
     fn of(moment: Option<Moment>, wall_ms: u64) -> WallBounds {
         let unsigned = |ms: i64| ms.try_into().unwrap_or(0);
         moment.map_or(WallBounds { earliest_ms: wall_ms, latest_ms: wall_ms }, |moment| WallBounds {
--- a/crates/brassport-fleet/src/audit/spans.rs
+++ b/crates/brassport-fleet/src/audit/spans.rs
@@ -1,4 +1,4 @@
-//! Spans from the lines of one door's record.
+//! Derives spans from the lines of one door's record.
 
 use super::Span;
 use crate::record::{At, Event, Line};
@@ -6,7 +6,7 @@
 /// Builds the spans of one door, line by line.
 pub(super) struct SpanBuilder<'a> {
     door: &'a str,
-    /// The span that the door is in. While the door has stopped it is empty: its two admissions are the same.
+    /// The current span. While the door has stopped, the span is empty: its first and last admission numbers are equal.
     open: Option<Span>,
     ended: Vec<Span>,
 }
@@ -16,16 +16,16 @@
         SpanBuilder { door, open: None, ended: Vec::new() }
     }
 
-    /// Reads the next line.
+    /// Processes the next line of the record.
     pub(super) fn step(&mut self, line: &Line) {
         match &line.what {
-            Event::Began { .. } => self.end(line.at, None, "the process ended without a word"),
+            Event::Began { .. } => self.end(line.at, None, "the process ended without recording it"),
             Event::Acts { version, digest, from_admission } => {
                 self.end(line.at, Some(*from_admission), "a newer version");
                 self.begin(line.at, *version, digest, *from_admission);
             }
             Event::Stopped { why, from_admission } => {
-                // The door keeps the version, and acts on nothing until it goes on.
+                // The door keeps its version, but does not act until it resumes.
                 let stopped = self.open.clone();
                 self.end(line.at, Some(*from_admission), why);
                 let admissions = (*from_admission, Some(*from_admission));
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The spans of all lines. One that is still empty at the end is left out.
+    /// The spans from all lines. The current span is omitted if it is empty because the door has stopped.
     pub(super) fn finish(self) -> impl Iterator<Item = Span> {
         let open = self.open.filter(|span| span.admissions.1.is_none());
         self.ended.into_iter().chain(open)
@@ -63,7 +63,7 @@
 
     fn end(&mut self, at: At, admission: Option<u64>, why: &str) {
         if let Some(mut span) = self.open.take() {
-            // A process that ended without a line of its own left no end: that of its successor is on another clock.
+            // A process that ended without recording it has no known end: its successor's line is on another monotonic clock.
             let is_same = span.process == at.process;
             span.admissions.1 = admission.filter(|_| is_same);
             span.steady_ms.1 = is_same.then_some(at.steady_ms);
--- a/crates/brassport-fleet/src/clocks.rs
+++ b/crates/brassport-fleet/src/clocks.rs
@@ -1,14 +1,16 @@
-//! One clock for the records of many doors: the time of a recorded event on the clock of one instance, with bounds.
+//! Converts the times in the records of many doors to the clock of one instance, with error bounds.
 //!
-//! Doors' wall clocks disagree and jump. So each door reads the clocks of instances now and then and records the reading as a
-//! [`Mark`]: it was taken between the request and the arrival of the response, whatever the door's own clock says. The bounds
-//! widen with the distance from the reading, by the drift between two monotonic clocks.
+//! The doors' wall clocks disagree and jump. Therefore each door periodically reads the clocks of instances and records each
+//! reading as a [`Mark`]. The instance read its clock at some time between the door's request and the arrival of the response,
+//! which bounds the reading independently of the door's wall clock. The bounds widen with the distance from the reading, by
+//! the drift between two monotonic clocks.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most by which two monotonic clocks drift apart, in thousandths: the default of the leases of the fleet.
+/// The largest relative drift between two monotonic clocks, in thousandths; equals the default of
+/// [`crate::grants::Terms::drift_permille`].
 const DRIFT_PERMILLE: i64 = 10;
 
 /// A reading of an instance's clock.
@@ -18,16 +20,16 @@
     pub by: String,
     /// Its wall clock when it answered, in Unix milliseconds.
     pub said_ms: u64,
-    /// From the request to the arrival of the response, in milliseconds on the door's monotonic clock.
+    /// The round-trip time of the request, in milliseconds on the door's monotonic clock.
     pub took_ms: Millis,
 }
 
-/// Bounds of a moment on one instance's wall clock, in Unix milliseconds.
+/// Bounds of a time on one instance's wall clock, in Unix milliseconds; both are inclusive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Moment {
-    /// The earliest that it may have been.
+    /// The lower bound.
     pub from_ms: i64,
-    /// The latest that it may have been.
+    /// The upper bound.
     pub to_ms: i64,
 }
 
@@ -36,46 +38,47 @@
         self.to_ms - self.from_ms
     }
 
-    /// What is in both bounds; of negative width if nothing is.
+    /// The overlap of both intervals; its width is negative if they are disjoint.
     fn intersection(self, other: Moment) -> Moment {
         Moment { from_ms: self.from_ms.max(other.from_ms), to_ms: self.to_ms.min(other.to_ms) }
     }
 
+    /// Adds an offset that is itself known only within bounds.
     fn shifted(self, by: Moment) -> Moment {
         Moment { from_ms: self.from_ms + by.from_ms, to_ms: self.to_ms + by.to_ms }
     }
 }
 
-/// A reading and when it arrived, on the reader's monotonic clock.
+/// A clock reading and its arrival time on the reader's monotonic clock.
 #[derive(Debug, Clone)]
 struct Reading {
     at: Millis,
     mark: Mark,
 }
 
-/// The readings of all processes together.
+/// The clock readings of all processes.
 #[derive(Debug, Clone, Default)]
 pub struct Clocks {
-    /// By process.
+    /// In the order in which they were added, by process.
     readings: BTreeMap<u64, Vec<Reading>>,
-    /// The instance on whose clock moments are given.
+    /// The instance whose clock is the common one.
     reference: Option<String>,
-    /// Bounds of what is to be added to another instance's clock to get the reference's.
+    /// Bounds of the offset to add to another instance's clock to get the reference's.
     offsets: BTreeMap<String, Moment>,
     /// Instances whose readings contradict those of the reference: one of the two clocks jumped.
     jumped: Vec<String>,
 }
 
 impl Clocks {
-    /// Adds a reading by this process, which arrived at `steady_ms` of its monotonic clock.
+    /// Adds a reading by this process that arrived at `steady_ms` on its monotonic clock.
     pub fn add(&mut self, process: u64, steady_ms: Millis, mark: Mark) {
         self.readings.entry(process).or_default().push(Reading { at: steady_ms, mark });
     }
 
-    /// Chooses the reference, the instance that most processes have read, and bounds the other clocks' offsets from it.
+    /// Chooses the instance that most processes have read as the reference, and bounds the offsets of the other clocks from it.
     pub fn align(&mut self) {
         let readers = self.reader_counts();
-        // Of several read by as many, the first by name: the same records always give the same reference.
+        // Ties go to the first name, so that the same records always give the same reference.
         let most = readers.iter().max_by_key(|(name, count)| (**count, std::cmp::Reverse(**name)));
         let Some(reference) = most.map(|(name, _)| name.to_string()) else {
             self.reference = None;
@@ -106,17 +109,17 @@
         counts
     }
 
-    /// The instance on whose clock moments are given: `None` before [`Clocks::align`] and without any reading.
+    /// The instance whose clock is the common one: `None` before [`Clocks::align`], or if there are no readings.
     pub fn reference(&self) -> Option<&str> {
         self.reference.as_deref()
     }
 
-    /// Instances whose clock, or the reference's, jumped between two readings.
+    /// Instances with contradictory readings: their clock, or the reference's, jumped between two of them.
     pub fn jumped(&self) -> &[String] {
         &self.jumped
     }
 
-    /// A moment of a process's monotonic clock, on the reference's clock; `None` if no reading relates the two.
+    /// Converts a time on a process's monotonic clock to the reference's clock; `None` if no reading relates the two.
     pub fn moment(&self, process: u64, steady_ms: Millis) -> Option<Moment> {
         let reference = self.reference.as_deref()?;
         let by_reading = |reading: &Reading| {
@@ -131,30 +134,33 @@
 }
 
 impl Reading {
-    /// A moment of the reader's monotonic clock, on the clock of the instance that was read.
+    /// Converts a time on the reader's monotonic clock to the clock of the instance that was read.
     fn bounds(&self, steady_ms: Millis) -> Moment {
         let after = steady_ms as i64 - self.at as i64;
         let took = self.mark.took_ms as i64;
-        // Rounded up, and a millisecond more at each end, because all clocks give whole ones.
+        // Rounded up, plus a millisecond at each end, because all clocks have a resolution of one millisecond.
         let slack = (after.abs() + took) * DRIFT_PERMILLE / 1000 + 2;
         let said = self.mark.said_ms as i64 + after;
         Moment { from_ms: said - slack, to_ms: said + took + slack }
     }
 }
 
-/// Bounds of the offset of the reference's clock from another instance's, by each reading of the other one and the reading
-/// of the reference next to it by the same process.
+/// Bounds of the offset of the reference's clock from that of `other`: one for each reading of `other`, paired with the
+/// nearest reading of the reference by the same process.
 fn offset_bounds<'a>(
     readings: &'a [Reading],
     reference: &'a str,
     other: &'a str,
 ) -> impl Iterator<Item = Moment> + 'a {
-    let of = move |name: &'a str| readings.iter().filter(move |reading| reading.mark.by == name);
-    of(other).flat_map(move |reading| {
-        let nearest = of(reference).min_by_key(|by_reference| by_reference.at.abs_diff(reading.at));
+    let readings_of = move |name: &'a str| readings.iter().filter(move |reading| reading.mark.by == name);
+    readings_of(other).flat_map(move |reading| {
+        let nearest = readings_of(reference).min_by_key(|by_reference| by_reference.at.abs_diff(reading.at));
         nearest.map(|by_reference| {
-            let (ours, theirs) = (by_reference.bounds(reading.at), reading.bounds(reading.at));
-            Moment { from_ms: ours.from_ms - theirs.to_ms, to_ms: ours.to_ms - theirs.from_ms }
+            let (on_reference, on_other) = (by_reference.bounds(reading.at), reading.bounds(reading.at));
+            Moment {
+                from_ms: on_reference.from_ms - on_other.to_ms,
+                to_ms: on_reference.to_ms - on_other.from_ms,
+            }
         })
     })
 }
--- a/crates/brassport-fleet/src/grants.rs
+++ b/crates/brassport-fleet/src/grants.rs
@@ -1,7 +1,11 @@
 //! The leader's table of rights to act: which doors may still act, on which version, and whether a fence holds.
 //!
-//! It requires that the host lets the leader answer a door only if a majority confirmed its leadership after the door's
-//! request (a read through the log), and that clocks of the fleet drift by [`Terms::drift_permille`] at most.
+//! A change with a fence makes the leader report whether any door may still act on an older version. The fence holds once no
+//! door may.
+//!
+//! The table relies on two conditions. The host lets the leader answer a door's request only after a majority has confirmed
+//! its leadership since that request arrived (a linearizable read). And no two clocks of the fleet drift apart by more than
+//! [`Terms::drift_permille`].
 
 use crate::mutants::mutant;
 use crate::shared::Shared;
@@ -9,22 +13,22 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Strict versions whose time of arrival is kept, at most: a bound on memory. Older ones are due already.
+/// The maximum number of strict versions whose time of arrival is kept, to bound memory. Older ones are due already.
 const STRICT_VERSIONS_KEPT: usize = 1024;
 
-/// Durations in milliseconds, the same at all instances.
+/// Durations in milliseconds, which must be the same at all instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Terms {
     /// How long a door's right is valid from its request.
     pub length: Millis,
-    /// By how much two clocks may drift apart, in thousandths.
+    /// The maximum relative drift between two clocks, in thousandths.
     pub drift_permille: u64,
-    /// A voter without contact to a leader for this long extends the rights of doors.
+    /// How long a voter must have had no contact with a leader before it extends the rights of doors.
     pub silence: Millis,
-    /// How long such an extension is valid.
+    /// How long an extension by a voter is valid from its request.
     #[serde(rename = "leave")]
     pub extension: Millis,
-    /// How long a door may act without a strict change that was published.
+    /// How long a door may act on versions without a strict change after that change was published.
     #[serde(rename = "bring_up")]
     pub strict_grace: Millis,
 }
@@ -36,13 +40,13 @@
 }
 
 impl Terms {
-    /// The longest that a span on another clock can take on this one.
+    /// The longest that `span` on another clock can take on this clock.
     pub fn bound(&self, span: Millis) -> Millis {
         let drift = if mutant!(NoDrift) { 0 } else { self.drift_permille };
         span + span * drift / 1000 + 1
     }
 
-    /// The shortest that a span on another clock can take on this one.
+    /// The shortest that `span` on another clock can take on this clock.
     fn shortest(&self, span: Millis) -> Millis {
         span - span * self.drift_permille / 1000
     }
@@ -53,11 +57,11 @@
 pub struct Ask {
     /// The door's name.
     pub door: String,
-    /// The number that its process drew at its start.
+    /// The identifier of its process: a random number drawn at the process's start.
     pub process: u64,
-    /// The version that it acts on from now on, or a later one.
+    /// The version that it acts on: from the request on, it acts on no older one.
     pub version: u64,
-    /// Whether this process was granted a right before.
+    /// Whether a leader has granted this process a right before.
     pub had_one: bool,
 }
 
@@ -66,22 +70,22 @@
 pub enum Answer {
     /// The door may act.
     Granted {
-        /// For how long, from its request.
+        /// How long the right is valid from the door's request.
         length: Millis,
     },
-    /// The door has to catch up first.
+    /// The door must catch up before it may act.
     Behind {
         /// The oldest version that it may act on.
         need: u64,
     },
-    /// Another process of the name may still act.
+    /// Another process with the door's name may still act.
     Wait {
-        /// For how long; 0: until there was contact with every voter.
+        /// How long that process may still act; 0: until the leader has had contact with every voter for long enough.
         ms: Millis,
     },
-    /// Another process has taken over the name.
+    /// Another process has taken over the door's name.
     Replaced,
-    /// The fleet has no such member.
+    /// The door is not a member of the fleet.
     Unknown,
 }
 
@@ -92,19 +96,19 @@
     Door {
         /// The door's name.
         door: String,
-        /// The version that it reported last, if it did since this leader's election.
+        /// The version that it reported last; `None` if it has reported none since this leader's election.
         version: Option<u64>,
-        /// For how long it may act.
+        /// How long it may still act.
         ms: Millis,
     },
     /// An earlier process of a door may still act.
     Earlier {
         /// The door's name.
         door: String,
-        /// For how long; 0: until the contact with each voter has lasted for long enough.
+        /// How long that process may still act; 0: until the leader has had contact with every voter for long enough.
         ms: Millis,
     },
-    /// A voter is unresponsive, or was until now: it may have extended a door's right.
+    /// A voter is unresponsive, or was so recently that an extension of a door's right by it may still be valid.
     Voter {
         /// The voter's identifier.
         voter: u64,
@@ -131,28 +135,28 @@
     }
 }
 
-/// The right of one door's name.
+/// The rights to act under one door's name.
 #[derive(Debug, Clone, Copy, Default)]
 struct Right {
-    /// The process that the name belongs to.
+    /// The process that currently owns the name.
     process: u64,
-    /// The version that this process reported last.
+    /// The version that this process reported last; `None` if it has reported none to this leader.
     version: Option<u64>,
-    /// When the right of this process ends.
+    /// When the right that this leader granted to this process expires; 0 without one.
     until: Millis,
-    /// When all rights of other processes of the name have ended, but for extensions by voters.
+    /// When all rights of other processes with the name have expired, except for extensions by voters.
     others_until: Millis,
-    /// Whether no other process of the name can act any more.
+    /// Whether it is established that no other process with the name can still act.
     alone: bool,
 }
 
 impl Right {
-    /// The right of a name of which this leader has granted none yet.
+    /// The state of a name for which this leader has not granted a right yet.
     fn from_earlier_leaders(others_until: Millis) -> Right {
         Right { others_until, ..Right::default() }
     }
 
-    /// Transfers the name to this process. What was granted to its predecessor is valid to its end.
+    /// Transfers the name to `process`. A right granted to its predecessor remains valid until it expires.
     fn transfer_to(&mut self, process: u64) {
         if self.process != process {
             let others_until = self.others_until.max(self.until);
@@ -161,10 +165,12 @@
     }
 }
 
-/// Contact with a voter without a gap in which it may have extended rights.
+/// A period of contact with a voter without a gap long enough for the voter to extend rights.
 #[derive(Debug, Clone, Copy)]
 struct Contact {
+    /// When the first message of the period was sent.
     from: Millis,
+    /// When the last message that the voter acknowledged was sent.
     last: Millis,
 }
 
@@ -175,7 +181,7 @@
     version: u64,
 }
 
-/// The rights that one leader granted, from its election on.
+/// The rights that one leader has granted since its election.
 #[derive(Debug)]
 pub struct Grants {
     terms: Terms,
@@ -186,13 +192,13 @@
 }
 
 impl Grants {
-    /// The table of a leader that was elected at `now`.
+    /// An empty table for a leader that was elected at `now`.
     pub fn new(terms: Terms, now: Millis) -> Grants {
         let (doors, voters) = (BTreeMap::new(), BTreeMap::new());
         Grants { terms, elected_at: now, doors, voters, strict_versions: VecDeque::new() }
     }
 
-    /// When all rights that earlier leaders granted have ended.
+    /// When all rights that earlier leaders granted, and voters extended, before this leader's election have expired.
     fn earlier_until(&self) -> Millis {
         if mutant!(EarlierGrantsIgnored) {
             return self.elected_at;
@@ -200,7 +206,7 @@
         self.elected_at + self.terms.bound(self.terms.length.max(self.terms.extension))
     }
 
-    /// The shared state has changed; the time of a new strict version is noted.
+    /// Records the arrival time of a new strict version, if `shared` has one. To be called after each change.
     pub fn note(&mut self, now: Millis, shared: &Shared) {
         let strict = shared.last_strict();
         if self.strict_versions.back().is_none_or(|last| last.version < strict) {
@@ -211,13 +217,14 @@
         }
     }
 
-    /// The oldest version that a door may act on now.
+    /// The oldest version that a door may act on at `now`.
     pub fn needed(&self, now: Millis, shared: &Shared) -> u64 {
         let due = self.strict_versions.iter().rev().find(|strict| now >= strict.at + self.terms.strict_grace);
         shared.fenced().max(due.map_or(0, |strict| strict.version))
     }
 
-    /// Answers a door's request, after which a majority confirmed this leader. `voters` are all but this leader.
+    /// Answers a door's request. A majority must have confirmed this leader since the request arrived. `voters` are all voters
+    /// except the leader.
     pub fn ask(&mut self, now: Millis, ask: &Ask, shared: &Shared, voters: &BTreeSet<u64>) -> Answer {
         let (earlier_until, terms) = (self.earlier_until(), self.terms);
         let Some((_, process)) = shared.doors().find(|(door, _)| *door == ask.door) else {
@@ -228,10 +235,10 @@
         }
         let need = self.needed(now, shared);
         let in_contact = voters.iter().all(|voter| self.cannot_have_extended(now, *voter));
-        let begun = Right::from_earlier_leaders(earlier_until);
-        let right = self.doors.entry(ask.door.clone()).or_insert(begun);
+        let initial = Right::from_earlier_leaders(earlier_until);
+        let right = self.doors.entry(ask.door.clone()).or_insert(initial);
         right.transfer_to(process.process);
-        // A process that had a right was not granted it before the rights of all others of its name had ended.
+        // A process that had a right before got it only after the rights of all other processes with its name had expired.
         right.alone |= process.alone
             || ask.had_one
             || now >= right.others_until && in_contact
@@ -247,7 +254,7 @@
         Answer::Granted { length: terms.length }
     }
 
-    /// This voter acknowledged a message that this leader sent at `sent`.
+    /// Records that the voter acknowledged a message that this leader sent at `sent`.
     pub fn heard(&mut self, sent: Millis, voter: u64) {
         let gap = self.terms.shortest(self.terms.silence);
         let contact = self.voters.entry(voter).or_insert(Contact { from: sent, last: sent });
@@ -257,8 +264,8 @@
         contact.last = contact.last.max(sent);
     }
 
-    /// Whether this voter, other than the leader, can have extended no right that is still valid: the contact with it is
-    /// recent, and older than the longest extension.
+    /// Whether no right that this voter extended can still be valid: the last contact with it is recent, and the period of
+    /// contact has lasted longer than an extension. The voter is not the leader itself.
     fn cannot_have_extended(&self, now: Millis, voter: u64) -> bool {
         let Terms { silence, extension, .. } = self.terms;
         self.voters.get(&voter).is_some_and(|contact| {
@@ -267,8 +274,8 @@
         })
     }
 
-    /// Why a fence at this version does not hold yet; empty once no door acts on an older one. `voters` are all but this
-    /// leader.
+    /// The reasons why a fence at `version` does not hold yet; empty once no door may act on an older version. `voters` are all
+    /// voters except the leader.
     pub fn fence(
         &self,
         now: Millis,
@@ -276,30 +283,30 @@
         shared: &Shared,
         voters: &BTreeSet<u64>,
     ) -> Vec<FenceBlocker> {
-        let mut open = Vec::new();
+        let mut blockers = Vec::new();
         let unresponsive = voters.iter().find(|voter| !self.cannot_have_extended(now, **voter));
         for (door, process) in shared.doors() {
-            let begun = Right::from_earlier_leaders(self.earlier_until());
-            let mut right = self.doors.get(door).copied().unwrap_or(begun);
+            let initial = Right::from_earlier_leaders(self.earlier_until());
+            let mut right = self.doors.get(door).copied().unwrap_or(initial);
             let door = door.to_string();
             right.transfer_to(process.process);
             right.alone |= process.alone || now >= right.others_until && unresponsive.is_none();
-            // An earlier leader may have granted a right to this process itself.
+            // An earlier leader may have granted this same process a right.
             let until = right.until.max(if mutant!(UnresponsiveIsFenced) { 0 } else { self.earlier_until() });
             if !right.alone {
-                open.push(FenceBlocker::Earlier { door, ms: right.others_until.saturating_sub(now) });
-            } else if right.version.is_some_and(|acted| acted >= version) {
-                // It reported the version, or a later one: it acts on nothing older.
+                blockers.push(FenceBlocker::Earlier { door, ms: right.others_until.saturating_sub(now) });
+            } else if right.version.is_some_and(|reported| reported >= version) {
+                // The process has reported this version or a later one, so it acts on nothing older.
             } else if until > now {
-                open.push(FenceBlocker::Door { door, version: right.version, ms: until - now });
+                blockers.push(FenceBlocker::Door { door, version: right.version, ms: until - now });
             } else if let Some(voter) = unresponsive.filter(|_| !mutant!(VoterIgnored)) {
-                open.push(FenceBlocker::Voter { voter: *voter, door });
+                blockers.push(FenceBlocker::Voter { voter: *voter, door });
             }
         }
-        open
+        blockers
     }
 
-    /// Each door that requested a right: its name, the version that it reported last, and for how long it may act.
+    /// The doors that have requested a right: name, last reported version, and how long the door may still act.
     pub fn doors(&self, now: Millis) -> impl Iterator<Item = (&str, Option<u64>, Millis)> {
         self.doors
             .iter()
--- a/crates/brassport-fleet/src/lib.rs
+++ b/crates/brassport-fleet/src/lib.rs
@@ -1,18 +1,20 @@
-//! What a fleet of proxies agrees on, which of them may act on it, and the record of which did; without I/O.
+//! The state that a fleet of proxies shares, the leases that permit a proxy to act on it, and each proxy's record of the
+//! versions that it acted on; without I/O.
 //!
-//! A proxy of the fleet is called a *door* here, as in the messages and records that this package defines. An *instance* is a
-//! process that keeps the fleet's replicated log; the log's voters elect the leader.
+//! A proxy of the fleet is called a *door*, as in the messages and records that this package defines. A door *acts* on a
+//! version of the shared state while it serves requests by it. An *instance* is a process that keeps the fleet's replicated log; the
+//! log's voters elect the leader.
 //!
 //! - [`shared`] is the state that the replicated log builds: numbered, digested versions of what operators publish.
-//! - [`standing`] is one door's right to act, a lease on its own clock.
-//! - [`grants`] is the leader's table of those rights: who may still act, on which version, and whether a fence holds.
+//! - [`standing`] is one door's right to act: a lease that expires on the door's own clock.
+//! - [`grants`] is the leader's table of those rights: which doors may still act, on which version, and whether a fence holds.
 //! - [`record`] is a door's record of the versions that it acted on, as a chain of digests.
-//! - [`clocks`] relates moments of many doors to one clock, with bounds.
+//! - [`clocks`] converts times on the clocks of many doors to one clock, with error bounds.
 //! - [`audit`] answers queries from the records of many doors.
 //!
-//! Not for HTTP, disks and consensus, which the package `brassport-peers` brings. It never chooses a backend, a retry or a
-//! rejection of a request: the policy does. All times are milliseconds on the caller's own monotonic clock, which must run
-//! on while the process is suspended.
+//! HTTP, storage and consensus are in the package `brassport-peers`. Choosing a backend, retrying a request and rejecting one
+//! is up to the policy. Unless stated otherwise, times are milliseconds on the caller's own monotonic clock, which must keep
+//! advancing while the process is suspended.
 //!
 //! ```
 //! use brassport_fleet::shared::{Change, Shared};
--- a/crates/brassport-fleet/src/mutants.rs
+++ b/crates/brassport-fleet/src/mutants.rs
@@ -1,5 +1,5 @@
-//! Deliberate faults, one at a time, to show that the tests can fail. Without the feature `mutants` each is a constant
-//! `false`.
+//! Deliberate faults that tests activate one at a time, to show that the tests can fail. Without the feature `mutants` each
+//! check for one is the constant `false`.
 
 /// A deliberate fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -7,29 +7,29 @@
 pub enum Mutant {
     /// An older snapshot of the shared state replaces a newer one.
     StaleSnapshot = 1,
-    /// A change is applied whatever its digest is.
+    /// A change is applied without a check of its digest.
     ChainUnchecked,
-    /// A repeated change is applied again.
+    /// A repeated change is applied a second time.
     IdIgnored,
     /// A change against an older version than the current one is applied.
     ConflictIgnored,
     /// A door without contact counts as one that has the new version.
     UnresponsiveIsFenced,
-    /// A door counts its right from the response instead of the request.
+    /// A door's right runs from the response instead of the request.
     GrantFromResponse,
-    /// Clocks are assumed to run at one rate.
+    /// All clocks are assumed to run at the same rate.
     NoDrift,
     /// A new leader assumes that no earlier one granted anything.
     EarlierGrantsIgnored,
     /// A voter's extension revives a right that had expired.
     ExtensionRevives,
-    /// What an unresponsive voter may have extended is not waited for.
+    /// A fence does not wait for rights that an unresponsive voter may have extended.
     VoterIgnored,
-    /// A door behind the fence is granted its right nevertheless.
+    /// A door is granted a right although its version is older than required.
     StaleVersionGranted,
-    /// A new process of a name is granted a right while its predecessor may still act.
+    /// A new process with a door's name is granted a right while its predecessor may still act.
     PredecessorIgnored,
-    /// A record's lines are read without a check of the digests.
+    /// A record is read without a check that each line follows the one before.
     LinkUnchecked,
 }
 
@@ -59,7 +59,7 @@
         static ACTIVE: Cell<u8> = const { Cell::new(0) };
     }
 
-    /// Activates this fault, or none, on this thread.
+    /// Activates this fault, or none, on the current thread.
     pub fn activate(mutant: Option<Mutant>) {
         ACTIVE.set(mutant.map_or(0, |mutant| mutant as u8));
     }
--- a/crates/brassport-fleet/src/shared/catch_up.rs
+++ b/crates/brassport-fleet/src/shared/catch_up.rs
@@ -1,24 +1,25 @@
-//! How a replica that is behind is brought up to date, and how forks are detected.
+//! Updates for replicas that are behind, and the detection of forks.
 
 use super::{digest, Entry, Fault, Shared};
 use crate::mutants::mutant;
 use serde::{Deserialize, Serialize};
 
-/// What brings a replica up to date.
+/// An update that brings a replica up to date.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Update {
-    /// The changes that it lacks, none if it is up to date.
+    /// The changes that the replica lacks, in order of version; empty if it is up to date.
     Changes(Vec<Entry>),
-    /// The complete state.
+    /// The complete state, for a replica that is too far behind for changes.
     #[serde(rename = "Whole")]
     Snapshot(Box<Shared>),
 }
 
 impl Shared {
-    /// What a replica at this version and digest lacks.
+    /// The update for a replica that has this version and digest.
     ///
     /// # Errors
-    /// [`Fault::Fork`] if that replica has something else as that version, and [`Fault::Stale`] if it is ahead of this one.
+    /// [`Fault::Fork`] if this replica has another digest for that version, and [`Fault::Stale`] if the other replica is ahead
+    /// of this one.
     pub fn since(&self, version: u64, digest: &str) -> Result<Update, Fault> {
         if version == self.version {
             return if digest == self.digest {
@@ -41,12 +42,12 @@
         Ok(Update::Changes(self.recent.iter().filter(|entry| entry.version > version).cloned().collect()))
     }
 
-    /// Applies what brings this replica up to date. Each version is made again here and must have the digest that was sent.
+    /// Applies an update. For changes, the digest of each version is recomputed and must match the one in the update.
     ///
     /// # Errors
-    /// What is wrong with it; the changes before the fault are applied.
-    pub fn catch_up(&mut self, catch: Update) -> Result<(), Fault> {
-        match catch {
+    /// The first fault in the update; the changes before it remain applied.
+    pub fn catch_up(&mut self, update: Update) -> Result<(), Fault> {
+        match update {
             Update::Changes(entries) => entries.iter().try_for_each(|entry| self.follow(entry)),
             Update::Snapshot(snapshot) => {
                 if snapshot.version < self.version && !mutant!(StaleSnapshot) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Applies the change of one version, unless it is applied already.
+    /// Applies the change that made one version, unless this replica already has that version.
     fn follow(&mut self, entry: &Entry) -> Result<(), Fault> {
         if entry.version <= self.version {
             let applied = self.recent.iter().find(|applied| applied.version == entry.version);
--- a/crates/brassport-fleet/src/shared/error.rs
+++ b/crates/brassport-fleet/src/shared/error.rs
@@ -6,21 +6,21 @@
 /// Why a change is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The named one of the required fields `id`, `author`, `reason` and `matter` is empty.
+    /// A required field is empty: `id`, `author`, `reason` or `matter`, as named.
     Incomplete(String),
-    /// It is larger than [`MAX_CHANGE_BYTES`].
+    /// The change is larger than [`MAX_CHANGE_BYTES`].
     TooLarge {
-        /// Its size as JSON.
+        /// The size of the change as JSON.
         bytes: usize,
     },
-    /// Another change has this identifier.
+    /// Another change has the same identifier.
     IdUsed {
-        /// The version that the other one made.
+        /// The version that the other change made.
         version: u64,
     },
-    /// Its matter and key have changed since its author read them.
+    /// The key has been changed since the author of the change read it.
     Conflict {
-        /// Their current version.
+        /// The current version of the key.
         version: u64,
     },
 }
@@ -28,8 +28,8 @@
 impl std::fmt::Display for Refusal {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Refusal::Incomplete(what) => {
-                write!(f, "the change has no {what}: say it, others will want to know")
+            Refusal::Incomplete(field) => {
+                write!(f, "the change has no {field}: say it, others will want to know")
             }
             Refusal::TooLarge { bytes } => {
                 write!(f, "the change takes {bytes} bytes, {MAX_CHANGE_BYTES} at most")
@@ -49,16 +49,17 @@
 /// Why an update from another instance is not applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// Versions in between are missing.
+    /// Versions between this state and the update are missing.
     Gap {
         /// The version of this state.
         have: u64,
         /// The first version that was offered.
         next: u64,
     },
-    /// The same version with another digest: two fleets, or a directory that was copied or restored wrongly.
+    /// A version has different digests on both sides: the sides belong to different fleets, or a directory was copied or
+    /// restored incorrectly.
     Fork {
-        /// The version.
+        /// The version with different digests.
         version: u64,
     },
     /// The offered state is older than this one.
--- a/crates/brassport-fleet/src/shared/mod.rs
+++ b/crates/brassport-fleet/src/shared/mod.rs
@@ -1,8 +1,9 @@
-//! The shared state: what the fleet's replicated log says, one change after another.
+//! The shared state: the result of applying the changes in the fleet's replicated log in order.
 //!
-//! A change sets one key of one matter: a ban of a node, the settings, a door's membership. Matters are open: what a newer
-//! program publishes is kept and forwarded by an older one. Every change that is applied makes one version, whose digest
-//! covers all versions before it; two instances with the same version and digest have the same state.
+//! Keys are grouped into *matters*, such as bans of nodes, settings, and members of the fleet. A change sets or removes one
+//! key of one matter. The set of matters is open: an older program keeps and forwards matters that a newer one introduced.
+//! Every applied change makes one version, whose digest covers all versions before it. Two instances with the same version and
+//! digest have the same state.
 
 mod catch_up;
 mod change;
@@ -18,14 +19,14 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The largest change, in bytes as JSON: settings of a large site take some tens of thousands.
+/// The maximum size of a change as JSON, in bytes. The settings of a large site take tens of thousands of bytes.
 pub const MAX_CHANGE_BYTES: usize = 256 * 1024;
-/// Changes by which a replica that is behind can be brought up to date; one further behind gets a snapshot.
+/// The number of latest changes kept for replicas that are behind; a replica further behind gets a snapshot.
 const RECENT_CHANGES_KEPT: usize = 1024;
-/// Identifiers of changes that are kept, so that a repeated one is applied once.
+/// The number of change identifiers kept to recognize repeated changes.
 const CHANGE_IDS_KEPT: usize = 4096;
 
-/// The state, up to one version.
+/// The shared state at one version.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Shared {
     version: u64,
@@ -33,50 +34,51 @@
     /// The version of the last change with a fence.
     fenced: u64,
     slots: BTreeMap<String, BTreeMap<String, Slot>>,
-    /// The version and the content's digest of the latest changes, by identifier.
+    /// The version and the content digest of the latest changes, by change identifier.
     #[serde(rename = "names")]
     ids: BTreeMap<String, (u64, String)>,
-    /// The same identifiers, the oldest first.
+    /// The identifiers in `ids`, oldest first.
     #[serde(rename = "names_order")]
     ids_by_age: VecDeque<String>,
-    /// The latest changes, which are not part of a snapshot.
+    /// The latest changes; not part of a snapshot.
     #[serde(skip)]
     recent: VecDeque<Entry>,
 }
 
 impl Shared {
-    /// The number of changes that were applied.
+    /// The current version: the number of changes applied so far.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The digest over all versions up to this one; empty before the first.
+    /// The digest over all versions up to the current one; empty at version 0.
     pub fn digest(&self) -> &str {
         &self.digest
     }
 
-    /// The version of the last change with a fence: doors must not act on an older one.
+    /// The version of the last change with a fence, 0 without one: the leader grants no right to a door with an older version.
     pub fn fenced(&self) -> u64 {
         self.fenced
     }
 
-    /// The value of a matter and key, if there is one.
+    /// The value of a key; `None` if it was never set or has been removed.
     pub fn get(&self, matter: &str, key: &str) -> Option<&Slot> {
         self.slots.get(matter)?.get(key).filter(|slot| !slot.body.is_null())
     }
 
-    /// All values of a matter, by key.
+    /// The keys of a matter with their values, in order of key, without removed ones.
     pub fn all(&self, matter: &str) -> impl Iterator<Item = (&str, &Slot)> {
         let slots = self.slots.get(matter).into_iter().flatten();
         slots.filter(|(_, slot)| !slot.body.is_null()).map(|(key, slot)| (key.as_str(), slot))
     }
 
-    /// All matters, also those whose values were all removed.
+    /// All matters, including those whose values have all been removed.
     pub fn matters(&self) -> impl Iterator<Item = &str> {
         self.slots.keys().map(String::as_str)
     }
 
-    /// Whether doors must have this matter in time or stop. Bans are so unless operators say otherwise.
+    /// Whether doors must have changes of this matter within a time limit or stop acting. By default only bans are strict;
+    /// operators set others through the matter [`STRICTNESS`].
     pub fn is_strict(&self, matter: &str) -> bool {
         match self.get(STRICTNESS, matter).and_then(|slot| slot.body.as_str()) {
             Some(strictness) => strictness == "strict",
@@ -84,10 +86,10 @@
         }
     }
 
-    /// Applies a change, once.
+    /// Applies a change, unless it was applied before.
     ///
     /// # Errors
-    /// Why it is refused; the state is unchanged.
+    /// The reason for a refusal; the state is then unchanged.
     pub fn apply(&mut self, change: &Change) -> Result<Done, Refusal> {
         if let Some(field) = change.missing_field() {
             return Err(Refusal::Incomplete(field.into()));
@@ -110,7 +112,7 @@
         Ok(Done { version: self.version, repeated: false })
     }
 
-    /// The outcome of a change that was applied before, if it was.
+    /// The result of a change that was applied before; `None` if it is new.
     fn applied_before(&self, change: &Change, content: &str) -> Result<Option<Done>, Refusal> {
         match self.ids.get(&change.id).filter(|_| !mutant!(IdIgnored)) {
             Some((version, applied)) if applied == content => {
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Makes the next version of a change that was checked.
+    /// Makes the next version from a change that has been checked.
     fn append(&mut self, change: &Change) {
         self.version += 1;
         self.digest = digest::of_version(&self.digest, change);
@@ -137,10 +139,10 @@
         }
     }
 
-    /// Keeps the identifier of the change that made this version.
+    /// Stores the identifier of the change that made the current version.
     fn remember_id(&mut self, change: &Change, content: String) {
-        // A lease is changed against its last version alone: repeated it is refused. If they were kept, renewals would push out
-        // the identifiers of what people publish.
+        // Lease updates are conditional on the lease's last version, so a repeated one is refused without its identifier. If
+        // these identifiers were kept, frequent renewals would evict those of the operators' changes.
         let is_new = !change.is_lease_update()
             && self.ids.insert(change.id.clone(), (self.version, content)).is_none();
         if is_new {
@@ -151,13 +153,13 @@
         }
     }
 
-    /// The latest changes, the earliest first; at most 1024, and none from before a snapshot.
+    /// The latest changes, oldest first; at most 1024, and none from before the last snapshot that was applied.
     pub fn recent(&self) -> impl Iterator<Item = &Entry> {
         self.recent.iter()
     }
 
-    /// The version and the digest that doors act under: those of the last change of any matter but leases, if it is among the
-    /// recent ones, and else the current ones.
+    /// The version and digest that doors act on: those of the last change of any matter except leases. If that change is not
+    /// among the recent ones, the current version and digest.
     pub fn acted_under(&self) -> (u64, &str) {
         let others = self.slots.iter().filter(|(matter, _)| *matter != LEASE);
         let last = others.flat_map(|(_, keys)| keys.values()).map(|slot| slot.version).max().unwrap_or(0);
@@ -165,19 +167,19 @@
         entry.map_or((self.version, &self.digest), |entry| (last, &entry.digest))
     }
 
-    /// The version of the last change of a strict matter; 0 without one.
+    /// The version of the last change of a strict matter, 0 without one.
     pub fn last_strict(&self) -> u64 {
         let strict = self.slots.iter().filter(|(matter, _)| self.is_strict(matter));
         strict.flat_map(|(_, keys)| keys.values()).map(|slot| slot.version).max().unwrap_or(0)
     }
 
-    /// The members of the fleet, each with the process that may act under its name.
+    /// The members of the fleet, each with the process that currently owns its name.
     pub fn doors(&self) -> impl Iterator<Item = (&str, Process)> {
         let process = |slot: &Slot| serde_json::from_value(slot.body.clone()).unwrap_or_default();
         self.all(DOOR).map(move |(door, slot)| (door, process(slot)))
     }
 
-    /// Nodes that are banned.
+    /// The names of all banned nodes.
     pub fn bans(&self) -> BTreeSet<String> {
         self.all(BAN).map(|(node, _)| node.to_string()).collect()
     }
--- a/crates/brassport-fleet/src/standing.rs
+++ b/crates/brassport-fleet/src/standing.rs
@@ -1,7 +1,7 @@
-//! One door's right to act, on its own clock.
+//! One door's right to act: a lease on the door's own clock.
 //!
-//! The right is a lease that runs from its request. It expires by itself on a door that was suspended, that is partitioned,
-//! or whose right nobody renews. It requires a monotonic clock that runs on while the process is suspended.
+//! The lease runs from the time of its request. It expires without any message, so a door that was suspended or partitioned,
+//! or whose lease is not renewed, stops acting. This requires a monotonic clock that advances while the process is suspended.
 
 use crate::mutants::mutant;
 use crate::Millis;
@@ -11,9 +11,9 @@
 pub enum DenialReason {
     /// It was never granted a right.
     NotYet,
-    /// Its right has expired and was not renewed.
+    /// Its right expired without renewal.
     RanOut,
-    /// Its version of the shared state is older than required.
+    /// Its version of the shared state is older than the leader requires.
     Behind,
     /// Another process has taken over its name.
     Replaced,
@@ -21,11 +21,12 @@
     Unknown,
 }
 
-/// A door's right.
+/// A door's right to act.
 #[derive(Debug, Clone)]
 pub struct Standing {
+    /// When the right expires or expired; `None` if it was never granted.
     until: Option<Millis>,
-    /// Why it may not act once the right has ended.
+    /// Why the door may not act once the right has expired.
     why: DenialReason,
 }
 
@@ -36,36 +37,36 @@
 }
 
 impl Standing {
-    /// The door requests a right now: the moment from which a grant runs, to be passed with the answer.
-    // Other packages call it on a `&mut`, as a step of the protocol.
+    /// Starts a request at `now`. Returns the time from which a grant runs, to be passed back with the answer.
+    // Takes `&mut self` like the other steps of the protocol, although it changes nothing: other packages call it on a `&mut`.
     pub fn ask(&mut self, now: Millis) -> Millis {
         now
     }
 
-    /// The leader granted a right of this length to the request of `asked`.
+    /// The leader granted a right of this length to the request sent at `asked`. A later expiry from another grant is kept.
     pub fn granted(&mut self, now: Millis, asked: Millis, length: Millis) {
         let from = if mutant!(GrantFromResponse) { now } else { asked };
         self.until = self.until.max(Some(from + length));
         self.why = DenialReason::RanOut;
     }
 
-    /// A voter without a leader extends the right, by a response that arrives now. A right that has expired by now is not
-    /// revived, even if it was valid at the request: others may have relied on its end since.
+    /// A voter without a leader extended the right; its response arrives at `now`. A right that has expired by `now` is not
+    /// revived, even if it was valid at the time of the request: others may have relied on its expiry since.
     pub fn extended(&mut self, now: Millis, asked: Millis, length: Millis) {
         if self.until.is_some_and(|until| now < until || mutant!(ExtensionRevives)) {
             self.until = self.until.max(Some(asked + length));
         }
     }
 
-    /// The leader refused to renew. What was granted before is valid to its end.
+    /// The leader refused a renewal. An earlier grant remains valid until it expires.
     pub fn refused(&mut self, why: DenialReason) {
         self.why = why;
     }
 
-    /// Whether the door may act now. To be checked at each act.
+    /// Whether the door may act at `now`. To be checked immediately before each act.
     ///
     /// # Errors
-    /// Why it may not.
+    /// The reason why it may not.
     pub fn may_act(&self, now: Millis) -> Result<(), DenialReason> {
         match self.until {
             Some(until) if now < until => Ok(()),
@@ -73,12 +74,12 @@
         }
     }
 
-    /// When its right ends or ended, if it ever had one.
+    /// When the right expires or expired; `None` if it was never granted.
     pub fn until(&self) -> Option<Millis> {
         self.until
     }
 
-    /// Whether it ever had a right.
+    /// Whether a right was ever granted.
     pub fn had_one(&self) -> bool {
         self.until.is_some()
     }
