--- a/crates/brassport-fleet/src/lib.rs
+++ b/crates/brassport-fleet/src/lib.rs
@@ -2,8 +2,8 @@
 //! versions that it acted on; without I/O.
 //!
 //! A proxy of the fleet is called a *door*, as in the messages and records that this package defines. A door *acts* on a
-//! version of the shared state while it serves requests by it. An *instance* is a process that keeps the fleet's replicated log; the
-//! log's voters elect the leader.
+//! version of the shared state while it serves requests by it. An *instance* is a process that keeps the fleet's replicated
+//! log; the log's voters elect the leader.
 //!
 //! - [`shared`] is the state that the replicated log builds: numbered, digested versions of what operators publish.
 //! - [`standing`] is one door's right to act: a lease that expires on the door's own clock.
--- a/crates/brassport-fleet/tests/it/audit.rs
+++ b/crates/brassport-fleet/tests/it/audit.rs
@@ -1,15 +1,15 @@
-//! Spans, unsafe requests, forks and gaps that an audit finds in the records of several doors.
+//! Spans, non-idempotent requests, forks and missing parts that an audit finds in the records of several doors.
 
 use brassport_fleet::audit::{Audit, Query};
 use brassport_fleet::clocks::Mark;
 use brassport_fleet::record::{self, At, Chain, Event, Line};
 
-fn line(number: u64, process: u64, what: Event) -> Line {
+fn line(number: u64, process: u64, event: Event) -> Line {
     Line {
         number,
         before: String::new(),
         at: At { process, steady_ms: 10 * number, wall_ms: 1_000 + 10 * number },
-        what,
+        what: event,
     }
 }
 
@@ -17,6 +17,7 @@
     Event::Acts { version, digest: format!("d{version}"), from_admission }
 }
 
+/// A record of two processes: the first acts on versions 3 and 4, stops, resumes, and ends without recording it.
 fn record() -> Vec<Line> {
     let began = || Event::Began { door: "a".into(), program: "1".into() };
     vec![
@@ -35,9 +36,10 @@
 fn each_span_has_the_admissions_of_its_version() {
     let mut audit = Audit::default();
     audit.add("a", &record(), None);
-    let seen: Vec<_> = audit.spans.iter().map(|span| (span.process, span.version, span.admissions)).collect();
-    let all = [(1, 3, (1, Some(20))), (1, 4, (20, Some(31))), (1, 4, (31, None)), (2, 4, (1, None))];
-    assert_eq!(seen, all);
+    let spans: Vec<_> =
+        audit.spans.iter().map(|span| (span.process, span.version, span.admissions)).collect();
+    let expected = [(1, 3, (1, Some(20))), (1, 4, (20, Some(31))), (1, 4, (31, None)), (2, 4, (1, None))];
+    assert_eq!(spans, expected);
     assert_eq!(audit.spans[2].ended.as_deref(), Some("the process ended without recording it"));
 }
 
@@ -66,22 +68,22 @@
         let (mut chain, at) = (Chain::default(), |ms| At { process, steady_ms: ms, wall_ms: wall_ms + ms });
         let mark = Mark { by: "i1".into(), said_ms, took_ms: 4 };
         let lines = [(10, Event::Clock(mark)), (20, acts(3, 1)), (30, Event::Lost { lines: 2 })];
-        lines.map(|(ms, what)| chain.add(at(ms), what)).concat()
+        lines.map(|(ms, event)| chain.add(at(ms), event)).concat()
     };
-    // The second door's clock is an hour slow; both began to act within ten milliseconds.
+    // The second door's wall clock is an hour slow; both doors started to act within ten milliseconds of each other.
     let (a, b) = (text(1, 5_000_000, 5_000_010), text(2, 1_400_000, 5_000_012));
     let mut audit = Audit::default();
     audit.gather([("a", &*a), ("b", &*b)].into_iter());
     assert_eq!(audit.clock.as_deref(), Some("i1"));
     for span in &audit.spans {
-        let began = span.began.expect("there is a reading");
+        let began = span.began.expect("the process has a clock reading");
         assert!((5_000_010..=5_000_030).contains(&began.from_ms), "{span:?}");
         assert!((5_000_020..=5_000_030).contains(&began.to_ms), "{span:?}");
     }
     assert_eq!(audit.lost["a"][0].lines, 2);
     let between = Some((5_000_000, 5_000_100));
     let answer = audit.answer(&Query { between, ..Query::default() });
-    assert_eq!(answer.spans.len(), 2, "asked by the one clock, both are found");
+    assert_eq!(answer.spans.len(), 2, "a query by the common clock finds the spans of both doors");
 }
 
 #[test]
@@ -89,7 +91,9 @@
     let text = |process: u64, wall_ms: u64, said_ms: u64, version: u64| {
         let (mut chain, at) = (Chain::default(), |ms| At { process, steady_ms: ms, wall_ms: wall_ms + ms });
         let mark = Mark { by: "i1".into(), said_ms, took_ms: 4 };
-        [(10, Event::Clock(mark)), (20, acts(version, 1))].map(|(ms, what)| chain.add(at(ms), what)).concat()
+        [(10, Event::Clock(mark)), (20, acts(version, 1))]
+            .map(|(ms, event)| chain.add(at(ms), event))
+            .concat()
     };
     let (earlier, later) = (text(9, 7_000_000, 5_000_000, 3), text(1, 6_000_000, 5_060_000, 4));
     let mut audit = Audit::default();
--- a/crates/brassport-fleet/tests/it/fence.rs
+++ b/crates/brassport-fleet/tests/it/fence.rs
@@ -1,8 +1,8 @@
-//! Once a fence is reported to hold, no door acts on an older version: by seeds of a simulated fleet.
+//! Runs the simulated fleet over many seeds: once a fence is reported to hold, no door acts on an older version.
 
 use crate::simulation::play;
 
-/// A number from the environment, for longer campaigns.
+/// A number from the environment, or the default; for longer campaigns.
 fn setting(name: &str, default: u64) -> u64 {
     std::env::var(name).map_or(default, |text| text.parse().expect("a number"))
 }
@@ -10,7 +10,7 @@
 #[test]
 fn no_door_acts_on_an_older_version_once_a_fence_holds_in_300_seeds() {
     let (mut fences, mut without_a_door, mut extensions, mut stops) = (0, 0, 0, 0);
-    // A campaign: BRASSPORT_SEEDS=100000 BRASSPORT_FIRST=1 cargo test --release -p brassport-fleet --test it fence::
+    // For a longer campaign: BRASSPORT_SEEDS=100000 BRASSPORT_FIRST=1 cargo test --release -p brassport-fleet --test it fence::
     let (first, count) = (setting("BRASSPORT_FIRST", 1), setting("BRASSPORT_SEEDS", 300));
     println!("{count} seeds from {first}");
     for seed in first..first + count {
--- a/crates/brassport-fleet/tests/it/golden/audit.rs
+++ b/crates/brassport-fleet/tests/it/golden/audit.rs
@@ -1,6 +1,6 @@
-//! Audits and their parts.
+//! Serialized audits and their parts.
 
-use super::record::{at, whats};
+use super::record::{at, events};
 use super::GOLDEN;
 use brassport_fleet::audit::{Audit, Lost, Query, Sent, Span};
 use brassport_fleet::clocks::Moment;
@@ -8,15 +8,15 @@
 use brassport_golden::json;
 use std::collections::BTreeMap;
 
-/// Two doors' records of which the second is cut and holds another digest of one version.
+/// An audit of two doors' records. The second record is truncated and has another digest for a version of the first.
 fn gathered() -> Audit {
     let mut chain = Chain::default();
-    let lines = whats().into_iter().enumerate();
-    let first: String = lines.map(|(number, what)| chain.add(at(number as u64), what)).collect();
+    let lines = events().into_iter().enumerate();
+    let first: String = lines.map(|(number, event)| chain.add(at(number as u64), event)).collect();
     let mut chain = Chain::default();
     let acts = Event::Acts { version: 3, digest: "other".into(), from_admission: 1 };
     let other = At { process: 8, ..at(5) };
-    let second: String = [acts, Event::Lost { lines: 1 }].map(|what| chain.add(other, what)).concat();
+    let second: String = [acts, Event::Lost { lines: 1 }].map(|event| chain.add(other, event)).concat();
     let mut audit = Audit::default();
     audit.gather([("d1", first.as_str()), ("d2", &second[..second.len() - 5])].into_iter());
     audit.missing("d3", "no instance has any of it");
@@ -65,7 +65,7 @@
         lost: BTreeMap::from([("d1".into(), vec![lost.clone()])]),
         forks: vec![(3, "d1".into(), "d2".into())],
     };
-    let question = Query { request: Some("r-1".into()), ..Query::default() };
+    let query = Query { request: Some("r-1".into()), ..Query::default() };
     let cases = [
         json("Moment", Moment { from_ms: i64::MIN, to_ms: i64::MAX }),
         json("Span", span),
@@ -76,7 +76,7 @@
         json("Audit, empty", Audit::default()),
         json("Audit", complete),
         json("Audit, gathered", gathered()),
-        json("Audit, answered", gathered().answer(&question)),
+        json("Audit, answered", gathered().answer(&query)),
     ];
     GOLDEN.same_cases("audit.txt", &cases);
 }
--- a/crates/brassport-fleet/tests/it/golden/grants.rs
+++ b/crates/brassport-fleet/tests/it/golden/grants.rs
@@ -1,4 +1,4 @@
-//! Requests for a right to act, their answers, what stands against a fence, and a right's course.
+//! Serialized requests for a right to act, their answers, the blockers of a fence, and the course of a right.
 
 use super::shared::built;
 use super::GOLDEN;
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
 
-/// What may stand against a fence.
-pub fn opens() -> Vec<FenceBlocker> {
+/// One blocker of a fence of each kind, with and without a version.
+pub fn blockers() -> Vec<FenceBlocker> {
     vec![
         FenceBlocker::Door { door: "d1".into(), version: Some(7), ms: 12 },
         FenceBlocker::Door { door: "d1".into(), version: None, ms: 12 },
@@ -18,7 +18,7 @@
     ]
 }
 
-/// What a leader's table itself answers, so that the fields are filled as before.
+/// Answers and blockers from a leader's table, which must fill their fields as in the fixture.
 fn answered() -> Vec<JsonCase> {
     let mut cases = Vec::new();
     let (state, voters) = (built(), BTreeSet::from([2, 3]));
@@ -62,20 +62,20 @@
         };
         cases.push(json(&format!("Answer::{variant}"), answer));
     }
-    for open in opens() {
-        let variant = match &open {
+    for blocker in blockers() {
+        let variant = match &blocker {
             FenceBlocker::Door { .. } => "Door",
             FenceBlocker::Earlier { .. } => "Earlier",
             FenceBlocker::Voter { .. } => "Voter",
         };
-        cases.push(json(&format!("Open::{variant}"), open.clone()));
-        cases.push(json(&format!("fence, {variant}"), Some(vec![open])));
+        cases.push(json(&format!("Open::{variant}"), blocker.clone()));
+        cases.push(json(&format!("fence, {variant}"), Some(vec![blocker])));
     }
     cases.extend(answered());
     GOLDEN.same_cases("grants.txt", &cases);
 }
 
-/// A door's right is never serialized; its answers are compared as text.
+/// A door's right is not serialized; the results of its methods are compared as text.
 #[test]
 fn a_right_starts_and_ends_at_the_same_moments() {
     let name = |why: DenialReason| match why {
@@ -86,11 +86,11 @@
         DenialReason::Unknown => "Unknown",
     };
     let mut standing = Standing::default();
-    let mut made = String::new();
+    let mut text = String::new();
     let mut note = |what: &str, now: u64, standing: &Standing| {
         let may = standing.may_act(now).map_or_else(name, |()| "may act");
         let until = standing.until().map_or("none".into(), |until| until.to_string());
-        writeln!(made, "{what}: at {now} {may}, until {until}").expect("text takes it");
+        writeln!(text, "{what}: at {now} {may}, until {until}").expect("writing to a string succeeds");
     };
     note("new", 0, &standing);
     let asked = standing.ask(100);
@@ -109,5 +109,5 @@
         standing.refused(why);
         note("refused", 1400, &standing);
     }
-    GOLDEN.same_text("standing.txt", &made);
+    GOLDEN.same_text("standing.txt", &text);
 }
--- a/crates/brassport-fleet/tests/it/golden/messages.rs
+++ b/crates/brassport-fleet/tests/it/golden/messages.rs
@@ -1,15 +1,15 @@
-//! Texts of refusals and faults.
+//! Messages of refusals, fence blockers and faults.
 
-use super::grants::opens;
+use super::grants::blockers;
 use super::shared::refusals;
 use super::GOLDEN;
 use brassport_fleet::{record, shared};
 
-/// Faults of a record are encoded and never read; the rest are texts for other instances and people.
+/// Faults of a record are also serialized, but never deserialized; the rest are messages for other instances and operators.
 #[test]
 fn refusals_and_faults_keep_their_texts() {
     let mut lines: Vec<String> = refusals().iter().map(|refusal| format!("Refusal: {refusal}")).collect();
-    lines.extend(opens().iter().map(|open| format!("Open: {open}")));
+    lines.extend(blockers().iter().map(|blocker| format!("Open: {blocker}")));
     for fault in [
         shared::Fault::Gap { have: 3, next: 5 },
         shared::Fault::Fork { version: 3 },
@@ -32,7 +32,7 @@
             record::Fault::Malformed { .. } => "Garbled",
             record::Fault::Unlinked { .. } => "Broken",
         };
-        let text = serde_json::to_string(&fault).expect("plain data has a form in JSON");
+        let text = serde_json::to_string(&fault).expect("plain data serializes as JSON");
         lines.push(format!("record::Fault::{variant}: {text} {fault}"));
     }
     GOLDEN.same_text("messages.txt", &(lines.join("\n") + "\n"));
--- a/crates/brassport-fleet/tests/it/golden/mod.rs
+++ b/crates/brassport-fleet/tests/it/golden/mod.rs
@@ -1,7 +1,7 @@
-//! The bytes of what a fleet agrees on and of what its doors write down, against committed fixtures: changes, versions and
-//! their digests, grants, lines of a record and audits.
+//! Compares serialized forms with committed fixtures: changes, versions and their digests, grants, lines of a record, audits
+//! and messages.
 //!
-//! The fixtures lie in `tests/golden/`. They are written only with `GOLDEN_WRITE=1`, and the test that writes one fails.
+//! The fixtures are in `tests/golden/`. They are written only with `GOLDEN_WRITE=1`, and the test that writes one fails.
 
 mod audit;
 mod grants;
--- a/crates/brassport-fleet/tests/it/golden/record.rs
+++ b/crates/brassport-fleet/tests/it/golden/record.rs
@@ -1,11 +1,12 @@
-//! Lines of a record.
+//! Serialized lines of a record.
 
 use super::GOLDEN;
 use brassport_fleet::clocks::Mark;
 use brassport_fleet::record::{self, At, Chain, Event, Line};
 use brassport_golden::json;
 
-pub fn whats() -> Vec<Event> {
+/// An event of each kind, and one with the largest version and an empty digest.
+pub fn events() -> Vec<Event> {
     vec![
         Event::Began { door: "d\"1\"".into(), program: "0.2.0".into() },
         Event::Clock(Mark { by: "i1".into(), said_ms: 1_700_000_000_004, took_ms: 4 }),
@@ -19,8 +20,8 @@
     ]
 }
 
-fn what_name(what: &Event) -> &'static str {
-    match what {
+fn variant_name(event: &Event) -> &'static str {
+    match event {
         Event::Began { .. } => "Began",
         Event::Acts { .. } => "Acts",
         Event::Stopped { .. } => "Stopped",
@@ -39,14 +40,14 @@
 #[test]
 fn a_committed_record_is_read_and_rewritten_in_the_same_bytes() {
     let mut chain = Chain::default();
-    let lines = whats().into_iter().enumerate();
-    let made: String = lines.map(|(number, what)| chain.add(at(number as u64), what)).collect();
-    let committed = GOLDEN.same_text("record.jsonl", &made);
+    let lines = events().into_iter().enumerate();
+    let expected: String = lines.map(|(number, event)| chain.add(at(number as u64), event)).collect();
+    let committed = GOLDEN.same_text("record.jsonl", &expected);
     let (lines, fault, valid_bytes, end) = record::read(&committed);
     assert_eq!((fault, valid_bytes, end), (None, committed.len(), chain));
-    assert_eq!(lines.iter().map(|line| line.what.clone()).collect::<Vec<_>>(), whats());
-    let mut again = Chain::default();
-    let text: String = lines.iter().map(|line| again.add(line.at, line.what.clone())).collect();
+    assert_eq!(lines.iter().map(|line| line.what.clone()).collect::<Vec<_>>(), events());
+    let mut chain = Chain::default();
+    let text: String = lines.iter().map(|line| chain.add(line.at, line.what.clone())).collect();
     assert_eq!(text, committed);
     assert_eq!(record::by_process(&committed), [(7, committed.as_str())]);
 }
@@ -54,9 +55,9 @@
 #[test]
 fn each_part_of_a_line_keeps_its_bytes() {
     let mut cases = vec![json("At", at(1)), json("Mark", Mark { by: "i1".into(), said_ms: 5, took_ms: 4 })];
-    for (number, what) in whats().into_iter().enumerate() {
-        cases.push(json(&format!("What::{}", what_name(&what)), what.clone()));
-        let line = Line { number: number as u64, before: "cd".repeat(32), at: at(2), what };
+    for (number, event) in events().into_iter().enumerate() {
+        cases.push(json(&format!("What::{}", variant_name(&event)), event.clone()));
+        let line = Line { number: number as u64, before: "cd".repeat(32), at: at(2), what: event };
         cases.push(json(&format!("Line {number}"), line));
     }
     GOLDEN.same_cases("lines.txt", &cases);
--- a/crates/brassport-fleet/tests/it/golden/shared.rs
+++ b/crates/brassport-fleet/tests/it/golden/shared.rs
@@ -1,4 +1,4 @@
-//! Changes, versions, digests and what brings a replica up to date.
+//! Serialized changes, versions and updates of replicas, and the digests of versions.
 
 use super::GOLDEN;
 use brassport_fleet::shared::{self, Change, Done, Entry, Process, Refusal, Shared, Slot, Update};
@@ -6,7 +6,7 @@
 use serde_json::{json as object, Value};
 use std::collections::BTreeSet;
 
-/// Every matter, changes with and without what they may leave out, a body of each form of JSON, a body taken away, a fence.
+/// Changes of every matter, with and without optional fields, with a body of each JSON type, a removal, and fences.
 pub fn changes() -> Vec<Change> {
     let change = |id: &str, matter: &str, key: &str, body: Value| {
         Change::new(id, "asha", "disk \"7\" \u{e9}", matter, key, body)
@@ -31,10 +31,11 @@
     ]
 }
 
+/// The state after [`changes`].
 pub fn built() -> Shared {
     let mut state = Shared::default();
     for change in changes() {
-        state.apply(&change).expect("it is taken");
+        state.apply(&change).expect("the change is valid");
     }
     state
 }
@@ -53,14 +54,14 @@
     let mut cases = Vec::new();
     let mut state = Shared::default();
     for (number, change) in changes().into_iter().enumerate() {
-        let done = state.apply(&change).expect("it is taken");
+        let done = state.apply(&change).expect("the change is valid");
         cases.push(json(&format!("Change {number}"), change));
         cases.push(json(&format!("Done {number}"), done));
     }
     for entry in state.recent().cloned() {
         cases.push(json(&format!("Entry {}", entry.version), entry));
     }
-    cases.push(json("Done, repeated", state.apply(&changes()[0]).expect("it was taken")));
+    cases.push(json("Done, repeated", state.apply(&changes()[0]).expect("the change is valid")));
     cases.push(json("Slot", Slot { version: 3, body: object!({"a": 1}) }));
     cases.push(json("Slot, taken away", Slot { version: 5, body: Value::Null }));
     for process in [Process::default(), Process { process: 7, alone: true }] {
@@ -80,44 +81,46 @@
     GOLDEN.same_cases("shared.txt", &cases);
 }
 
-/// The complete state is what a snapshot of the log has and what a replica far behind applies.
+/// The complete state is the content of a log snapshot and the update for a replica that is far behind.
 #[test]
 fn snapshots_and_catch_up_keep_their_bytes() {
-    let variant = |catch: &Update| match catch {
+    let variant = |update: &Update| match update {
         Update::Changes(_) => "Changes",
         Update::Snapshot(_) => "Whole",
     };
     let state = built();
-    // The changes at hand are no part of the form: the state that is read has none.
-    let text = serde_json::to_string(&state).expect("plain data has a form in JSON");
-    let read: Shared = serde_json::from_str(&text).expect("it is read");
+    // The recent changes are not serialized, so a deserialized state has none.
+    let text = serde_json::to_string(&state).expect("plain data serializes as JSON");
+    let read: Shared = serde_json::from_str(&text).expect("the text is a state");
     assert_eq!((read.version(), read.digest(), read.fenced()), (8, state.digest(), 8));
     let mut cases = vec![json("Shared, empty", Shared::default()), json("Shared", read.clone())];
-    let begin = state.since(0, "").expect("changes");
-    let behind = state.recent().nth(5).expect("the sixth").clone();
-    let last = state.since(6, &behind.digest).expect("changes");
-    let none = state.since(8, state.digest()).expect("no changes");
+    let all = state.since(0, "").expect("the same history");
+    let behind = state.recent().nth(5).expect("there are eight changes").clone();
+    let last = state.since(6, &behind.digest).expect("the same history");
+    let none = state.since(8, state.digest()).expect("the same history");
     let snapshot = Update::Snapshot(Box::new(read));
-    for (number, catch) in [begin, last, none, snapshot].into_iter().enumerate() {
+    for (number, update) in [all, last, none, snapshot].into_iter().enumerate() {
         let mut follower = Shared::default();
         if number != 1 && number != 2 {
-            follower.catch_up(catch.clone()).expect("it fits");
+            follower.catch_up(update.clone()).expect("the update applies to an empty state");
             assert_eq!((follower.version(), follower.digest()), (8, state.digest()));
         }
-        cases.push(json(&format!("Catch::{} {number}", variant(&catch)), catch));
+        cases.push(json(&format!("Catch::{} {number}", variant(&update)), update));
     }
     GOLDEN.same_cases("catch.txt", &cases);
 }
 
-/// A committed log of changes is followed, version by version and digest by digest.
+/// Each change of a committed log makes the version and digest that the log has for it.
 #[test]
 fn a_committed_log_is_replayed_to_the_same_state() {
     let state = built();
-    let line = |entry: &Entry| serde_json::to_string(entry).expect("plain data has a form in JSON") + "\n";
+    let line = |entry: &Entry| serde_json::to_string(entry).expect("plain data serializes as JSON") + "\n";
     let committed = GOLDEN.same_text("log.jsonl", &state.recent().map(line).collect::<String>());
-    let read = |line: &str| serde_json::from_str::<Entry>(line).expect("it is read");
+    let read = |line: &str| serde_json::from_str::<Entry>(line).expect("the line is an entry");
     let mut follower = Shared::default();
-    follower.catch_up(Update::Changes(committed.lines().map(read).collect())).expect("each version fits");
+    follower
+        .catch_up(Update::Changes(committed.lines().map(read).collect()))
+        .expect("each entry follows the one before");
     assert_eq!(follower, state);
     assert_eq!(follower.bans(), BTreeSet::new());
     let doors: Vec<_> = follower.doors().collect();
--- a/crates/brassport-fleet/tests/it/main.rs
+++ b/crates/brassport-fleet/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! The fleet's decisions: the shared state, rights to act and fences, records, clocks, audits, and the bytes of all of them.
+//! Tests of the shared state, rights to act and fences, records, clocks and audits, and of their serialized forms.
 
 mod audit;
 mod clocks;
--- a/crates/brassport-fleet/tests/it/mutants.rs
+++ b/crates/brassport-fleet/tests/it/mutants.rs
@@ -1,14 +1,15 @@
-//! The tests can fail: every deliberate fault is found, by the state's rules or by seeds of the simulation.
+//! Shows that the tests can fail: each deliberate fault is detected, either by a check of the shared state or of a record, or
+//! by a seed of the simulation.
 
 use crate::simulation::play;
 use brassport_fleet::mutants::{activate, Mutant, ALL};
 use brassport_fleet::record::{read, At, Chain, Event};
 use brassport_fleet::shared::{Change, Shared, Update};
 
-/// Seeds within which a fault of the fence has to show.
+/// The number of seeds within which the simulation must detect a fault.
 const SEEDS: u64 = 1500;
 
-fn by_seeds() -> Option<String> {
+fn find_by_simulation() -> Option<String> {
     (1..=SEEDS).find_map(|seed| play(seed).err().map(|violation| violation.to_string()))
 }
 
@@ -16,7 +17,7 @@
     Change::new(id, "o", "r", "ban", "n", body.into())
 }
 
-fn by_state(mutant: Mutant) -> Option<String> {
+fn find_by_check(mutant: Mutant) -> Option<String> {
     let mut shared = Shared::default();
     shared.apply(&change("a", true)).ok()?;
     let old = shared.clone();
@@ -36,9 +37,9 @@
             let (first, _, last) = (line(1), line(2), line(3));
             read(&(first + &last)).1.is_none()
         }
-        _ => return by_seeds(),
+        _ => return find_by_simulation(),
     };
-    found.then(|| format!("{mutant:?} shows in the state"))
+    found.then(|| format!("a direct check detects {mutant:?}"))
 }
 
 #[test]
@@ -47,14 +48,17 @@
         let find = |mutant: Mutant| {
             move || {
                 activate(Some(mutant));
-                let found = by_state(mutant);
+                let found = find_by_check(mutant);
                 activate(None);
                 println!("{mutant:?}: {}", found.as_deref().unwrap_or("not found"));
                 found.is_none().then_some(mutant)
             }
         };
-        let tries: Vec<_> = ALL.into_iter().map(|mutant| scope.spawn(find(mutant))).collect();
-        let missed: Vec<Mutant> = tries.into_iter().filter_map(|one| one.join().expect("it ends")).collect();
+        let searches: Vec<_> = ALL.into_iter().map(|mutant| scope.spawn(find(mutant))).collect();
+        let missed: Vec<Mutant> = searches
+            .into_iter()
+            .filter_map(|search| search.join().expect("the search does not panic"))
+            .collect();
         assert_eq!(missed, []);
     });
 }
--- a/crates/brassport-fleet/tests/it/record.rs
+++ b/crates/brassport-fleet/tests/it/record.rs
@@ -1,4 +1,4 @@
-//! Records that were cut, altered or written by a newer program.
+//! Reading of records that were truncated, altered or written by a newer program.
 
 use brassport_fleet::record::{by_process, read, At, Chain, Event, Fault};
 use brassport_fleet::shared::hexadecimal;
@@ -13,23 +13,24 @@
     At { process: 7, steady_ms, wall_ms: 1_000 + steady_ms }
 }
 
+/// The text of a record with `count` lines.
 fn written(count: u64) -> String {
     let mut chain = Chain::default();
     let began = Event::Began { door: "d".into(), program: "0".into() };
     let rest = (1..count).map(|n| Event::WentOn { from_admission: n });
-    std::iter::once(began).chain(rest).enumerate().map(|(n, what)| chain.add(at(n as u64), what)).collect()
+    std::iter::once(began).chain(rest).enumerate().map(|(n, event)| chain.add(at(n as u64), event)).collect()
 }
 
 proptest! {
     #[test]
-    fn a_truncated_record_keeps_its_complete_lines_and_can_be_continued(count in 1u64..12, part in 0.0..1.0f64) {
+    fn a_truncated_record_keeps_its_complete_lines_and_can_be_continued(count in 1u64..12, fraction in 0.0..1.0f64) {
         let text = written(count);
-        let cut = (part * text.len() as f64) as usize;
+        let cut = (fraction * text.len() as f64) as usize;
         let (lines, fault, valid_bytes, chain) = read(&text[..cut]);
         let complete = text[..cut].matches('\n').count();
         prop_assert_eq!(lines.len(), complete);
         prop_assert_eq!(fault.is_none(), valid_bytes == cut);
-        // What is appended there is a valid record.
+        // The record is valid again after the truncated line is removed and another line is appended.
         let mut chain = chain;
         let more = chain.add(at(99), Event::WentOn { from_admission: 99 });
         let repaired = text[..valid_bytes].to_string() + &more;
@@ -37,17 +38,17 @@
     }
 
     #[test]
-    fn a_flipped_bit_is_detected(count in 2u64..12, part in 0.0..1.0f64, bit in 0u8..7) {
+    fn a_flipped_bit_is_detected(count in 2u64..12, fraction in 0.0..1.0f64, bit in 0u8..7) {
         let text = written(count);
         let mut bytes = text.clone().into_bytes();
-        let offset = (part * bytes.len() as f64) as usize;
+        let offset = (fraction * bytes.len() as f64) as usize;
         bytes[offset] ^= 1 << bit;
         let Ok(flipped) = String::from_utf8(bytes) else { return Ok(()) };
         let (lines, fault, ..) = read(&flipped);
         let last = text.trim_end().rfind('\n').map_or(0, |end| end + 1);
-        // In the last line no next line reveals it.
+        // A flipped bit in the last line may go undetected, because no later line has its digest.
         if offset < last {
-            prop_assert!(fault.is_some(), "{} lines of {}", lines.len(), count);
+            prop_assert!(fault.is_some(), "no fault is detected, {} lines of {} are valid", lines.len(), count);
         }
     }
 }
--- a/crates/brassport-fleet/tests/it/shared.rs
+++ b/crates/brassport-fleet/tests/it/shared.rs
@@ -1,4 +1,4 @@
-//! The shared state: versions, digests, and what is refused.
+//! The shared state: versions, digests, refused changes, and updates of replicas.
 
 use brassport_fleet::shared::{Change, Fault, Refusal, Shared, Update, SETTINGS, STRICTNESS};
 use serde_json::{json, Value};
@@ -7,6 +7,7 @@
     Change::new(id, "asha", "disk is failing", "ban", node, body)
 }
 
+/// A state after `count` bans, spread over seven nodes.
 fn with(count: u64) -> Shared {
     let mut shared = Shared::default();
     for n in 0..count {
@@ -19,8 +20,8 @@
 fn a_repeated_change_is_applied_once_and_another_with_its_id_is_refused() {
     let mut shared = with(0);
     assert!(!shared.apply(&ban("a", "n", json!(true))).expect("valid").repeated);
-    let again = Change { at_ms: 99, ..ban("a", "n", json!(true)) };
-    assert!(shared.apply(&again).expect("the same").repeated, "whenever it is taken");
+    let repeated = Change { at_ms: 99, ..ban("a", "n", json!(true)) };
+    assert!(shared.apply(&repeated).expect("valid").repeated, "independent of the time of acceptance");
     assert_eq!(shared.version(), 1);
     assert_eq!(shared.apply(&ban("a", "m", json!(true))), Err(Refusal::IdUsed { version: 1 }));
 }
@@ -29,7 +30,7 @@
 fn the_second_of_two_changes_against_one_version_is_refused() {
     let mut shared = with(1);
     let seen = |id: &str| Change { seen: Some(1), ..ban(id, "n0", json!(null)) };
-    assert_eq!(shared.apply(&seen("x")).expect("the first").version, 2);
+    assert_eq!(shared.apply(&seen("x")).expect("the first of the two").version, 2);
     assert_eq!(shared.apply(&seen("y")), Err(Refusal::Conflict { version: 2 }));
     assert_eq!(shared.bans().len(), 0);
 }
@@ -40,11 +41,11 @@
     shared.apply(&ban("off", "n0", json!(null))).expect("valid");
     let old = late.clone();
     let Ok(Update::Changes(changes)) = shared.since(late.version(), late.digest()) else {
-        panic!("one change")
+        panic!("the replica lacks one change")
     };
-    late.catch_up(Update::Changes(changes.clone())).expect("it follows");
-    // The same again, and the older state by another path.
-    late.catch_up(Update::Changes(changes)).expect("nothing new");
+    late.catch_up(Update::Changes(changes.clone())).expect("the changes follow its version");
+    // The same changes are delivered again, then an older snapshot.
+    late.catch_up(Update::Changes(changes)).expect("the changes are applied already");
     assert_eq!(late.catch_up(Update::Snapshot(Box::new(old))), Err(Fault::Stale { have: 2, offered: 1 }));
     assert!(late.bans().is_empty() && late.digest() == shared.digest());
 }
@@ -52,12 +53,13 @@
 #[test]
 fn a_replica_far_behind_gets_a_snapshot_and_a_near_one_the_changes() {
     let shared = with(3000);
-    let catch = |behind: &Shared| shared.since(behind.version(), behind.digest()).expect("the same fleet");
-    assert!(matches!(catch(&with(100)), Update::Snapshot(_)));
+    let update_for =
+        |behind: &Shared| shared.since(behind.version(), behind.digest()).expect("the same history");
+    assert!(matches!(update_for(&with(100)), Update::Snapshot(_)));
     for from in [0, 100, 2500, 2999, 3000] {
         let mut behind = with(from);
-        let update = catch(&behind);
-        behind.catch_up(update).expect("it follows");
+        let update = update_for(&behind);
+        behind.catch_up(update).expect("the update follows its version");
         assert_eq!((behind.version(), behind.digest()), (3000, shared.digest()), "from {from}");
         assert_eq!(behind.bans(), shared.bans());
     }
@@ -72,7 +74,9 @@
     other.apply(&ban("c4", "n4", json!(true))).expect("valid");
     assert_eq!(shared.since(5, other.digest()), Err(Fault::Fork { version: 5 }));
     let mut behind = with(3);
-    let Ok(Update::Changes(mut changes)) = shared.since(3, behind.digest()) else { panic!("two changes") };
+    let Ok(Update::Changes(mut changes)) = shared.since(3, behind.digest()) else {
+        panic!("the replica lacks two changes")
+    };
     changes[0].change.key = "n8".into();
     assert_eq!(behind.catch_up(Update::Changes(changes.clone())), Err(Fault::Fork { version: 4 }));
     assert_eq!(behind.catch_up(Update::Changes(changes[1..].to_vec())), Err(Fault::Gap { have: 3, next: 5 }));
@@ -82,10 +86,11 @@
 #[test]
 fn a_matter_of_a_newer_program_is_kept_and_forwarded() {
     let mut newer = with(1);
-    let dream = Change::new("d", "asha", "of a newer program", "dreams", "k", json!({ "of": [1, 2] }));
-    newer.apply(&dream).expect("valid");
+    let unknown = Change::new("d", "asha", "of a newer program", "dreams", "k", json!({ "of": [1, 2] }));
+    newer.apply(&unknown).expect("valid");
     let mut older = with(1);
-    older.catch_up(newer.since(1, older.digest()).expect("the same fleet")).expect("it follows");
+    let update = newer.since(1, older.digest()).expect("the same history");
+    older.catch_up(update).expect("the update follows its version");
     assert_eq!(older.get("dreams", "k").map(|slot| &slot.body), Some(&json!({ "of": [1, 2] })));
 }
 
@@ -104,8 +109,8 @@
 #[test]
 fn an_incomplete_or_oversized_change_is_refused() {
     let mut shared = Shared::default();
-    let nameless = Change { reason: " ".into(), ..ban("a", "n", json!(true)) };
-    assert_eq!(shared.apply(&nameless), Err(Refusal::Incomplete("reason".into())));
+    let without_reason = Change { reason: " ".into(), ..ban("a", "n", json!(true)) };
+    assert_eq!(shared.apply(&without_reason), Err(Refusal::Incomplete("reason".into())));
     let large = ban("a", "n", json!("x".repeat(300_000)));
     assert!(matches!(shared.apply(&large), Err(Refusal::TooLarge { .. })));
     assert_eq!(shared.version(), 0);
--- a/crates/brassport-fleet/tests/it/simulation/delivery.rs
+++ b/crates/brassport-fleet/tests/it/simulation/delivery.rs
@@ -9,7 +9,7 @@
     /// Delivers all messages that have arrived.
     pub(super) fn deliver(&mut self) {
         while let Some(message) = self.network.receive(self.now) {
-            // Drawn for each message, whether it has a response or not.
+            // Drawn for every message, also one without a response, so that each message consumes one random number.
             let arrives = self.now + self.random.rand_range(5..400);
             match message {
                 Message::Request { door, ask, asked } => self.on_request(door, &ask, asked, arrives),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The process of this origin, if it has no successor in its place and is not suspended.
+    /// The process with this origin, if it has not been replaced by a successor and is not suspended.
     fn running(&mut self, origin: Origin) -> Option<&mut Door> {
         let now = self.now;
         let door = &mut self.doors[origin.door];
@@ -57,7 +57,7 @@
         let now = self.now;
         let suspended_until = self.doors[to.door].suspended_until;
         if suspended_until > now {
-            // It lies in the socket's buffer until the process runs again.
+            // The response stays in the socket buffer until the process resumes.
             self.network.send(suspended_until, Message::Response { to, asked, answer });
             return;
         }
--- a/crates/brassport-fleet/tests/it/simulation/doors.rs
+++ b/crates/brassport-fleet/tests/it/simulation/doors.rs
@@ -1,4 +1,4 @@
-//! What doors do at each tick, and the check of the invariants.
+//! The work of doors at each tick, and the check of the invariants.
 
 use super::model::{Message, Origin, Registration};
 use super::{Sim, Violation};
@@ -12,7 +12,7 @@
 }
 
 impl Sim {
-    /// Lets each door that is not suspended act, register and request its right.
+    /// Runs each door that is not suspended: checks whether it acts, and registers it and requests its right when due.
     pub(super) fn run_doors(&mut self) -> Result<(), Violation> {
         let mut acting = BTreeMap::new();
         for door in 0..self.doors.len() {
@@ -28,7 +28,7 @@
         Ok(())
     }
 
-    /// Checks the invariants for one door. `acting` has the processes that act at this tick, by name.
+    /// Checks the invariants for one door. `acting` collects the processes that act at this tick, by name.
     fn check(&mut self, n: usize, acting: &mut BTreeMap<usize, u64>) -> Result<(), Violation> {
         let (seed, now_ms, door) = (self.seed, self.now, &self.doors[n]);
         let local = door.clock.at(now_ms);
@@ -66,7 +66,7 @@
             self.network.send(arrives, Message::FetchState { from });
             return;
         }
-        // It is on the side of a voter that is cut off too, if there is one.
+        // A door without a link to the leader reaches a voter that is also cut off from the leader, if there is one.
         let mut voters = 0..self.voters.len() as u64;
         if let Some(voter) = voters.find(|voter| !self.network.reaches_voter(*voter, self.now)) {
             let arrives = self.now + self.random.rand_range(5..400);
@@ -74,14 +74,14 @@
         }
     }
 
-    /// Enters a process in the fleet: as the only one of its name if its predecessor's entry is still the last, and else as one
-    /// beside others.
+    /// Registers a process in the shared state: as the only one with its name if its predecessor's entry is still the latest,
+    /// and otherwise as one that others may run beside.
     fn register(&mut self, n: usize) {
         let door = &mut self.doors[n];
         for seen in [door.predecessor, None] {
             let id = format!("p{}-{seen:?}", door.process);
             let process = Process { process: door.process, alone: seen.is_some() };
-            let body = serde_json::to_value(process).expect("plain data has a form in JSON");
+            let body = serde_json::to_value(process).expect("plain data serializes as JSON");
             let change = Change::new(&id, "d", "starts", DOOR, &name(door.name), body);
             if let Ok(done) = self.log.apply(&Change { seen, ..change }) {
                 door.registration = Some(Registration { version: done.version, alone: seen.is_some() });
--- a/crates/brassport-fleet/tests/it/simulation/faults.rs
+++ b/crates/brassport-fleet/tests/it/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: cut links, changes of leadership, suspended and restarted processes.
+//! Random faults: cut links, changes of leadership, and suspended and restarted processes.
 
 use super::model::{Clock, Door};
 use super::Sim;
@@ -29,7 +29,7 @@
     fn cut_voter(&mut self) {
         let electorate = self.voters.len() as u64;
         let voter = self.random.rand_range(0..electorate);
-        // Never so that the leader has no majority: then nothing is decided, and there is nothing to check.
+        // Keeps the leader's majority: without one nothing is decided, and there is nothing to check.
         let cut = self.network.voter_cut_until.iter().filter(|until| **until > self.now).count() as u64;
         if voter != self.leader && 2 * (cut + 1) < electorate {
             self.network.voter_cut_until[voter as usize] = self.now + self.random.rand_range(100..8000);
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Starts a new process of a name, at times with an older directory; at times the one before it runs on, and may be
-    /// suspended now.
+    /// Starts a new process with an existing name, either with an empty state or with its predecessor's. The predecessor either
+    /// ends or keeps running, possibly while suspended.
     fn start_process(&mut self) {
         let before = self.random.rand_range(0..self.doors.len() as u64) as usize;
         self.last_process += 1;
--- a/crates/brassport-fleet/tests/it/simulation/mod.rs
+++ b/crates/brassport-fleet/tests/it/simulation/mod.rs
@@ -1,8 +1,8 @@
-//! A fleet under a virtual clock: changes of leadership, doors and voters behind links that fail, clocks that drift, processes
-//! that are suspended, restarted or run on beside their successor. Two invariants are checked: once a fence was reported to
-//! hold, no door acts on an older version; and no two processes of one name act at once.
+//! Simulates a fleet under a virtual clock, with changes of leadership, link failures of doors and voters, clock drift, and
+//! processes that are suspended, restarted or keep running beside their successor. Checks two invariants: once a fence was
+//! reported to hold, no door acts on an older version; and no two processes with one name act at the same time.
 //!
-//! A seed determines a run: the order in which random numbers are drawn is part of what a seed means.
+//! A seed determines a run. Any change to the order in which random numbers are drawn changes the run of each seed.
 
 mod delivery;
 mod doors;
@@ -23,25 +23,25 @@
 /// The interval of the leader's heartbeats, in milliseconds.
 const HEARTBEAT_MS: u64 = 50;
 
-/// How often each case came up, by which a test knows that it tried something.
+/// Counts of the cases that came up in a run, by which a test checks that the cases were exercised.
 #[derive(Debug, Default)]
 pub struct Tally {
     /// Fences that were reported to hold.
     pub fences: u32,
-    /// Of these, those with a door that did not have the version.
+    /// Fences that were reported to hold although some door did not have the version.
     pub fences_without_a_door: u32,
     /// Extensions by voters that reached a door.
     pub extensions: u32,
-    /// Checks of a door whose right had expired, at most one in 500 ms.
+    /// Checks of a door whose right had expired, counted only in 5 ms of every 500 ms of its clock.
     pub stops: u32,
 }
 
 /// An invariant that was violated.
 #[derive(Debug)]
 pub enum Violation {
-    /// Two processes of one name act at once.
+    /// Two processes with one name act at the same time.
     TwoProcesses { seed: u64, now_ms: u64, processes: (u64, u64) },
-    /// A door acts on an older version than that of a fence that was reported to hold.
+    /// A door acts on a version older than a fence that was reported to hold.
     BehindFence { seed: u64, now_ms: u64, door: usize, version: u64, fence: u64 },
     /// The operator's change was refused.
     Refused { seed: u64, refusal: Refusal },
@@ -89,7 +89,7 @@
     tally: Tally,
     /// The replicated log, as its leader has it.
     log: Shared,
-    /// All processes, also those that run on beside their successor.
+    /// All processes that have not ended, including those that keep running beside their successor.
     doors: Vec<Door>,
     door_names: usize,
     last_process: u64,
@@ -98,9 +98,9 @@
     grants: Grants,
     last_change: u64,
     network: Network,
-    /// The fence that the operator waits for.
+    /// The version of the fence that the operator waits for.
     pending_fence: Option<u64>,
-    /// The fence that was reported to hold.
+    /// The version of the last fence, once it was reported to hold.
     complete_fence: Option<u64>,
 }
 
@@ -146,22 +146,22 @@
         Ok(self.tally)
     }
 
-    /// Whether an event that comes once in so many ticks on average comes now.
+    /// Draws whether an event occurs now that occurs once in `ticks` ticks on average.
     fn one_in(&mut self, ticks: u64) -> bool {
         self.random.rand_range(0..ticks) == 0
     }
 
-    /// The leader's clock.
+    /// The time on the leader's clock.
     fn leader_clock(&self) -> u64 {
         self.voters[self.leader as usize].clock.at(self.now)
     }
 
-    /// All voters but the leader.
+    /// All voters except the leader.
     fn followers(&self) -> BTreeSet<u64> {
         (0..self.voters.len() as u64).filter(|voter| *voter != self.leader).collect()
     }
 
-    /// The operator publishes a change with a fence, unless one is pending.
+    /// At random times, publishes a change with a fence, unless a fence is pending.
     fn publish(&mut self) -> Result<(), Violation> {
         if self.pending_fence.is_some() || !self.one_in(300) {
             return Ok(());
@@ -175,7 +175,7 @@
         Ok(())
     }
 
-    /// The leader's own work: heartbeats, and whether the pending fence holds.
+    /// Does the leader's work: sends heartbeats, and checks whether the pending fence holds.
     fn lead(&mut self) {
         let (now, leader_now) = (self.now, self.leader_clock());
         self.grants.note(leader_now, &self.log);
--- a/crates/brassport-fleet/tests/it/simulation/model.rs
+++ b/crates/brassport-fleet/tests/it/simulation/model.rs
@@ -1,4 +1,4 @@
-//! The parts of the simulated fleet: clocks, doors, voters and the network between them.
+//! The components of the simulated fleet: clocks, doors, voters and the network between them.
 
 use brassport_fleet::grants::{Answer, Ask, Terms};
 use brassport_fleet::shared::Shared;
@@ -6,7 +6,7 @@
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
-/// A monotonic clock of its own origin and rate.
+/// A monotonic clock with its own origin and rate.
 pub struct Clock {
     offset_ms: f64,
     rate: f64,
@@ -14,7 +14,7 @@
 
 impl Clock {
     pub fn draw(random: &mut Rand64, terms: &Terms) -> Clock {
-        // Two clocks drift apart by the bound at most.
+        // Rates differ by less than the drift bound between any two clocks.
         let drift = terms.drift_permille as f64 / 1000.0;
         Clock {
             offset_ms: random.rand_range(0..9_000) as f64,
@@ -27,11 +27,11 @@
     }
 }
 
-/// A process's entry in the fleet.
+/// The entry of a process in the shared state.
 #[derive(Clone, Copy)]
 pub struct Registration {
     pub version: u64,
-    /// Whether it says that the process is alone.
+    /// Whether the entry claims that all earlier processes with the name have ended.
     pub alone: bool,
 }
 
@@ -40,7 +40,8 @@
     pub name: usize,
     pub clock: Clock,
     pub process: u64,
-    /// The version of its predecessor's entry, 0 if it is the first, where all processes up to that one have ended.
+    /// The version of its predecessor's entry, 0 if there is none, if all processes up to the predecessor are known to have
+    /// ended; otherwise `None`.
     pub predecessor: Option<u64>,
     pub registration: Option<Registration>,
     pub shared: Shared,
@@ -50,7 +51,7 @@
 }
 
 impl Door {
-    /// The first process of a name.
+    /// The first process with a name.
     pub fn first(name: usize, process: u64, clock: Clock) -> Door {
         Door {
             name,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// What its successor may name as its predecessor's entry, if this process ends.
+    /// The value of [`Door::predecessor`] for its successor, if this process ends.
     pub fn as_predecessor(&self) -> Option<u64> {
         match self.registration {
             Some(entry) => (entry.alone || self.standing.had_one()).then_some(entry.version),
@@ -80,7 +81,7 @@
     pub contact: u64,
 }
 
-/// The process that a message is from, or that its response is for.
+/// The process that sent a message, to which its response goes.
 #[derive(Clone, Copy)]
 pub struct Origin {
     pub door: usize,
@@ -96,16 +97,16 @@
     Extension { to: Origin, asked: u64 },
 }
 
-/// When a message arrives, and its number among all messages.
+/// The time at which a message arrives, and its number in order of sending.
 type Arrival = (u64, u64);
 
-/// Messages in flight, and links that are cut until some moment.
+/// Messages in flight, and the times until which links are cut.
 pub struct Network {
     in_flight: BTreeMap<Arrival, Message>,
     sent: u64,
-    /// From doors to the leader's side, by name.
+    /// The links from doors to the leader, by the index of the door's name.
     pub door_cut_until: Vec<u64>,
-    /// From voters to the leader.
+    /// The links from voters to the leader.
     pub voter_cut_until: Vec<u64>,
 }
 
@@ -120,7 +121,7 @@
         self.in_flight.insert((arrives, self.sent), message);
     }
 
-    /// The next message that has arrived.
+    /// Removes and returns the next message that has arrived by `now`.
     pub fn receive(&mut self, now: u64) -> Option<Message> {
         let first = self.in_flight.first_entry()?;
         (first.key().0 <= now).then(|| first.remove())
--- a/crates/brassport-fleet/tests/it/standing.rs
+++ b/crates/brassport-fleet/tests/it/standing.rs
@@ -1,4 +1,4 @@
-//! The right of one door: from when it runs, and what extends it.
+//! One door's right to act: when it starts to run, and how grants and extensions prolong it.
 
 use brassport_fleet::standing::{DenialReason, Standing};
 
@@ -27,7 +27,7 @@
     standing.granted(20, 20, 100);
     standing.extended(119, 119, 100);
     assert_eq!(standing.until(), Some(219));
-    // Asked in time, and answered too late.
+    // Requested before the right expired, but answered after.
     standing.extended(219, 218, 100);
     assert_eq!(standing.until(), Some(219));
 }
