--- a/crates/brassport-leases/src/event.rs
+++ b/crates/brassport-leases/src/event.rs
@@ -1,4 +1,4 @@
-//! What a [`Task`](crate::Task) is notified of and what it has the host do.
+//! Inputs of a [`Task`](crate::Task), and the actions that it returns to the host.
 
 use crate::lease::Lease;
 use serde::{Deserialize, Serialize};
@@ -8,20 +8,20 @@
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// Whether this process is to acquire and keep the lease if it can.
+    /// Whether this process should acquire and keep the lease if it can.
     Wants(bool),
-    /// The lease is to be handed over to this instance.
+    /// The lease is to be handed over to the named instance.
     HandOver(String),
-    /// An act under the last permit has started, or has ended. The lease is not released in between.
+    /// An act under the last permit has started (`true`) or ended (`false`). The lease is not released during an act.
     Acting(bool),
-    /// The replicated state has this lease for the task.
+    /// The replicated state contains this lease for the task.
     Seen {
         /// The version of the replicated state, which rises with every change.
         version: u64,
         /// The lease in that version.
         lease: Lease,
     },
-    /// How many times the fleet was recovered from the loss of a majority.
+    /// The number of times that the fleet was recovered from the loss of a majority.
     Recovered(u64),
     /// The outcome of the last request.
     Answer(Outcome),
@@ -37,31 +37,31 @@
     },
     /// Another change was committed before it.
     Refused,
-    /// Whether the change is committed is not known: it may yet be.
+    /// It is unknown whether the change is committed; it may still be committed later.
     Unknown,
 }
 
-/// What the host is to do.
+/// An action that the host must perform.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Propose a change of the lease to the replicated state, which has to reject it if its version is another one.
+    /// Propose a change of the lease to the replicated state, which must reject it if the lease's version is not `seen`.
     Publish {
-        /// The version that the change is made against; 0 if there was none.
+        /// The version of the lease that the change is based on; 0 if there was none.
         seen: u64,
-        /// The lease as it is to become.
+        /// The new lease.
         lease: Lease,
     },
 }
 
-/// Why a process may not act.
+/// The reason why a process may not act.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum NoPermitReason {
-    /// Another process has the lease: the name of its instance.
+    /// Another process holds the lease; the name of its instance.
     HeldBy(String),
-    /// An earlier holder's permit may still run.
+    /// An earlier holder's permit may still be valid.
     Waits,
-    /// The fleet has not committed this process's request yet.
+    /// This process may request the lease, or has requested it, but the request is not committed yet.
     Asks,
-    /// This process is not to have the lease.
+    /// This process is not meant to hold the lease.
     NotWanted,
 }
--- a/crates/brassport-leases/src/lib.rs
+++ b/crates/brassport-leases/src/lib.rs
@@ -1,16 +1,16 @@
-//! Leases for the tasks that a fleet runs once, not once on each instance: who may act on a task now, under a fencing
-//! token that rises with every holder.
+//! Leases for tasks that run once in a fleet instead of once on each instance: which process may act on a task, under a
+//! fencing token that rises with every holder.
 //!
 //! A task's lease is one entry in the fleet's replicated state, changed only against the last version that the writer
-//! saw. [`Task`] is one process's state machine for one task: it acquires the lease, renews it and releases it. Nobody
-//! acts without a [`Permit`], which [`Task::permit`] alone makes, at the act, and which expires by itself on the
-//! process's own clock. [`schedule`] computes when a periodic task is due.
+//! read. [`Task`] is one process's state machine for one task: it acquires the lease, renews it and releases it. A process
+//! acts only with a [`Permit`], which only [`Task::permit`] creates, immediately before the act, and which expires on the
+//! process's own clock without any message. [`schedule`] computes when a periodic task is due.
 //!
-//! It rests on two assumptions: clocks that advance while a process stands still and drift apart by
+//! It relies on two assumptions: clocks that advance while a process is suspended and drift apart by
 //! [`Terms::drift_permille`] at most; and a replicated state that rejects a change made against an older version.
 //!
-//! It is not for replicating the lease (the host publishes what [`Action::Publish`] carries), it starts no task itself,
-//! and it does no I/O: time is an argument.
+//! The host replicates the lease, by publishing the contents of [`Action::Publish`], and runs the task's work. This
+//! package does no I/O: time is an argument.
 //!
 //! ```
 //! use brassport_leases::{Action, Event, Outcome, Task, Terms};
@@ -23,7 +23,7 @@
 //! assert_eq!(task.permit(later), None, "not before the fleet has committed it");
 //! task.handle(later + 20, Event::Answer(Outcome::Taken { version: 3 }));
 //! assert_eq!(task.permit(later + 30).map(|permit| permit.token()), Some(1));
-//! assert_eq!(task.permit(later + task.terms().length), None, "it runs from the request, not from the response");
+//! assert_eq!(task.permit(later + task.terms().length), None, "a permit runs from the request, not from the response");
 //! ```
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
--- a/crates/brassport-leases/src/mutants.rs
+++ b/crates/brassport-leases/src/mutants.rs
@@ -1,33 +1,33 @@
-//! Deliberate faults, one at a time, to show that the model can fail. Without the feature `mutants` each check for one
-//! is the constant `false`.
+//! Deliberate faults that tests activate one at a time, to show that the model can fail. Without the feature `mutants`
+//! each check for one is the constant `false`.
 
-/// A fault.
+/// A deliberate fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mutant {
-    /// A permit runs from the response, not from before the request.
+    /// A permit runs from the response instead of the request.
     PermitFromResponse = 1,
-    /// Clocks are taken to run alike.
+    /// All clocks are assumed to run at the same rate.
     NoDrift,
-    /// A process that starts acquires what seems free at once.
+    /// A process that starts acquires a lease that seems free without waiting.
     NoWaitAtStart,
-    /// A lease whose version changed since is acquired all the same.
+    /// A lease is changed although its version has changed since it was read.
     VersionIgnored,
-    /// The wait for a lease's expiry runs from when its holder was first seen, not from the last renewal.
+    /// The wait for a lease's expiry runs from the first sight of its holder instead of the last renewal.
     WaitFromFirstSeen,
-    /// A lease is released before its holder stops.
+    /// A lease is released before its holder has stopped acting.
     ReleasedEarly,
-    /// A process takes a lease of an earlier process of its instance for its own.
+    /// A process treats a lease of an earlier process of its instance as its own.
     ProcessIgnored,
-    /// A new holder continues with the token of the one before.
+    /// A new holder reuses the token of the previous holder.
     TokenReused,
-    /// A permit, once there, does not expire until another holder is seen.
+    /// A permit does not expire until another holder is seen.
     PermitNeverExpires,
-    /// An unknown outcome is taken for a committed change.
+    /// An unknown outcome is treated as a committed change.
     UnknownIsCommitted,
 }
 
-/// Every fault.
+/// Every deliberate fault.
 pub const ALL: [Mutant; 10] = [
     Mutant::PermitFromResponse,
     Mutant::NoDrift,
@@ -46,15 +46,15 @@
     use super::Mutant;
     use std::sync::atomic::{AtomicU8, Ordering};
 
-    // For all threads: the model is explored by several.
+    // One for all threads of the process, because several threads explore the model.
     static ACTIVE: AtomicU8 = AtomicU8::new(0);
 
-    /// Activates one fault in the process, or none.
+    /// Activates this fault, or none, in the whole process.
     pub fn activate(mutant: Option<Mutant>) {
         ACTIVE.store(mutant.map_or(0, |mutant| mutant as u8), Ordering::SeqCst);
     }
 
-    /// Whether this fault is active. Public for the replicated state of a test, where some faults lie.
+    /// Whether this fault is active. Public because a test's replicated state implements some of the faults.
     pub fn is_active(mutant: Mutant) -> bool {
         ACTIVE.load(Ordering::Relaxed) == mutant as u8
     }
--- a/crates/brassport-leases/src/schedule.rs
+++ b/crates/brassport-leases/src/schedule.rs
@@ -1,10 +1,10 @@
-//! When a periodic task is due: at multiples of its period since 1970, whichever process has the lease.
+//! Due times of a periodic task: multiples of its period since the Unix epoch, independent of which process holds the lease.
 
-/// The due time whose work is to start now, if any: the latest that has come, if it is later than `begun_for`, the last
-/// one that was started. Due times between the two are counted as missed. Before anything was started, the current due
-/// time is taken and none in the past counts as missed.
+/// The due time to start now, if any: the latest one up to `now_ms`, if it is later than `begun_for`, the last one that
+/// was started. Due times between the two count as missed. If none was started before (`begun_for` is 0), none counts as
+/// missed.
 ///
-/// All arguments are in milliseconds: `now_ms` and `begun_for` since 1970, `period_ms` a span, of which 0 counts as 1.
+/// `now_ms` and `begun_for` are Unix times in milliseconds; `period_ms` is a duration in milliseconds, where 0 counts as 1.
 ///
 /// ```
 /// use brassport_leases::schedule::{due, Due};
@@ -19,11 +19,11 @@
     })
 }
 
-/// A due time that has come.
+/// A due time to start now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Due {
-    /// The due time, Unix milliseconds.
+    /// The due time, in Unix milliseconds.
     pub at_ms: u64,
-    /// Due times before it for which no process started the task: the lease was free.
+    /// The number of earlier due times for which no process started the task, for example because the lease was free.
     pub missed: u64,
 }
--- a/crates/brassport-leases/src/task.rs
+++ b/crates/brassport-leases/src/task.rs
@@ -1,15 +1,15 @@
-//! One process's state machine for one task: acquire the lease, renew it, release it.
+//! One process's state machine for one task: acquires, renews and releases the lease.
 
 use crate::event::{Action, Event, NoPermitReason, Outcome};
 use crate::lease::{Lease, Terms};
 use crate::mutants::mutant;
 use crate::Millis;
 
-/// By how much tokens rise with each recovery from a lost majority: the changes that were lost had tokens, too, and no
-/// fleet has so many holders between two recoveries.
+/// The increase of the tokens with each recovery from a lost majority. Holders in the lost changes had tokens too; the
+/// increase is larger than the number of holders that a fleet can have between two recoveries, so no token is reused.
 const TOKENS_PER_RECOVERY: u64 = 1 << 32;
 
-/// Leave to act once, now. Nothing but [`Task::permit`] makes one.
+/// Permission to act once, immediately. Only [`Task::permit`] creates one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Permit {
     token: u64,
@@ -17,24 +17,24 @@
 }
 
 impl Permit {
-    /// The fencing token, to go along with the act to a resource that rejects lower ones.
+    /// The fencing token, to be sent with the act to a resource that rejects lower tokens.
     pub fn token(&self) -> u64 {
         self.token
     }
 
-    /// When it expires, in milliseconds on the process's own clock. An act that takes longer is to be cut into steps,
-    /// each with a permit of its own.
+    /// When the permit expires, in milliseconds on the process's own clock. A longer act must be split into steps, each
+    /// with its own permit.
     pub fn until(&self) -> Millis {
         self.until
     }
 }
 
-/// The newest lease that the process saw.
+/// The newest lease that the process has seen.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct SeenLease {
     version: u64,
     lease: Lease,
-    /// When it was seen, on this process's clock.
+    /// When this version was first seen, on this process's clock.
     since: Millis,
 }
 
@@ -45,16 +45,16 @@
     lease: Lease,
 }
 
-/// A due time that the process is to start the work of, once the lease records it.
+/// A due time whose work this process starts once the lease records it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct PendingStart {
-    /// The token under which the process had the lease when it was to start.
+    /// The token under which the process held the lease when it requested the start.
     token: u64,
-    /// Unix milliseconds.
+    /// The due time, in Unix milliseconds.
     due_ms: u64,
 }
 
-/// One process's part in one task.
+/// The state of one process with regard to one task.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Task {
     instance: String,
@@ -63,19 +63,21 @@
     wants: bool,
     hand_over_to: Option<String>,
     is_acting: bool,
-    /// When this process started: a permit from a change that was committed before, and lost since, may run as long.
+    /// When this process started. A permit may still be valid whose change was committed before the start and lost since, so
+    /// the process waits for a full lease after its start.
     started_at: Millis,
     seen: Option<SeenLease>,
     recoveries: u64,
     in_flight: Option<PendingRequest>,
-    /// When its permit expires, on its own clock; none: it may not act.
+    /// When the permit expires, on this process's clock; `None` if the process may not act.
     permit_until: Option<Millis>,
     last_request_at: Millis,
     pending_start: Option<PendingStart>,
 }
 
 impl Task {
-    /// The state of a process that starts at `now`: number `process` of the instance named `me`. It has no permit.
+    /// The initial state, without a permit, of a process that starts at `now`. It has the number `process` and belongs to the
+    /// instance named `me`.
     pub fn new(me: &str, process: u64, terms: Terms, now: Millis) -> Task {
         Task {
             instance: me.into(),
@@ -94,24 +96,24 @@
         }
     }
 
-    /// The durations it was made with.
+    /// The parameters of the lease.
     pub fn terms(&self) -> &Terms {
         &self.terms
     }
 
-    /// The newest lease that it saw, if any.
+    /// The newest lease that the process has seen, if any.
     pub fn lease(&self) -> Option<&Lease> {
         self.seen.as_ref().map(|seen| &seen.lease)
     }
 
-    /// Leave to act, if this process may act at `now`. To be called at the act, not earlier.
+    /// Permission to act, if this process may act at `now`. To be called immediately before the act.
     pub fn permit(&self, now: Millis) -> Option<Permit> {
         let until = self.permit_until.filter(|until| now < *until || mutant!(PermitNeverExpires))?;
         let token = self.lease().filter(|lease| self.is_mine(lease))?.token;
         Some(Permit { token, until })
     }
 
-    /// Why it may not act. Meaningful only while [`Task::permit`] returns none.
+    /// The reason why the process may not act. Meaningful only while [`Task::permit`] returns `None`.
     pub fn why(&self, now: Millis) -> NoPermitReason {
         match self.lease() {
             _ if !self.wants => NoPermitReason::NotWanted,
@@ -122,19 +124,20 @@
     }
 
     /// Requests that the lease record this due time (Unix milliseconds) as started, so that no other holder starts its
-    /// work again. The work is to start once [`Task::begun`] returns it, and not before. Without a permit nothing is
-    /// recorded.
+    /// work again. The work must not start before [`Task::begun`] returns the due time. Without a permit, nothing is
+    /// requested for the due time.
     pub fn begin(&mut self, now: Millis, due: u64) -> Vec<Action> {
         self.pending_start =
             self.permit(now).map(|permit| PendingStart { token: permit.token(), due_ms: due });
         self.next_request(now).into_iter().collect()
     }
 
-    /// The due time whose work is to start now, with the permit for it; returned once.
+    /// The due time whose work must start now, with the permit for it; returned once.
     pub fn begun(&mut self, now: Millis) -> Option<(u64, Permit)> {
         let PendingStart { token, due_ms } = self.pending_start?;
         let permit = self.permit(now)?;
-        // Guards against a start that was pending when it had the lease before: a holder since may have started it.
+        // The start was requested under an earlier token. Another holder may have started the same due time since, so the
+        // request is dropped.
         if permit.token() != token {
             self.pending_start = None;
             return None;
@@ -146,12 +149,12 @@
         Some((due_ms, permit))
     }
 
-    /// Whether a start waits until the lease records it.
+    /// Whether a start is pending until the lease records it.
     pub fn waits_to_begin(&self) -> bool {
         self.pending_start.is_some()
     }
 
-    /// Handles one event at `now` and returns what the host is to do.
+    /// Handles one event at `now` and returns the actions that the host must perform.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => {}
@@ -183,7 +186,7 @@
             return;
         }
         if !self.is_mine(&lease) {
-            // Another process acquired it: this one's permit has expired, or an operator forced the change.
+            // Another process acquired the lease: this process's permit has expired, or an operator forced the change.
             self.permit_until = None;
         }
         let same_token = self.seen.as_ref().filter(|seen| seen.lease.token == lease.token);
@@ -207,7 +210,7 @@
     fn on_committed(&mut self, now: Millis, version: u64, request: PendingRequest) {
         let acquired = request.lease.held;
         self.on_lease(now, version, request.lease);
-        // A later update of the replicated state may have come before this response, and outweighs it.
+        // A later version from the replicated state may have arrived before this response; it takes precedence.
         let is_mine = self.lease().is_some_and(|lease| self.is_mine(lease));
         if acquired && is_mine && !self.releases() {
             let from = if mutant!(PermitFromResponse) { now } else { request.sent_at };
@@ -218,7 +221,7 @@
         }
     }
 
-    /// From when on no other process's permit can run, as far as this one has seen.
+    /// The time from which no other process's permit can be valid, according to the newest lease seen.
     fn free_from(&self) -> Millis {
         let length = self.lease().map_or(self.terms.length, |lease| lease.length.max(self.terms.length));
         let wait = self.terms.bound(length);
@@ -231,12 +234,12 @@
         }
     }
 
-    /// Whether another instance was named to acquire the lease first.
+    /// Whether the lease names another instance that may acquire it first.
     fn is_handed_to_other(&self, lease: &Lease) -> bool {
         lease.next.as_ref().is_some_and(|next| *next != self.instance)
     }
 
-    /// The request that is to be sent now, if any; one at a time.
+    /// The request to send now, if any. Only one request is in flight at a time.
     fn next_request(&mut self, now: Millis) -> Option<Action> {
         if self.in_flight.is_some() {
             return None;
@@ -252,7 +255,7 @@
         Some(Action::Publish { seen: self.seen_version(), lease })
     }
 
-    /// Ends the permit first, and returns the released lease once no act is under way.
+    /// Ends the permit, then returns the released lease, or `None` while an act is in progress.
     fn release(&mut self, lease: Lease) -> Option<Lease> {
         if !mutant!(ReleasedEarly) {
             self.permit_until = None;
@@ -263,7 +266,7 @@
         Some(Lease { held: false, next: self.hand_over_to.clone(), ..lease })
     }
 
-    /// The lease to renew, if it is time or a start is to be recorded.
+    /// The lease to publish if a renewal is due, there is no permit, or a start is to be recorded.
     fn renewal(&self, now: Millis, lease: Lease) -> Option<Lease> {
         let pending_start = self.pending_start.filter(|start| start.token == lease.token);
         let due_ms = pending_start.map_or(0, |start| start.due_ms);
@@ -273,7 +276,7 @@
         is_due.then(|| Lease { begun_for: lease.begun_for.max(due_ms), ..lease })
     }
 
-    /// The lease to acquire under a new token, if it is free and wanted.
+    /// The lease to publish under a new token, if the lease is free and this process wants it.
     fn acquisition(&mut self, now: Millis) -> Option<Lease> {
         if self.releases() || now < self.free_from() {
             self.hand_over_to = None;
--- a/crates/brassport-leases/tests/it/fleet.rs
+++ b/crates/brassport-leases/tests/it/fleet.rs
@@ -1,23 +1,25 @@
-//! The model: one register in instance of the fleet's replicated log, and processes that run [`Task`].
+//! The model: one register in place of the fleet's replicated log, and processes that run [`Task`].
 
 use brassport_leases::{Action as TaskAction, Event, Lease, Outcome, Task, Terms};
 use stateright::{Model, Property};
 use std::collections::BTreeSet;
 
-/// How much is explored.
+/// Bounds of the exploration.
 #[derive(Debug, Clone, Copy)]
 pub struct Sizes {
     pub processes: usize,
-    /// The last moment on any clock.
+    /// The last time that any clock reaches.
     pub end: u64,
-    /// By how much clocks may differ at any moment.
+    /// The maximum difference between two clocks at any time.
     pub drift: u64,
     pub restarts: u8,
     pub hand_overs: u8,
-    /// Times that the last change is lost with a majority; every process but the one that made it restarts.
+    /// The number of times that the last change is lost with a majority. Each time, every process restarts except the one that
+    /// made the change.
     pub losses: u8,
-    /// Messages in flight at once, and requests of each process.
+    /// The maximum number of messages in flight.
     pub messages: usize,
+    /// The maximum number of requests of each process.
     pub requests: u8,
     /// Whether a message may be delivered twice.
     pub duplicates: bool,
@@ -34,20 +36,21 @@
     requests: 2,
     duplicates: false,
 };
-/// Each of these adds one thing that may go wrong.
+/// Each of the following adds one kind of fault or change to [`SMALL`].
 pub const DUPLICATES: Sizes = Sizes { duplicates: true, ..SMALL };
 pub const RESTARTS: Sizes = Sizes { restarts: 1, ..SMALL };
 pub const LOSSES: Sizes = Sizes { losses: 1, end: 8, ..SMALL };
 pub const HAND_OVERS: Sizes = Sizes { hand_overs: 1, ..SMALL };
 
-/// Two clocks that are apart by one at most differ by two at most over any span: a lease of one is waited for by three.
+/// Two clocks that never differ by more than 1 measure any span with a difference of at most 2, so another process waits 3 for
+/// a lease of 1.
 const TERMS: Terms = Terms { length: 1, renewal: 1, drift_permille: 2000 };
-/// Clocks at the start, past what a process that starts has to wait for.
+/// The time on all clocks at the start; later than the wait after a process's start, so that the lease can be acquired at once.
 const START_CLOCK: u64 = 3;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Message {
-    /// A change against a version, and which request of its process it is.
+    /// A change that is conditional on the version `seen`; `number` counts the requests of the process.
     Request {
         from: usize,
         number: u8,
@@ -62,7 +65,7 @@
     },
 }
 
-/// A lease with an order.
+/// The fields of a lease that the model varies, with a total order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrderedLease {
     holder: String,
@@ -88,16 +91,16 @@
 pub struct Process {
     task: Task,
     clock: u64,
-    /// Which process of its instance it is.
+    /// The number of restarts of the instance before this process.
     incarnation: u8,
-    /// Its requests so far; the response to another than the last is ignored.
+    /// The number of requests so far; only the response to the last one is accepted.
     request_count: u8,
     awaits_response: bool,
-    /// The register that it has learned of.
+    /// The epoch of the register that the process knows.
     epoch: u8,
 }
 
-/// A process that could act, and the token with which it could.
+/// A process that had a permit, and the token of the permit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Holder {
     token: u64,
@@ -109,33 +112,33 @@
 pub struct State {
     version: u64,
     lease: Option<OrderedLease>,
-    /// The register before its last change.
+    /// The version and value of the register before its last change.
     before: Option<(u64, Option<OrderedLease>)>,
-    /// How often the register was set back.
+    /// The number of times that the register was reset to its value before the last change.
     epoch: u8,
     processes: Vec<Process>,
     messages: BTreeSet<Message>,
     restarts: u8,
     hand_overs: u8,
-    /// The highest token with which a process could act.
+    /// The highest token of any permit so far.
     highest_token: u64,
-    /// A process could act with a lower one.
+    /// Whether a process had a permit with a token below the highest one.
     token_fell: bool,
-    /// Which processes could act.
+    /// All processes that have had a permit.
     holders: BTreeSet<Holder>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// A process's clock advances by one, and it runs.
+    /// A process's clock advances by one, and the process runs.
     Tick(usize),
-    /// A process's clock advances by one, and it stands still.
-    StandsStill(usize),
+    /// A process's clock advances by one while the process is suspended.
+    Suspended(usize),
     Arrives(Message),
-    /// The message arrives and may do so again.
+    /// The message arrives and stays in flight, so that it may arrive again.
     ArrivesTwice(Message),
     Lost(Message),
-    /// A process waits for its response no longer.
+    /// A process's request times out.
     TimesOut(usize),
     SeesLease(usize),
     Restarts(usize),
@@ -171,7 +174,7 @@
                     (self.version, self.lease) = (self.version + 1, Some(lease));
                 }
                 let version = fits.then_some(self.version);
-                // A response that nobody waits for changes nothing.
+                // A response that the process no longer waits for has no effect, so it is not sent.
                 if self.processes[from].awaits_response && self.processes[from].request_count == number {
                     self.messages.insert(Message::Response { to: from, number, version });
                 }
@@ -200,7 +203,7 @@
         self.messages.retain(|message| !matches!(message, Message::Response { to, .. } if *to == instance));
     }
 
-    /// None if the process's register is the one that was lost: it is rejected.
+    /// `None` if there is no lease, or if the process knows only the register of an earlier epoch and is rejected.
     fn see_lease(&mut self, instance: usize) -> Option<()> {
         let lease = self.lease.as_ref()?.lease();
         let version = self.version;
@@ -211,7 +214,7 @@
         Some(())
     }
 
-    /// Sets the register back by a change. Every process but the one that made that change restarts.
+    /// Resets the register to its value before the last change. Every process restarts except the one that made that change.
     fn lose_majority(&mut self) -> Option<()> {
         let lost = self.lease.take().map(|lease| lease.holder);
         (self.version, self.lease) = self.before.take()?;
@@ -224,7 +227,7 @@
         Some(())
     }
 
-    /// Notes which processes could act now.
+    /// Records the processes that have a permit now.
     fn record_permits(&mut self) {
         for (instance, process) in self.processes.iter().enumerate() {
             if let Some(permit) = process.task.permit(process.clock) {
@@ -240,7 +243,7 @@
     }
 }
 
-/// Whether the register takes a change whatever version it was made against.
+/// Whether the register accepts changes without a check of the version.
 fn ignores_versions() -> bool {
     #[cfg(feature = "mutants")]
     return brassport_leases::mutants::is_active(brassport_leases::mutants::Mutant::VersionIgnored);
@@ -287,7 +290,7 @@
         for (instance, process) in state.processes.iter().enumerate() {
             if process.clock < sizes.end && process.clock < slowest + sizes.drift {
                 actions.push(Step::Tick(instance));
-                actions.push(Step::StandsStill(instance));
+                actions.push(Step::Suspended(instance));
             }
             if process.awaits_response {
                 actions.push(Step::TimesOut(instance));
@@ -321,7 +324,7 @@
                 state.processes[instance].clock += 1;
                 state.run(instance, Event::Tick);
             }
-            Step::StandsStill(instance) => state.processes[instance].clock += 1,
+            Step::Suspended(instance) => state.processes[instance].clock += 1,
             Step::Arrives(message) => {
                 state.messages.remove(&message);
                 state.arrive(message);
@@ -355,13 +358,15 @@
 
     fn properties(&self) -> Vec<Property<Fleet>> {
         vec![
-            Property::always("no two may act at once", |_, state: &State| {
+            Property::always("no two processes have a permit at the same time", |_, state: &State| {
                 let may =
                     state.processes.iter().filter(|process| process.task.permit(process.clock).is_some());
                 may.count() <= 1
             }),
-            Property::always("no token falls", |_, state: &State| !state.token_fell),
-            Property::always("no two holders have one token", |_, state: &State| {
+            Property::always("no permit has a lower token than an earlier one", |_, state: &State| {
+                !state.token_fell
+            }),
+            Property::always("no two holders have the same token", |_, state: &State| {
                 let tokens: BTreeSet<u64> = state.holders.iter().map(|holder| holder.token).collect();
                 tokens.len() == state.holders.len()
             }),
--- a/crates/brassport-leases/tests/it/golden.rs
+++ b/crates/brassport-leases/tests/it/golden.rs
@@ -1,7 +1,7 @@
-//! The bytes of leases and reasons, against committed fixtures: a lease is the body of a change in the fleet's log and
-//! so a part of its snapshots; why a process may not act goes into an instance's report.
+//! Compares the serialized forms of leases and reasons with committed fixtures. A lease is the body of a change in the
+//! fleet's log and thus part of its snapshots; the reason why a process may not act is part of an instance's report.
 //!
-//! The fixtures lie in `tests/golden/`. They are written only with `GOLDEN_WRITE=1`, and the test that writes one fails.
+//! The fixtures are in `tests/golden/`. They are written only with `GOLDEN_WRITE=1`, and the test that writes one fails.
 
 use brassport_golden::{json, Fixtures};
 use brassport_leases::{Action, Event, Lease, NoPermitReason, Outcome, Task, Terms};
@@ -45,7 +45,7 @@
     GOLDEN.same_cases("leases.txt", &cases);
 }
 
-/// Every event that there is, and the leases that a task then publishes: the bodies that the fleet's log keeps.
+/// The leases that a task publishes after each kind of event: the bodies that the fleet's log stores.
 #[test]
 fn a_task_publishes_the_leases_that_it_published() {
     let mut task = Task::new("i1", 9, Terms { length: 1000, renewal: 250, drift_permille: 100 }, 0);
@@ -66,23 +66,23 @@
         (1900, Event::Seen { version: 8, lease: Lease { held: false, length: 1000, ..by_other } }),
         (3100, Event::Tick),
     ];
-    let mut made = String::new();
+    let mut text = String::new();
     for (now, event) in events {
         let name = name_of(&event);
         let actions = task.handle(now, event);
         let permit = task
             .permit(now)
             .map_or("none".into(), |permit| format!("{} until {}", permit.token(), permit.until()));
-        made += &format!("{now} {name}: permit {permit}, {}\n", why(&task, now));
+        text += &format!("{now} {name}: permit {permit}, {}\n", why(&task, now));
         for action in actions {
             let Action::Publish { seen, lease } = action;
-            made += &format!("  publishes behind {seen}: {}\n", json("", lease).text);
+            text += &format!("  publishes behind {seen}: {}\n", json("", lease).text);
         }
     }
-    GOLDEN.same_text("task.txt", &made);
+    GOLDEN.same_text("task.txt", &text);
 }
 
-/// The name of an event; one that is new does not compile here until it has one.
+/// The name of an event. The match is exhaustive, so that a new kind of event requires a name here.
 fn name_of(event: &Event) -> &'static str {
     match event {
         Event::Tick => "Tick",
@@ -101,11 +101,11 @@
     json("", task.why(now)).text
 }
 
-/// A lease of a version that named nobody and counted no due times is read as before.
+/// A lease without the fields `next` and `begun_for`, which a later version added, is read with their defaults.
 #[test]
 fn a_lease_without_the_later_fields_is_read_as_before() {
     let old = r#"{"holder":"i1","process":1,"token":2,"length":3,"held":true}"#;
-    let read: Lease = serde_json::from_str(old).expect("it is read");
+    let read: Lease = serde_json::from_str(old).expect("the text is a lease");
     assert_eq!(
         read,
         Lease { holder: "i1".into(), process: 1, token: 2, length: 3, next: None, begun_for: 0, held: true }
--- a/crates/brassport-leases/tests/it/main.rs
+++ b/crates/brassport-leases/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the leases: behaviour of one task, its bytes, and the model that explores all orders of events.
+//! Tests of leases: the behaviour of one task, serialized forms, and the model that explores all orders of events.
 
 mod fleet;
 mod golden;
--- a/crates/brassport-leases/tests/it/model.rs
+++ b/crates/brassport-leases/tests/it/model.rs
@@ -1,7 +1,7 @@
-//! The transition function itself, explored exhaustively: processes that acquire, renew, release, stand still and restart,
-//! over links that lose, delay and duplicate, with clocks that drift apart by a bound.
+//! Explores the transition function exhaustively: processes acquire, renew and release the lease, are suspended and restart,
+//! over links that lose, delay and duplicate messages, with clocks that drift apart by a bounded amount.
 //!
-//! More of it: cargo test --release -p brassport-leases --test it model:: -- --ignored --nocapture
+//! To explore more: cargo test --release -p brassport-leases --test it model:: -- --ignored --nocapture
 
 use crate::fleet::{Fleet, Sizes, DUPLICATES, HAND_OVERS, LOSSES, RESTARTS, SMALL};
 use stateright::{Checker, Model};
@@ -17,11 +17,11 @@
 
 #[test]
 fn no_two_processes_have_a_permit_at_once_in_any_order_of_events() {
-    assert!(explore(SMALL) > 10_000, "little was explored");
+    assert!(explore(SMALL) > 10_000, "too few states were explored");
 }
 
 #[test]
-#[ignore = "minutes, and gigabytes"]
+#[ignore = "takes minutes and gigabytes of memory"]
 fn no_two_processes_have_a_permit_at_once_with_duplicates_restarts_hand_overs_losses_or_more_requests() {
     for sizes in [DUPLICATES, RESTARTS, HAND_OVERS, LOSSES, Sizes { requests: 3, ..SMALL }] {
         explore(sizes);
--- a/crates/brassport-leases/tests/it/mutants.rs
+++ b/crates/brassport-leases/tests/it/mutants.rs
@@ -1,6 +1,7 @@
-//! The model can fail: each deliberate fault of the transition function has a shortest sequence of events that breaks it.
+//! Shows that the model can fail: for each deliberate fault, the exploration finds a shortest sequence of events that violates
+//! a property.
 //!
-//! An active fault is the whole process's, as the model is explored by several threads. So this module runs by itself:
+//! A fault is active in the whole process, because several threads explore the model. Run this module alone:
 //! cargo test --release -p brassport-leases --features mutants --test it mutants::
 
 use crate::fleet::{Fleet, Sizes, HAND_OVERS, LOSSES, RESTARTS, SMALL};
@@ -24,7 +25,7 @@
             checker.discoveries().into_iter().filter(|(name, _)| !name.starts_with("a second")).collect();
         let path: Vec<_> = found.iter().map(|(name, path)| (*name, path.clone().into_actions())).collect();
         println!("{mutant:?}: {} states: {path:?}", checker.unique_state_count());
-        assert!(!found.is_empty(), "{mutant:?} breaks nothing");
+        assert!(!found.is_empty(), "{mutant:?} violates no property");
     }
     activate(None);
 }
--- a/crates/brassport-leases/tests/it/task.rs
+++ b/crates/brassport-leases/tests/it/task.rs
@@ -1,8 +1,8 @@
-//! Behaviour of one process's state machine.
+//! The behaviour of one process's state machine.
 
 use brassport_leases::{Action, Event, Lease, Millis, NoPermitReason, Outcome, Task, Terms};
 
-/// By how much tokens rise with each recovery.
+/// The increase of the tokens with each recovery.
 const TOKENS_PER_RECOVERY: u64 = 1 << 32;
 
 fn terms() -> Terms {
@@ -14,11 +14,11 @@
     Lease { holder, process: 1, token, length, held: true, next: None, begun_for: 0 }
 }
 
-/// A process that has the lease, and when it sent the request for it.
+/// A process that holds the lease, and when it sent the request for it.
 fn holder() -> (Task, Millis) {
     let mut task = Task::new("a", 9, terms(), 0);
     task.handle(0, Event::Wants(true));
-    assert_eq!(task.handle(1099, Event::Tick), [], "an earlier holder's permit may still run");
+    assert_eq!(task.handle(1099, Event::Tick), [], "an earlier holder's permit may still be valid");
     assert_eq!(task.handle(1100, Event::Tick).len(), 1);
     task.handle(1150, Event::Answer(Outcome::Taken { version: 5 }));
     assert!(task.permit(1150).is_some());
@@ -28,7 +28,7 @@
 #[test]
 fn a_lease_is_renewed_and_its_permit_runs_from_before_each_request() {
     let (mut task, sent_at) = holder();
-    assert_eq!(task.handle(1300, Event::Tick), [], "not yet");
+    assert_eq!(task.handle(1300, Event::Tick), [], "the renewal is not due yet");
     assert_eq!(task.handle(sent_at + 250, Event::Tick).len(), 1);
     task.handle(1900, Event::Answer(Outcome::Taken { version: 6 }));
     assert!(task.permit(2349).is_some() && task.permit(2350).is_none());
@@ -67,7 +67,7 @@
 fn a_start_pending_under_an_earlier_token_is_dropped_under_a_later_one() {
     let (mut task, _) = holder();
     let [Action::Publish { lease, .. }] = &task.begin(1200, 9_000)[..] else { panic!("no request") };
-    assert_eq!((lease.begun_for, task.begun(1200)), (9_000, None), "the fleet has to commit it first");
+    assert_eq!((lease.begun_for, task.begun(1200)), (9_000, None), "the change must be committed first");
     // Another process acquired the lease before that was committed, and started the same due time.
     task.handle(1300, Event::Answer(Outcome::Unknown));
     let since = Lease { begun_for: 9_000, ..lease_of("b", 2) };
@@ -76,7 +76,7 @@
     assert_eq!(task.handle(6100, Event::Tick).len(), 1);
     task.handle(6110, Event::Answer(Outcome::Taken { version: 8 }));
     assert_eq!((task.permit(6120).map(|permit| permit.token()), task.begun(6120)), (Some(3), None));
-    assert!(!task.waits_to_begin(), "it is dropped");
+    assert!(!task.waits_to_begin(), "the pending start is dropped");
 }
 
 #[test]
@@ -96,7 +96,7 @@
     assert_eq!(
         (task.permit(1200), task.handle(1500, Event::Tick)),
         (None, vec![]),
-        "and nothing is acquired"
+        "nothing is published until the act has ended"
     );
     assert_eq!(task.handle(1600, Event::Acting(false)).len(), 1);
 }
@@ -108,7 +108,7 @@
     let lease = Lease { process: 9, ..lease_of("a", 4) };
     assert_eq!(task.handle(5000, Event::Seen { version: 5, lease }), []);
     assert_eq!(task.permit(5000), None);
-    assert_eq!(task.handle(6100, Event::Tick).len(), 1, "it waits as any other process");
+    assert_eq!(task.handle(6100, Event::Tick).len(), 1, "it waits like a process of another instance");
 }
 
 #[test]
