--- a/crates/brassport-fleet/src/clocks.rs
+++ b/crates/brassport-fleet/src/clocks.rs
@@ -136,12 +136,12 @@
 impl Reading {
     /// Converts a time on the reader's monotonic clock to the clock of the instance that was read.
     fn bounds(&self, steady_ms: Millis) -> Moment {
-        let after = steady_ms as i64 - self.at as i64;
-        let took = self.mark.took_ms as i64;
+        let since_reading = steady_ms as i64 - self.at as i64;
+        let round_trip = self.mark.took_ms as i64;
         // Rounded up, plus a millisecond at each end, because all clocks have a resolution of one millisecond.
-        let slack = (after.abs() + took) * DRIFT_PERMILLE / 1000 + 2;
-        let said = self.mark.said_ms as i64 + after;
-        Moment { from_ms: said - slack, to_ms: said + took + slack }
+        let slack = (since_reading.abs() + round_trip) * DRIFT_PERMILLE / 1000 + 2;
+        let earliest = self.mark.said_ms as i64 + since_reading;
+        Moment { from_ms: earliest - slack, to_ms: earliest + round_trip + slack }
     }
 }
 
--- a/crates/brassport-fleet/src/standing.rs
+++ b/crates/brassport-fleet/src/standing.rs
@@ -43,18 +43,19 @@
         now
     }
 
-    /// The leader granted a right of this length to the request sent at `asked`. A later expiry from another grant is kept.
-    pub fn granted(&mut self, now: Millis, asked: Millis, length: Millis) {
-        let from = if mutant!(GrantFromResponse) { now } else { asked };
+    /// The leader granted a right of this length to the request sent at `requested_at`. A later expiry from another grant is
+    /// kept.
+    pub fn granted(&mut self, now: Millis, requested_at: Millis, length: Millis) {
+        let from = if mutant!(GrantFromResponse) { now } else { requested_at };
         self.until = self.until.max(Some(from + length));
         self.why = DenialReason::RanOut;
     }
 
     /// A voter without a leader extended the right; its response arrives at `now`. A right that has expired by `now` is not
     /// revived, even if it was valid at the time of the request: others may have relied on its expiry since.
-    pub fn extended(&mut self, now: Millis, asked: Millis, length: Millis) {
+    pub fn extended(&mut self, now: Millis, requested_at: Millis, length: Millis) {
         if self.until.is_some_and(|until| now < until || mutant!(ExtensionRevives)) {
-            self.until = self.until.max(Some(asked + length));
+            self.until = self.until.max(Some(requested_at + length));
         }
     }
 
--- a/crates/brassport-fleet/tests/it/clocks.rs
+++ b/crates/brassport-fleet/tests/it/clocks.rs
@@ -59,9 +59,9 @@
 #[test]
 fn a_clock_that_jumped_between_two_readings_is_not_linked() {
     let mut clocks = Clocks::default();
-    for (at, said) in [(1_000, 90_000), (2_000, 190_000)] {
+    for (at, wall_ms) in [(1_000, 90_000), (2_000, 190_000)] {
         clocks.add(1, at, Mark { by: "i1".into(), said_ms: 50_000 + at, took_ms: 10 });
-        clocks.add(1, at, Mark { by: "i2".into(), said_ms: said, took_ms: 10 });
+        clocks.add(1, at, Mark { by: "i2".into(), said_ms: wall_ms, took_ms: 10 });
     }
     clocks.add(2, 7_000, Mark { by: "i2".into(), said_ms: 90_500, took_ms: 10 });
     clocks.align();
--- a/crates/brassport-fleet/tests/it/golden/grants.rs
+++ b/crates/brassport-fleet/tests/it/golden/grants.rs
@@ -24,8 +24,8 @@
     let (state, voters) = (built(), BTreeSet::from([2, 3]));
     let mut grants = Grants::new(Terms::default(), 1000);
     grants.note(1000, &state);
-    let asks = [("d1", u64::MAX, 8), ("d1", u64::MAX, 2), ("d1", 1, 8), ("d2", 9, 8), ("d3", 1, 8)];
-    for (door, process, version) in asks {
+    let requests = [("d1", u64::MAX, 8), ("d1", u64::MAX, 2), ("d1", 1, 8), ("d2", 9, 8), ("d3", 1, 8)];
+    for (door, process, version) in requests {
         let ask = Ask { door: door.into(), process, version, had_one: false };
         let answer = grants.ask(1500, &ask, &state, &voters);
         cases.push(json(&format!("{door} {process} {version} asks"), answer));
@@ -93,8 +93,8 @@
         writeln!(text, "{what}: at {now} {may}, until {until}").expect("writing to a string succeeds");
     };
     note("new", 0, &standing);
-    let asked = standing.ask(100);
-    standing.granted(300, asked, 1000);
+    let requested_at = standing.ask(100);
+    standing.granted(300, requested_at, 1000);
     note("granted", 400, &standing);
     standing.extended(1000, 900, 500);
     note("left", 1399, &standing);
--- a/crates/brassport-fleet/tests/it/simulation/delivery.rs
+++ b/crates/brassport-fleet/tests/it/simulation/delivery.rs
@@ -12,8 +12,10 @@
             // Drawn for every message, also one without a response, so that each message consumes one random number.
             let arrives = self.now + self.random.rand_range(5..400);
             match message {
-                Message::Request { door, ask, asked } => self.on_request(door, &ask, asked, arrives),
-                Message::Response { to, asked, answer } => self.on_response(to, asked, answer),
+                Message::Request { door, ask, requested_at } => {
+                    self.on_request(door, &ask, requested_at, arrives);
+                }
+                Message::Response { to, requested_at, answer } => self.on_response(to, requested_at, answer),
                 Message::FetchState { from } => {
                     if self.network.reaches_door(self.doors[from.door].name, self.now) {
                         let state = self.log.clone();
@@ -26,13 +28,13 @@
                         door.shared = state;
                     }
                 }
-                Message::RequestExtension { from, voter, asked } => {
+                Message::RequestExtension { from, voter, requested_at } => {
                     let voter = &self.voters[voter as usize];
                     if voter.clock.at(self.now) >= voter.contact + self.terms.silence {
-                        self.network.send(arrives, Message::Extension { to: from, asked });
+                        self.network.send(arrives, Message::Extension { to: from, requested_at });
                     }
                 }
-                Message::Extension { to, asked } => self.on_extension(to, asked),
+                Message::Extension { to, requested_at } => self.on_extension(to, requested_at),
             }
         }
     }
@@ -44,35 +46,35 @@
         (door.process == origin.process && door.suspended_until <= now).then_some(door)
     }
 
-    fn on_request(&mut self, door: usize, ask: &Ask, asked: u64, arrives: u64) {
+    fn on_request(&mut self, door: usize, ask: &Ask, requested_at: u64, arrives: u64) {
         let (leader_now, followers) = (self.leader_clock(), self.followers());
         let answer = self.grants.ask(leader_now, ask, &self.log, &followers);
         if self.network.reaches_door(self.doors[door].name, self.now) {
             let to = Origin { door, process: ask.process };
-            self.network.send(arrives, Message::Response { to, asked, answer });
+            self.network.send(arrives, Message::Response { to, requested_at, answer });
         }
     }
 
-    fn on_response(&mut self, to: Origin, asked: u64, answer: Answer) {
+    fn on_response(&mut self, to: Origin, requested_at: u64, answer: Answer) {
         let now = self.now;
         let suspended_until = self.doors[to.door].suspended_until;
         if suspended_until > now {
             // The response stays in the socket buffer until the process resumes.
-            self.network.send(suspended_until, Message::Response { to, asked, answer });
+            self.network.send(suspended_until, Message::Response { to, requested_at, answer });
             return;
         }
         let Some(door) = self.running(to) else { return };
         match answer {
-            Answer::Granted { length } => door.standing.granted(door.clock.at(now), asked, length),
+            Answer::Granted { length } => door.standing.granted(door.clock.at(now), requested_at, length),
             Answer::Behind { .. } => door.standing.refused(DenialReason::Behind),
             Answer::Wait { .. } | Answer::Replaced | Answer::Unknown => {}
         }
     }
 
-    fn on_extension(&mut self, to: Origin, asked: u64) {
+    fn on_extension(&mut self, to: Origin, requested_at: u64) {
         let (now, length) = (self.now, self.terms.extension);
         if let Some(door) = self.running(to) {
-            door.standing.extended(door.clock.at(now), asked, length);
+            door.standing.extended(door.clock.at(now), requested_at, length);
             self.tally.extensions += 1;
         }
     }
--- a/crates/brassport-fleet/tests/it/simulation/doors.rs
+++ b/crates/brassport-fleet/tests/it/simulation/doors.rs
@@ -52,7 +52,7 @@
             self.register(n);
         }
         let door = &mut self.doors[n];
-        let asked = door.standing.ask(door.clock.at(self.now));
+        let requested_at = door.standing.ask(door.clock.at(self.now));
         let from = Origin { door: n, process: door.process };
         if reaches_leader {
             let ask = Ask {
@@ -62,7 +62,7 @@
                 had_one: door.standing.had_one(),
             };
             let arrives = self.now + self.random.rand_range(5..400);
-            self.network.send(arrives, Message::Request { door: n, ask, asked });
+            self.network.send(arrives, Message::Request { door: n, ask, requested_at });
             self.network.send(arrives, Message::FetchState { from });
             return;
         }
@@ -70,7 +70,7 @@
         let mut voters = 0..self.voters.len() as u64;
         if let Some(voter) = voters.find(|voter| !self.network.reaches_voter(*voter, self.now)) {
             let arrives = self.now + self.random.rand_range(5..400);
-            self.network.send(arrives, Message::RequestExtension { from, voter, asked });
+            self.network.send(arrives, Message::RequestExtension { from, voter, requested_at });
         }
     }
 
--- a/crates/brassport-fleet/tests/it/simulation/model.rs
+++ b/crates/brassport-fleet/tests/it/simulation/model.rs
@@ -89,12 +89,12 @@
 }
 
 pub enum Message {
-    Request { door: usize, ask: Ask, asked: u64 },
-    Response { to: Origin, asked: u64, answer: Answer },
+    Request { door: usize, ask: Ask, requested_at: u64 },
+    Response { to: Origin, requested_at: u64, answer: Answer },
     FetchState { from: Origin },
     State { to: Origin, state: Shared },
-    RequestExtension { from: Origin, voter: u64, asked: u64 },
-    Extension { to: Origin, asked: u64 },
+    RequestExtension { from: Origin, voter: u64, requested_at: u64 },
+    Extension { to: Origin, requested_at: u64 },
 }
 
 /// The time at which a message arrives, and its number in order of sending.
--- a/crates/brassport-fleet/tests/it/standing.rs
+++ b/crates/brassport-fleet/tests/it/standing.rs
@@ -5,8 +5,8 @@
 #[test]
 fn a_right_runs_from_its_request() {
     let mut standing = Standing::default();
-    let asked = standing.ask(100);
-    standing.granted(900, asked, 1000);
+    let requested_at = standing.ask(100);
+    standing.granted(900, requested_at, 1000);
     assert_eq!(standing.may_act(1099), Ok(()));
     assert_eq!(standing.may_act(1100), Err(DenialReason::RanOut));
 }
