--- a/crates/brassport-fleet/src/shared/catch_up.rs
+++ b/crates/brassport-fleet/src/shared/catch_up.rs
@@ -1,28 +1,29 @@
-//! How a replica that is behind is brought up to date, and how forks are detected.
+//! Updates for replicas that are behind, and the detection of forks.
 
 use super::{digest, Entry, Fault, Shared};
 use crate::mutants::mutant;
 use serde::{Deserialize, Serialize};
 
-/// What brings a replica up to date.
+/// An update that brings a replica up to date.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Catch {
-    /// The changes that it lacks, none if it is up to date.
+pub enum Update {
+    /// The changes that the replica lacks, in order of version; empty if it is up to date.
     Changes(Vec<Entry>),
-    /// The complete state.
+    /// The complete state, for a replica that is too far behind for changes.
     #[serde(rename = "Whole")]
     Snapshot(Box<Shared>),
 }
 
 impl Shared {
-    /// What a replica at this version and digest lacks.
+    /// The update for a replica that has this version and digest.
     ///
     /// # Errors
-    /// [`Fault::Fork`] if that replica has something else as that version, and [`Fault::Stale`] if it is ahead of this one.
-    pub fn since(&self, version: u64, digest: &str) -> Result<Catch, Fault> {
+    /// [`Fault::Fork`] if this replica has another digest for that version, and [`Fault::Stale`] if the other replica is ahead
+    /// of this one.
+    pub fn since(&self, version: u64, digest: &str) -> Result<Update, Fault> {
         if version == self.version {
             return if digest == self.digest {
-                Ok(Catch::Changes(Vec::new()))
+                Ok(Update::Changes(Vec::new()))
             } else {
                 Err(Fault::Fork { version })
             };
@@ -32,23 +33,23 @@
             return Err(Fault::Stale { have: version, offered: self.version });
         }
         if version + 1 < first {
-            return Ok(Catch::Snapshot(Box::new(self.clone())));
+            return Ok(Update::Snapshot(Box::new(self.clone())));
         }
         let before = self.recent.iter().find(|entry| entry.version == version);
         if before.is_some_and(|entry| entry.digest != digest) {
             return Err(Fault::Fork { version });
         }
-        Ok(Catch::Changes(self.recent.iter().filter(|entry| entry.version > version).cloned().collect()))
+        Ok(Update::Changes(self.recent.iter().filter(|entry| entry.version > version).cloned().collect()))
     }
 
-    /// Applies what brings this replica up to date. Each version is made again here and must have the digest that was sent.
+    /// Applies an update. For changes, the digest of each version is recomputed and must match the one in the update.
     ///
     /// # Errors
-    /// What is wrong with it; the changes before the fault are applied.
-    pub fn catch_up(&mut self, catch: Catch) -> Result<(), Fault> {
-        match catch {
-            Catch::Changes(entries) => entries.iter().try_for_each(|entry| self.follow(entry)),
-            Catch::Snapshot(snapshot) => {
+    /// The first fault in the update; the changes before it remain applied.
+    pub fn catch_up(&mut self, update: Update) -> Result<(), Fault> {
+        match update {
+            Update::Changes(entries) => entries.iter().try_for_each(|entry| self.follow(entry)),
+            Update::Snapshot(snapshot) => {
                 if snapshot.version < self.version && !mutant!(StaleSnapshot) {
                     return Err(Fault::Stale { have: self.version, offered: snapshot.version });
                 }
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Applies the change of one version, unless it is applied already.
+    /// Applies the change that made one version, unless this replica already has that version.
     fn follow(&mut self, entry: &Entry) -> Result<(), Fault> {
         if entry.version <= self.version {
             let applied = self.recent.iter().find(|applied| applied.version == entry.version);
--- a/crates/brassport-fleet/tests/it/golden/grants.rs
+++ b/crates/brassport-fleet/tests/it/golden/grants.rs
@@ -1,31 +1,31 @@
-//! Requests for a right to act, their answers, what stands against a fence, and a right's course.
+//! Serialized requests for a right to act, their answers, the blockers of a fence, and the course of a right.
 
 use super::shared::built;
 use super::GOLDEN;
-use brassport_fleet::grants::{Answer, Ask, Grants, Open, Terms};
-use brassport_fleet::standing::{Standing, Why};
+use brassport_fleet::grants::{Answer, Ask, FenceBlocker, Grants, Terms};
+use brassport_fleet::standing::{DenialReason, Standing};
 use brassport_golden::{json, JsonCase};
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
 
-/// What may stand against a fence.
-pub fn opens() -> Vec<Open> {
+/// One blocker of a fence of each kind, with and without a version.
+pub fn blockers() -> Vec<FenceBlocker> {
     vec![
-        Open::Door { door: "d1".into(), version: Some(7), ms: 12 },
-        Open::Door { door: "d1".into(), version: None, ms: 12 },
-        Open::Earlier { door: "d2".into(), ms: 0 },
-        Open::Voter { voter: 3, door: "d1".into() },
+        FenceBlocker::Door { door: "d1".into(), version: Some(7), ms: 12 },
+        FenceBlocker::Door { door: "d1".into(), version: None, ms: 12 },
+        FenceBlocker::Earlier { door: "d2".into(), ms: 0 },
+        FenceBlocker::Voter { voter: 3, door: "d1".into() },
     ]
 }
 
-/// What a leader's table itself answers, so that the fields are filled as before.
+/// Answers and blockers from a leader's table, which must fill their fields as in the fixture.
 fn answered() -> Vec<JsonCase> {
     let mut cases = Vec::new();
     let (state, voters) = (built(), BTreeSet::from([2, 3]));
     let mut grants = Grants::new(Terms::default(), 1000);
     grants.note(1000, &state);
-    let asks = [("d1", u64::MAX, 8), ("d1", u64::MAX, 2), ("d1", 1, 8), ("d2", 9, 8), ("d3", 1, 8)];
-    for (door, process, version) in asks {
+    let requests = [("d1", u64::MAX, 8), ("d1", u64::MAX, 2), ("d1", 1, 8), ("d2", 9, 8), ("d3", 1, 8)];
+    for (door, process, version) in requests {
         let ask = Ask { door: door.into(), process, version, had_one: false };
         let answer = grants.ask(1500, &ask, &state, &voters);
         cases.push(json(&format!("{door} {process} {version} asks"), answer));
@@ -39,7 +39,10 @@
 fn requests_answers_and_open_fences_keep_their_bytes() {
     let mut cases = vec![
         json("Terms, default", Terms::default()),
-        json("Terms", Terms { length: 1, drift_permille: 2, silence: 3, leave: 4, bring_up: u64::MAX }),
+        json(
+            "Terms",
+            Terms { length: 1, drift_permille: 2, silence: 3, extension: 4, strict_grace: u64::MAX },
+        ),
         json("Ask", Ask { door: "d1".into(), process: u64::MAX, version: 8, had_one: true }),
     ];
     let answers = [
@@ -59,46 +62,52 @@
         };
         cases.push(json(&format!("Answer::{variant}"), answer));
     }
-    for open in opens() {
-        let variant = match &open {
-            Open::Door { .. } => "Door",
-            Open::Earlier { .. } => "Earlier",
-            Open::Voter { .. } => "Voter",
+    for blocker in blockers() {
+        let variant = match &blocker {
+            FenceBlocker::Door { .. } => "Door",
+            FenceBlocker::Earlier { .. } => "Earlier",
+            FenceBlocker::Voter { .. } => "Voter",
         };
-        cases.push(json(&format!("Open::{variant}"), open.clone()));
-        cases.push(json(&format!("fence, {variant}"), Some(vec![open])));
+        cases.push(json(&format!("Open::{variant}"), blocker.clone()));
+        cases.push(json(&format!("fence, {variant}"), Some(vec![blocker])));
     }
     cases.extend(answered());
     GOLDEN.same_cases("grants.txt", &cases);
 }
 
-/// A door's right is never serialized; its answers are compared as text.
+/// A door's right is not serialized; the results of its methods are compared as text.
 #[test]
 fn a_right_starts_and_ends_at_the_same_moments() {
-    let name = |why: Why| match why {
-        Why::NotYet => "NotYet",
-        Why::RanOut => "RanOut",
-        Why::Behind => "Behind",
-        Why::Replaced => "Replaced",
-        Why::Unknown => "Unknown",
+    let name = |why: DenialReason| match why {
+        DenialReason::NotYet => "NotYet",
+        DenialReason::RanOut => "RanOut",
+        DenialReason::Behind => "Behind",
+        DenialReason::Replaced => "Replaced",
+        DenialReason::Unknown => "Unknown",
     };
     let mut standing = Standing::default();
-    let mut made = String::new();
+    let mut text = String::new();
     let mut note = |what: &str, now: u64, standing: &Standing| {
         let may = standing.may_act(now).map_or_else(name, |()| "may act");
         let until = standing.until().map_or("none".into(), |until| until.to_string());
-        writeln!(made, "{what}: at {now} {may}, until {until}").expect("text takes it");
+        writeln!(text, "{what}: at {now} {may}, until {until}").expect("writing to a string succeeds");
     };
     note("new", 0, &standing);
-    let asked = standing.ask(100);
-    standing.granted(300, asked, 1000);
+    let requested_at = standing.ask(100);
+    standing.granted(300, requested_at, 1000);
     note("granted", 400, &standing);
-    standing.left(1000, 900, 500);
+    standing.extended(1000, 900, 500);
     note("left", 1399, &standing);
     note("ran out", 1400, &standing);
-    for why in [Why::NotYet, Why::RanOut, Why::Behind, Why::Replaced, Why::Unknown] {
+    for why in [
+        DenialReason::NotYet,
+        DenialReason::RanOut,
+        DenialReason::Behind,
+        DenialReason::Replaced,
+        DenialReason::Unknown,
+    ] {
         standing.refused(why);
         note("refused", 1400, &standing);
     }
-    GOLDEN.same_text("standing.txt", &made);
+    GOLDEN.same_text("standing.txt", &text);
 }
--- a/crates/brassport-peers/src/door.rs
+++ b/crates/brassport-peers/src/door.rs
@@ -12,9 +12,9 @@
 use brassport::run::admin::{Call, Command};
 use brassport_fleet::clocks::Mark;
 use brassport_fleet::grants::{Answer, Ask};
-use brassport_fleet::record::What;
-use brassport_fleet::shared::{Catch, Change, Done, Process, Refusal, Shared, DOOR, SETTINGS};
-use brassport_fleet::standing::{Standing, Why};
+use brassport_fleet::record::Event;
+use brassport_fleet::shared::{Change, Done, Process, Refusal, Shared, Update, DOOR, SETTINGS};
+use brassport_fleet::standing::{DenialReason, Standing};
 use brassport_fleet::Millis;
 use brassport_policy::{Request, RequestId, RetrySafety};
 use oorandom::Rand32;
@@ -64,7 +64,7 @@
     pub fn open(folder: &Path, door: &str, process: u64) -> Result<Arc<Handle>, String> {
         let fault = |error| format!("{}: {error}", folder.join(RECORD_FILE).display());
         let mut record = Record::open(folder, process).map_err(fault)?;
-        record.add(What::Began { door: door.into(), program: env!("CARGO_PKG_VERSION").into() });
+        record.add(Event::Began { door: door.into(), program: env!("CARGO_PKG_VERSION").into() });
         Ok(Arc::new(Handle {
             until: AtomicU64::new(0),
             version: AtomicU64::new(0),
@@ -75,7 +75,7 @@
         }))
     }
 
-    fn add(&self, what: What) {
+    fn add(&self, what: Event) {
         self.record.lock().expect("no writer of the record panics").add(what);
     }
 
@@ -88,15 +88,15 @@
     }
 
     /// Sets until when it may act, and notes where that begins or ends.
-    fn set(&self, standing: &Standing, why: Option<Why>) {
+    fn set(&self, standing: &Standing, why: Option<DenialReason>) {
         self.until.store(standing.until().unwrap_or(0), Ordering::Release);
         let may = self.may_act();
         if self.stopped.swap(!may, Ordering::AcqRel) == may {
             let from_admission = self.next_admission();
             self.add(match why.filter(|_| !may) {
-                Some(why) => What::Stopped { why: format!("{why:?}"), from_admission },
-                None if may => What::WentOn { from_admission },
-                None => What::Stopped { why: "RanOut".into(), from_admission },
+                Some(why) => Event::Stopped { why: format!("{why:?}"), from_admission },
+                None if may => Event::WentOn { from_admission },
+                None => Event::Stopped { why: "RanOut".into(), from_admission },
             });
         }
     }
@@ -137,7 +137,7 @@
     fn before_attempt(&self, request: RequestId, node: &str) -> Option<AttemptDelay> {
         if let Some(name) = self.open.borrow().get(&request) {
             let version = self.handle.acted.load(Ordering::Acquire);
-            self.handle.add(What::Unsafe { request: name.clone(), node: node.into(), version });
+            self.handle.add(Event::Unsafe { request: name.clone(), node: node.into(), version });
         }
         None
     }
@@ -251,7 +251,7 @@
                 json!({ "version": shared.version(), "digest": shared.digest(), "wait_ms": wait_ms })
             };
             let told = tokio::select! {
-                told = self.ask::<Catch>(&lines, "/fleet/since", &ask, patience) => told,
+                told = self.ask::<Update>(&lines, "/fleet/since", &ask, patience) => told,
                 () = self.is_behind.notified() => continue,
             };
             match told {
@@ -313,7 +313,7 @@
         let handle = &self.agent.handle;
         handle.version.store(version, Ordering::Release);
         handle.acted.store(acted, Ordering::Release);
-        handle.add(What::Acts { version: acted, digest, from_admission: handle.next_admission() });
+        handle.add(Event::Acts { version: acted, digest, from_admission: handle.next_admission() });
         self.news.notify_one();
     }
 
@@ -351,11 +351,11 @@
                     if self.need.replace(*need) < *need {
                         self.is_behind.notify_one();
                     }
-                    Some(Why::Behind)
+                    Some(DenialReason::Behind)
                 }
-                Ok(Answer::Replaced) => Some(Why::Replaced),
-                Ok(Answer::Unknown) => Some(Why::Unknown),
-                Ok(Answer::Wait { .. }) => Some(Why::NotYet),
+                Ok(Answer::Replaced) => Some(DenialReason::Replaced),
+                Ok(Answer::Unknown) => Some(DenialReason::Unknown),
+                Ok(Answer::Wait { .. }) => Some(DenialReason::NotYet),
                 Err(_) => {
                     self.ask_leave(&lines, *length).await;
                     None
@@ -368,7 +368,7 @@
             if why != told {
                 told = why;
                 match why {
-                    Some(Why::Replaced) => log::write_line(format!(
+                    Some(DenialReason::Replaced) => log::write_line(format!(
                         "fleet: another process goes by the name {door}: this one stops; was its directory copied? Give \
                          one of them another name with `follow`"
                     )),
@@ -396,7 +396,7 @@
                 let came = steady_ms();
                 if let Ok(Ok(Clock { by, wall_ms })) = said.map(|said| said.read()) {
                     let mark = Mark { by, said_ms: wall_ms, took_ms: came - asked };
-                    self.agent.handle.add(What::Clock(mark));
+                    self.agent.handle.add(Event::Clock(mark));
                 }
             }
             sleep(CLOCKS).await;
@@ -462,7 +462,7 @@
             let asked = self.standing.borrow_mut().ask(steady_ms());
             let said = line.call("/fleet/leave", b"{}".to_vec(), PATIENCE / 3).await;
             if let Ok(Ok(Some(ms))) = said.map(|said| said.read::<Option<Millis>>()) {
-                self.standing.borrow_mut().left(steady_ms(), asked, ms);
+                self.standing.borrow_mut().extended(steady_ms(), asked, ms);
             }
         }
     }
