--- a/crates/brassport-policy/src/admission.rs
+++ b/crates/brassport-policy/src/admission.rs
@@ -294,7 +294,7 @@
         self.bucket.settle_until(start, flow);
         self.bucket.apply_reading(period.end, usage.used, flow);
         let remote_sent = usage.units - self.bucket.sends().units_between(start, period.end);
-        // Both estimates must not include this reading.
+        // Neither the confidence nor the estimated offered load may include this reading.
         let confidence = self.remote.confidence(now, decay(plan), PRIOR_UNITS);
         let estimated_offered = self.remote_rates(input).offered / plan.rate;
         // If little is known about the customer, the other gateways are assumed to admit the same fraction of
--- a/crates/brassport-policy/src/concurrency_limit.rs
+++ b/crates/brassport-policy/src/concurrency_limit.rs
@@ -28,8 +28,8 @@
 /// Factor on the limit at a late response.
 const LIMIT_DECREASE: f64 = 0.95;
 /// Increase of the limit at a timely response, in attempts; it is doubled at a limit of
-/// [`LIMIT_INCREASE_SCALE`]. Thus gateways with small limits converge to equal shares, and one late response
-/// in five keeps a limit of any size level.
+/// [`LIMIT_INCREASE_SCALE`]. Thus gateways with small limits converge to equal shares, and a limit of any
+/// size stays about constant if one response in five is late.
 const LIMIT_INCREASE: f64 = 0.05;
 /// See [`LIMIT_INCREASE`].
 const LIMIT_INCREASE_SCALE: f64 = 5.0;
--- a/crates/brassport-policy/src/interface/events.rs
+++ b/crates/brassport-policy/src/interface/events.rs
@@ -110,7 +110,7 @@
     /// New settings. Classes and plans keep their indices: there may be more of them, but not fewer. Invalid
     /// settings are ignored.
     Settings(Box<Settings>),
-    /// Continue from the state of another gateway with the same settings. Comes before any request.
+    /// Continue from the state of another gateway with the same settings. Must precede the first request.
     ApplyHandover {
         /// The other gateway's [`Gateway::handover_state`](crate::Gateway::handover_state).
         state: String,
--- a/crates/brassport-policy/src/interface/settings.rs
+++ b/crates/brassport-policy/src/interface/settings.rs
@@ -164,7 +164,7 @@
     /// Retries that each first attempt adds to the retry budget.
     #[serde(rename = "retry_share")]
     pub retry_ratio: f64,
-    /// Maximum of the retry budget; one retry per server is a further maximum.
+    /// Maximum of the retry budget, in retries. The budget is also limited to one retry per server.
     #[serde(rename = "retries")]
     pub max_retry_budget: f64,
     /// Whether an attempt at a hung server is cancelled and retried at another server.
--- a/crates/brassport-policy/src/load_balancer.rs
+++ b/crates/brassport-policy/src/load_balancer.rs
@@ -13,10 +13,11 @@
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of warm servers that are all compared, if there are few gateways.
+/// Maximum number of warm servers up to which a gateway compares all of them. Applies only up to
+/// [`GATEWAYS_PER_SERVER`] gateways; with more gateways, servers are sampled.
 const MAX_COMPARED_SERVERS: usize = 32;
 /// Maximum number of servers sampled from a larger fleet; sampling stops at an idle server. If four in five
-/// servers are busy, all samples are busy once in two hundred choices.
+/// servers are busy, the probability that all samples are busy is about 1 in 200.
 const MAX_SAMPLES: usize = 24;
 /// Number of gateways that share each server of a larger fleet: a gateway's own attempts in flight reflect a
 /// server's queue only if few other gateways send to it. As a drawback, load is uneven if one gateway's
@@ -199,8 +200,9 @@
         if idle.is_some() {
             return idle;
         }
-        // Compares all servers of a small fleet. Also those of a large fleet if no sample was acceptable:
-        // then nearly all servers are ejected, or only the servers of one zone or cell may serve the request.
+        // A small fleet is not sampled, so all its servers are compared. So are those of a large fleet if no
+        // sample was acceptable: nearly all of them are ejected, or only the servers of one zone or cell may
+        // serve the request.
         if candidates.preferred.is_none() {
             let warm = self.warm.members();
             warm.iter().for_each(|&id| _ = self.compare(id, selection, rng, &mut candidates));
--- a/crates/brassport-policy/src/policy.rs
+++ b/crates/brassport-policy/src/policy.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-// Constants that decide on requests are dimensionless; times and rates come from the settings.
+// The constants that affect decisions on requests are dimensionless; times and rates come from the settings.
 
 /// Mean retry-after time of a rejection over quota, in meter periods.
 const RETRY_AFTER_PERIODS: f64 = 0.3;
@@ -307,10 +307,11 @@
         };
         let latency_target = self.settings.classes[class].latency_target;
         match end.outcome {
-            // Must not affect the limit; see `LoadBalancer::is_representative`.
+            // The response times of the server do not reflect the fleet's capacity, so they must not affect
+            // the limit.
             _ if !self.balancer.is_representative(id) => {}
-            // An overdue attempt has already counted as late; after the latency target it counts as late
-            // again.
+            // An attempt that became overdue while in flight has already counted as late. It counts a second
+            // time only if it ended after the latency target.
             Outcome::Ok | Outcome::Overloaded | Outcome::TimedOut
                 if !was_overdue || end.elapsed_ms() > latency_target =>
             {
--- a/crates/brassport-policy/src/request_lifecycle.rs
+++ b/crates/brassport-policy/src/request_lifecycle.rs
@@ -247,8 +247,9 @@
         if self.may_retry(open) {
             self.retry(id, actions);
         } else if one_at_a_time && self.has_attempts_left(open) {
-            // The end of the cancelled attempt triggers the retry. Its budget is spent here already, so that
-            // if many attempts hang at once, no more of them are cancelled than may be retried.
+            // The end of the cancelled attempt triggers the retry. The retry budget is charged now, at the
+            // cancellation, so that if many attempts hang at once, no more of them are cancelled than may be
+            // retried.
             if self.retry_budget >= 1.0 && self.balancer.is_hung(last.server.id, self.now, mean) {
                 actions.push(Action::Cancel { request: id, attempt: (open.attempts.len() - 1) as u8 });
                 self.retry_budget -= 1.0;
@@ -303,8 +304,8 @@
 
     /// Retries a request after the end of its only attempt in flight, or gives the final answer.
     fn retry_or_end(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
-        // Refunds the budget that the retry below spends again: for a cancelled attempt it was spent at the
-        // cancellation, and an attempt that was never sent costs nothing.
+        // Refunds the retry budget, which the retry below charges again: a cancelled attempt was charged for
+        // its retry at the cancellation, and an attempt that was never sent costs nothing.
         let is_unsent = matches!(end.outcome, Outcome::Cancelled | Outcome::NotSent);
         self.retry_budget += if is_unsent { 1.0 } else { 0.0 };
         if !(self.may_retry(&self.requests[&end.request]) && self.retry(end.request, actions)) {
--- a/crates/brassport-policy/src/server.rs
+++ b/crates/brassport-policy/src/server.rs
@@ -125,9 +125,9 @@
         now < self.ejected_until || has_probe_in_flight
     }
 
-    /// Time that the server has had an attempt in flight and has not responded, in mean response times. A
-    /// gateway cannot distinguish a hung, paused, slow or partitioned server, and reacts to all of them
-    /// alike.
+    /// Time for which the server has had an attempt in flight without responding, as a multiple of the mean
+    /// response time; 0 without an attempt in flight. A gateway cannot distinguish a hung, paused, slow or
+    /// partitioned server, and reacts to all of them alike.
     pub fn silence(&self, now: Millis, mean: Millis) -> f64 {
         let Some(oldest) = self.in_flight.front() else { return 0.0 };
         (now - oldest.max(self.responded_at)) / mean.max(1.0)
--- a/crates/brassport-policy/src/slow_start.rs
+++ b/crates/brassport-policy/src/slow_start.rs
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 
 /// Fraction of the allowed load of a server in warm-up that is used. The rest is a margin for requests of
-/// unequal cost and for gateways that do not know of the server's start yet; the gateways that know are safe
-/// below two thirds.
+/// unequal cost and for gateways that do not know of the server's start yet; for the gateways that know of
+/// it, any value below two thirds is safe.
 const ALLOWANCE_MARGIN: f64 = 0.62;
 /// Fraction of a turn after which a skipped turn is considered again. A turn is skipped if the server is
 /// ejected, was tried for the request or may not serve it.
