--- a/crates/brassport-policy-stats/src/meter_clock.rs
+++ b/crates/brassport-policy-stats/src/meter_clock.rs
@@ -11,7 +11,7 @@
 
 /// Parts into which a period is divided: the resolution of the candidate period ends and reporting delays.
 const PARTS_PER_PERIOD: usize = 10;
-/// Upper bound of the candidate reporting delays, which are shorter, in periods.
+/// Exclusive upper bound of the candidate reporting delays, in periods.
 const MAX_DELAY_PERIODS: usize = 4;
 /// Number of candidate reporting delays for each candidate period end.
 const DELAY_CANDIDATES: usize = PARTS_PER_PERIOD * MAX_DELAY_PERIODS;
@@ -29,7 +29,8 @@
 /// Number of independent minima that are computed in parallel, so that the compiler can use vector
 /// instructions.
 const LANES: usize = 8;
-/// Number of times, one part of a period apart, up to which sends are summed for a reading.
+/// Number of points in time, one part of a period apart, for which a reading needs the sum of the earlier
+/// sends.
 const PART_BOUNDARIES: usize = DELAY_CANDIDATES + 2 * PARTS_PER_PERIOD;
 
 /// Estimates when the meter's periods end and how long after their end they are reported.
@@ -74,7 +75,7 @@
         (self.best % DELAY_CANDIDATES) as f64 / PARTS_PER_PERIOD as f64
     }
 
-    /// Returns the age from which on no reading covers a send.
+    /// Returns the age, in milliseconds, from which on a send is no longer covered by a reading.
     pub fn max_reading_age(&self) -> Millis {
         (MAX_DELAY_PERIODS + 2) as f64 * self.period
     }
--- a/crates/brassport-policy-stats/src/plan_usage.rs
+++ b/crates/brassport-policy-stats/src/plan_usage.rs
@@ -54,7 +54,8 @@
 
     /// Estimates the fraction of a customer's first attempts that other instances admit: the weighted mean of
     /// the fraction admitted here, `local`, and that of all customers. `confidence` (0 to 1) is the weight of
-    /// `local`, the probability that other instances know the customer as well as this one.
+    /// `local`, the probability that the other instances have as much information about the customer as this
+    /// one.
     pub fn remote_admitted_fraction(&self, local: f64, confidence: f64) -> f64 {
         confidence * local + (1.0 - confidence) * self.admitted_fraction
     }
--- a/crates/brassport-policy-stats/src/rejection_counts.rs
+++ b/crates/brassport-policy-stats/src/rejection_counts.rs
@@ -30,9 +30,9 @@
     interval_start: Millis,
     /// Whether requests were rejected for lack of capacity in the previous log interval.
     was_overloaded: bool,
-    /// Total of the previous log intervals.
+    /// Rejections for lack of capacity in all log intervals before the current one.
     previous_no_capacity: u64,
-    /// Total of the previous log intervals.
+    /// Rejections for lack of a server in all log intervals before the current one.
     previous_no_server: u64,
 }
 
--- a/crates/brassport-policy-stats/src/remote_usage.rs
+++ b/crates/brassport-policy-stats/src/remote_usage.rs
@@ -13,10 +13,10 @@
     pub units: f64,
 }
 
-/// An observed time and the usage in it.
+/// A period of observation and the usage in this period.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UsageWindow {
-    /// Observed time, in seconds.
+    /// Length of the period, in seconds.
     pub seconds: f64,
     /// Units sent to backends.
     pub sent: f64,
--- a/crates/brassport-policy-stats/src/token_bucket.rs
+++ b/crates/brassport-policy-stats/src/token_bucket.rs
@@ -24,7 +24,8 @@
         self.refilled_at = now;
     }
 
-    /// Takes the tokens if the bucket contains as many; returns whether it did.
+    /// Takes this number of tokens if the bucket contains at least as many. Returns whether the tokens were
+    /// taken.
     pub fn try_take(&mut self, tokens: f64) -> bool {
         let is_available = self.level >= tokens;
         self.level -= if is_available { tokens } else { 0.0 };
