--- a/crates/brassport-quota/src/account.rs
+++ b/crates/brassport-quota/src/account.rs
@@ -70,8 +70,8 @@
         self.prefetched = self.prefetched.min(share.prefetch_limit);
     }
 
-    /// Takes one request, from the prefetched ones first and from the base bucket otherwise; returns whether
-    /// it did.
+    /// Takes one request, from the prefetched ones first and from the base bucket otherwise. Returns whether
+    /// a request was available.
     pub(crate) fn try_acquire(&mut self, share: &NodeShare) -> bool {
         let is_spent = if self.prefetched >= 1.0 {
             self.prefetched -= 1.0;
--- a/crates/brassport-quota/src/lib.rs
+++ b/crates/brassport-quota/src/lib.rs
@@ -2,11 +2,11 @@
 //! request.
 //!
 //! A limit is divided into two parts. The base part is divided equally among the nodes: each node
-//! ([`NodeQuotas`]) permanently holds a share of it in a local token bucket. The granted part refills a token
-//! bucket at the coordinator ([`QuotaCoordinator`]), which grants nodes a few requests in advance, on demand.
-//! A node without contact to the coordinator still has its base share, and may spend what it was granted
-//! once, at any later time. Each token is in exactly one place, so that all nodes together stay within the
-//! tolerance of the limit whichever nodes are partitioned, killed or suspended.
+//! ([`NodeQuotas`]) has a fixed share of it in a local token bucket. The granted part refills a token bucket
+//! at the coordinator ([`QuotaCoordinator`]), which grants nodes a few requests in advance, on demand. A node
+//! without contact to the coordinator still has its base share, and may spend each granted request once, at
+//! any later time. Each token belongs to exactly one node or to the coordinator, so that all nodes together
+//! stay within the tolerance of the limit whichever nodes are partitioned, killed or suspended.
 //!
 //! From the same usage reports the coordinator computes a meter reading for each meter period. Nodes set the
 //! probability of admission from the readings.
--- a/crates/brassport-quota/src/rate_limit.rs
+++ b/crates/brassport-quota/src/rate_limit.rs
@@ -1,8 +1,8 @@
 //! A tenant's rate limit, and its division between the nodes and the coordinator.
 
 /// Fraction of the rate that refills the base buckets of all nodes together. The sum with [`GRANTED_RATE`] is
-/// 1.04, above 1, as a part of the grants is not used by the node that holds it. A tolerance of a tenth above
-/// the limit is allowed.
+/// 1.04, above 1, as nodes leave a part of their granted requests unspent. A tolerance of a tenth above the
+/// limit is allowed.
 const BASE_RATE: f64 = 0.5;
 /// Fraction of the rate that refills the coordinator's bucket.
 const GRANTED_RATE: f64 = 0.54;
@@ -11,7 +11,7 @@
 const BASE_DEPTH: f64 = 0.33;
 /// Fraction of the depth in the coordinator's bucket.
 const GRANTED_DEPTH: f64 = 0.3;
-/// Fraction of the depth that all nodes together may hold as granted requests.
+/// Fraction of the depth that all nodes together may have as granted, unspent requests.
 const PREFETCHED_DEPTH: f64 = 0.3;
 /// Requests that are tolerated at one time in addition to the burst.
 const BURST_TOLERANCE: f64 = 16.0;
@@ -74,7 +74,7 @@
     pub(crate) base_rate_per_s: f64,
     /// Depth of the base bucket, in requests; at least 1.
     pub(crate) base_depth: f64,
-    /// Granted requests that the node may hold; at least 1.
+    /// Maximum number of granted, unspent requests of the node; at least 1.
     pub(crate) prefetch_limit: f64,
     /// Rate of the whole limit, in requests per second.
     rate_per_s: f64,
--- a/crates/brassport-quota/src/retry_delays.rs
+++ b/crates/brassport-quota/src/retry_delays.rs
@@ -4,7 +4,7 @@
 use crate::rate_limit::NodeShare;
 use crate::Millis;
 
-/// Upper bound of the wait for a token while a coordinator responds: by then the next grant has arrived.
+/// Upper bound of the wait for a token while a coordinator responds: the next grant arrives within this time.
 const MAX_TOKEN_WAIT_MS: Millis = 60;
 /// Upper bound of the wait for a token without a response of a coordinator: another coordinator must take
 /// over first.
--- a/crates/brassport-quota/src/token_bucket.rs
+++ b/crates/brassport-quota/src/token_bucket.rs
@@ -30,7 +30,7 @@
         self.tokens
     }
 
-    /// Takes a token if the bucket contains at least one; returns whether it did.
+    /// Takes a token if the bucket contains at least one. Returns whether the token was taken.
     pub(crate) fn try_take_one(&mut self) -> bool {
         let has_one = self.tokens >= 1.0;
         if has_one {
@@ -52,7 +52,7 @@
     /// Returns the time until the bucket contains one token at this rate, in milliseconds; negative if it
     /// contains more.
     pub(crate) fn until_one_ms(&self, rate_per_s: f64) -> f64 {
-        // Prevents an infinite time for a rate near 0.
+        // The lower bound prevents an infinite result for a rate of or near 0.
         (1.0 - self.tokens) / rate_per_s.max(1e-6) * 1000.0
     }
 }
