--- a/crates/brassport-transport/src/lib.rs
+++ b/crates/brassport-transport/src/lib.rs
@@ -4,8 +4,8 @@
 //! Delivery is best effort: a frame may be lost, delayed, duplicated or reordered. A caller that needs a response must
 //! retry.
 //!
-//! The packages above decide what to send, when, and to which node. Links neither authenticate nor encrypt, so they are
-//! not suitable for untrusted networks.
+//! The packages that use this one decide what to send, when, and to which node. Links neither authenticate nor encrypt,
+//! so they are not suitable for untrusted networks.
 //!
 //! ```
 //! use brassport_transport::frame;
--- a/crates/brassport-transport/src/links/writer.rs
+++ b/crates/brassport-transport/src/links/writer.rs
@@ -56,7 +56,7 @@
         Writer { peer, addresses, connection: None }
     }
 
-    /// Writes frames until the queue is empty for [`IDLE_TIMEOUT`].
+    /// Writes frames until the queue has been empty for [`IDLE_TIMEOUT`].
     pub(super) async fn run(mut self, mut frames: mpsc::Receiver<Vec<u8>>, queues: Rc<Queues>) {
         while let Ok(Some(frame)) = timeout(IDLE_TIMEOUT, frames.recv()).await {
             // A frame that fails is dropped, since it is unknown how much of it the peer has read.
--- a/crates/brassport-transport/src/peer_sampling/record.rs
+++ b/crates/brassport-transport/src/peer_sampling/record.rs
@@ -42,7 +42,7 @@
 pub struct AgedRecord {
     /// The record of the peer.
     pub peer: PeerRecord,
-    /// Milliseconds since its node created it, without the time in transit.
+    /// Milliseconds since the peer created the record, without the time in transit.
     pub age_ms: u32,
 }
 
--- a/crates/brassport-transport/src/peer_sampling/view.rs
+++ b/crates/brassport-transport/src/peer_sampling/view.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 struct Entry {
     peer: PeerRecord,
-    /// When its node created it, on this node's clock.
+    /// When the peer created the record, in milliseconds on this node's clock.
     made_at: Millis,
 }
 
