--- a/crates/brassport-config-store/src/configuration/items.rs
+++ b/crates/brassport-config-store/src/configuration/items.rs
@@ -101,7 +101,7 @@
     pub tls: bool,
 }
 
-/// Limits on the size and the duration of clients' requests. A limit of 0 stands for its default.
+/// Limits on the size and the duration of clients' requests. A limit of 0 means the default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// The maximum size of a request's header section, in bytes. Default: 16384.
--- a/crates/brassport-config-store/src/configuration/reader.rs
+++ b/crates/brassport-config-store/src/configuration/reader.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// The value if it is above 0, else the default: fields that are omitted or 0 have their default.
+/// The value if it is above 0, otherwise the default: a field that is omitted or 0 has its default value.
 pub fn or_default_if_0<T: Default + PartialOrd>(value: T, default: T) -> T {
     if value > T::default() {
         value
--- a/crates/brassport-config-store/src/consensus/campaign.rs
+++ b/crates/brassport-config-store/src/consensus/campaign.rs
@@ -113,12 +113,12 @@
         self.try_become_leader();
     }
 
-    /// Becomes the leader if a majority has promised. To be checked again when the state has changed, as the voters may
-    /// be others by then.
+    /// Becomes the leader if a majority has promised. Must be called again when the state has changed, as the set of
+    /// voters may have changed as well.
     pub(super) fn try_become_leader(&mut self) {
         let Role::Candidate(candidate) = &self.role else { return };
         if !self.is_voter() {
-            // The state received meanwhile shows that this replica has no vote any more.
+            // According to a state received since the campaign started, this replica is not a voter any more.
             return self.step_down();
         }
         let promises: Vec<&VoterPromise> =
--- a/crates/brassport-config-store/src/consensus/command.rs
+++ b/crates/brassport-config-store/src/consensus/command.rs
@@ -6,7 +6,7 @@
 use super::{ChangeScope, ConfigurationRequest, Entry, Millis, Outcome, VoterId};
 use std::collections::VecDeque;
 
-/// A command that has been pending for this time is answered with [`Outcome::Unknown`]: its caller has given up by
+/// A command that has been pending for this time is answered with [`Outcome::Unknown`]: its caller has timed out by
 /// then.
 const COMMAND_TIMEOUT_MS: Millis = 2_500;
 
--- a/crates/brassport-config-store/src/consensus/election.rs
+++ b/crates/brassport-config-store/src/consensus/election.rs
@@ -4,7 +4,7 @@
 use std::net::Ipv4Addr;
 
 /// A leader counts as alive for this time after its last heartbeat, and other candidates get no promise meanwhile:
-/// three heartbeat intervals. Guards a leader against a voter that can send but can't receive.
+/// three heartbeat intervals. Prevents a voter that can send but can't receive from replacing a live leader.
 const LEADER_LEASE_MS: Millis = 360;
 /// Time without a heartbeat after which the first voter in the agreed order campaigns: three and a half heartbeat
 /// intervals, so that a single lost or late heartbeat does not cause an election.
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Election {
     leader: Option<KnownLeader>,
-    /// Whether this replica has heard from a leader, or has campaigned, since the process started.
+    /// Whether this replica has received a message from a leader, or has campaigned, since the process started.
     has_had_contact: bool,
     timer_started_at: Millis,
 }
--- a/crates/brassport-config-store/src/consensus/follower.rs
+++ b/crates/brassport-config-store/src/consensus/follower.rs
@@ -63,8 +63,8 @@
             return self.actions.push(Action::FetchLog(from.ip));
         }
         if index <= self.state.index {
-            // The index is already committed, which the leader does not know yet. The entry that it proposes under its
-            // own term can only be the committed one.
+            // The index is committed already, but the leader does not know this yet. The entry that the leader proposes
+            // under its own term can only be the committed one.
             return;
         }
         let response = Message::Accepted { term, index };
--- a/crates/brassport-config-store/src/consensus/leader.rs
+++ b/crates/brassport-config-store/src/consensus/leader.rs
@@ -140,7 +140,8 @@
         self.evaluate_pending();
     }
 
-    /// Advances a leader's timers: sends what is due, or steps down without a quorum.
+    /// Advances a leader's timers: steps down without a quorum; otherwise ends overdue commands, and repeats the
+    /// proposal and the heartbeat when they are due.
     pub(super) fn tick_leader(&mut self) {
         let (now, state) = (self.now, self.state.clone());
         let Role::Leader(leader) = &mut self.role else { return };
--- a/crates/brassport-config-store/src/consensus/proposal.rs
+++ b/crates/brassport-config-store/src/consensus/proposal.rs
@@ -10,10 +10,10 @@
 /// Interval after which an entry is sent again to the voters that have not accepted it, since a request or its response
 /// may be lost.
 const RESEND_INTERVAL_MS: Millis = 150;
-/// Assumed throughput of a slow link, 8 Mbit/s. The interval is extended by the transmission time of the entry, so that
-/// resending a long entry does not saturate such a link.
+/// Assumed throughput of a slow link, 8 Mbit/s. The resend interval is extended by the transmission time of the entry,
+/// so that resending a long entry does not saturate such a link.
 const LINK_BYTES_PER_MS: usize = 1_000;
-/// The extension doubles with each resend, at most this many times.
+/// Maximum number of doublings of this extension; it doubles with each resend.
 const MAX_RESEND_DOUBLINGS: u32 = 5;
 
 /// An entry proposed by the leader.
--- a/crates/brassport-config-store/src/consensus/replica.rs
+++ b/crates/brassport-config-store/src/consensus/replica.rs
@@ -1,5 +1,5 @@
 //! One machine's replica of the log: its promises and acceptances, and the state that results from the committed
-//! entries. A machine without a vote has a replica too, which only follows.
+//! entries. A machine without a vote also has a replica, which is always a follower.
 
 use super::campaign::Role;
 use super::durability::PendingWrites;
@@ -12,7 +12,7 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// A clock that advances by more than an election time-out between two ticks shows that the machine was stalled.
+/// If the clock advances by more than this time, an election time-out, between two ticks, the machine was stalled.
 const STALLED_AFTER_MS: Millis = super::election::ELECTION_TIMEOUT_MS;
 
 /// One machine's replica of the log: a state machine without I/O. Each method that changes it takes the host's clock
@@ -176,7 +176,7 @@
 
     /// Advances the clock and all timers. To be called about every 50 ms.
     pub fn tick(&mut self, now: Millis) -> Vec<Action> {
-        // After a stall, what is known about the leader is outdated.
+        // After a stall, the last known leader may have been replaced.
         if now > self.now + STALLED_AFTER_MS {
             self.election.forget_leader(now);
         }
--- a/crates/brassport-config-store/src/store/mod.rs
+++ b/crates/brassport-config-store/src/store/mod.rs
@@ -1,6 +1,6 @@
 //! A voter's durable store: the number of the disk, the voter's promises and acceptances, and the replicated state, in
-//! one SQLite file. Every record is synced before [`Store::append`] returns. The store has a single owner, which the
-//! host runs on a thread of its own, so that a hanging disk blocks nothing else.
+//! one SQLite file. Every record is synced before [`Store::append`] returns. The store has a single owner. The host
+//! runs this owner on a separate thread, so that a hanging disk blocks only that thread.
 
 mod error;
 mod migration;
@@ -205,8 +205,8 @@
     Ok(connection)
 }
 
-/// Syncs the folder's directory entries. Without it, a loss of power may remove a new file although its content was
-/// synced.
+/// Syncs the folder's directory entries. Otherwise, a new file may be missing after a power failure although its
+/// content was synced.
 fn sync_folder(folder: &Path) -> Result<(), StoreError> {
     std::fs::File::open(folder)
         .and_then(|folder| folder.sync_all())
