--- a/crates/brassport-data-plane/src/active_configuration.rs
+++ b/crates/brassport-data-plane/src/active_configuration.rs
@@ -7,7 +7,7 @@
 pub(crate) struct ActiveConfiguration {
     /// The index of routes by host and path and of tenants by key.
     pub(crate) routes: RouteTable,
-    /// Maximum size of a request body.
+    /// Maximum size of a request body, in bytes.
     pub(crate) max_body_bytes: u64,
     /// Whether requests to non-public routes need a tenant's key.
     pub(crate) requires_key: bool,
--- a/crates/brassport-data-plane/src/backend_protocol.rs
+++ b/crates/brassport-data-plane/src/backend_protocol.rs
@@ -16,7 +16,7 @@
 pub const EXPECTED_BACKEND: HeaderName = HeaderName::from_static("x-expect-server");
 /// The name of the authenticated tenant.
 pub const TENANT: HeaderName = HeaderName::from_static("x-customer");
-/// Set in a response if the backend has not run the request.
+/// Present in a response if the backend has not run the request.
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 /// The signature that a backend adds to its responses.
 const SIGNATURE: HeaderName = HeaderName::from_static("x-server-seal");
--- a/crates/brassport-data-plane/src/data_plane.rs
+++ b/crates/brassport-data-plane/src/data_plane.rs
@@ -21,7 +21,8 @@
 /// The fraction of the budgeted retry ratio that nodes use. The rest is a margin, as requests and retries fall into
 /// different windows on each node.
 const USED_RETRY_RATIO: f64 = 0.75;
-/// The fraction of the budgeted retry burst that nodes use, with a margin for the same reason.
+/// The fraction of the budgeted retry burst that nodes use; the rest is a margin for the same reason as in
+/// [`USED_RETRY_RATIO`].
 const USED_RETRY_BURST: f64 = 0.6;
 
 /// The options of a data plane.
--- a/crates/brassport-data-plane/src/downstream/authorize.rs
+++ b/crates/brassport-data-plane/src/downstream/authorize.rs
@@ -29,7 +29,7 @@
     pub(super) id: Option<String>,
     /// The client's remaining time, limited by the timeout of the route.
     pub(super) timeout: Duration,
-    /// Maximum size of the body.
+    /// Maximum size of the body, in bytes.
     pub(super) max_body_bytes: u64,
 }
 
--- a/crates/brassport-data-plane/src/downstream/response.rs
+++ b/crates/brassport-data-plane/src/downstream/response.rs
@@ -12,8 +12,8 @@
 use brassport_types::TenantId;
 use hyper::Response;
 
-/// How long a node counts as starting up. During this time it is still learning of backends, so a lack of capacity is
-/// likely to end soon.
+/// How long a node counts as starting up. During this time the control plane may not have reported all backends yet, so
+/// a lack of capacity is likely to end soon.
 const STARTING_UP_MS: brassport_quota::Millis = 1_500;
 /// Maximum suggested retry delay of a node that is starting up.
 const MAX_STARTING_UP_RETRY_AFTER_MS: f64 = 300.0;
--- a/crates/brassport-data-plane/src/downstream/server.rs
+++ b/crates/brassport-data-plane/src/downstream/server.rs
@@ -34,7 +34,7 @@
     let connections = Rc::new(ConnectionRegistry::new(data_plane.resources.clock.clone()));
     let downstream = Rc::new(Downstream { data_plane, shutdown, connections, date: DateHeader::default() });
     // The gateway adopts no connections of other processes. The sender is kept alive so that the channel stays open: a
-    // closed channel would look like a completed handover.
+    // closed channel would be taken for a completed handover.
     let (_sender, adopted) = mpsc::unbounded_channel();
     downstream::serve(Rc::new(listener), downstream, descriptors, total, adopted).await;
 }
--- a/crates/brassport-data-plane/src/endpoints.rs
+++ b/crates/brassport-data-plane/src/endpoints.rs
@@ -95,8 +95,8 @@
         changes
     }
 
-    /// Missing heartbeats are distrusted if more backends are unresponsive than ready: it is then more likely that the
-    /// heartbeats are being lost than that the backends have failed.
+    /// Missing heartbeats do not count as failures if more backends are unresponsive than ready: it is then more likely
+    /// that the heartbeats are being lost than that the backends have failed.
     fn heartbeats(&self) -> Heartbeats {
         let count = |state| {
             let is_counted = |endpoint: &&Endpoint| endpoint.backend.state == state && !endpoint.is_displaced;
--- a/crates/brassport-data-plane/src/hooks.rs
+++ b/crates/brassport-data-plane/src/hooks.rs
@@ -42,7 +42,7 @@
     fn may_send(&self, request: RequestId, attempt: u8) -> Result<(), Millis> {
         let tenant = self.in_flight.borrow().get(&request).map_or(NO_TENANT, |in_flight| in_flight.tenant);
         if attempt > 0 {
-            // The policy has abandoned the previous attempt in favor of this one. Skipping it would fail the request.
+            // The policy has replaced the previous attempt by this one, so skipping this one would fail the request.
             self.quotas.force_acquire(tenant);
             return Ok(());
         }
--- a/crates/brassport-data-plane/src/policy_settings.rs
+++ b/crates/brassport-data-plane/src/policy_settings.rs
@@ -27,10 +27,9 @@
 const INITIAL_ADMITTED_FRACTION: f64 = 0.85;
 /// The cost of a request in units, for all classes.
 const UNITS_PER_REQUEST: f64 = 1.0;
-/// The multiple of its current capacity at which a backend in slow start collapses, as recommended by the policy's
-/// documentation.
+/// The load, as a multiple of its current capacity, at which a backend in slow start collapses.
 const COLLAPSE_LOAD: f64 = 2.0;
-/// How long the overload by `COLLAPSE_LOAD` must last for a collapse, as recommended by the policy's documentation.
+/// How long a backend in slow start withstands `COLLAPSE_LOAD` before it collapses.
 const COLLAPSE_AFTER_MS: f64 = 1_000.0;
 /// The interval between two calls of the policy by the dispatcher.
 const TICK_MS: f64 = 1.0;
