--- a/crates/brassport-gateway/src/main.rs
+++ b/crates/brassport-gateway/src/main.rs
@@ -6,7 +6,7 @@
 
 fn main() -> ExitCode {
     // Aborts the process on any panic: otherwise the requests of a panicked task would stay unanswered while the node
-    // ran on with a broken invariant.
+    // continued to run with a broken invariant.
     let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         default_hook(panic);
--- a/crates/brassport-gateway/src/node/build.rs
+++ b/crates/brassport-gateway/src/node/build.rs
@@ -98,8 +98,8 @@
     hasher.finish() | 1
 }
 
-/// Opens the store of the node. Only nodes of the core may vote; the vote of a node without a data folder is lost when its
-/// process ends.
+/// Opens the store of the node. Only nodes of the core may vote; a node without a data folder has its store in memory
+/// and loses its vote when its process ends.
 fn open_store(settings: &Settings, events: UnboundedSender<StoreEvent>) -> StoreHandle {
     let new_disk = DiskId(unique_nonzero());
     match (settings.is_core, settings.data_folder.clone()) {
--- a/crates/brassport-gateway/src/node/control_host.rs
+++ b/crates/brassport-gateway/src/node/control_host.rs
@@ -23,7 +23,7 @@
     control: ControlPlane,
     /// The origin of the control plane's time, which is counted in milliseconds.
     start: Instant,
-    /// The sender of the messages of this node, sent in the envelope of each.
+    /// The address and the incarnation of this node, which are part of the envelope of each message that it sends.
     sender: Sender,
     links: Rc<Links>,
     store: StoreHandle,
--- a/crates/brassport-gateway/src/settings/check.rs
+++ b/crates/brassport-gateway/src/settings/check.rs
@@ -107,7 +107,8 @@
             "false" => Some(0.0),
             other => other.parse().ok(),
         };
-        // Other programs read the same list: a value that is neither a number nor a boolean is theirs and is skipped.
+        // Other programs read the same list: a value that is neither a number nor a boolean is meant for another
+        // program and is skipped.
         parameters.extend(number.map(|number| (name.trim().to_owned(), number)));
     }
     parameters
--- a/crates/brassport-gateway/src/settings/mod.rs
+++ b/crates/brassport-gateway/src/settings/mod.rs
@@ -13,7 +13,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 
-/// The environment variable that holds the path of the settings file.
+/// The environment variable that contains the path of the settings file.
 pub const FILE_VARIABLE: &str = "BRASSPORT_CONFIG";
 
 /// The validated settings of one node. The name of each setting in the file is given in parentheses.
@@ -68,8 +68,7 @@
 impl Settings {
     /// Reads and validates a settings file.
     ///
-    /// # Errors
-    /// The file cannot be read, or is invalid; the error holds all problems found.
+    /// # Errors The file cannot be read, or is invalid; the error lists all problems found.
     pub fn read(file: &Path) -> Result<Settings, SettingsError> {
         let error = |problems| SettingsError { file: file.to_owned(), problems };
         let text = std::fs::read_to_string(file).map_err(|io| error(vec![Problem::Io(io)]))?;
--- a/crates/brassport-gateway/src/store_thread.rs
+++ b/crates/brassport-gateway/src/store_thread.rs
@@ -31,7 +31,8 @@
 pub struct Persisted {
     /// The number under which the write was submitted.
     pub number: u64,
-    /// Whether the record is synced to the disk. If not, it may be lost, and nothing may depend on it.
+    /// Whether the record is synced to the disk. If false, the record may be lost, and no message may be sent that
+    /// depends on it.
     pub is_synced: bool,
 }
 
