--- a/crates/brassport-proxy/src/body/mod.rs
+++ b/crates/brassport-proxy/src/body/mod.rs
@@ -19,7 +19,7 @@
 use std::task::{Context, Poll};
 
 /// Maximum size of a body that is buffered completely, in either direction. Only a request whose body is buffered can
-/// be retried, so this limits the memory of a retryable request.
+/// be retried, so this also limits the memory used by a retryable request.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 /// Maximum declared length of a body, in either direction. A request that declares more is rejected; a response that
 /// declares more is treated as broken.
--- a/crates/brassport-proxy/src/downstream/accept.rs
+++ b/crates/brassport-proxy/src/downstream/accept.rs
@@ -18,9 +18,11 @@
 /// Number of descriptors reserved for attempts. When fewer are free, client connections without a request in flight are
 /// closed.
 const ATTEMPT_RESERVE: usize = 64;
-/// Limits the reserve to this fraction (one over the divisor) of all descriptors, for processes with few descriptors.
+/// The reserve is at most the total number of descriptors divided by this number, so that a process with few
+/// descriptors can still serve clients.
 const ATTEMPT_RESERVE_DIVISOR: usize = 4;
-/// When client connections exceed this fraction (one over the divisor) of all descriptors, idle timeouts are shortened.
+/// Idle timeouts are shortened when the number of client connections exceeds the total number of descriptors divided by
+/// this number.
 const REDUCED_IDLE_DIVISOR: usize = 8;
 /// Interval between two checks for connections that exceed their timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
@@ -89,8 +91,8 @@
         true
     }
 
-    /// Decides whether a newly accepted client is served. It is not if its descriptor is one of those reserved for
-    /// attempts.
+    /// Decides whether a newly accepted client is served. A client whose descriptor is one of those reserved for
+    /// attempts is rejected.
     fn admission(&self) -> Admission {
         if self.free_up(self.attempt_reserve) {
             Admission::Served
--- a/crates/brassport-proxy/src/downstream/service.rs
+++ b/crates/brassport-proxy/src/downstream/service.rs
@@ -38,8 +38,7 @@
 
     /// Returns the response to a request.
     ///
-    /// # Errors
-    /// The error is also a response; its connection is closed after it.
+    /// # Errors The error is a response too. The connection is closed after this response.
     fn respond(
         &self,
         request: Request<Incoming>,
--- a/crates/brassport-proxy/src/hooks.rs
+++ b/crates/brassport-proxy/src/hooks.rs
@@ -77,7 +77,7 @@
         let _ = (backend, end);
     }
 
-    /// A request has its response, or its client has disconnected.
+    /// A request got its final response, or its client has disconnected.
     fn on_request_end(&self, request: RequestId, end: RequestEnd) {
         let _ = (request, end);
     }
--- a/crates/brassport-proxy/src/protocol.rs
+++ b/crates/brassport-proxy/src/protocol.rs
@@ -35,7 +35,8 @@
 
 /// Observes attempts, for metrics.
 pub trait AttemptObserver {
-    /// An attempt was written, or a reported one turned out not to have been written.
+    /// The request of an attempt was written, or a request that was reported as written turned out not to have been
+    /// sent.
     fn on_attempt(&self, event: AttemptEvent);
 }
 
--- a/crates/brassport-proxy/src/upstream/attempt.rs
+++ b/crates/brassport-proxy/src/upstream/attempt.rs
@@ -79,7 +79,7 @@
         let running = exchange.run();
         #[cfg(not(feature = "mutants"))]
         let mut running = std::pin::pin!(running);
-        // Boxed for the mutant `KeepTimedOutAttempt`, which leaks it.
+        // Boxed, so that the mutant `KeepTimedOutAttempt` can leak the exchange.
         #[cfg(feature = "mutants")]
         let mut running = Box::pin(running);
         // The exchange owns the connection. If another branch completes first, the exchange is dropped and its socket
--- a/crates/brassport-proxy/src/upstream/response.rs
+++ b/crates/brassport-proxy/src/upstream/response.rs
@@ -86,7 +86,7 @@
 ) -> bool {
     let mut next = Some(first);
     while let Some(bytes) = next {
-        // A client that does not read must not hold a backend's connection indefinitely.
+        // A client that does not read must not occupy a backend's connection indefinitely.
         if clock.timeout(STALL_TIMEOUT, sender.send(bytes)).await != Some(true) {
             return false;
         }
