--- a/crates/brassport-policy/src/admission.rs
+++ b/crates/brassport-policy/src/admission.rs
@@ -86,7 +86,7 @@
 /// Statistics of one customer's use of its quota.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Account {
-    /// Number of gateways through which the customer's requests come.
+    /// Number of gateways that may receive the customer's requests.
     #[serde(rename = "spread")]
     gateways: f64,
     /// Token bucket over all gateways: final up to the last reading, plus the local sends that a later
@@ -190,7 +190,7 @@
 
     /// Records an arrival. Called after the probability was set, as the arrival that triggers an update says
     /// nothing about the rate and would bias it upwards. A client retry does not count as offered load: it
-    /// often comes to the gateway that rejected the first attempt.
+    /// often arrives at the gateway that rejected the first attempt.
     fn record_arrival(&mut self, account: &mut Account, request: &Request, input: EstimateInput) {
         if request.is_client_retry {
             return self.retries.record_retry();
--- a/crates/brassport-policy/src/concurrency_limit.rs
+++ b/crates/brassport-policy/src/concurrency_limit.rs
@@ -21,9 +21,9 @@
 const FRACTION_INCREASE: f64 = 0.3;
 /// See [`FRACTION_INCREASE`].
 const FRACTION_INCREASE_OFFSET: f64 = 0.1;
-/// Number of attempts per server, from all gateways together, that are assumed to cause no queueing whatever
-/// the response times. The limit does not apply up to this gateway's share of them: idle servers give no
-/// responses, so a limit that admits nothing would never rise again.
+/// Number of attempts per server, from all gateways together, that are assumed to cause no queueing,
+/// regardless of the response times. The limit does not apply up to this gateway's share of them: idle
+/// servers give no responses, so a limit that admits nothing would never rise again.
 const IDLE_ATTEMPTS_PER_SERVER: f64 = 3.0;
 /// Factor on the limit at a late response.
 const LIMIT_DECREASE: f64 = 0.95;
@@ -37,7 +37,8 @@
 /// Effect of a response on the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Timeliness {
-    /// The response was in time: no sign of queueing at the server.
+    /// The response was within the configured fraction of the latency target: no sign of queueing at the
+    /// server.
     Timely,
     /// The response was late or is overdue, or the server rejected the attempt.
     Late,
@@ -111,7 +112,8 @@
         if response == Timeliness::Timely {
             let increase = FRACTION_INCREASE * (self.fraction + FRACTION_INCREASE_OFFSET) * weight;
             self.fraction = (self.fraction + increase).min(1.0);
-            // Not raised while it is not in use, as nothing shows that the servers could handle more.
+            // The limit is not raised while less than about half of it is in use, as nothing shows that the
+            // servers could handle more.
             if 2.0 * (in_flight + 1.0) >= self.limit {
                 let step = LIMIT_INCREASE * (1.0 + self.limit / LIMIT_INCREASE_SCALE);
                 self.limit += if self.slow_start { 1.0 } else { step };
--- a/crates/brassport-policy/src/interface/events.rs
+++ b/crates/brassport-policy/src/interface/events.rs
@@ -15,7 +15,7 @@
     pub class: usize,
     /// Units that the request takes from the quota, not negative.
     pub units: f64,
-    /// Number of gateways through which this customer's requests may come; 0 counts as 1.
+    /// Number of gateways that may receive this customer's requests; 0 counts as 1.
     pub customer_gateways: u32,
     /// Ordinal of the first of these gateways; the others follow it, modulo the number of all gateways.
     pub first_gateway: u32,
@@ -101,9 +101,9 @@
     UploadComplete(RequestId),
     /// An attempt ended.
     AttemptEnd(AttemptEnd),
-    /// A streamed response started: the host forwards it to the client and expects no final answer any more.
+    /// A streamed response started: the host forwards it to the client and does not expect a final answer.
     ResponseStarted(RequestId),
-    /// The client disconnected: the host expects no final answer any more.
+    /// The client disconnected: the host does not expect a final answer.
     ClientDisconnected(RequestId),
     /// A timer expired; carries the token of its [`Action::SetTimer`].
     Timer(u64),
--- a/crates/brassport-policy/src/interface/servers.rs
+++ b/crates/brassport-policy/src/interface/servers.rs
@@ -20,7 +20,7 @@
 pub struct ServerEntry {
     /// Identifier of the server.
     pub id: ServerId,
-    /// Zone that the server is in.
+    /// Number of the zone of the server, in the same numbering as that of the gateway.
     pub zone: u16,
     /// Cell of the server: the servers of a cell share the idempotency keys that they have seen.
     pub cell: u16,
--- a/crates/brassport-policy/src/interface/settings.rs
+++ b/crates/brassport-policy/src/interface/settings.rs
@@ -102,7 +102,7 @@
     pub gateways: u32,
     /// Index of this gateway among them, from 0.
     pub ordinal: u32,
-    /// Zone of this gateway.
+    /// Number of the zone of this gateway, in the host's numbering of the zones.
     pub zone: u16,
     /// Request classes; requests refer to them by index.
     pub classes: Vec<Class>,
--- a/crates/brassport-policy/src/lib.rs
+++ b/crates/brassport-policy/src/lib.rs
@@ -13,8 +13,8 @@
 //! * **Timers**: each [`Action::SetTimer`] results in one [`Event::Timer`] at its time or shortly after.
 //! * **Order**: events are passed in the order in which they occurred, and every [`Action::Send`] is followed
 //!   by exactly one [`Event::AttemptEnd`].
-//! * **Isolation**: one gateway per process. Gateways share no state, and know of each other's load from the
-//!   meter only.
+//! * **Isolation**: one gateway per process. Gateways share no state, and get information about each other's
+//!   load from the meter only.
 //!
 //! # The decisions
 //!
--- a/crates/brassport-policy/src/load_balancer.rs
+++ b/crates/brassport-policy/src/load_balancer.rs
@@ -163,8 +163,8 @@
     }
 
     /// Whether a server's response times reflect the fleet's capacity. A server in warm-up gets its turns
-    /// whatever the length of its queue, so its response times count only if most servers are in warm-up.
-    /// Otherwise all gateways would reject requests while a part of the fleet restarts.
+    /// regardless of the length of its queue, so its response times count only if most servers are in
+    /// warm-up. Otherwise all gateways would reject requests while a part of the fleet restarts.
     pub fn is_representative(&self, id: ServerId) -> bool {
         let is_warm = |server: &Server| server.warm_up.is_none();
         self.warming_up.count > self.warm.members().len() || self.servers.get(&id).is_none_or(is_warm)
--- a/crates/brassport-policy/src/rate_limit.rs
+++ b/crates/brassport-policy/src/rate_limit.rs
@@ -1,6 +1,6 @@
 //! Hard rate limit of a customer over all gateways, without communication between them.
 //!
-//! Rate and burst of the limit are divided among the gateways through which a customer's requests come. Each
+//! Rate and burst of the limit are divided among the gateways that may receive the customer's requests. Each
 //! gateway has a token bucket for its share. The shares add up to the limit, so the gateways together stay
 //! within it without exchanging messages.
 
--- a/crates/brassport-policy/src/request_lifecycle.rs
+++ b/crates/brassport-policy/src/request_lifecycle.rs
@@ -62,7 +62,8 @@
     /// Attempts in the order of their sends.
     pub attempts: Vec<Attempt>,
     is_queued: bool,
-    /// Whether the request has its final answer, or needs none any more.
+    /// Whether the request has its final answer, or does not need one: its response is streamed or its client
+    /// has disconnected.
     is_answered: bool,
 }
 
--- a/crates/brassport-policy/src/server.rs
+++ b/crates/brassport-policy/src/server.rs
@@ -38,7 +38,7 @@
     pub class: Millis,
 }
 
-/// A server, as this gateway sees it.
+/// A server with the statistics that this gateway has collected about it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Server {
     /// Entry in the server list.
@@ -127,7 +127,7 @@
 
     /// Time for which the server has had an attempt in flight without responding, as a multiple of the mean
     /// response time; 0 without an attempt in flight. A gateway cannot distinguish a hung, paused, slow or
-    /// partitioned server, and reacts to all of them alike.
+    /// partitioned server, and reacts to each of them in the same way.
     pub fn silence(&self, now: Millis, mean: Millis) -> f64 {
         let Some(oldest) = self.in_flight.front() else { return 0.0 };
         (now - oldest.max(self.responded_at)) / mean.max(1.0)
--- a/crates/brassport-policy/src/slow_start.rs
+++ b/crates/brassport-policy/src/slow_start.rs
@@ -1,10 +1,10 @@
 //! Slow start: limits the requests that a server gets while it warms up.
 //!
 //! A server in warm-up collapses if it gets much more load than its present capacity. It therefore gets turns
-//! in proportion to its share of the fleet's present capacity, whatever its response times. Any number of
-//! gateways together then send it no more load, relative to its capacity, than a warm server. If few warm
+//! in proportion to its share of the fleet's present capacity, regardless of its response times. Any number
+//! of gateways together then send it no more load, relative to its capacity, than a warm server. If few warm
 //! servers are left, the remaining requests are rejected. Turns are evenly spaced from a random start, since
-//! independent random draws would come in runs that overload the server.
+//! independent random draws would sometimes give a server many turns in a row, which would overload it.
 
 use crate::interface::*;
 use crate::load_balancer::{LoadBalancer, Selection};
