--- a/crates/brassport-quota/src/coordinator.rs
+++ b/crates/brassport-quota/src/coordinator.rs
@@ -108,8 +108,8 @@
         self.nodes.values().filter(|node| now < node.last_report + NODE_TIMEOUT_MS).count()
     }
 
-    /// Counts the usage that a node reports, and grants the requests that it asks for as far as the limits
-    /// allow.
+    /// Counts the usage that a node reports, and grants as many of the requests that it asks for as the
+    /// limits allow.
     ///
     /// Returns no grants for tenants without a limit, and none at all while the coordinator is inactive.
     pub fn grant(
--- a/crates/brassport-quota/src/lib.rs
+++ b/crates/brassport-quota/src/lib.rs
@@ -6,7 +6,7 @@
 //! at the coordinator ([`QuotaCoordinator`]), which grants nodes a few requests in advance, on demand. A node
 //! without contact to the coordinator still has its base share, and may spend each granted request once, at
 //! any later time. Each token belongs to exactly one node or to the coordinator, so that all nodes together
-//! stay within the tolerance of the limit whichever nodes are partitioned, killed or suspended.
+//! stay within the tolerance of the limit, regardless of which nodes are partitioned, killed or suspended.
 //!
 //! From the same usage reports the coordinator computes a meter reading for each meter period. Nodes set the
 //! probability of admission from the readings.
--- a/crates/brassport-quota/src/mutants.rs
+++ b/crates/brassport-quota/src/mutants.rs
@@ -9,7 +9,7 @@
     GrantsNotDebited = 1,
     /// A new coordinator starts with a full bucket.
     FullBucketAtTakeover,
-    /// Each node has the whole base part instead of its share.
+    /// Each node has the complete base part instead of its share.
     UndividedBase,
 }
 
--- a/crates/brassport-quota/src/rate_limit.rs
+++ b/crates/brassport-quota/src/rate_limit.rs
@@ -76,7 +76,7 @@
     pub(crate) base_depth: f64,
     /// Maximum number of granted, unspent requests of the node; at least 1.
     pub(crate) prefetch_limit: f64,
-    /// Rate of the whole limit, in requests per second.
+    /// Rate of the undivided limit, in requests per second.
     rate_per_s: f64,
     /// Number of equal shares; at least 1.
     shares: f64,
