--- a/crates/brassport-config-store/src/configuration/items.rs
+++ b/crates/brassport-config-store/src/configuration/items.rs
@@ -71,7 +71,7 @@
     pub rank: u32,
     /// Rate limit in requests per second over all gateway instances; 0: no limit.
     pub rate_per_s: f64,
-    /// How many requests beyond the rate limit the tenant may send at once.
+    /// How many requests beyond the rate limit the tenant may send in one burst.
     pub burst: f64,
 }
 
--- a/crates/brassport-config-store/src/configuration/mod.rs
+++ b/crates/brassport-config-store/src/configuration/mod.rs
@@ -1,6 +1,6 @@
 //! The operator's configuration of the gateway, both as JSON document and as typed values. No I/O.
 //!
-//! A [`Document`] holds the complete JSON, including unknown fields, and the typed [`Configuration`] parsed from it.
+//! A [`Document`] contains the complete JSON, including unknown fields, and the typed [`Configuration`] parsed from it.
 //!
 //! `schematic` provides the typed layouts of items, their defaults and the validation of single fields. Its loader
 //! isn't used: it deserializes one source as one type and stops at the first field of the wrong type. Here each item is
--- a/crates/brassport-config-store/src/configuration/routes.rs
+++ b/crates/brassport-config-store/src/configuration/routes.rs
@@ -160,7 +160,7 @@
     if let (Some(service), true) = (plain, split.is_empty()) {
         targets.push((service.to_owned(), 1));
     }
-    // If one of the fields is invalid, its own error suffices.
+    // An error for an invalid field has been recorded already, so no other error is added for it.
     let is_invalid =
         |field: &str, is_valid: bool| !is_valid && item.get(field).is_some_and(|value| !value.is_null());
     let has_invalid =
--- a/crates/brassport-config-store/src/consensus/campaign.rs
+++ b/crates/brassport-config-store/src/consensus/campaign.rs
@@ -139,9 +139,9 @@
         self.adopt(accepted.map(|accepted| accepted.entry));
     }
 
-    /// Proposes the entry that a majority's promises show to be possibly committed under a lower term (the value found
-    /// in phase 1 of Paxos), before any command is evaluated. If nothing was accepted, no entry is needed to confirm
-    /// the majority.
+    /// Proposes the entry that may have been committed under a lower term, according to a majority's promises (the
+    /// value found in phase 1 of Paxos), before any command is evaluated. If nothing was accepted, no entry is needed
+    /// to confirm the majority.
     fn adopt(&mut self, accepted: Option<Entry>) {
         if let Some(entry) = accepted.filter(|_| !is_active(Mutant::AcceptedEntryIgnored)) {
             self.propose(entry, None);
--- a/crates/brassport-config-store/src/consensus/election.rs
+++ b/crates/brassport-config-store/src/consensus/election.rs
@@ -3,8 +3,8 @@
 use super::{Millis, Term};
 use std::net::Ipv4Addr;
 
-/// A leader counts as alive for this time after its last heartbeat, and other candidates get no promise meanwhile:
-/// three heartbeat intervals. Prevents a voter that can send but can't receive from replacing a live leader.
+/// A leader counts as alive for this time, three heartbeat intervals, after its last heartbeat. During this time, other
+/// candidates get no promise. Prevents a voter that can send but can't receive from replacing a live leader.
 const LEADER_LEASE_MS: Millis = 360;
 /// Time without a heartbeat after which the first voter in the agreed order campaigns: three and a half heartbeat
 /// intervals, so that a single lost or late heartbeat does not cause an election.
--- a/crates/brassport-config-store/src/consensus/mod.rs
+++ b/crates/brassport-config-store/src/consensus/mod.rs
@@ -1,7 +1,7 @@
 //! Consensus on the operator's configurations: a majority of the voters, each with a durable disk, agrees on the entry
 //! at each index of the log. No I/O.
 //!
-//! At most one index is undecided at a time: the one after the last index known to be committed. A leader holds a term.
+//! At most one index is undecided at a time: the one after the last index known to be committed. A leader has a term.
 //! It asks a majority of the voters for a promise, completes what may have been committed under a lower term, and only
 //! then evaluates commands (Lamport, "The Part-Time Parliament" and "Paxos Made Simple": one instance of single-decree
 //! Paxos per index). Safety rests on these rules:
--- a/crates/brassport-config-store/src/consensus/replica.rs
+++ b/crates/brassport-config-store/src/consensus/replica.rs
@@ -237,7 +237,7 @@
     /// Sends a message to all voters, including this replica if it is one.
     pub(super) fn broadcast(&mut self, message: &Message) {
         self.send_to_others(message);
-        // This replica comes last, as its own response may change its state.
+        // This replica handles the message last, as its own response may change its state.
         if self.is_voter() {
             self.send(self.id.ip, message.clone());
         }
--- a/crates/brassport-config-store/src/store/rows.rs
+++ b/crates/brassport-config-store/src/store/rows.rs
@@ -1,4 +1,4 @@
-//! The tables of a store and their rows. The column names are kept for existing stores: `place` holds a log index,
+//! The tables of a store and their rows. The column names are kept for existing stores: `place` contains a log index,
 //! `epoch` a term, and `chosen` whether the entry is known to be committed. Values are encoded as CBOR.
 
 use crate::consensus::{Entry, LogIndex, ReplicatedState, Term};
