--- a/crates/brassport-transport/src/peer_sampling/mod.rs
+++ b/crates/brassport-transport/src/peer_sampling/mod.rs
@@ -3,7 +3,7 @@
 //! all nodes. The module does no I/O: the host sends and receives the records.
 //!
 //! A record is forwarded with its age. Of two records of the same node, the younger one is kept. Records above a
-//! maximum age are dropped, so that all nodes forget a node that no longer creates records.
+//! maximum age are dropped, so that a node that no longer creates records disappears from all views.
 
 mod record;
 mod view;
