--- a/crates/brassport-control-plane/src/backends/dissemination.rs
+++ b/crates/brassport-control-plane/src/backends/dissemination.rs
@@ -53,8 +53,8 @@
     /// Forwards records that a peer sent.
     fn forward_records(&mut self, from: Ipv4Addr, records: &[Backend]) {
         if self.view.len() <= FULL_BROADCAST_PEERS {
-            // The sender has sent them to every node that it reaches. The next exchange, made due earlier here, repairs
-            // the others.
+            // The sender has sent the records to every node that it can reach. The other nodes get them by a repair in
+            // the next gossip exchange, which is brought forward here.
             self.gossip.bring_forward();
         } else if records.len() <= MAX_FORWARDED_RECORDS {
             let zone = &self.options.node.zone;
--- a/crates/brassport-control-plane/src/backends/record.rs
+++ b/crates/brassport-control-plane/src/backends/record.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Lease of a ready backend. Long, because the node that receives its heartbeats reports when they stop; the lease
-/// matters only if that node was lost too.
+/// Lease of a ready backend. It is long, because the node that receives the heartbeats reports when they stop; the
+/// lease matters only if that node is lost as well.
 const READY_LEASE_MS: Millis = 900_000;
 /// Lease of an unresponsive or draining backend, from which few further calls are expected.
 const DEPARTING_LEASE_MS: Millis = 40_000;
@@ -68,8 +68,8 @@
     /// Remaining warm-up in milliseconds when this copy was made.
     #[serde(rename = "warming_ms")]
     pub warmup_left_ms: u32,
-    /// Milliseconds between the backend's last call and the making of this copy. With it, all copies expire at the same
-    /// time.
+    /// Milliseconds from the backend's last call to the time when this copy was made. It makes all copies expire at the
+    /// same time.
     #[serde(default)]
     pub age_ms: u32,
 }
--- a/crates/brassport-control-plane/src/backends/table.rs
+++ b/crates/brassport-control-plane/src/backends/table.rs
@@ -11,7 +11,8 @@
     Unchanged,
     /// The record is new, or its state, address or service changed.
     Changed,
-    /// The record marks a backend as unresponsive that has called since. The sender needs the newer record.
+    /// The record marks a backend as unresponsive, but the backend has called again since. The sender needs the newer
+    /// record.
     Stale,
 }
 
@@ -120,7 +121,7 @@
             heartbeat_at: (source == Source::Backend).then_some(now),
             warm_at: now + Millis::from(backend.warmup_left_ms),
         };
-        // A node that has dropped an expired record must not add it again, or the record would circulate for ever.
+        // A node that has dropped an expired record must not add it again, or the record would circulate indefinitely.
         if now >= times.renewed_at + backend.state.lease_ms() {
             return MergeOutcome::Unchanged;
         }
@@ -169,7 +170,7 @@
         entry.snapshot(now)
     }
 
-    /// Marks the ready backends as unresponsive that sent their last heartbeat to this node at least `after` ms ago.
+    /// Marks as unresponsive the ready backends that sent their last heartbeat to this node, at least `after` ms ago.
     /// Returns the newly marked records.
     pub(crate) fn mark_unresponsive(&mut self, now: Millis, after: Millis) -> Vec<Backend> {
         let mut marked = Vec::new();
--- a/crates/brassport-control-plane/src/confirmations.rs
+++ b/crates/brassport-control-plane/src/confirmations.rs
@@ -1,9 +1,9 @@
-//! A backend's drain or deregistration is acknowledged once a majority of the core has its record. From the majority,
-//! it reaches every node in contact.
+//! A backend's drain or deregistration is acknowledged once a majority of the core has its record. The majority then
+//! disseminates the record to every node in contact.
 //!
 //! The majority is taken over the voters known to this node. Each confirmation carries the index up to which its sender
-//! has applied the log. While a higher index than this node's was reported, this node may not know the current voters,
-//! and acknowledges nothing.
+//! has applied the log. If a confirmation reports a higher index than that of this node, this node may not know the
+//! current voters, and acknowledges nothing until it has caught up.
 
 use crate::backends::{Backend, BackendState};
 use crate::call::Reply;
@@ -73,8 +73,8 @@
 }
 
 impl Confirmations {
-    /// The first number depends on the seed, so that a confirmation requested by an earlier incarnation of this node
-    /// does not match a pending call.
+    /// The numbers of confirmation requests start at a value that depends on the seed, so that a confirmation requested
+    /// by an earlier incarnation of this node does not match a pending call.
     pub(crate) fn new(seed: u64) -> Confirmations {
         Confirmations {
             pending: BTreeMap::new(),
--- a/crates/brassport-control-plane/src/contacts.rs
+++ b/crates/brassport-control-plane/src/contacts.rs
@@ -1,16 +1,16 @@
-//! When the last message came from each peer, and the log index that it reported.
+//! The time of the last message from each peer, and the log index that the peer reported last.
 
 use crate::Millis;
 use brassport_types::LogIndex;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// A peer is in contact if a message came from it within this many milliseconds: three gossip exchanges.
+/// A peer is in contact if a message from it was received within this many milliseconds: three gossip intervals.
 pub(crate) const CONTACT_MS: Millis = 1_200;
 /// A peer is forgotten after this many milliseconds without a message.
 const FORGET_MS: Millis = 10 * CONTACT_MS;
 
-/// The peers from which messages came recently.
+/// The peers from which messages were received recently.
 #[derive(Debug, Default)]
 pub(crate) struct Contacts {
     last_seen_at: BTreeMap<Ipv4Addr, Millis>,
@@ -18,7 +18,7 @@
 }
 
 impl Contacts {
-    /// Records that a message came from a peer.
+    /// Records that a message from a peer was received.
     pub(crate) fn record(&mut self, peer: Ipv4Addr, now: Millis) {
         self.last_seen_at.insert(peer, now);
     }
@@ -28,19 +28,19 @@
         self.indexes.insert(peer, index);
     }
 
-    /// Forgets peers from which no message came for [`FORGET_MS`].
+    /// Removes peers from which no message was received for [`FORGET_MS`].
     pub(crate) fn expire(&mut self, now: Millis) {
         self.last_seen_at.retain(|_, at| now < *at + FORGET_MS);
         let last_seen_at = &self.last_seen_at;
         self.indexes.retain(|ip, _| last_seen_at.contains_key(ip));
     }
 
-    /// Whether a message came from a peer within [`FORGET_MS`].
+    /// Whether a message from a peer was received within [`FORGET_MS`].
     pub(crate) fn contains(&self, peer: Ipv4Addr) -> bool {
         self.last_seen_at.contains_key(&peer)
     }
 
-    /// Whether a message came from a peer within [`CONTACT_MS`].
+    /// Whether a message from a peer was received within [`CONTACT_MS`].
     pub(crate) fn is_in_contact(&self, peer: Ipv4Addr, now: Millis) -> bool {
         self.last_seen_at.get(&peer).is_some_and(|at| now < at + CONTACT_MS)
     }
--- a/crates/brassport-control-plane/src/control_plane.rs
+++ b/crates/brassport-control-plane/src/control_plane.rs
@@ -127,7 +127,8 @@
         core
     }
 
-    /// Runs the periodic work. The order of the steps affects the protocol's timing, which the scenarios measure.
+    /// Runs the periodic work. The order of the steps affects the timing of the protocol, which the simulation
+    /// scenarios measure.
     fn tick(&mut self) {
         let now = self.clock.now();
         let actions = self.replica.tick(now);
--- a/crates/brassport-control-plane/src/gossip.rs
+++ b/crates/brassport-control-plane/src/gossip.rs
@@ -24,8 +24,8 @@
 /// node's own zone, because traffic between zones is costly.
 const TURNS_PER_CYCLE: usize = 6;
 const ANY_ZONE_TURNS: usize = 2;
-/// The seeds are contacted every this many turns, even if many peers are known. Guards against a partition whose nodes
-/// know only each other.
+/// The seeds are contacted every this many turns, even if many peers are known. Prevents a permanent split into groups
+/// of nodes whose views contain only each other.
 const SEED_INTERVAL_TURNS: usize = 16;
 
 /// Whether the receiver of gossip must reply with its own side of the exchange.
@@ -77,7 +77,7 @@
         let is_isolated = !core.iter().any(|ip| self.contacts.is_in_contact(*ip, self.clock.now()));
         let mut to: BTreeSet<Ipv4Addr> =
             self.exchange_partner(turn, &core, is_isolated).into_iter().collect();
-        // A node that no core node reaches gets committed entries from other peers, in whichever zone they are.
+        // A node that has no core node in contact gets committed entries from other peers, in any zone.
         if is_isolated {
             to.extend(self.fallback_partner(&core));
         }
@@ -102,7 +102,8 @@
     fn exchange_partner(&mut self, turn: usize, core: &[Ipv4Addr], is_isolated: bool) -> Option<Ipv4Addr> {
         let is_any_zone_turn = turn % TURNS_PER_CYCLE < ANY_ZONE_TURNS;
         if is_isolated && !core.is_empty() {
-            // Every turn tries a core node: the quarantine of outdated backend records is timed from the next contact.
+            // Every turn tries a core node: the quarantine of outdated backend records starts at the next contact with
+            // a core node.
             return Some(core[turn % core.len()]);
         }
         if turn.is_multiple_of(2) && !core.is_empty() {
--- a/crates/brassport-control-plane/src/isolation.rs
+++ b/crates/brassport-control-plane/src/isolation.rs
@@ -19,7 +19,7 @@
 
 /// How long after the isolation quarantined backends are dropped, if the table was compared with a peer's.
 const DROP_AFTER_MS: Millis = 500;
-/// As [`DROP_AFTER_MS`], in a large cluster, where each node sends records to only a few others.
+/// The same as [`DROP_AFTER_MS`] for a large cluster, where each node sends records to only a few others.
 const DROP_AFTER_IN_LARGE_CLUSTER_MS: Millis = 2_000;
 /// How long after the isolation quarantined backends are dropped even without a comparison.
 const DROP_DEADLINE_MS: Millis = 2_500;
--- a/crates/brassport-control-plane/src/lib.rs
+++ b/crates/brassport-control-plane/src/lib.rs
@@ -1,15 +1,15 @@
 //! The control plane of a gateway node, as a state machine without I/O.
 //!
 //! The host passes events and the current time to [`ControlPlane::handle`] and executes the returned [`Action`]s. The
-//! control plane holds:
+//! control plane contains:
 //!
 //! - this node's replica of the configuration log, and the consensus protocol that extends it;
 //! - the endpoint table: soft state under leases, broadcast on change and repaired by comparing digests;
 //! - a partial view of the peers, and the set of voters;
 //! - the grants of tenants' rate limits.
 //!
-//! The *core* is the set of nodes that may vote in consensus. A node outside the core learns committed entries from its
-//! peers.
+//! The *core* is the set of nodes that may vote in consensus. A node outside the core receives committed entries from
+//! its peers.
 //!
 //! The control plane takes no part in handling requests: the data plane works on copies of its state. It opens no
 //! socket or file, reads no clock, and draws random numbers only from the seed in [`Options`].
--- a/crates/brassport-control-plane/src/log_sync/dissemination.rs
+++ b/crates/brassport-control-plane/src/log_sync/dissemination.rs
@@ -21,8 +21,8 @@
 const RETRANSMIT_AFTER_MS: Millis = 120;
 
 impl ControlPlane {
-    /// Sends newly committed entries to peers that do not vote. In a small cluster only the leader does; in a large one
-    /// the receivers forward them.
+    /// Sends newly committed entries to peers that do not vote. In a small cluster only the leader sends them; in a
+    /// large one the receivers forward them.
     pub(crate) fn disseminate_entries(&mut self, entries: Vec<CommittedEntry>) {
         let is_short = !entries.is_empty() && size(&entries) <= MAX_PUSHED_BYTES;
         let Some(fanout) = self.entry_fanout(is_short) else { return };
@@ -32,7 +32,7 @@
         self.push_entries(&to, &entries);
         let to = match (self.replica.is_leader(), self.is_small_cluster()) {
             (true, true) => to,
-            // A new sample, since the first one may have missed peers.
+            // A second sample reaches peers that were not in the first one.
             (true, false) => self.view.sample(fanout, |_| true),
             (false, _) => self.view.sample(1, |_| true),
         };
--- a/crates/brassport-control-plane/src/log_sync/fetch.rs
+++ b/crates/brassport-control-plane/src/log_sync/fetch.rs
@@ -26,7 +26,7 @@
     /// Requests the entries that this node lacks from a peer.
     pub(crate) fn fetch_entries(&mut self, from: Ipv4Addr) {
         let now = self.clock.now();
-        // A snapshot that is being downloaded covers them.
+        // A snapshot that is being downloaded includes these entries.
         if !self.snapshots.is_downloading(now) && self.log_sync.begin_fetch(from, now) {
             self.outbox.send(from, PeerMessage::FetchEntries(self.replica.state().index));
         }
--- a/crates/brassport-control-plane/src/membership/join.rs
+++ b/crates/brassport-control-plane/src/membership/join.rs
@@ -10,7 +10,7 @@
 
 impl ControlPlane {
     /// Sends a join request to the leader if this is a core node without a vote that is not shutting down. While it
-    /// knows no leader, gossips with the other core nodes in turn to learn of one.
+    /// knows no leader, gossips with the other core nodes in turn to discover the leader.
     pub(crate) fn request_vote(&mut self) {
         let node = &self.options.node;
         let (disk, now) = (node.disk, self.clock.now());
--- a/crates/brassport-control-plane/src/membership/leave.rs
+++ b/crates/brassport-control-plane/src/membership/leave.rs
@@ -43,7 +43,8 @@
     }
 
     /// Handles the leave request of a voter that has applied the log up to `index`. The leader removes the voter if it
-    /// is dispensable; otherwise it grants the request once a majority of the other voters has applied the log as far.
+    /// is dispensable; otherwise it grants the request once a majority of the other voters has applied the log up to
+    /// the same index.
     pub(crate) fn on_leave_request(&mut self, from: Ipv4Addr, disk: DiskId, index: LogIndex) {
         if !self.replica.is_leader() {
             return;
--- a/crates/brassport-control-plane/src/membership/mod.rs
+++ b/crates/brassport-control-plane/src/membership/mod.rs
@@ -4,7 +4,7 @@
 //!   is added once it has caught up.
 //! - A voter that does not respond to heartbeats is removed once the remaining voters and the nodes waiting to join
 //!   tolerate the required losses (`reconcile`). It is removed *before* its successor is added, so that a successor
-//!   that is lost at once does not leave a second unresponsive voter in the set.
+//!   that is lost immediately does not leave a second unresponsive voter in the set.
 //! - A voter that shuts down announces it, and exits once a majority of the remaining voters has applied the log as far
 //!   as it has (`leave`).
 //!
--- a/crates/brassport-control-plane/src/membership/reconcile.rs
+++ b/crates/brassport-control-plane/src/membership/reconcile.rs
@@ -11,7 +11,7 @@
 /// A joining node has caught up if it lacks at most this many entries.
 const CAUGHT_UP_ENTRIES: u64 = 64;
 /// How long a leader must have led before it increases the number of quota shares. By then, nodes that started together
-/// know one another.
+/// have discovered each other.
 const SETTLED_MS: Millis = 1_500;
 
 /// A change of the set of voters by one voter.
@@ -123,8 +123,8 @@
         self.replica.unresponsive_for(voter, self.clock.now()).unwrap_or_default()
     }
 
-    /// Whether the other voters, together with the nodes that can join, tolerate the required losses. While even the
-    /// current voters do not, it is enough that the set does not shrink.
+    /// Whether the other voters, together with the nodes that can join, tolerate the required losses. If the current
+    /// voters do not tolerate these losses either, it is sufficient that the number of voters does not decrease.
     pub(super) fn is_dispensable(&self, voter: VoterId) -> bool {
         let voters = &self.replica.state().voters;
         let joining: Vec<VoterId> = self.caught_up_candidates().collect();
--- a/crates/brassport-control-plane/src/quota.rs
+++ b/crates/brassport-control-plane/src/quota.rs
@@ -13,8 +13,8 @@
 /// The quota coordinator and the tenants' rate limits.
 #[derive(Debug, Default)]
 pub(crate) struct Quota {
-    lender: QuotaCoordinator,
-    is_lending: bool,
+    coordinator: QuotaCoordinator,
+    is_granting: bool,
     limits: BTreeMap<TenantId, RateLimit>,
 }
 
@@ -31,24 +31,24 @@
 
     /// The number of nodes that reported usage recently.
     pub(crate) fn reporting_nodes(&self, now: crate::Millis) -> usize {
-        self.lender.live_nodes(now)
+        self.coordinator.live_nodes(now)
     }
 }
 
 impl ControlPlane {
-    /// Starts the lender when this node becomes leader, and stops it when its leadership ends.
+    /// Starts to grant requests when this node becomes leader, and stops when its leadership ends.
     pub(crate) fn follow_leadership(&mut self) {
         let is_leader = self.replica.is_leader();
-        let was_lending = std::mem::replace(&mut self.quota.is_lending, is_leader);
-        if is_leader && !was_lending {
-            self.quota.lender.activate(self.clock.now());
+        let was_granting = std::mem::replace(&mut self.quota.is_granting, is_leader);
+        if is_leader && !was_granting {
+            self.quota.coordinator.activate(self.clock.now());
             self.ring_rank.reset_registry();
             // Announces the new leader to the known peers at once.
             for ip in self.view.sample(FULL_BROADCAST_PEERS, |_| true) {
                 self.gossip_to(ip, Exchange::Notify);
             }
-        } else if !is_leader && was_lending {
-            self.quota.lender.deactivate();
+        } else if !is_leader && was_granting {
+            self.quota.coordinator.deactivate();
         }
     }
 
@@ -82,7 +82,7 @@
         if !self.replica.has_quorum(now) {
             return Vec::new();
         }
-        let Quota { lender, limits, .. } = &mut self.quota;
-        lender.grant(now, (node, incarnation), usage, |tenant| limits.get(&tenant).copied())
+        let Quota { coordinator, limits, .. } = &mut self.quota;
+        coordinator.grant(now, (node, incarnation), usage, |tenant| limits.get(&tenant).copied())
     }
 }
--- a/crates/brassport-control-plane/src/ring_rank.rs
+++ b/crates/brassport-control-plane/src/ring_rank.rs
@@ -2,9 +2,9 @@
 //! nodes of a zone, and all nodes together, spread their requests evenly over the backends.
 //!
 //! A node's view is partial, so it can't compute its rank itself. It sends its zone to the leader periodically, and the
-//! leader assigns its rank among the nodes of that zone from which requests came. Ranks are soft state: a new leader
-//! rebuilds its registry from the requests, and meanwhile each node keeps its rank. A node without a rank estimates its
-//! position from its partial view.
+//! leader assigns its rank among the nodes of that zone from which it received requests. Ranks are soft state: a new
+//! leader rebuilds its registry from the requests, and each node keeps its rank until it is assigned another one. A
+//! node without a rank estimates its position from its partial view.
 
 use crate::control_plane::ControlPlane;
 use crate::peer_message::PeerMessage;
@@ -20,8 +20,7 @@
 const REQUEST_INTERVAL_MS: Millis = 2_000;
 /// How long a leader waits before it assigns ranks. By then all nodes have sent it a request.
 const SETTLED_MS: Millis = REQUEST_INTERVAL_MS + 500;
-/// How long a node keeps its place in the registry after its last request. A node that restarts within this time gets
-/// the same rank.
+/// How long a node stays registered after its last request. A node that restarts within this time gets the same rank.
 const REGISTRATION_LEASE_MS: Millis = 30_000;
 
 /// A node's rank among the nodes of its zone.
--- a/crates/brassport-control-plane/src/snapshots/download.rs
+++ b/crates/brassport-control-plane/src/snapshots/download.rs
@@ -19,11 +19,11 @@
 /// Why a snapshot was rejected.
 #[derive(Debug)]
 pub(super) enum SnapshotError {
-    /// Its bytes do not match the digest in its ID.
+    /// The bytes of the snapshot do not match the digest in its ID.
     DigestMismatch,
-    /// Its bytes can't be decoded as a state.
+    /// The bytes of the snapshot can't be decoded as a state.
     Decode(ciborium::de::Error<std::io::Error>),
-    /// Its state has this index, which is not the one in its ID.
+    /// The state in the snapshot has this index, but the snapshot's ID names another one.
     IndexMismatch(LogIndex),
 }
 
--- a/crates/brassport-control-plane/src/snapshots/mod.rs
+++ b/crates/brassport-control-plane/src/snapshots/mod.rs
@@ -104,7 +104,7 @@
             Ok(state) => {
                 let actions = self.replica.install_snapshot(self.clock.now(), state);
                 self.execute(actions);
-                // Fetches the entries committed since the snapshot at once.
+                // Immediately fetches the entries that were committed after the snapshot.
                 self.log_sync.allow_fetch(from);
                 self.fetch_entries(from);
             }
--- a/crates/brassport-control-plane/src/status.rs
+++ b/crates/brassport-control-plane/src/status.rs
@@ -6,8 +6,8 @@
 use serde_json::{json, Value};
 
 impl ControlPlane {
-    /// The status as JSON. The indexes of other nodes are those that they reported last; a node from which no message
-    /// came for 12 s is omitted.
+    /// The status as JSON. The log index of another node is the one that it reported last; a node from which no message
+    /// was received for 12 s is omitted.
     pub fn status(&self) -> Value {
         let (state, node) = (self.replica.state(), &self.options.node);
         let count = |state| self.backends.table.count(state);
