--- a/crates/brassport-proxy/src/body/streamed.rs
+++ b/crates/brassport-proxy/src/body/streamed.rs
@@ -32,7 +32,7 @@
         (BodySender(sender), StreamedBody { chunks, remaining: length, has_ended: false, on_end: None })
     }
 
-    /// Sets the callback for the end of this body. It is called once: with `true` when the whole body has been read,
+    /// Sets the callback for the end of this body. It is called once: with `true` when the complete body has been read,
     /// with `false` if the body was truncated or the reader was dropped. A later callback replaces an earlier one.
     pub fn on_end(&mut self, callback: impl FnOnce(bool) + 'static) {
         self.on_end = Some(Box::new(callback));
--- a/crates/brassport-proxy/src/downstream/phase.rs
+++ b/crates/brassport-proxy/src/downstream/phase.rs
@@ -96,7 +96,8 @@
             (ConnectionPhase::Idle, IdleTimeouts::Reduced) if self.request_count.get() <= 1 => MIN_IDLE,
             (ConnectionPhase::Idle, IdleTimeouts::Reduced) => REDUCED_IDLE_TIMEOUT,
             (ConnectionPhase::Idle | ConnectionPhase::Final, _) => IDLE_TIMEOUT,
-            // Clients that request long responses and do not read them would otherwise hold their connections forever.
+            // Clients that request long responses and do not read them would otherwise keep their connections open
+            // indefinitely.
             (ConnectionPhase::Active, _) if self.has_unwritten.get() => {
                 return now.saturating_duration_since(self.last_write.get()) >= STALL_TIMEOUT
             }
--- a/crates/brassport-proxy/src/downstream/service.rs
+++ b/crates/brassport-proxy/src/downstream/service.rs
@@ -38,7 +38,8 @@
 
     /// Returns the response to a request.
     ///
-    /// # Errors The error is a response too. The connection is closed after this response.
+    /// # Errors
+    /// The error is a response too. The connection is closed after this response.
     fn respond(
         &self,
         request: Request<Incoming>,
--- a/crates/brassport-proxy/src/lib.rs
+++ b/crates/brassport-proxy/src/lib.rs
@@ -22,9 +22,8 @@
 //! [`upstream::UpstreamPool`] owns the idle connections. Connections have no background tasks: dropping a connection
 //! closes its socket immediately.
 //!
-//! This crate is not a general proxy library. It makes no policy decisions, it does not know routes, tenants or
-//! configuration files, and it does not discover backends: programs add them with
-//! [`upstream::UpstreamPool::upsert`].
+//! This crate is not a general proxy library. It makes no policy decisions, it does not handle routes, tenants or
+//! configuration files, and it does not discover backends: programs add them with [`upstream::UpstreamPool::upsert`].
 //!
 //! ```
 //! use brassport_proxy::responses::{plain_text, retry_later};
