--- a/crates/brassport-data-plane/src/downstream/mod.rs
+++ b/crates/brassport-data-plane/src/downstream/mod.rs
@@ -67,7 +67,8 @@
             Ok(admitted) => self.response(admitted).await,
             Err(rejection) => rejection.into_response(),
         };
-        // After a response to an incomplete upload, the rest of its body could not be distinguished from a new request.
+        // After a response to an incomplete upload, the rest of the request's body could not be distinguished from a
+        // new request.
         if progress.is_none_or(|progress| progress.completed_at().is_some()) {
             Ok(response)
         } else {
--- a/crates/brassport-data-plane/src/policy_settings.rs
+++ b/crates/brassport-data-plane/src/policy_settings.rs
@@ -22,8 +22,8 @@
 /// The fraction of the latency target above which a response counts as late. Requests may take about their latency
 /// target on an idle backend, so only a longer time indicates queueing.
 const LATE_AFTER_FRACTION: f64 = 0.9;
-/// The fraction of the quota-admitted load that a node accepts at its start. It can be high because a node knows the
-/// number of nodes.
+/// The fraction of the quota-admitted load that a node accepts at its start. It can be high because the number of nodes
+/// is available to each node when it starts.
 const INITIAL_ADMITTED_FRACTION: f64 = 0.85;
 /// The cost of a request in units, for all classes.
 const UNITS_PER_REQUEST: f64 = 1.0;
