--- a/crates/brassport-gateway/src/node/inputs.rs
+++ b/crates/brassport-gateway/src/node/inputs.rs
@@ -11,8 +11,8 @@
 
 /// The interval between ticks of the control plane, whose shortest timeouts are a few ticks long.
 const TICK_INTERVAL: Duration = Duration::from_millis(60);
-/// The interval between usage reports of tenants. The quota coordinator receives at least two reports of each node per
-/// meter period.
+/// The interval between usage reports of tenants. The quota coordinator receives at least two reports from each node
+/// per meter period.
 const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// The interval between checks of the settings file, which may change without a SIGHUP.
 const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
--- a/crates/brassport-gateway/src/settings/mod.rs
+++ b/crates/brassport-gateway/src/settings/mod.rs
@@ -68,7 +68,8 @@
 impl Settings {
     /// Reads and validates a settings file.
     ///
-    /// # Errors The file cannot be read, or is invalid; the error lists all problems found.
+    /// # Errors
+    /// The file cannot be read, or is invalid; the error lists all problems found.
     pub fn read(file: &Path) -> Result<Settings, SettingsError> {
         let error = |problems| SettingsError { file: file.to_owned(), problems };
         let text = std::fs::read_to_string(file).map_err(|io| error(vec![Problem::Io(io)]))?;
--- a/crates/brassport-gateway/src/status.rs
+++ b/crates/brassport-gateway/src/status.rs
@@ -98,7 +98,7 @@
     behind: Option<u64>,
     /// Milliseconds since the last message from the peer.
     #[serde(rename = "heardMsAgo")]
-    heard_ms_ago: Option<u64>,
+    last_message_ms_ago: Option<u64>,
 }
 
 #[derive(Debug, Default, Deserialize)]
@@ -143,8 +143,9 @@
             OrNull(draining)
         )?;
         self.peers.iter().filter(|peer| peer.behind.is_some_and(|behind| behind > 0)).try_for_each(|peer| {
-            let (ip, behind, heard) = (OrNull(&peer.ip), OrNull(&peer.behind), OrNull(&peer.heard_ms_ago));
-            write!(f, "\n  {ip} is {behind} indexes behind, heard {heard} ms ago")
+            let (ip, behind) = (OrNull(&peer.ip), OrNull(&peer.behind));
+            let last_message = OrNull(&peer.last_message_ms_ago);
+            write!(f, "\n  {ip} is {behind} indexes behind, heard {last_message} ms ago")
         })
     }
 }
