--- a/crates/brassport-policy/src/admission.rs
+++ b/crates/brassport-policy/src/admission.rs
@@ -170,8 +170,8 @@
         if plan.rate <= 0.0 {
             return 1.0;
         }
-        // At least the averaging units of a rate; otherwise the rate of a customer with a single gateway
-        // would be underestimated.
+        // The time constant covers at least `RATE_UNITS` units; a shorter one would underestimate the rate of
+        // a customer with a single gateway.
         let units = (LOCAL_RATE_UNITS * account.gateways).max(RATE_UNITS);
         account.local_offered.decay_to(now, plan.rate, units);
         let input = self.input(IndexedPlan { plan, index: request.plan }, conditions);
--- a/crates/brassport-policy/src/concurrency_limit.rs
+++ b/crates/brassport-policy/src/concurrency_limit.rs
@@ -84,8 +84,8 @@
         self.limit = self.limit.max(self.idle_attempts);
     }
 
-    /// Number of attempts beyond those in flight up to which the servers count as idle. `None` if a server
-    /// rejected an attempt for lack of capacity within the last latency target.
+    /// Number of attempts beyond those in flight up to which the servers count as idle; 0 or less if they are
+    /// not idle. `None` if a server rejected an attempt for lack of capacity within the last latency target.
     pub fn idle_allowance(&self, now: Millis, latency_target: Millis, in_flight: f64) -> Option<f64> {
         (now >= self.server_overloaded_at + latency_target).then_some(self.idle_attempts - in_flight)
     }
--- a/crates/brassport-policy/src/interface/settings.rs
+++ b/crates/brassport-policy/src/interface/settings.rs
@@ -88,7 +88,8 @@
 }
 
 impl Plan {
-    /// Time in which all token buckets of a customer refill, in milliseconds.
+    /// Time in which all token buckets of a customer refill, in milliseconds; 0 without a quota and a hard
+    /// rate limit.
     pub fn refill_time(&self) -> Millis {
         let fill = |burst: f64, rate: f64| if rate > 0.0 { burst / rate * 1000.0 } else { 0.0 };
         fill(self.burst, self.rate).max(fill(self.hard_limit_burst, self.hard_limit_rate))
