--- a/crates/brassport-policy-stats/src/meter_clock.rs
+++ b/crates/brassport-policy-stats/src/meter_clock.rs
@@ -94,9 +94,9 @@
             &mut sent_until,
         );
         for end in 0..PARTS_PER_PERIOD {
-            // Parts of a period since the last period end of this candidate. With a delay of at most that,
-            // the reading covers the period that ended then; each further period of delay moves it to the
-            // period before.
+            // Parts of a period since the last period end of this candidate. If the reporting delay is not
+            // longer, the reading covers the period that ended then; with each further period of delay, it
+            // covers one period earlier.
             let since = (parts - end as f64).rem_euclid(PARTS_PER_PERIOD as f64) as usize;
             let candidates = &mut self.misfit[end * DELAY_CANDIDATES..][..DELAY_CANDIDATES];
             let mut first = 0;
