--- a/crates/brassport-quota/src/coordinator.rs
+++ b/crates/brassport-quota/src/coordinator.rs
@@ -103,7 +103,7 @@
         *self = QuotaCoordinator::default();
     }
 
-    /// Returns the number of nodes with a recent report.
+    /// Returns the number of nodes with a report within the last 4 s.
     pub fn live_nodes(&self, now: Millis) -> usize {
         self.nodes.values().filter(|node| now < node.last_report + NODE_TIMEOUT_MS).count()
     }
--- a/crates/brassport-quota/src/node_quotas.rs
+++ b/crates/brassport-quota/src/node_quotas.rs
@@ -86,8 +86,8 @@
         self.account(now, tenant).force_acquire();
     }
 
-    /// Returns whether the next report should be sent immediately, as the share of some tenant is almost used
-    /// up.
+    /// Returns whether the next report should be sent immediately: since the last report, some tenant had
+    /// quota left for fewer than two further requests without a grant.
     pub fn is_report_urgent(&self) -> bool {
         self.is_report_urgent
     }
--- a/crates/brassport-quota/src/retry_delays.rs
+++ b/crates/brassport-quota/src/retry_delays.rs
@@ -19,9 +19,9 @@
 /// Whether a grant can be expected soon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CoordinatorContact {
-    /// A coordinator responded recently.
+    /// A coordinator responded within the last 900 ms.
     Recent,
-    /// No coordinator responded recently.
+    /// No coordinator responded within the last 900 ms.
     Lost,
 }
 
