--- a/crates/brassport-control-plane/src/quota.rs
+++ b/crates/brassport-control-plane/src/quota.rs
@@ -29,7 +29,7 @@
             .collect();
     }
 
-    /// The number of nodes that reported usage recently.
+    /// The number of nodes that reported usage within the last 4 s.
     pub(crate) fn reporting_nodes(&self, now: crate::Millis) -> usize {
         self.coordinator.live_nodes(now)
     }
--- a/crates/brassport-control-plane/src/ring_rank.rs
+++ b/crates/brassport-control-plane/src/ring_rank.rs
@@ -87,7 +87,7 @@
         })
     }
 
-    /// Sets this node's rank. A rank of an earlier term than the known one is ignored.
+    /// Sets this node's rank. A rank of an earlier term than that of the current rank is ignored.
     pub(crate) fn assign(&mut self, term: Term, rank: Rank) {
         if self.assigned.is_none_or(|known| known.term <= term) {
             self.assigned = Some(Assignment { term, rank });
@@ -104,7 +104,7 @@
 }
 
 impl ControlPlane {
-    /// This node's position on the ring of backends, in the range 0 to 1.
+    /// This node's position on the ring of backends, above 0 and below 1.
     pub fn ring_position(&self) -> f64 {
         self.ring_rank.assigned.map_or_else(|| self.estimated_rank(), |known| known.rank).position()
     }
