--- a/crates/brassport-data-plane/src/data_plane.rs
+++ b/crates/brassport-data-plane/src/data_plane.rs
@@ -251,7 +251,8 @@
         service.update_endpoints(update, |zone| self.zone_index(zone));
     }
 
-    /// Whether a tenant has little quota left on this node, so that usage has to be reported without delay.
+    /// Whether some tenant can send fewer than two further requests on this node before the next grant, so that usage
+    /// has to be reported without delay.
     pub fn is_quota_urgent(&self) -> bool {
         self.resources.quotas.is_urgent()
     }
--- a/crates/brassport-data-plane/src/tenant_quotas.rs
+++ b/crates/brassport-data-plane/src/tenant_quotas.rs
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Whether a tenant is at or near its limit, so that a rejection is attributed to the limit.
+    /// Whether a tenant used at least 80 % of its limit in the last meter period, or was rejected on this node within
+    /// the last two periods, so that a rejection is attributed to the limit. Always false for a tenant without a limit.
     pub fn is_exhausted(&self, tenant: TenantId) -> bool {
         let (limit, now) = (self.limit(tenant), self.now());
         let node_quotas = self.node_quotas.borrow();
@@ -74,7 +75,8 @@
         limit.rate_per_s > 0.0 && (is_near || node_quotas.rejected_recently(now, tenant))
     }
 
-    /// Whether a tenant has little quota left on this node, so that usage has to be reported without delay.
+    /// Whether some tenant can send fewer than two further requests on this node before the next grant, so that usage
+    /// has to be reported without delay.
     pub fn is_urgent(&self) -> bool {
         self.node_quotas.borrow().is_report_urgent()
     }
