--- a/crates/brassport-proxy/src/downstream/registry.rs
+++ b/crates/brassport-proxy/src/downstream/registry.rs
@@ -118,8 +118,8 @@
 }
 
 impl<C: Clock> DownstreamConnection<C> {
-    /// Sets the phase. If the connection was requested to close but turns out to be in use, this leaves
-    /// [`ConnectionPhase::Closing`] and so cancels the request to close.
+    /// Sets the phase. If the registry has requested to close the connection and a client's request is received after
+    /// that, this ends [`ConnectionPhase::Closing`] and so cancels the request to close.
     pub fn set_phase(&self, phase: ConnectionPhase) {
         // The time of a request starts with its first byte, not with the end of its head.
         let has_begun = matches!(self.phase(), ConnectionPhase::New | ConnectionPhase::Receiving)
