--- a/crates/brassport-config-store/src/configuration/items.rs
+++ b/crates/brassport-config-store/src/configuration/items.rs
@@ -71,7 +71,7 @@
     pub rank: u32,
     /// Rate limit in requests per second over all gateway instances; 0: no limit.
     pub rate_per_s: f64,
-    /// How many requests beyond the rate limit the tenant may send at once.
+    /// How many requests beyond the rate limit the tenant may send in one burst.
     pub burst: f64,
 }
 
@@ -101,7 +101,7 @@
     pub tls: bool,
 }
 
-/// Limits on the size and the duration of clients' requests. A limit of 0 stands for its default.
+/// Limits on the size and the duration of clients' requests. A limit of 0 means the default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// The maximum size of a request's header section, in bytes. Default: 16384.
--- a/crates/brassport-config-store/src/consensus/campaign.rs
+++ b/crates/brassport-config-store/src/consensus/campaign.rs
@@ -113,12 +113,12 @@
         self.try_become_leader();
     }
 
-    /// Becomes the leader if a majority has promised. To be checked again when the state has changed, as the voters may
-    /// be others by then.
+    /// Becomes the leader if a majority has promised. Must be called again when the state has changed, as the set of
+    /// voters may have changed as well.
     pub(super) fn try_become_leader(&mut self) {
         let Role::Candidate(candidate) = &self.role else { return };
         if !self.is_voter() {
-            // The state received meanwhile shows that this replica has no vote any more.
+            // According to a state received since the campaign started, this replica is not a voter any more.
             return self.step_down();
         }
         let promises: Vec<&VoterPromise> =
@@ -139,9 +139,9 @@
         self.adopt(accepted.map(|accepted| accepted.entry));
     }
 
-    /// Proposes the entry that a majority's promises show to be possibly committed under a lower term (the value found
-    /// in phase 1 of Paxos), before any command is evaluated. If nothing was accepted, no entry is needed to confirm
-    /// the majority.
+    /// Proposes the entry that may have been committed under a lower term, according to a majority's promises (the
+    /// value found in phase 1 of Paxos), before any command is evaluated. If nothing was accepted, no entry is needed
+    /// to confirm the majority.
     fn adopt(&mut self, accepted: Option<Entry>) {
         if let Some(entry) = accepted.filter(|_| !is_active(Mutant::AcceptedEntryIgnored)) {
             self.propose(entry, None);
--- a/crates/brassport-data-plane/src/data_plane.rs
+++ b/crates/brassport-data-plane/src/data_plane.rs
@@ -21,7 +21,8 @@
 /// The fraction of the budgeted retry ratio that nodes use. The rest is a margin, as requests and retries fall into
 /// different windows on each node.
 const USED_RETRY_RATIO: f64 = 0.75;
-/// The fraction of the budgeted retry burst that nodes use, with a margin for the same reason.
+/// The fraction of the budgeted retry burst that nodes use; the rest is a margin for the same reason as in
+/// [`USED_RETRY_RATIO`].
 const USED_RETRY_BURST: f64 = 0.6;
 
 /// The options of a data plane.
@@ -250,7 +251,8 @@
         service.update_endpoints(update, |zone| self.zone_index(zone));
     }
 
-    /// Whether a tenant has little quota left on this node, so that usage has to be reported without delay.
+    /// Whether some tenant can send fewer than two further requests on this node before the next grant, so that usage
+    /// has to be reported without delay.
     pub fn is_quota_urgent(&self) -> bool {
         self.resources.quotas.is_urgent()
     }
--- a/crates/brassport-data-plane/src/policy_settings.rs
+++ b/crates/brassport-data-plane/src/policy_settings.rs
@@ -22,15 +22,14 @@
 /// The fraction of the latency target above which a response counts as late. Requests may take about their latency
 /// target on an idle backend, so only a longer time indicates queueing.
 const LATE_AFTER_FRACTION: f64 = 0.9;
-/// The fraction of the quota-admitted load that a node accepts at its start. It can be high because a node knows the
-/// number of nodes.
+/// The fraction of the quota-admitted load that a node accepts at its start. It can be high because the number of nodes
+/// is available to each node when it starts.
 const INITIAL_ADMITTED_FRACTION: f64 = 0.85;
 /// The cost of a request in units, for all classes.
 const UNITS_PER_REQUEST: f64 = 1.0;
-/// The multiple of its current capacity at which a backend in slow start collapses, as recommended by the policy's
-/// documentation.
+/// The load, as a multiple of its current capacity, at which a backend in slow start collapses.
 const COLLAPSE_LOAD: f64 = 2.0;
-/// How long the overload by `COLLAPSE_LOAD` must last for a collapse, as recommended by the policy's documentation.
+/// How long a backend in slow start withstands `COLLAPSE_LOAD` before it collapses.
 const COLLAPSE_AFTER_MS: f64 = 1_000.0;
 /// The interval between two calls of the policy by the dispatcher.
 const TICK_MS: f64 = 1.0;
--- a/crates/brassport-policy/src/admission.rs
+++ b/crates/brassport-policy/src/admission.rs
@@ -86,7 +86,7 @@
 /// Statistics of one customer's use of its quota.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Account {
-    /// Number of gateways through which the customer's requests come.
+    /// Number of gateways that may receive the customer's requests.
     #[serde(rename = "spread")]
     gateways: f64,
     /// Token bucket over all gateways: final up to the last reading, plus the local sends that a later
@@ -170,8 +170,8 @@
         if plan.rate <= 0.0 {
             return 1.0;
         }
-        // At least the averaging units of a rate; otherwise the rate of a customer with a single gateway
-        // would be underestimated.
+        // The time constant covers at least `RATE_UNITS` units; a shorter one would underestimate the rate of
+        // a customer with a single gateway.
         let units = (LOCAL_RATE_UNITS * account.gateways).max(RATE_UNITS);
         account.local_offered.decay_to(now, plan.rate, units);
         let input = self.input(IndexedPlan { plan, index: request.plan }, conditions);
@@ -190,7 +190,7 @@
 
     /// Records an arrival. Called after the probability was set, as the arrival that triggers an update says
     /// nothing about the rate and would bias it upwards. A client retry does not count as offered load: it
-    /// often comes to the gateway that rejected the first attempt.
+    /// often arrives at the gateway that rejected the first attempt.
     fn record_arrival(&mut self, account: &mut Account, request: &Request, input: EstimateInput) {
         if request.is_client_retry {
             return self.retries.record_retry();
@@ -294,7 +294,7 @@
         self.bucket.settle_until(start, flow);
         self.bucket.apply_reading(period.end, usage.used, flow);
         let remote_sent = usage.units - self.bucket.sends().units_between(start, period.end);
-        // Both estimates must not include this reading.
+        // Neither the confidence nor the estimated offered load may include this reading.
         let confidence = self.remote.confidence(now, decay(plan), PRIOR_UNITS);
         let estimated_offered = self.remote_rates(input).offered / plan.rate;
         // If little is known about the customer, the other gateways are assumed to admit the same fraction of
--- a/crates/brassport-policy/src/concurrency_limit.rs
+++ b/crates/brassport-policy/src/concurrency_limit.rs
@@ -21,15 +21,15 @@
 const FRACTION_INCREASE: f64 = 0.3;
 /// See [`FRACTION_INCREASE`].
 const FRACTION_INCREASE_OFFSET: f64 = 0.1;
-/// Number of attempts per server, from all gateways together, that are assumed to cause no queueing whatever
-/// the response times. The limit does not apply up to this gateway's share of them: idle servers give no
-/// responses, so a limit that admits nothing would never rise again.
+/// Number of attempts per server, from all gateways together, that are assumed to cause no queueing,
+/// regardless of the response times. The limit does not apply up to this gateway's share of them: idle
+/// servers give no responses, so a limit that admits nothing would never rise again.
 const IDLE_ATTEMPTS_PER_SERVER: f64 = 3.0;
 /// Factor on the limit at a late response.
 const LIMIT_DECREASE: f64 = 0.95;
 /// Increase of the limit at a timely response, in attempts; it is doubled at a limit of
-/// [`LIMIT_INCREASE_SCALE`]. Thus gateways with small limits converge to equal shares, and one late response
-/// in five keeps a limit of any size level.
+/// [`LIMIT_INCREASE_SCALE`]. Thus gateways with small limits converge to equal shares, and a limit of any
+/// size stays about constant if one response in five is late.
 const LIMIT_INCREASE: f64 = 0.05;
 /// See [`LIMIT_INCREASE`].
 const LIMIT_INCREASE_SCALE: f64 = 5.0;
@@ -37,7 +37,8 @@
 /// Effect of a response on the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Timeliness {
-    /// The response was in time: no sign of queueing at the server.
+    /// The response was within the configured fraction of the latency target: no sign of queueing at the
+    /// server.
     Timely,
     /// The response was late or is overdue, or the server rejected the attempt.
     Late,
@@ -83,8 +84,8 @@
         self.limit = self.limit.max(self.idle_attempts);
     }
 
-    /// Number of attempts beyond those in flight up to which the servers count as idle. `None` if a server
-    /// rejected an attempt for lack of capacity within the last latency target.
+    /// Number of attempts beyond those in flight up to which the servers count as idle; 0 or less if they are
+    /// not idle. `None` if a server rejected an attempt for lack of capacity within the last latency target.
     pub fn idle_allowance(&self, now: Millis, latency_target: Millis, in_flight: f64) -> Option<f64> {
         (now >= self.server_overloaded_at + latency_target).then_some(self.idle_attempts - in_flight)
     }
@@ -111,7 +112,8 @@
         if response == Timeliness::Timely {
             let increase = FRACTION_INCREASE * (self.fraction + FRACTION_INCREASE_OFFSET) * weight;
             self.fraction = (self.fraction + increase).min(1.0);
-            // Not raised while it is not in use, as nothing shows that the servers could handle more.
+            // The limit is not raised while less than about half of it is in use, as nothing shows that the
+            // servers could handle more.
             if 2.0 * (in_flight + 1.0) >= self.limit {
                 let step = LIMIT_INCREASE * (1.0 + self.limit / LIMIT_INCREASE_SCALE);
                 self.limit += if self.slow_start { 1.0 } else { step };
--- a/crates/brassport-policy/src/interface/settings.rs
+++ b/crates/brassport-policy/src/interface/settings.rs
@@ -88,7 +88,8 @@
 }
 
 impl Plan {
-    /// Time in which all token buckets of a customer refill, in milliseconds.
+    /// Time in which all token buckets of a customer refill, in milliseconds; 0 without a quota and a hard
+    /// rate limit.
     pub fn refill_time(&self) -> Millis {
         let fill = |burst: f64, rate: f64| if rate > 0.0 { burst / rate * 1000.0 } else { 0.0 };
         fill(self.burst, self.rate).max(fill(self.hard_limit_burst, self.hard_limit_rate))
@@ -102,7 +103,7 @@
     pub gateways: u32,
     /// Index of this gateway among them, from 0.
     pub ordinal: u32,
-    /// Zone of this gateway.
+    /// Number of the zone of this gateway, in the host's numbering of the zones.
     pub zone: u16,
     /// Request classes; requests refer to them by index.
     pub classes: Vec<Class>,
@@ -164,7 +165,7 @@
     /// Retries that each first attempt adds to the retry budget.
     #[serde(rename = "retry_share")]
     pub retry_ratio: f64,
-    /// Maximum of the retry budget; one retry per server is a further maximum.
+    /// Maximum of the retry budget, in retries. The budget is also limited to one retry per server.
     #[serde(rename = "retries")]
     pub max_retry_budget: f64,
     /// Whether an attempt at a hung server is cancelled and retried at another server.
--- a/crates/brassport-policy/src/slow_start.rs
+++ b/crates/brassport-policy/src/slow_start.rs
@@ -1,18 +1,18 @@
 //! Slow start: limits the requests that a server gets while it warms up.
 //!
 //! A server in warm-up collapses if it gets much more load than its present capacity. It therefore gets turns
-//! in proportion to its share of the fleet's present capacity, whatever its response times. Any number of
-//! gateways together then send it no more load, relative to its capacity, than a warm server. If few warm
+//! in proportion to its share of the fleet's present capacity, regardless of its response times. Any number
+//! of gateways together then send it no more load, relative to its capacity, than a warm server. If few warm
 //! servers are left, the remaining requests are rejected. Turns are evenly spaced from a random start, since
-//! independent random draws would come in runs that overload the server.
+//! independent random draws would sometimes give a server many turns in a row, which would overload it.
 
 use crate::interface::*;
 use crate::load_balancer::{LoadBalancer, Selection};
 use serde::{Deserialize, Serialize};
 
 /// Fraction of the allowed load of a server in warm-up that is used. The rest is a margin for requests of
-/// unequal cost and for gateways that do not know of the server's start yet; the gateways that know are safe
-/// below two thirds.
+/// unequal cost and for gateways that do not know of the server's start yet; for the gateways that know of
+/// it, any value below two thirds is safe.
 const ALLOWANCE_MARGIN: f64 = 0.62;
 /// Fraction of a turn after which a skipped turn is considered again. A turn is skipped if the server is
 /// ejected, was tried for the request or may not serve it.
--- a/crates/brassport-quota/src/retry_delays.rs
+++ b/crates/brassport-quota/src/retry_delays.rs
@@ -4,7 +4,7 @@
 use crate::rate_limit::NodeShare;
 use crate::Millis;
 
-/// Upper bound of the wait for a token while a coordinator responds: by then the next grant has arrived.
+/// Upper bound of the wait for a token while a coordinator responds: the next grant arrives within this time.
 const MAX_TOKEN_WAIT_MS: Millis = 60;
 /// Upper bound of the wait for a token without a response of a coordinator: another coordinator must take
 /// over first.
@@ -19,9 +19,9 @@
 /// Whether a grant can be expected soon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CoordinatorContact {
-    /// A coordinator responded recently.
+    /// A coordinator responded within the last 900 ms.
     Recent,
-    /// No coordinator responded recently.
+    /// No coordinator responded within the last 900 ms.
     Lost,
 }
 
