--- a/crates/brassport-state/tests/it/campaign.rs
+++ b/crates/brassport-state/tests/it/campaign.rs
@@ -131,20 +131,20 @@
 pub fn cut_file_creation(seed: u64, counts: &mut Counts) -> Result<(), String> {
     let mut random = Rand64::new(u128::from(seed));
     let text = |error: StoreError| format!("seed {seed}: {error}");
-    let sound = Disk::default();
-    Store::create(&sound, FILE).map_err(text)?;
-    cut_create(seed, sound.operations(), &mut random, counts)?;
+    let in_use = Disk::default();
+    Store::create(&in_use, FILE).map_err(text)?;
+    cut_create(seed, in_use.operations(), &mut random, counts)?;
     // Two valid states: the one in use and the backup.
     let mut number = 0;
-    let old = fill(&sound, &mut random, &mut number).map_err(text)?;
+    let old = fill(&in_use, &mut random, &mut number).map_err(text)?;
     let backup = Disk::default();
     Store::create(&backup, FILE).map_err(text)?;
     let new = fill(&backup, &mut random, &mut number).map_err(text)?;
     let restore = |disk: &Disk| Store::open(&backup, FILE)?.snapshot()?.copy_to(disk, FILE);
-    let trial = sound.copy();
-    restore(&trial).map_err(text)?;
-    for at in 0..=trial.operations() {
-        let disk = sound.copy();
+    let uninterrupted = in_use.copy();
+    restore(&uninterrupted).map_err(text)?;
+    for at in 0..=uninterrupted.operations() {
+        let disk = in_use.copy();
         disk.schedule_fault(at, Fault::PowerCut);
         let acknowledged = restore(&disk).is_ok();
         let recovered = disk.after_power_cut(&mut random);
@@ -203,9 +203,9 @@
     let closed = disk.bytes(FILE);
     let mut damaged = 0;
     for flip in 0..flips {
-        let sound = if flip % 2 == 0 { &cut } else { &closed };
-        let at = draw_byte(&mut random, sound);
-        let mut bytes = sound.clone();
+        let undamaged = if flip % 2 == 0 { &cut } else { &closed };
+        let at = draw_byte(&mut random, undamaged);
+        let mut bytes = undamaged.clone();
         bytes[at] ^= 1 << random.rand_range(0..8);
         let is_detected = open_flipped(bytes, &expected)
             .map_err(|problem| format!("seed {seed}: a flip in byte {at}{problem}"))?;
--- a/crates/brassport-state/tests/it/power_cuts.rs
+++ b/crates/brassport-state/tests/it/power_cuts.rs
@@ -76,11 +76,11 @@
 fn after_a_failed_operation_all_changes_are_rejected_until_a_restart() {
     let initial = disk_with_one_node();
     let restart = |disk: &Disk| -> Result<Store, StoreError> { Store::open(disk, FILE) };
-    let trial = initial.copy();
-    let mut store = restart(&trial).expect("the state opens");
-    let first = trial.operations();
+    let uninterrupted = initial.copy();
+    let mut store = restart(&uninterrupted).expect("the state opens");
+    let first = uninterrupted.operations();
     store.apply(drain("2", "a")).expect("the change is made");
-    let last = trial.operations();
+    let last = uninterrupted.operations();
     assert!(last > first + 2);
     for kind in [ErrorKind::Other, ErrorKind::StorageFull, ErrorKind::ReadOnlyFilesystem] {
         for at in first..last {
@@ -119,13 +119,13 @@
     assert_eq!(disk.bytes(FILE), b"", "the file is left unchanged");
     disk.put(FILE, b"not a state at all".repeat(1000));
     assert!(message(&disk).contains("is damaged"));
-    let sound = disk_with_one_node();
-    let mut bytes = sound.bytes(FILE);
+    let valid = disk_with_one_node();
+    let mut bytes = valid.bytes(FILE);
     bytes.truncate(bytes.len() / 2);
     disk.put(FILE, bytes);
     assert!(message(&disk).contains("is damaged"));
-    assert!(matches!(Store::create(&sound, FILE), Err(StoreError::Exists { .. })));
-    assert_eq!(Store::open(&sound, FILE).expect("the state opens").state().nodes.len(), 1);
+    assert!(matches!(Store::create(&valid, FILE), Err(StoreError::Exists { .. })));
+    assert_eq!(Store::open(&valid, FILE).expect("the state opens").state().nodes.len(), 1);
 }
 
 #[test]
