--- a/crates/brassport-config-store/src/consensus/follower.rs
+++ b/crates/brassport-config-store/src/consensus/follower.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether a leader other than `candidate`, which may be this replica, counts as alive.
+    /// Whether a leader other than `candidate` counts as alive. This leader may be the replica itself.
     fn has_live_leader_other_than(&self, candidate: Ipv4Addr) -> bool {
         match &self.role {
             Role::Leader(leader) => leader.has_quorum(self.now, &self.state) && candidate != self.id.ip,
--- a/crates/brassport-config-store/src/consensus/replica.rs
+++ b/crates/brassport-config-store/src/consensus/replica.rs
@@ -38,33 +38,33 @@
 
 impl Replica {
     /// A replica at process start. `disk` is the number assigned to the machine's disk; with [`DiskId::NONE`] the
-    /// replica never votes. `found` is the state recovered from disk.
-    pub fn new(ip: Ipv4Addr, disk: DiskId, found: Option<DurableState>, now: Millis) -> Replica {
-        let found = found.unwrap_or_else(DurableState::empty);
+    /// replica never votes. `recovered` is the state read from disk.
+    pub fn new(ip: Ipv4Addr, disk: DiskId, recovered: Option<DurableState>, now: Millis) -> Replica {
+        let recovered = recovered.unwrap_or_else(DurableState::empty);
         Replica {
             id: VoterId { ip, disk },
-            state: Arc::new(found.state),
-            promised: found.promised,
-            accepted: found.accepted,
+            state: Arc::new(recovered.state),
+            promised: recovered.promised,
+            accepted: recovered.accepted,
             retained: RetainedEntries::default(),
             checkpoint: None,
             election: Election::new(now),
             role: Role::Follower,
-            writes: PendingWrites::new(found.promised),
+            writes: PendingWrites::new(recovered.promised),
             is_leaving: false,
             actions: Vec::new(),
             now,
         }
     }
 
-    /// Attaches a store that was opened after the start; `disk` is its number and `found` the state recovered from it.
-    pub fn attach_store(&mut self, now: Millis, disk: DiskId, found: DurableState) -> Vec<Action> {
+    /// Attaches a store that was opened after the start; `disk` is its number and `recovered` the state read from it.
+    pub fn attach_store(&mut self, now: Millis, disk: DiskId, recovered: DurableState) -> Vec<Action> {
         self.now = now;
         self.id.disk = disk;
-        self.promised = self.promised.max(found.promised);
-        self.writes.synced.promised = found.promised;
-        if found.state.index >= self.state.index && found.state.index > LogIndex(0) {
-            (self.state, self.accepted) = (Arc::new(found.state), found.accepted);
+        self.promised = self.promised.max(recovered.promised);
+        self.writes.synced.promised = recovered.promised;
+        if recovered.state.index >= self.state.index && recovered.state.index > LogIndex(0) {
+            (self.state, self.accepted) = (Arc::new(recovered.state), recovered.accepted);
             self.retained.clear();
             self.actions.push(Action::Applied(None));
         } else if self.state.index > LogIndex(0) {
