--- a/crates/brassport-control-plane/tests/it/sim/statements.rs
+++ b/crates/brassport-control-plane/tests/it/sim/statements.rs
@@ -257,7 +257,7 @@
             Expect::Status(name, codes) => {
                 let code = self.status_of(name)?;
                 if !code.is_some_and(|code| codes.contains(&code)) {
-                    return Err(format!("{name} has status {code:?}, expected node of {codes:?}"));
+                    return Err(format!("{name} has status {code:?}, expected one of {codes:?}"));
                 }
             }
             Expect::ExactlyOne(names, code) => {
@@ -310,7 +310,7 @@
             };
             if self.is_responsive(node) && !states.iter().any(|expected| expected == state) {
                 return Err(format!(
-                    "machine {node} has backend {id} as {state}, expected node of {states:?}"
+                    "machine {node} has backend {id} as {state}, expected one of {states:?}"
                 ));
             }
         }
