--- a/crates/brassport-fleet/src/audit/gather.rs
+++ b/crates/brassport-fleet/src/audit/gather.rs
@@ -1,11 +1,11 @@
-//! Combines records of many doors, from parts that may overlap, with times on one clock.
+//! Combines records of many gateway instances, from parts that may overlap, with times on one clock.
 
 use super::Audit;
 use crate::clocks::Clocks;
 use crate::record::{self, Event, Fault, Line};
 use std::collections::BTreeMap;
 
-/// The lines of one door's record, by process and line number.
+/// The lines of one gateway instance's record, by process and line number.
 type LinesByProcess = BTreeMap<u64, BTreeMap<u64, Line>>;
 
 /// The parts of all records, without duplicate lines.
@@ -41,7 +41,8 @@
 }
 
 impl Audit {
-    /// Adds parts of many doors' records, each as the door's name and the text. Several parts may contain the same lines.
+    /// Adds parts of many gateway instances' records, each as the gateway instance's name and the text. Several parts
+    /// may contain the same lines.
     pub fn gather<'a>(&mut self, parts: impl Iterator<Item = (&'a str, &'a str)>) {
         let mut gathered = Parts::default();
         parts.for_each(|(door, text)| gathered.add(door, text));
--- a/crates/brassport-fleet/src/audit/mod.rs
+++ b/crates/brassport-fleet/src/audit/mod.rs
@@ -1,4 +1,5 @@
-//! Queries over the records of many doors: which door acted on which version and when, and which information is missing.
+//! Queries over the records of many gateway instances: which one acted on which version and when, and which
+//! information is missing.
 
 mod gather;
 mod spans;
@@ -9,10 +10,10 @@
 use spans::SpanBuilder;
 use std::collections::BTreeMap;
 
-/// A period in which one process of a door acted on one version. Ends are exclusive.
+/// A period in which one process of a gateway instance acted on one version. Ends are exclusive.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Span {
-    /// The door's name.
+    /// The gateway instance's name.
     pub door: String,
     /// The identifier of its process: a random number drawn at the process's start.
     pub process: u64,
@@ -37,7 +38,7 @@
 /// A non-idempotent request, recorded just before it was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sent {
-    /// The door's name.
+    /// The gateway instance's name.
     pub door: String,
     /// The request's identifier.
     pub request: String,
@@ -45,7 +46,7 @@
     pub node: String,
     /// The version under which the node was chosen.
     pub version: u64,
-    /// The identifier of the door's process: a random number drawn at the process's start.
+    /// The identifier of the gateway instance's process: a random number drawn at the process's start.
     pub process: u64,
     /// The time of the line, in milliseconds on the process's own monotonic clock.
     pub steady_ms: u64,
@@ -59,7 +60,7 @@
 /// Lines of a record that could not be written, for example because the disk was full.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lost {
-    /// The identifier of the door's process: a random number drawn at the process's start.
+    /// The identifier of the gateway instance's process: a random number drawn at the process's start.
     pub process: u64,
     /// The number of lines.
     pub lines: u64,
@@ -70,39 +71,40 @@
 /// The combined contents of the records of a fleet.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Audit {
-    /// Periods in which doors acted, grouped by door, each door's in order of time.
+    /// Periods in which gateway instances acted, grouped by gateway instance, each one's in order of time.
     pub spans: Vec<Span>,
-    /// Non-idempotent requests, grouped by door, each door's in order of time.
+    /// Non-idempotent requests, grouped by gateway instance, each one's in order of time.
     pub sent: Vec<Sent>,
-    /// Descriptions of faults in records and of missing parts, by the name of the door or instance.
+    /// Descriptions of faults in records and of missing parts, by the name of the gateway instance or the
+    /// plain instance.
     pub unknown: BTreeMap<String, String>,
-    /// The instance whose wall clock is the common one; `None`: all times are on the doors' own clocks.
+    /// The instance whose wall clock is the common one; `None`: all times are on the gateway instances' own clocks.
     #[serde(default)]
     pub clock: Option<String>,
-    /// Lines that could not be written, by door.
+    /// Lines that could not be written, by gateway instance.
     #[serde(default)]
     pub lost: BTreeMap<String, Vec<Lost>>,
-    /// Versions that have different digests at two doors: the version and the names of both doors.
+    /// Versions that have different digests at two gateway instances: the version and both names.
     pub forks: Vec<(u64, String, String)>,
 }
 
 /// A query over an [`Audit`]; each field that is set narrows the answer.
 #[derive(Debug, Clone, Default)]
 pub struct Query {
-    /// The door's name.
+    /// The gateway instance's name.
     pub door: Option<String>,
     /// The version that was acted on.
     pub version: Option<u64>,
     /// A request's identifier.
     pub request: Option<String>,
-    /// A period in Unix milliseconds, both ends inclusive: on the clock of the instance [`Audit::clock`] where the door's times
-    /// are known on it, and on the door's own wall clock otherwise.
+    /// A period in Unix milliseconds, both ends inclusive: on the clock of the instance [`Audit::clock`] where the
+    /// gateway instance's times are known on it, and on the gateway instance's own wall clock otherwise.
     pub between: Option<(u64, u64)>,
 }
 
 impl Audit {
-    /// Adds the lines of a door's record and the fault that ended it, if any. `door` is the name under which the record was
-    /// requested.
+    /// Adds the lines of a gateway instance's record and the fault that ended it, if any. `door` is the name under
+    /// which the record was requested.
     pub fn add(&mut self, door: &str, lines: &[Line], fault: Option<&Fault>) {
         if let Some(fault) = fault {
             self.unknown.insert(door.into(), format!("{fault}; what comes behind it is not known"));
@@ -133,7 +135,8 @@
         self.find_forks();
     }
 
-    /// Records that a record could not be read or is incomplete, and why. `door` is the name of a door or an instance.
+    /// Records that a record could not be read or is incomplete, and why. `door` is the name of a gateway instance or
+    /// a plain instance.
     pub fn missing(&mut self, door: &str, why: &str) {
         self.unknown.insert(door.into(), why.into());
     }
@@ -206,7 +209,7 @@
 }
 
 impl WallBounds {
-    /// The bounds of `moment` if it is known, and otherwise the exact time on the door's own wall clock.
+    /// The bounds of `moment` if it is known, and otherwise the exact time on the gateway instance's own wall clock.
     fn of(moment: Option<Moment>, wall_ms: u64) -> WallBounds {
         let unsigned = |ms: i64| ms.try_into().unwrap_or(0);
         moment.map_or(WallBounds { earliest_ms: wall_ms, latest_ms: wall_ms }, |moment| WallBounds {
--- a/crates/brassport-fleet/src/audit/spans.rs
+++ b/crates/brassport-fleet/src/audit/spans.rs
@@ -1,12 +1,13 @@
-//! Derives spans from the lines of one door's record.
+//! Derives spans from the lines of one gateway instance's record.
 
 use super::Span;
 use crate::record::{At, Event, Line};
 
-/// Builds the spans of one door, line by line.
+/// Builds the spans of one gateway instance, line by line.
 pub(super) struct SpanBuilder<'a> {
     door: &'a str,
-    /// The current span. While the door has stopped, the span is empty: its first and last admission numbers are equal.
+    /// The current span. While the gateway instance has stopped, the span is empty: its first and last admission
+    /// numbers are equal.
     open: Option<Span>,
     ended: Vec<Span>,
 }
@@ -25,7 +26,7 @@
                 self.begin(line.at, *version, digest, *from_admission);
             }
             Event::Stopped { why, from_admission } => {
-                // The door keeps its version, but does not act until it resumes.
+                // The gateway instance keeps its version, but does not act until it resumes.
                 let stopped = self.open.clone();
                 self.end(line.at, Some(*from_admission), why);
                 let admissions = (*from_admission, Some(*from_admission));
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The spans from all lines. The current span is omitted if it is empty because the door has stopped.
+    /// The spans from all lines. The current span is omitted if it is empty because the gateway instance has stopped.
     pub(super) fn finish(self) -> impl Iterator<Item = Span> {
         let open = self.open.filter(|span| span.admissions.1.is_none());
         self.ended.into_iter().chain(open)
--- a/crates/brassport-fleet/src/clocks.rs
+++ b/crates/brassport-fleet/src/clocks.rs
@@ -1,9 +1,9 @@
-//! Converts the times in the records of many doors to the clock of one instance, with error bounds.
+//! Converts the times in the records of many gateway instances to the clock of one instance, with error bounds.
 //!
-//! The doors' wall clocks disagree and jump. Therefore each door periodically reads the clocks of instances and records each
-//! reading as a [`Mark`]. The instance read its clock at some time between the door's request and the arrival of the response,
-//! which bounds the reading independently of the door's wall clock. The bounds widen with the distance from the reading, by
-//! the drift between two monotonic clocks.
+//! The gateway instances' wall clocks disagree and jump. Therefore each gateway instance periodically reads the clocks
+//! of instances and records each reading as a [`Mark`]. The instance read its clock at some time between the gateway
+//! instance's request and the arrival of the response, which bounds the reading independently of the gateway instance's
+//! wall clock. The bounds widen with the distance from the reading, by the drift between two monotonic clocks.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
@@ -20,7 +20,7 @@
     pub by: String,
     /// Its wall clock when it answered, in Unix milliseconds.
     pub said_ms: u64,
-    /// The round-trip time of the request, in milliseconds on the door's monotonic clock.
+    /// The round-trip time of the request, in milliseconds on the gateway instance's monotonic clock.
     pub took_ms: Millis,
 }
 
--- a/crates/brassport-fleet/src/grants.rs
+++ b/crates/brassport-fleet/src/grants.rs
@@ -1,11 +1,12 @@
-//! The leader's table of rights to act: which doors may still act, on which version, and whether a fence holds.
+//! The leader's table of rights to act: which gateway instances may still act, on which version, and whether a fence
+//! holds.
 //!
-//! A change with a fence makes the leader report whether any door may still act on an older version. The fence holds once no
-//! door may.
+//! A change with a fence makes the leader report whether any gateway instance may still act on an older version. The
+//! fence holds once no gateway instance may.
 //!
-//! The table relies on two conditions. The host lets the leader answer a door's request only after a majority has confirmed
-//! its leadership since that request arrived (a linearizable read). And no two clocks of the fleet drift apart by more than
-//! [`Terms::drift_permille`].
+//! The table relies on two conditions. The host lets the leader answer a gateway instance's request only after a
+//! majority has confirmed its leadership since that request arrived (a linearizable read). And no two clocks of the
+//! fleet drift apart by more than [`Terms::drift_permille`].
 
 use crate::mutants::mutant;
 use crate::shared::Shared;
@@ -19,16 +20,16 @@
 /// Durations in milliseconds, which must be the same at all instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Terms {
-    /// How long a door's right is valid from its request.
+    /// How long a gateway instance's right is valid from its request.
     pub length: Millis,
     /// The maximum relative drift between two clocks, in thousandths.
     pub drift_permille: u64,
-    /// How long a voter must have had no contact with a leader before it extends the rights of doors.
+    /// How long a voter must have had no contact with a leader before it extends the rights of gateway instances.
     pub silence: Millis,
     /// How long an extension by a voter is valid from its request.
     #[serde(rename = "leave")]
     pub extension: Millis,
-    /// How long a door may act on versions without a strict change after that change was published.
+    /// How long a gateway instance may act on versions without a strict change after that change was published.
     #[serde(rename = "bring_up")]
     pub strict_grace: Millis,
 }
@@ -52,10 +53,10 @@
     }
 }
 
-/// A door's request for a right to act.
+/// A gateway instance's request for a right to act.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The door's name.
+    /// The gateway instance's name.
     pub door: String,
     /// The identifier of its process: a random number drawn at the process's start.
     pub process: u64,
@@ -65,54 +66,55 @@
     pub had_one: bool,
 }
 
-/// The leader's response to a door's request.
+/// The leader's response to a gateway instance's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// The door may act.
+    /// The gateway instance may act.
     Granted {
-        /// How long the right is valid from the door's request.
+        /// How long the right is valid from the gateway instance's request.
         length: Millis,
     },
-    /// The door must catch up before it may act.
+    /// The gateway instance must catch up before it may act.
     Behind {
         /// The oldest version that it may act on.
         need: u64,
     },
-    /// Another process with the door's name may still act.
+    /// Another process with the gateway instance's name may still act.
     Wait {
         /// How long that process may still act; 0: until the leader has had contact with every voter for long enough.
         ms: Millis,
     },
-    /// Another process has taken over the door's name.
+    /// Another process has taken over the gateway instance's name.
     Replaced,
-    /// The door is not a member of the fleet.
+    /// The gateway instance is not a member of the fleet.
     Unknown,
 }
 
 /// A reason why a fence does not hold yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FenceBlocker {
-    /// A door may still act on an older version, unless it catches up.
+    /// A gateway instance may still act on an older version, unless it catches up.
     Door {
-        /// The door's name.
+        /// The gateway instance's name.
         door: String,
         /// The version that it reported last; `None` if it has reported none since this leader's election.
         version: Option<u64>,
         /// How long it may still act.
         ms: Millis,
     },
-    /// An earlier process of a door may still act.
+    /// An earlier process of a gateway instance may still act.
     Earlier {
-        /// The door's name.
+        /// The gateway instance's name.
         door: String,
         /// How long that process may still act; 0: until the leader has had contact with every voter for long enough.
         ms: Millis,
     },
-    /// A voter is unresponsive, or was so recently that an extension of a door's right by it may still be valid.
+    /// A voter is unresponsive, or was so recently that an extension of a gateway instance's right by it may still be
+    /// valid.
     Voter {
         /// The voter's identifier.
         voter: u64,
-        /// The door's name.
+        /// The gateway instance's name.
         door: String,
     },
 }
@@ -135,7 +137,7 @@
     }
 }
 
-/// The rights to act under one door's name.
+/// The rights to act under one gateway instance's name.
 #[derive(Debug, Clone, Copy, Default)]
 struct Right {
     /// The process that currently owns the name.
@@ -217,14 +219,14 @@
         }
     }
 
-    /// The oldest version that a door may act on at `now`.
+    /// The oldest version that a gateway instance may act on at `now`.
     pub fn needed(&self, now: Millis, shared: &Shared) -> u64 {
         let due = self.strict_versions.iter().rev().find(|strict| now >= strict.at + self.terms.strict_grace);
         shared.fenced().max(due.map_or(0, |strict| strict.version))
     }
 
-    /// Answers a door's request. A majority must have confirmed this leader since the request arrived. `voters` are all voters
-    /// except the leader.
+    /// Answers a gateway instance's request. A majority must have confirmed this leader since the request arrived.
+    /// `voters` are all voters except the leader.
     pub fn ask(&mut self, now: Millis, ask: &Ask, shared: &Shared, voters: &BTreeSet<u64>) -> Answer {
         let (earlier_until, terms) = (self.earlier_until(), self.terms);
         let Some((_, process)) = shared.doors().find(|(door, _)| *door == ask.door) else {
@@ -274,8 +276,8 @@
         })
     }
 
-    /// The reasons why a fence at `version` does not hold yet; empty once no door may act on an older version. `voters` are all
-    /// voters except the leader.
+    /// The reasons why a fence at `version` does not hold yet; empty once no gateway instance may act on an older
+    /// version. `voters` are all voters except the leader.
     pub fn fence(
         &self,
         now: Millis,
@@ -306,7 +308,8 @@
         blockers
     }
 
-    /// The doors that have requested a right: name, last reported version, and how long the door may still act.
+    /// The gateway instances that have requested a right: name, last reported version, and how long each may
+    /// still act.
     pub fn doors(&self, now: Millis) -> impl Iterator<Item = (&str, Option<u64>, Millis)> {
         self.doors
             .iter()
--- a/crates/brassport-fleet/src/lib.rs
+++ b/crates/brassport-fleet/src/lib.rs
@@ -1,16 +1,18 @@
-//! The state that a fleet of proxies shares, the leases that permit a proxy to act on it, and each proxy's record of the
-//! versions that it acted on; without I/O.
+//! The state that a fleet of gateway instances shares, the leases that permit one to act on it, and each one's record
+//! of the versions that it acted on; without I/O.
 //!
-//! A proxy of the fleet is called a *door*, as in the messages and records that this package defines. A door *acts* on a
-//! version of the shared state while it serves requests by it. An *instance* is a process that keeps the fleet's replicated
-//! log; the log's voters elect the leader.
+//! A *gateway instance* is a process that serves clients and applies the fleet's shared settings; it *acts* on a
+//! version of the shared state while it serves requests by it. The fields named `door`, in messages and records too,
+//! hold a gateway instance's name. A plain *instance* is a process that keeps the fleet's replicated log; the log's
+//! voters elect the leader.
 //!
 //! - [`shared`] is the state that the replicated log builds: numbered, digested versions of what operators publish.
-//! - [`standing`] is one door's right to act: a lease that expires on the door's own clock.
-//! - [`grants`] is the leader's table of those rights: which doors may still act, on which version, and whether a fence holds.
-//! - [`record`] is a door's record of the versions that it acted on, as a chain of digests.
-//! - [`clocks`] converts times on the clocks of many doors to one clock, with error bounds.
-//! - [`audit`] answers queries from the records of many doors.
+//! - [`standing`] is one gateway instance's right to act: a lease that expires on its own clock.
+//! - [`grants`] is the leader's table of those rights: which gateway instances may still act, on which version, and
+//!   whether a fence holds.
+//! - [`record`] is a gateway instance's record of the versions that it acted on, as a chain of digests.
+//! - [`clocks`] converts times on the clocks of many gateway instances to one clock, with error bounds.
+//! - [`audit`] answers queries from the records of many gateway instances.
 //!
 //! HTTP, storage and consensus are in the package `brassport-peers`. Choosing a backend, retrying a request and rejecting one
 //! is up to the policy. Unless stated otherwise, times are milliseconds on the caller's own monotonic clock, which must keep
--- a/crates/brassport-fleet/src/mutants.rs
+++ b/crates/brassport-fleet/src/mutants.rs
@@ -13,9 +13,9 @@
     IdIgnored,
     /// A change against an older version than the current one is applied.
     ConflictIgnored,
-    /// A door without contact counts as one that has the new version.
+    /// A gateway instance without contact counts as one that has the new version.
     UnresponsiveIsFenced,
-    /// A door's right runs from the response instead of the request.
+    /// A gateway instance's right runs from the response instead of the request.
     GrantFromResponse,
     /// All clocks are assumed to run at the same rate.
     NoDrift,
@@ -25,9 +25,9 @@
     ExtensionRevives,
     /// A fence does not wait for rights that an unresponsive voter may have extended.
     VoterIgnored,
-    /// A door is granted a right although its version is older than required.
+    /// A gateway instance is granted a right although its version is older than required.
     StaleVersionGranted,
-    /// A new process with a door's name is granted a right while its predecessor may still act.
+    /// A new process with a gateway instance's name is granted a right while its predecessor may still act.
     PredecessorIgnored,
     /// A record is read without a check that each line follows the one before.
     LinkUnchecked,
--- a/crates/brassport-fleet/src/record.rs
+++ b/crates/brassport-fleet/src/record.rs
@@ -1,8 +1,9 @@
-//! A door's record of the versions that it acted on: lines of JSON, each with the digest of the line before it.
+//! A gateway instance's record of the versions that it acted on: lines of JSON, each with the digest of the line before
+//! it.
 //!
-//! Reading detects lines that were altered, removed or truncated. A record that was replaced by an older copy of itself is
-//! detected only if newer lines had been shipped to another instance; otherwise it looks like the record of a door that
-//! stopped writing.
+//! Reading detects lines that were altered, removed or truncated. A record that was replaced by an older copy of itself
+//! is detected only if newer lines had been shipped to another instance; otherwise it looks like the record of a
+//! gateway instance that stopped writing.
 
 use crate::clocks::Mark;
 use crate::mutants::mutant;
@@ -25,14 +26,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Event {
-    /// A process of this door started.
+    /// A process of this gateway instance started.
     Began {
-        /// The door's name.
+        /// The gateway instance's name.
         door: String,
         /// The version of the program that it runs.
         program: String,
     },
-    /// The door acts on a version of the shared state.
+    /// The gateway instance acts on a version of the shared state.
     Acts {
         /// The version of the shared state.
         version: u64,
@@ -41,19 +42,19 @@
         /// The number of the first request admitted under that version.
         from_admission: u64,
     },
-    /// The door stopped acting.
+    /// The gateway instance stopped acting.
     Stopped {
-        /// Why the door may not act.
+        /// Why the gateway instance may not act.
         why: String,
         /// The number of the next admission.
         from_admission: u64,
     },
-    /// The door resumed acting, on the version that it had when it stopped.
+    /// The gateway instance resumed acting, on the version that it had when it stopped.
     WentOn {
         /// The number of the next admission.
         from_admission: u64,
     },
-    /// The door is about to send a request that is not idempotent.
+    /// The gateway instance is about to send a request that is not idempotent.
     Unsafe {
         /// The request's identifier.
         request: String,
@@ -62,7 +63,7 @@
         /// The version under which the node was chosen.
         version: u64,
     },
-    /// A reading of an instance's clock, by which the door's times are converted to that clock.
+    /// A reading of an instance's clock, by which the gateway instance's times are converted to that clock.
     Clock(Mark),
     /// Lines directly before this one could not be written, for example because the disk was full.
     Lost {
--- a/crates/brassport-fleet/src/shared/change.rs
+++ b/crates/brassport-fleet/src/shared/change.rs
@@ -3,16 +3,17 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The matter of the fleet's members: each door with its current process, a [`Process`].
+/// The matter of the fleet's members: each gateway instance with its current process, a [`Process`].
 pub const DOOR: &str = "door";
 /// The matter of banned nodes, by node.
 pub const BAN: &str = "ban";
 /// The matter of settings: a proxy's complete configuration, as text.
 pub const SETTINGS: &str = "settings";
-/// The matter of leases, by task: the holders of the tasks that run once in the fleet. Doors do not act on it.
+/// The matter of leases, by task: the holders of the tasks that run once in the fleet. Gateway instances do not act on
+/// it.
 pub const LEASE: &str = "lease";
-/// The matter that sets the strictness of other matters, by matter: "strict" if doors must have its changes within
-/// [`crate::grants::Terms::strict_grace`] or stop acting, else "lax".
+/// The matter that sets the strictness of other matters, by matter: "strict" if gateway instances must have its changes
+/// within [`crate::grants::Terms::strict_grace`] or stop acting, else "lax".
 pub const STRICTNESS: &str = "strictness";
 
 /// A change to one key, as its author submits it.
@@ -37,7 +38,8 @@
     /// change is refused. `None`: the change applies to any version.
     #[serde(default)]
     pub seen: Option<u64>,
-    /// Whether the change has a fence: once the fence is reported to hold, no door acts on an older version.
+    /// Whether the change has a fence: once the fence is reported to hold, no gateway instance acts on an older
+    /// version.
     #[serde(default)]
     pub fence: bool,
 }
@@ -63,15 +65,15 @@
     }
 }
 
-/// A door's current process: the body of a change of the matter [`DOOR`].
+/// A gateway instance's current process: the body of a change of the matter [`DOOR`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Process {
     /// The process's identifier: a random number drawn at its start.
     pub process: u64,
-    /// Whether all earlier processes with the door's name are known to have ended. A process may claim this if it owns the lock
-    /// of its predecessor's directory, the predecessor had a right or was alone itself, and the predecessor's entry is the one
-    /// that this change replaces ([`Change::seen`]). If another process, started from a copy of the directory, has registered
-    /// in between, the change is refused.
+    /// Whether all earlier processes with the gateway instance's name are known to have ended. A process may claim this
+    /// if it owns the lock of its predecessor's directory, the predecessor had a right or was alone itself, and the
+    /// predecessor's entry is the one that this change replaces ([`Change::seen`]). If another process, started from a
+    /// copy of the directory, has registered in between, the change is refused.
     #[serde(default)]
     pub alone: bool,
 }
--- a/crates/brassport-fleet/src/shared/mod.rs
+++ b/crates/brassport-fleet/src/shared/mod.rs
@@ -56,7 +56,8 @@
         &self.digest
     }
 
-    /// The version of the last change with a fence, 0 without one: the leader grants no right to a door with an older version.
+    /// The version of the last change with a fence, 0 without one: the leader grants no right to a gateway instance
+    /// with an older version.
     pub fn fenced(&self) -> u64 {
         self.fenced
     }
@@ -77,8 +78,8 @@
         self.slots.keys().map(String::as_str)
     }
 
-    /// Whether doors must have changes of this matter within a time limit or stop acting. By default only bans are strict;
-    /// operators set others through the matter [`STRICTNESS`].
+    /// Whether gateway instances must have changes of this matter within a time limit or stop acting. By default only
+    /// bans are strict; operators set others through the matter [`STRICTNESS`].
     pub fn is_strict(&self, matter: &str) -> bool {
         match self.get(STRICTNESS, matter).and_then(|slot| slot.body.as_str()) {
             Some(strictness) => strictness == "strict",
@@ -158,8 +159,8 @@
         self.recent.iter()
     }
 
-    /// The version and digest that doors act on: those of the last change of any matter except leases. If that change is not
-    /// among the recent ones, the current version and digest.
+    /// The version and digest that gateway instances act on: those of the last change of any matter except leases. If
+    /// that change is not among the recent ones, the current version and digest.
     pub fn acted_under(&self) -> (u64, &str) {
         let others = self.slots.iter().filter(|(matter, _)| *matter != LEASE);
         let last = others.flat_map(|(_, keys)| keys.values()).map(|slot| slot.version).max().unwrap_or(0);
--- a/crates/brassport-fleet/src/standing.rs
+++ b/crates/brassport-fleet/src/standing.rs
@@ -1,12 +1,13 @@
-//! One door's right to act: a lease on the door's own clock.
+//! One gateway instance's right to act: a lease on its own clock.
 //!
-//! The lease runs from the time of its request. It expires without any message, so a door that was suspended or partitioned,
-//! or whose lease is not renewed, stops acting. This requires a monotonic clock that advances while the process is suspended.
+//! The lease runs from the time of its request. It expires without any message, so a gateway instance that was
+//! suspended or partitioned, or whose lease is not renewed, stops acting. This requires a monotonic clock that advances
+//! while the process is suspended.
 
 use crate::mutants::mutant;
 use crate::Millis;
 
-/// Why a door may not act.
+/// Why a gateway instance may not act.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DenialReason {
     /// It was never granted a right.
@@ -21,12 +22,12 @@
     Unknown,
 }
 
-/// A door's right to act.
+/// A gateway instance's right to act.
 #[derive(Debug, Clone)]
 pub struct Standing {
     /// When the right expires or expired; `None` if it was never granted.
     until: Option<Millis>,
-    /// Why the door may not act once the right has expired.
+    /// Why the gateway instance may not act once the right has expired.
     why: DenialReason,
 }
 
@@ -64,7 +65,7 @@
         self.why = why;
     }
 
-    /// Whether the door may act at `now`. To be checked immediately before each act.
+    /// Whether the gateway instance may act at `now`. To be checked immediately before each act.
     ///
     /// # Errors
     /// The reason why it may not.
--- a/crates/brassport-fleet/tests/it/audit.rs
+++ b/crates/brassport-fleet/tests/it/audit.rs
@@ -1,4 +1,5 @@
-//! Spans, non-idempotent requests, forks and missing parts that an audit finds in the records of several doors.
+//! Spans, non-idempotent requests, forks and missing parts that an audit finds in the records of several gateway
+//! instances.
 
 use brassport_fleet::audit::{Audit, Query};
 use brassport_fleet::clocks::Mark;
@@ -70,7 +71,8 @@
         let lines = [(10, Event::Clock(mark)), (20, acts(3, 1)), (30, Event::Lost { lines: 2 })];
         lines.map(|(ms, event)| chain.add(at(ms), event)).concat()
     };
-    // The second door's wall clock is an hour slow; both doors started to act within ten milliseconds of each other.
+    // The second gateway instance's wall clock is an hour slow; both gateway instances started to act within ten
+    // milliseconds of each other.
     let (a, b) = (text(1, 5_000_000, 5_000_010), text(2, 1_400_000, 5_000_012));
     let mut audit = Audit::default();
     audit.gather([("a", &*a), ("b", &*b)].into_iter());
--- a/crates/brassport-fleet/tests/it/fence.rs
+++ b/crates/brassport-fleet/tests/it/fence.rs
@@ -1,4 +1,5 @@
-//! Runs the simulated fleet over many seeds: once a fence is reported to hold, no door acts on an older version.
+//! Runs the simulated fleet over many seeds: once a fence is reported to hold, no gateway instance acts on an older
+//! version.
 
 use crate::simulation::play;
 
--- a/crates/brassport-fleet/tests/it/golden/audit.rs
+++ b/crates/brassport-fleet/tests/it/golden/audit.rs
@@ -8,7 +8,8 @@
 use brassport_golden::json;
 use std::collections::BTreeMap;
 
-/// An audit of two doors' records. The second record is truncated and has another digest for a version of the first.
+/// An audit of two gateway instances' records. The second record is truncated and has another digest for a version of
+/// the first.
 fn gathered() -> Audit {
     let mut chain = Chain::default();
     let lines = events().into_iter().enumerate();
--- a/crates/brassport-fleet/tests/it/golden/grants.rs
+++ b/crates/brassport-fleet/tests/it/golden/grants.rs
@@ -75,7 +75,7 @@
     GOLDEN.same_cases("grants.txt", &cases);
 }
 
-/// A door's right is not serialized; the results of its methods are compared as text.
+/// A gateway instance's right is not serialized; the results of its methods are compared as text.
 #[test]
 fn a_right_starts_and_ends_at_the_same_moments() {
     let name = |why: DenialReason| match why {
--- a/crates/brassport-fleet/tests/it/simulation/delivery.rs
+++ b/crates/brassport-fleet/tests/it/simulation/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery of messages to the leader, the voters and the doors.
+//! Delivery of messages to the leader, the voters and the gateway instances.
 
 use super::model::{Door, Message, Origin};
 use super::Sim;
--- a/crates/brassport-fleet/tests/it/simulation/doors.rs
+++ b/crates/brassport-fleet/tests/it/simulation/doors.rs
@@ -1,4 +1,4 @@
-//! The work of doors at each tick, and the check of the invariants.
+//! The work of gateway instances at each tick, and the check of the invariants.
 
 use super::model::{Message, Origin, Registration};
 use super::{Sim, Violation};
@@ -12,7 +12,8 @@
 }
 
 impl Sim {
-    /// Runs each door that is not suspended: checks whether it acts, and registers it and requests its right when due.
+    /// Runs each gateway instance that is not suspended: checks whether it acts, and registers it and requests its
+    /// right when due.
     pub(super) fn run_doors(&mut self) -> Result<(), Violation> {
         let mut acting = BTreeMap::new();
         for door in 0..self.doors.len() {
@@ -28,7 +29,7 @@
         Ok(())
     }
 
-    /// Checks the invariants for one door. `acting` collects the processes that act at this tick, by name.
+    /// Checks the invariants for one gateway instance. `acting` collects the processes that act at this tick, by name.
     fn check(&mut self, n: usize, acting: &mut BTreeMap<usize, u64>) -> Result<(), Violation> {
         let (seed, now_ms, door) = (self.seed, self.now, &self.doors[n]);
         let local = door.clock.at(now_ms);
@@ -66,7 +67,8 @@
             self.network.send(arrives, Message::FetchState { from });
             return;
         }
-        // A door without a link to the leader reaches a voter that is also cut off from the leader, if there is one.
+        // A gateway instance without a link to the leader reaches a voter that is also cut off from the leader, if
+        // there is one.
         let mut voters = 0..self.voters.len() as u64;
         if let Some(voter) = voters.find(|voter| !self.network.reaches_voter(*voter, self.now)) {
             let arrives = self.now + self.random.rand_range(5..400);
--- a/crates/brassport-fleet/tests/it/simulation/mod.rs
+++ b/crates/brassport-fleet/tests/it/simulation/mod.rs
@@ -1,6 +1,7 @@
-//! Simulates a fleet under a virtual clock, with changes of leadership, link failures of doors and voters, clock drift, and
-//! processes that are suspended, restarted or keep running beside their successor. Checks two invariants: once a fence was
-//! reported to hold, no door acts on an older version; and no two processes with one name act at the same time.
+//! Simulates a fleet under a virtual clock, with changes of leadership, link failures of gateway instances and voters,
+//! clock drift, and processes that are suspended, restarted or keep running beside their successor. Checks two
+//! invariants: once a fence was reported to hold, no gateway instance acts on an older version; and no two processes
+//! with one name act at the same time.
 //!
 //! A seed determines a run. Any change to the order in which random numbers are drawn changes the run of each seed.
 
@@ -28,11 +29,11 @@
 pub struct Tally {
     /// Fences that were reported to hold.
     pub fences: u32,
-    /// Fences that were reported to hold although some door did not have the version.
+    /// Fences that were reported to hold although some gateway instance did not have the version.
     pub fences_without_a_door: u32,
-    /// Extensions by voters that reached a door.
+    /// Extensions by voters that reached a gateway instance.
     pub extensions: u32,
-    /// Checks of a door whose right had expired, counted only in 5 ms of every 500 ms of its clock.
+    /// Checks of a gateway instance whose right had expired, counted only in 5 ms of every 500 ms of its clock.
     pub stops: u32,
 }
 
@@ -41,7 +42,7 @@
 pub enum Violation {
     /// Two processes with one name act at the same time.
     TwoProcesses { seed: u64, now_ms: u64, processes: (u64, u64) },
-    /// A door acts on a version older than a fence that was reported to hold.
+    /// A gateway instance acts on a version older than a fence that was reported to hold.
     BehindFence { seed: u64, now_ms: u64, door: usize, version: u64, fence: u64 },
     /// The operator's change was refused.
     Refused { seed: u64, refusal: Refusal },
@@ -71,7 +72,8 @@
     }
 }
 
-/// Runs one seed: three in four with four doors and three voters, the others with up to 30 doors and three or five voters.
+/// Runs one seed: three in four with four gateway instances and three voters, the others with up to 30 gateway
+/// instances and three or five voters.
 pub fn play(seed: u64) -> Result<Tally, Violation> {
     let mut sizes = Rand64::new(u128::from(seed) << 64);
     let (doors, voters) = match sizes.rand_range(0..4) {
--- a/crates/brassport-fleet/tests/it/simulation/model.rs
+++ b/crates/brassport-fleet/tests/it/simulation/model.rs
@@ -1,4 +1,4 @@
-//! The components of the simulated fleet: clocks, doors, voters and the network between them.
+//! The components of the simulated fleet: clocks, gateway instances, voters and the network between them.
 
 use brassport_fleet::grants::{Answer, Ask, Terms};
 use brassport_fleet::shared::Shared;
@@ -35,7 +35,7 @@
     pub alone: bool,
 }
 
-/// One process of a door.
+/// One process of a gateway instance.
 pub struct Door {
     pub name: usize,
     pub clock: Clock,
@@ -104,7 +104,7 @@
 pub struct Network {
     in_flight: BTreeMap<Arrival, Message>,
     sent: u64,
-    /// The links from doors to the leader, by the index of the door's name.
+    /// The links from gateway instances to the leader, by the index of the gateway instance's name.
     pub door_cut_until: Vec<u64>,
     /// The links from voters to the leader.
     pub voter_cut_until: Vec<u64>,
--- a/crates/brassport-fleet/tests/it/standing.rs
+++ b/crates/brassport-fleet/tests/it/standing.rs
@@ -1,4 +1,4 @@
-//! One door's right to act: when it starts to run, and how grants and extensions prolong it.
+//! One gateway instance's right to act: when it starts to run, and how grants and extensions prolong it.
 
 use brassport_fleet::standing::{DenialReason, Standing};
 
